--- a/cli/src/main/java/kitemux/cli/ExitCode.java
+++ b/cli/src/main/java/kitemux/cli/ExitCode.java
@@ -14,5 +14,5 @@
     static final String HELP = "%nExit codes: 0 all rules kept; 1 a rule was broken; 2 a bad command line or"
             + " scenario; 3 the run itself failed.%n";
 
-    private ExitCode() { }
+    private ExitCode() {}
 }
--- a/cli/src/main/java/kitemux/cli/Fleet.java
+++ b/cli/src/main/java/kitemux/cli/Fleet.java
@@ -14,7 +14,6 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-
 import kitemux.rig.baseline.Baselines;
 import kitemux.rig.baseline.JarPolicy;
 import kitemux.rig.check.Violation;
@@ -38,8 +37,10 @@
 import picocli.CommandLine.Spec;
 
 /** Whole fleets: several nodes, what surrounds them, and what goes wrong between them. */
-@Command(name = "fleet", mixinStandardHelpOptions = true, subcommands = {FleetDemo.class,
-        FleetMembers.class, FleetScale.class, FleetStudy.class},
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        subcommands = {FleetDemo.class, FleetMembers.class, FleetScale.class, FleetStudy.class},
         description = "Plays fleets of nodes, with what goes wrong between them, before a referee.")
 final class Fleet {
     private static final String JAR = "jar:";
@@ -64,8 +65,10 @@
         @Parameters(paramLabel = "SCENARIO", description = "A scenario file; docs/rig.md tells its keys.")
         private Path file;
 
-        @Option(names = "--set", paramLabel = "KEY=VALUE", description = "Goes before the file's value:"
-                + " --set load.per_second=200 --set trouble.0.size=4")
+        @Option(
+                names = "--set",
+                paramLabel = "KEY=VALUE",
+                description = "Goes before the file's value:" + " --set load.per_second=200 --set trouble.0.size=4")
         private Map<String, String> overrides = new LinkedHashMap<>();
 
         Scenario read() {
@@ -85,7 +88,8 @@
 
         /** The command line that plays it again. */
         String again(String command, long seed) {
-            String set = overrides.entrySet().stream().map(e -> " --set " + e.getKey() + "=" + e.getValue())
+            String set = overrides.entrySet().stream()
+                    .map(e -> " --set " + e.getKey() + "=" + e.getValue())
                     .collect(Collectors.joining());
             return "kitemux fleet " + command + " " + file + " --seed " + seed + set;
         }
@@ -107,29 +111,33 @@
         return policy;
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a scenario once.",
-            footer = {"%nExample: kitemux fleet run scenarios/jam.toml --seed 7 --history jam.jsonl",
-                    ExitCode.HELP})
-    int run(@Mixin Played played,
-            @Option(names = "--seed", defaultValue = "1",
-                    description = "Seed of all chance; default 1.") long seed,
-            @Option(names = "--policy", defaultValue = "module",
-                    description = "What decides: ${DEFAULT-VALUE}"
-                    + " (default), or a built-in baseline.") String policyName,
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description = "Plays a scenario once.",
+            footer = {"%nExample: kitemux fleet run scenarios/jam.toml --seed 7 --history jam.jsonl", ExitCode.HELP})
+    int run(
+            @Mixin Played played,
+            @Option(names = "--seed", defaultValue = "1", description = "Seed of all chance; default 1.") long seed,
+            @Option(
+                            names = "--policy",
+                            defaultValue = "module",
+                            description = "What decides: ${DEFAULT-VALUE}" + " (default), or a built-in baseline.")
+                    String policyName,
             @Option(names = "--json", description = "The outcome as one line of JSON.") boolean json,
             @Option(names = "--real", description = "With processes on loopback, in real time.") boolean real,
-            @Option(names = "--history", paramLabel = "FILE",
-                    description = "Writes down all that happens.") Path file)
+            @Option(names = "--history", paramLabel = "FILE", description = "Writes down all that happens.") Path file)
             throws IOException, InterruptedException {
         Scenario scenario = played.read();
         Policy policy = policy(policyName);
         if (real && policy != Policy.MODULE) {
             throw new ToldException("--policy " + policyName + ": must be module with --real");
         }
-        SimPlay.Progress progress = onTerminal() && !json ? this::showSecond : (nowUs, world) -> { };
+        SimPlay.Progress progress = onTerminal() && !json ? this::showSecond : (nowUs, world) -> {};
         Outcome outcome;
         try (OutputStream to = file == null ? null : new BufferedOutputStream(Files.newOutputStream(file))) {
-            outcome = real ? FleetDemo.play(scenario, seed, to, event -> { }, progress)
+            outcome = real
+                    ? FleetDemo.play(scenario, seed, to, event -> {}, progress)
                     : SimPlay.play(scenario, seed, policy, to, true, progress);
         }
         if (json) {
@@ -157,80 +165,107 @@
         }
     }
 
-    @Command(name = "hunt", mixinStandardHelpOptions = true,
+    @Command(
+            name = "hunt",
+            mixinStandardHelpOptions = true,
             description = "Plays a scenario with many seeds, looks"
-            + " for broken rules, and makes the first that it finds as small as it can.",
+                    + " for broken rules, and makes the first that it finds as small as it can.",
             footer = {"%nExample: kitemux fleet hunt scenarios/herd.toml --seeds 1000", ExitCode.HELP})
-    int hunt(@Mixin Played played,
-            @Option(names = "--seeds", defaultValue = "100",
-                    description = "How many; default 100.") int seeds,
-            @Option(names = "--first", defaultValue = "1",
-                    description = "The first seed; default 1.") long first,
+    int hunt(
+            @Mixin Played played,
+            @Option(names = "--seeds", defaultValue = "100", description = "How many; default 100.") int seeds,
+            @Option(names = "--first", defaultValue = "1", description = "The first seed; default 1.") long first,
             @Option(names = "--cores", description = "How many at a time; default all.") Integer cores,
-            @Option(names = "--policy", defaultValue = "module",
-                    description = "What decides.") String policyName)
+            @Option(names = "--policy", defaultValue = "module", description = "What decides.") String policyName)
             throws InterruptedException {
         Scenario scenario = played.read();
         Policy policy = policy(policyName);
         int[] count = {0};
-        List<Outcome> all = Seeds.play(first, atLeastOne("--seeds", seeds), cores(cores),
-                seed -> SimPlay.play(scenario, seed, policy), outcome -> {
+        List<Outcome> all = Seeds.play(
+                first,
+                atLeastOne("--seeds", seeds),
+                cores(cores),
+                seed -> SimPlay.play(scenario, seed, policy),
+                outcome -> {
                     if (onTerminal()) {
                         err().printf("\r%d of %d seeds", ++count[0], seeds);
                         err().flush();
                     }
                 });
         List<Outcome> broken = all.stream().filter(outcome -> !outcome.isKept()).toList();
-        double[] g = all.stream().mapToDouble(outcome -> outcome.score().g()).sorted().toArray();
-        out().printf(Locale.ROOT, "%d seeds, %d broken; G least %.4f, median %.4f, most %.4f%n", all.size(),
-                broken.size(), g[0], g[g.length / 2], g[g.length - 1]);
+        double[] g = all.stream()
+                .mapToDouble(outcome -> outcome.score().g())
+                .sorted()
+                .toArray();
+        out().printf(
+                        Locale.ROOT,
+                        "%d seeds, %d broken; G least %.4f, median %.4f, most %.4f%n",
+                        all.size(),
+                        broken.size(),
+                        g[0],
+                        g[g.length / 2],
+                        g[g.length - 1]);
         if (broken.isEmpty()) {
             return ExitCode.OK;
         }
-        out().println("seeds that break a rule: " + broken.stream().limit(20)
-                .map(outcome -> Long.toString(outcome.seed())).collect(Collectors.joining(", ")));
+        out().println("seeds that break a rule: "
+                + broken.stream()
+                        .limit(20)
+                        .map(outcome -> Long.toString(outcome.seed()))
+                        .collect(Collectors.joining(", ")));
         Outcome worst = broken.get(0);
         tell(worst, played);
-        Shrink.Smallest least = Shrink.shrink(scenario, worst.violations().get(0),
-                lesser -> SimPlay.play(lesser, worst.seed(), policy));
+        Shrink.Smallest least = Shrink.shrink(
+                scenario, worst.violations().get(0), lesser -> SimPlay.play(lesser, worst.seed(), policy));
         Scenario s = least.scenario();
-        out().printf(Locale.ROOT,
-                "%nsmallest found in %d plays: %.3f s, %d nodes, %d servers, %.1f requests a"
-                + " second, %d keys, troubles %s%n", least.plays(), s.lengthUs() / 1e6, s.fleet().nodes(),
-                s.fleet().servers(), s.load().perSecond(), s.load().keys(), s.troubles());
+        out().printf(
+                        Locale.ROOT,
+                        "%nsmallest found in %d plays: %.3f s, %d nodes, %d servers, %.1f requests a"
+                                + " second, %d keys, troubles %s%n",
+                        least.plays(),
+                        s.lengthUs() / 1e6,
+                        s.fleet().nodes(),
+                        s.fleet().servers(),
+                        s.load().perSecond(),
+                        s.load().keys(),
+                        s.troubles());
         out().println(least.violation());
         return ExitCode.BROKEN;
     }
 
-    @Command(name = "compare", mixinStandardHelpOptions = true,
-            description = "Plays a scenario with two policies on"
-            + " the same seeds.",
-            footer = {"%nExample: kitemux fleet compare scenarios/jam.toml --a module --b two-choices"
-                    + " --seeds 30",
-                ExitCode.HELP})
-    int compare(@Mixin Played played,
+    @Command(
+            name = "compare",
+            mixinStandardHelpOptions = true,
+            description = "Plays a scenario with two policies on" + " the same seeds.",
+            footer = {
+                "%nExample: kitemux fleet compare scenarios/jam.toml --a module --b two-choices" + " --seeds 30",
+                ExitCode.HELP
+            })
+    int compare(
+            @Mixin Played played,
             @Option(names = "--a", defaultValue = "module", description = "Default: module.") String a,
-            @Option(names = "--b", defaultValue = "module", description = "module, random, round-robin,"
-                    + " least-outstanding, two-choices, plain, oracle, or jar:FILE for another build's"
-                    + " module.")
+            @Option(
+                            names = "--b",
+                            defaultValue = "module",
+                            description = "module, random, round-robin,"
+                                    + " least-outstanding, two-choices, plain, oracle, or jar:FILE for another build's"
+                                    + " module.")
                     String b,
             @Option(names = "--set-a", paramLabel = "KEY=VALUE", description = "As --set, for A alone.")
                     Map<String, String> setA,
             @Option(names = "--set-b", paramLabel = "KEY=VALUE", description = "As --set, for B alone.")
                     Map<String, String> setB,
             @Option(names = "--seeds", defaultValue = "30", description = "How many; default 30.") int seeds,
-            @Option(names = "--first", defaultValue = "1",
-                    description = "The first seed; default 1.") long first,
+            @Option(names = "--first", defaultValue = "1", description = "The first seed; default 1.") long first,
             @Option(names = "--cores", description = "How many at a time; default all.") Integer cores)
             throws InterruptedException {
         atLeastOne("--seeds", seeds);
-        List<Outcome> ofA = play(played.read(setA == null ? Map.of() : setA), policy(a), first, seeds,
-                cores(cores));
-        List<Outcome> ofB = play(played.read(setB == null ? Map.of() : setB), policy(b), first, seeds,
-                cores(cores));
+        List<Outcome> ofA = play(played.read(setA == null ? Map.of() : setA), policy(a), first, seeds, cores(cores));
+        List<Outcome> ofB = play(played.read(setB == null ? Map.of() : setB), policy(b), first, seeds, cores(cores));
         out().println("G of A = " + a + (setA == null ? "" : " " + setA) + ", B = " + b
                 + (setB == null ? "" : " " + setB) + ", " + seeds + " seeds from " + first);
-        out().println(Comparison.of(ofA.stream().mapToDouble(o -> o.score().g()).toArray(),
+        out().println(Comparison.of(
+                ofA.stream().mapToDouble(o -> o.score().g()).toArray(),
                 ofB.stream().mapToDouble(o -> o.score().g()).toArray()));
         long brokenA = ofA.stream().filter(o -> !o.isKept()).count();
         long brokenB = ofB.stream().filter(o -> !o.isKept()).count();
@@ -240,12 +275,13 @@
 
     private static List<Outcome> play(Scenario scenario, Policy policy, long first, int seeds, int cores)
             throws InterruptedException {
-        return Seeds.play(first, seeds, cores, seed -> SimPlay.play(scenario, seed, policy), outcome -> { });
+        return Seeds.play(first, seeds, cores, seed -> SimPlay.play(scenario, seed, policy), outcome -> {});
     }
 
-    @Command(name = "import", mixinStandardHelpOptions = true,
-            description = "Makes a scenario of a day that the"
-            + " platform's simulator has drawn, and prints it.",
+    @Command(
+            name = "import",
+            mixinStandardHelpOptions = true,
+            description = "Makes a scenario of a day that the" + " platform's simulator has drawn, and prints it.",
             footer = "%nExample: kitemux fleet import day.json > scenarios/day.toml")
     int importDay(@Parameters(paramLabel = "DAY", description = "The day, as JSON.") Path day) {
         try {
@@ -257,18 +293,20 @@
         }
     }
 
-    @Command(name = "report", mixinStandardHelpOptions = true,
-            description = "Draws what histories in a folder tell,"
-            + " as one page that needs nothing else.",
+    @Command(
+            name = "report",
+            mixinStandardHelpOptions = true,
+            description = "Draws what histories in a folder tell," + " as one page that needs nothing else.",
             footer = "%nExample: kitemux fleet report runs/ --out report.html")
-    int report(@Parameters(paramLabel = "DIR",
-            description = "Where *.jsonl are, as --history writes them.") Path folder,
-            @Option(names = "--out", defaultValue = "report.html",
-                    description = "Default: report.html.") Path to)
+    int report(
+            @Parameters(paramLabel = "DIR", description = "Where *.jsonl are, as --history writes them.") Path folder,
+            @Option(names = "--out", defaultValue = "report.html", description = "Default: report.html.") Path to)
             throws IOException {
         List<Path> files;
         try (Stream<Path> all = Files.list(folder)) {
-            files = all.filter(file -> file.toString().endsWith(".jsonl")).sorted().toList();
+            files = all.filter(file -> file.toString().endsWith(".jsonl"))
+                    .sorted()
+                    .toList();
         } catch (NoSuchFileException | NotDirectoryException e) {
             throw new ToldException(folder + ": is no folder");
         }
--- a/cli/src/main/java/kitemux/cli/FleetDemo.java
+++ b/cli/src/main/java/kitemux/cli/FleetDemo.java
@@ -12,7 +12,6 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-
 import kitemux.rig.history.Event;
 import kitemux.rig.history.History;
 import kitemux.rig.play.Outcome;
@@ -31,10 +30,12 @@
 import picocli.CommandLine.Spec;
 
 /** The main job in half a minute: nodes that route round what goes wrong. */
-@Command(name = "demo", mixinStandardHelpOptions = true,
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
         description = "Starts 3 nodes, and stands in for 12 app servers"
-        + " in 3 zones, their list and clients of four classes; then a server turns slow, one fails, one is"
-        + " killed.",
+                + " in 3 zones, their list and clients of four classes; then a server turns slow, one fails, one is"
+                + " killed.",
         footer = {"%nExample: kitemux fleet demo", ExitCode.HELP})
 final class FleetDemo implements Callable<Integer> {
     private static final String SCENARIO = """
@@ -68,6 +69,7 @@
     private CommandSpec spec;
     /** In the last second, by server and by node. */
     private final Map<String, Integer> served = new HashMap<>();
+
     private final Map<String, Integer> handled = new HashMap<>();
 
     @Override
@@ -79,12 +81,10 @@
         } catch (BadScenarioException e) {
             throw new IllegalStateException("the demo's own scenario", e);
         }
-        out.println("starting 3 nodes; 5 s in a server turns slow, 12 s in one fails all,"
-                + " 19 s in one is killed");
+        out.println("starting 3 nodes; 5 s in a server turns slow, 12 s in one fails all," + " 19 s in one is killed");
         out.println("each second, by node and by server: requests served; +n more in hand; ! is down");
         out.flush();
-        Outcome outcome = play(scenario, 1, null, event -> told(out, event),
-                (nowUs, world) -> show(out, nowUs, world));
+        Outcome outcome = play(scenario, 1, null, event -> told(out, event), (nowUs, world) -> show(out, nowUs, world));
         out.println(outcome.score());
         outcome.violations().forEach(violation -> out.println("BROKEN " + violation));
         out.println(outcome.isKept() ? "rules kept" : "rules broken");
@@ -92,8 +92,9 @@
     }
 
     /** Plays a scenario with processes, which are gone when this returns or this process is told to end. */
-    static Outcome play(Scenario scenario, long seed, OutputStream history, History.Reader reader,
-            SimPlay.Progress progress) throws IOException, InterruptedException {
+    static Outcome play(
+            Scenario scenario, long seed, OutputStream history, History.Reader reader, SimPlay.Progress progress)
+            throws IOException, InterruptedException {
         DeployFile deploy = DeployFile.find(Path.of(""));
         Path folder = Files.createTempDirectory("kitemux-fleet");
         RealPlay play = new RealPlay(scenario, seed, deploy, folder, history, reader);
@@ -132,13 +133,17 @@
     private void show(PrintWriter out, long nowUs, World world) {
         StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%3d s ", nowUs / 1_000_000));
         for (NodePort node : world.nodes()) {
-            line.append(String.format(Locale.ROOT, " %s%3d", node.name(),
-                    handled.getOrDefault(node.name(), 0)));
+            line.append(String.format(Locale.ROOT, " %s%3d", node.name(), handled.getOrDefault(node.name(), 0)));
         }
         line.append(" |");
         for (AppServer server : world.servers().values()) {
-            line.append(String.format(Locale.ROOT, " %s%s%d+%d", server.id(), server.isUp() ? " " : "!",
-                    served.getOrDefault(server.id(), 0), server.held()));
+            line.append(String.format(
+                    Locale.ROOT,
+                    " %s%s%d+%d",
+                    server.id(),
+                    server.isUp() ? " " : "!",
+                    served.getOrDefault(server.id(), 0),
+                    server.held()));
         }
         served.clear();
         handled.clear();
--- a/cli/src/main/java/kitemux/cli/FleetMembers.java
+++ b/cli/src/main/java/kitemux/cli/FleetMembers.java
@@ -1,5 +1,7 @@
 package kitemux.cli;
 
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
@@ -10,41 +12,46 @@
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.concurrent.Callable;
-
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ObjectNode;
+import kitemux.core.membership.Member;
+import kitemux.members.Look;
+import kitemux.net.Addresses;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-import kitemux.core.membership.Member;
-import kitemux.members.Look;
-import kitemux.net.Addresses;
-
 /** How processes see their fleet. */
-@Command(name = "members", mixinStandardHelpOptions = true,
+@Command(
+        name = "members",
+        mixinStandardHelpOptions = true,
         description = "Asks processes how they see their fleet: who is alive, suspected, dead or has left.",
-        footer = {"%nExample: kitemux fleet members 127.0.0.1:7946",
+        footer = {
+            "%nExample: kitemux fleet members 127.0.0.1:7946",
             "Example: kitemux fleet members --diff 127.0.0.1:7946 127.0.0.2:7946",
             "%nExit codes: 0 answered, and with --diff all alike; 1 with --diff: views differ; 2 a bad"
-            + " command line; 3 one does not answer.%n"})
+                    + " command line; 3 one does not answer.%n"
+        })
 final class FleetMembers implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String UNKNOWN = "-";
 
     @Spec
     private CommandSpec spec;
-    @Parameters(arity = "1..*", paramLabel = "ADDRESS", description = "Where a process takes part: the bind"
-            + " or advertise address of its fleet, address:port.")
+
+    @Parameters(
+            arity = "1..*",
+            paramLabel = "ADDRESS",
+            description = "Where a process takes part: the bind" + " or advertise address of its fleet, address:port.")
     private List<String> addresses;
+
     @Option(names = "--diff", description = "Shows only what the views differ in.")
     private boolean diff;
+
     @Option(names = "--json", description = "One line of JSON for each process.")
     private boolean json;
-    @Option(names = "--timeout-ms", defaultValue = "3000",
-            description = "For each; default ${DEFAULT-VALUE}.")
+
+    @Option(names = "--timeout-ms", defaultValue = "3000", description = "For each; default ${DEFAULT-VALUE}.")
     private int timeoutMs;
 
     @Override
@@ -53,8 +60,10 @@
         for (String address : addresses) {
             InetSocketAddress at = Addresses.parse(address);
             if (at == null || timeoutMs <= 0) {
-                throw new ToldException(at == null ? "ADDRESS = " + address + ": must be address:port"
-                        : "--timeout-ms = " + timeoutMs + ": must be above 0");
+                throw new ToldException(
+                        at == null
+                                ? "ADDRESS = " + address + ": must be address:port"
+                                : "--timeout-ms = " + timeoutMs + ": must be above 0");
             }
             try {
                 views.put(address, Look.at(at, timeoutMs));
@@ -79,29 +88,37 @@
     }
 
     private static String state(Member member) {
-        return member.state().name().toLowerCase(Locale.ROOT) + " " + member.incarnation().birth() + "."
-                + member.incarnation().count();
+        return member.state().name().toLowerCase(Locale.ROOT) + " "
+                + member.incarnation().birth() + "." + member.incarnation().count();
     }
 
     private static void print(PrintWriter out, String address, Look.View view) {
         long live = all(view).stream().filter(m -> m.state().isLive()).count();
-        out.printf("%s at %s: %d live, view version %d, digest %016x, doubts itself by %d%n",
+        out.printf(
+                "%s at %s: %d live, view version %d, digest %016x, doubts itself by %d%n",
                 view.self().name(), address, live, view.version(), view.digest(), view.health());
         for (Member m : all(view)) {
-            out.printf("  %-24s %-24s zone %-10s role %-10s %s%n", m.name(), m.address(), m.zone(), m.role(),
-                    state(m));
+            out.printf("  %-24s %-24s zone %-10s role %-10s %s%n", m.name(), m.address(), m.zone(), m.role(), state(m));
         }
         view.figures().forEach((name, value) -> out.printf("  %s %d%n", name, value));
     }
 
     private static String tree(String address, Look.View view) {
-        ObjectNode tree = JSON.createObjectNode().put("address", address).put("version", view.version())
-                .put("digest", String.format("%016x", view.digest())).put("health", view.health());
+        ObjectNode tree = JSON.createObjectNode()
+                .put("address", address)
+                .put("version", view.version())
+                .put("digest", String.format("%016x", view.digest()))
+                .put("health", view.health());
         for (Member m : all(view)) {
-            tree.withArray("members").addObject().put("name", m.name()).put("address", m.address())
-                    .put("zone", m.zone()).put("role", m.role())
+            tree.withArray("members")
+                    .addObject()
+                    .put("name", m.name())
+                    .put("address", m.address())
+                    .put("zone", m.zone())
+                    .put("role", m.role())
                     .put("state", m.state().name().toLowerCase(Locale.ROOT))
-                    .put("birth", m.incarnation().birth()).put("count", m.incarnation().count());
+                    .put("birth", m.incarnation().birth())
+                    .put("count", m.incarnation().count());
         }
         ObjectNode figures = tree.putObject("figures");
         view.figures().forEach(figures::put);
@@ -114,8 +131,12 @@
         views.values().forEach(view -> all(view).forEach(m -> names.add(m.name())));
         int differing = 0;
         for (String name : names) {
-            List<String> held = views.values().stream().map(view -> all(view).stream()
-                    .filter(m -> m.name().equals(name)).map(FleetMembers::state).findFirst().orElse(UNKNOWN))
+            List<String> held = views.values().stream()
+                    .map(view -> all(view).stream()
+                            .filter(m -> m.name().equals(name))
+                            .map(FleetMembers::state)
+                            .findFirst()
+                            .orElse(UNKNOWN))
                     .toList();
             if (held.stream().distinct().count() > 1) {
                 differing++;
--- a/cli/src/main/java/kitemux/cli/Main.java
+++ b/cli/src/main/java/kitemux/cli/Main.java
@@ -7,7 +7,10 @@
  * The command for operators and developers; the node has a program of its own, which starts without any of
  * this.
  */
-@Command(name = "kitemux", mixinStandardHelpOptions = true, version = "kitemux 0.1.0",
+@Command(
+        name = "kitemux",
+        mixinStandardHelpOptions = true,
+        version = "kitemux 0.1.0",
         description = "Keeps fleets of kitemux nodes running, and proves that it does.",
         subcommands = {Fleet.class, CommandLine.HelpCommand.class})
 public final class Main {
--- a/cli/src/main/java/kitemux/cli/Outcomes.java
+++ b/cli/src/main/java/kitemux/cli/Outcomes.java
@@ -4,7 +4,6 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-
 import kitemux.rig.check.Violation;
 import kitemux.rig.play.Outcome;
 import kitemux.rig.scenario.Scenario;
@@ -14,23 +13,35 @@
 final class Outcomes {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Outcomes() { }
+    private Outcomes() {}
 
     /** One line. Times are microseconds, shares lie between 0 and 1. */
     static String json(Scenario scenario, Outcome outcome) {
         Score.Result score = outcome.score();
         ObjectNode line = JSON.createObjectNode();
-        line.put("scenario", scenario.name()).put("seed", outcome.seed()).put("kept", outcome.isKept())
-                .put("g", score.g()).put("whole", score.whole()).put("worstWindow", score.worstWindow())
-                .put("worstClass", score.worstClass()).put("firstTries", score.firstTries())
-                .put("attempts", score.attempts()).put("crossing", score.crossing())
+        line.put("scenario", scenario.name())
+                .put("seed", outcome.seed())
+                .put("kept", outcome.isKept())
+                .put("g", score.g())
+                .put("whole", score.whole())
+                .put("worstWindow", score.worstWindow())
+                .put("worstClass", score.worstClass())
+                .put("firstTries", score.firstTries())
+                .put("attempts", score.attempts())
+                .put("crossing", score.crossing())
                 .put("inTime", score.inTime())
-                .put("refused", score.refused()).put("failed", score.failed())
+                .put("refused", score.refused())
+                .put("failed", score.failed())
                 .put("medianUs", score.medianUs())
-                .put("p99Us", score.p99Us()).put("events", outcome.events()).put("digest", outcome.digest());
+                .put("p99Us", score.p99Us())
+                .put("events", outcome.events())
+                .put("digest", outcome.digest());
         ArrayNode violations = line.putArray("violations");
         for (Violation violation : outcome.violations()) {
-            violations.addObject().put("rule", violation.rule()).put("atUs", violation.atUs())
+            violations
+                    .addObject()
+                    .put("rule", violation.rule())
+                    .put("atUs", violation.atUs())
                     .put("what", violation.what());
         }
         try {
--- a/cli/src/main/java/kitemux/cli/Report.java
+++ b/cli/src/main/java/kitemux/cli/Report.java
@@ -14,7 +14,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-
+import kitemux.rig.history.Event;
+import kitemux.rig.history.History;
 import org.HdrHistogram.Histogram;
 import org.jfree.chart.ChartFactory;
 import org.jfree.chart.ChartUtils;
@@ -27,9 +28,6 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-import kitemux.rig.history.Event;
-import kitemux.rig.history.History;
-
 /** One page of HTML without outside links: what each history tells, in figures and plots. */
 final class Report {
     private static final int WIDTH = 1_000;
@@ -39,7 +37,7 @@
     /** Beyond so many lines a plot cannot be read: the servers with the least and the most are drawn. */
     private static final int MOST_LINES = 12;
 
-    private Report() { }
+    private Report() {}
 
     /** What one history tells, second by second. */
     private static final class Told implements History.Reader {
@@ -59,8 +57,9 @@
             int second = (int) (event.atUs() / SECOND_US);
             last = Math.max(last, second);
             switch (event.kind()) {
-                case RUN -> title = event.text("scenario") + ", seed " + event.number("seed")
-                        + (event.yes("real") ? ", processes" : ", simulated");
+                case RUN ->
+                    title = event.text("scenario") + ", seed " + event.number("seed")
+                            + (event.yes("real") ? ", processes" : ", simulated");
                 case ASK -> askedAt.put(event.number("request"), event.atUs());
                 case OUTCOME -> outcomes.merge(event.text("result"), 1, Integer::sum);
                 case SERVED -> count(served, event.process(), second);
@@ -69,11 +68,12 @@
                     count(answers, event.text("answer"), second);
                     Long at = askedAt.remove(event.number("request"));
                     if (at != null && event.text("answer").equals("OK")) {
-                        latencies.computeIfAbsent(second, s -> new Histogram(MOST_US, 2))
+                        latencies
+                                .computeIfAbsent(second, s -> new Histogram(MOST_US, 2))
                                 .recordValue(Math.min(MOST_US, event.atUs() - at));
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
 
@@ -91,10 +91,10 @@
         System.setProperty("java.awt.headless", "true");
         StringBuilder page =
                 new StringBuilder("<!doctype html>\n<meta charset=\"utf-8\">\n<title>kitemux fleet</title>\n"
-                + "<style>body{font:14px sans-serif;max-width:" + WIDTH + "px;margin:2em auto}"
-                + "table{border-collapse:collapse}"
-                + "td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ddd}"
-                + "img{width:100%}</style>\n<h1>Fleet runs</h1>\n");
+                        + "<style>body{font:14px sans-serif;max-width:" + WIDTH + "px;margin:2em auto}"
+                        + "table{border-collapse:collapse}"
+                        + "td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ddd}"
+                        + "img{width:100%}</style>\n<h1>Fleet runs</h1>\n");
         for (Path file : files) {
             Told told = new Told();
             try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
@@ -108,36 +108,52 @@
     private static void add(StringBuilder page, String file, Told told) throws IOException {
         Histogram all = new Histogram(MOST_US, 2);
         told.latencies.values().forEach(all::add);
-        page.append("<h2>").append(escaped(told.title.isEmpty() ? file : told.title)).append("</h2>\n<p>")
-                .append(escaped(file)).append(", ").append(told.events)
-                .append(" events. Latency of what was served, in"
-                + " time or late, at the node: median ")
-                .append(String.format(Locale.ROOT, "%.1f ms, 99th percentile %.1f ms, most %.1f ms",
-                        all.getValueAtPercentile(50) / 1e3, all.getValueAtPercentile(99) / 1e3,
+        page.append("<h2>")
+                .append(escaped(told.title.isEmpty() ? file : told.title))
+                .append("</h2>\n<p>")
+                .append(escaped(file))
+                .append(", ")
+                .append(told.events)
+                .append(" events. Latency of what was served, in" + " time or late, at the node: median ")
+                .append(String.format(
+                        Locale.ROOT,
+                        "%.1f ms, 99th percentile %.1f ms, most %.1f ms",
+                        all.getValueAtPercentile(50) / 1e3,
+                        all.getValueAtPercentile(99) / 1e3,
                         all.getMaxValue() / 1e3))
-                        .append(".</p>\n<table><tr><th>answers</th><th></th><th>attempts</th>"
-                + "<th></th></tr>\n");
+                .append(".</p>\n<table><tr><th>answers</th><th></th><th>attempts</th>" + "<th></th></tr>\n");
         List<Map.Entry<String, TreeMap<Integer, Integer>>> answers = List.copyOf(told.answers.entrySet());
         List<Map.Entry<String, Integer>> outcomes = List.copyOf(told.outcomes.entrySet());
         for (int i = 0; i < Math.max(answers.size(), outcomes.size()); i++) {
             page.append("<tr>");
-            cells(page, i < answers.size() ? answers.get(i).getKey() : "",
-                    i < answers.size() ? Integer.toString(Told.sum(answers.get(i).getValue())) : "");
-            cells(page, i < outcomes.size() ? outcomes.get(i).getKey() : "",
+            cells(
+                    page,
+                    i < answers.size() ? answers.get(i).getKey() : "",
+                    i < answers.size()
+                            ? Integer.toString(Told.sum(answers.get(i).getValue()))
+                            : "");
+            cells(
+                    page,
+                    i < outcomes.size() ? outcomes.get(i).getKey() : "",
                     i < outcomes.size() ? outcomes.get(i).getValue().toString() : "");
             page.append("</tr>\n");
         }
         page.append("</table>\n");
-        page.append(plot("Answers a second; what went wrong is marked", "answers",
-                lines(told.answers, told.last), told));
+        page.append(
+                plot("Answers a second; what went wrong is marked", "answers", lines(told.answers, told.last), told));
         page.append(plot("Latency of what was served, ms", "ms", latencies(told), told));
-        page.append(plot("Served a second by server" + (told.served.size() > MOST_LINES
-                ? ", the least and the most"
-                : ""), "requests", lines(extremes(told.served), told.last), told));
+        page.append(plot(
+                "Served a second by server" + (told.served.size() > MOST_LINES ? ", the least and the most" : ""),
+                "requests",
+                lines(extremes(told.served), told.last),
+                told));
     }
 
     private static void cells(StringBuilder page, String name, String value) {
-        page.append("<td>").append(escaped(name.toLowerCase(Locale.ROOT))).append("</td><td>").append(value)
+        page.append("<td>")
+                .append(escaped(name.toLowerCase(Locale.ROOT)))
+                .append("</td><td>")
+                .append(value)
                 .append("</td>");
     }
 
@@ -145,8 +161,7 @@
         return text.replace("&", "&amp;").replace("<", "&lt;");
     }
 
-    private static Map<String, TreeMap<Integer, Integer>> extremes(
-            Map<String, TreeMap<Integer, Integer>> of) {
+    private static Map<String, TreeMap<Integer, Integer>> extremes(Map<String, TreeMap<Integer, Integer>> of) {
         if (of.size() <= MOST_LINES) {
             return of;
         }
@@ -178,15 +193,13 @@
         XYSeriesCollection lines = new XYSeriesCollection();
         for (int percent : new int[] {50, 90, 99}) {
             XYSeries line = new XYSeries(percent + "%");
-            told.latencies.forEach((second, of) -> line.add((double) second,
-                    of.getValueAtPercentile(percent) / 1e3));
+            told.latencies.forEach((second, of) -> line.add((double) second, of.getValueAtPercentile(percent) / 1e3));
             lines.addSeries(line);
         }
         return lines;
     }
 
-    private static String plot(String title, String unit, XYSeriesCollection lines, Told told)
-            throws IOException {
+    private static String plot(String title, String unit, XYSeriesCollection lines, Told told) throws IOException {
         JFreeChart chart = ChartFactory.createXYLineChart(title, "s", unit, lines);
         XYPlot plot = chart.getXYPlot();
         plot.setBackgroundPaint(Color.WHITE);
--- a/cli/src/test/java/kitemux/cli/FleetTest.java
+++ b/cli/src/test/java/kitemux/cli/FleetTest.java
@@ -5,6 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.net.InetAddress;
@@ -15,20 +17,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
+import kitemux.members.Members;
+import kitemux.members.MembersConfig;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-import kitemux.members.Members;
-import kitemux.members.MembersConfig;
-
 /** The command line as people use it: what it prints and how it ends. */
 class FleetTest {
     @TempDir
     private Path folder;
+
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
@@ -45,8 +44,20 @@
     @Test
     void scaleMeasuresEachSizeAndHowEachFigureGrows() throws Exception {
         Path file = folder.resolve("scale.json");
-        assertEquals(0, run("fleet", "scale", "--nodes", "1200", "--servers", "200,1000,5000",
-                "--requests", "500", "--json", file.toString()), err.toString());
+        assertEquals(
+                0,
+                run(
+                        "fleet",
+                        "scale",
+                        "--nodes",
+                        "1200",
+                        "--servers",
+                        "200,1000,5000",
+                        "--requests",
+                        "500",
+                        "--json",
+                        file.toString()),
+                err.toString());
         JsonNode figures = new ObjectMapper().readTree(file.toFile());
         assertEquals(3, figures.path("costs").size());
         assertEquals(5_000, figures.path("costs").get(2).path("servers").asInt());
@@ -65,25 +76,21 @@
 
     @Test
     void aRunTellsItsOutcomeAsJsonAndTheSameOneEachTime() throws Exception {
-        String[] words = {"fleet", "run", "scenarios/calm.toml", "--seed", "3", "--json", "--set",
-                "length_s=8"};
+        String[] words = {"fleet", "run", "scenarios/calm.toml", "--seed", "3", "--json", "--set", "length_s=8"};
         assertEquals(0, run(words));
         JsonNode first = new ObjectMapper().readTree(out.toString());
         out.getBuffer().setLength(0);
         assertEquals(0, run(words));
         assertEquals(first, new ObjectMapper().readTree(out.toString()));
-        assertTrue(first.path("kept").asBoolean() && first.path("firstTries").asInt() > 100,
-                first.toString());
+        assertTrue(first.path("kept").asBoolean() && first.path("firstTries").asInt() > 100, first.toString());
     }
 
     @Test
     void aBadScenarioIsToldInFullAndEndsWithTwo() throws Exception {
         Path bad = scenario("name = \"x\"\n[fleet]\nnodes = 0\n[load]\nper_sekond = 3\n");
         assertEquals(2, run("fleet", "run", bad.toString()));
-        assertTrue(err.toString().contains("fleet.nodes = 0: must be a number from 1 to 10000"),
-                err.toString());
-        assertTrue(err.toString().contains("load.per_sekond = 3: is not known (meant: per_second?)"),
-                err.toString());
+        assertTrue(err.toString().contains("fleet.nodes = 0: must be a number from 1 to 10000"), err.toString());
+        assertTrue(err.toString().contains("load.per_sekond = 3: is not known (meant: per_second?)"), err.toString());
     }
 
     @Test
@@ -91,8 +98,8 @@
         assertEquals(2, run("fleet", "comapre"));
         assertTrue(err.toString().contains("Did you mean: fleet compare"), err.toString());
         assertEquals(2, run("fleet", "compare", "scenarios/calm.toml", "--b", "best"));
-        assertTrue(err.toString()
-                .contains("must be jar:FILE, a node's jar, or one of least-outstanding, module"),
+        assertTrue(
+                err.toString().contains("must be jar:FILE, a node's jar, or one of least-outstanding, module"),
                 err.toString());
         assertEquals(2, run("fleet", "hunt", "scenarios/calm.toml", "--seeds", "0"));
         assertTrue(err.toString().contains("--seeds 0: must be at least 1"), err.toString());
@@ -101,27 +108,49 @@
     @Test
     void aBrokenRuleEndsWithOneAndTellsHowToPlayItAgain() {
         // Random choice knows of no slow start: with little room cold servers fall over.
-        assertEquals(1,
-                run("fleet", "hunt", "scenarios/herd.toml", "--policy", "random", "--seeds", "2", "--set",
-                "rules.fall_multiple=0.3"));
+        assertEquals(
+                1,
+                run(
+                        "fleet",
+                        "hunt",
+                        "scenarios/herd.toml",
+                        "--policy",
+                        "random",
+                        "--seeds",
+                        "2",
+                        "--set",
+                        "rules.fall_multiple=0.3"));
         assertTrue(out.toString().contains("BROKEN ColdServers"), out.toString());
-        assertTrue(out.toString().contains("again: kitemux fleet run scenarios/herd.toml --seed 1 --set"
-                + " rules.fall_multiple=0.3"), out.toString());
+        assertTrue(
+                out.toString()
+                        .contains("again: kitemux fleet run scenarios/herd.toml --seed 1 --set"
+                                + " rules.fall_multiple=0.3"),
+                out.toString());
         assertTrue(out.toString().contains("smallest found in"), out.toString());
     }
 
     @Test
     void theModuleOfTheNodesJarIsTheModule() {
-        assertEquals(0, run("fleet", "compare", "scenarios/calm.toml", "--b", "jar:node/target/kitemux.jar",
-                "--seeds", "3", "--set", "length_s=8"));
+        assertEquals(
+                0,
+                run(
+                        "fleet",
+                        "compare",
+                        "scenarios/calm.toml",
+                        "--b",
+                        "jar:node/target/kitemux.jar",
+                        "--seeds",
+                        "3",
+                        "--set",
+                        "length_s=8"));
         assertTrue(out.toString().contains("A - B +0.0000 (95%: +0.0000 to +0.0000)"), out.toString());
     }
 
     @Test
     void aReportIsOnePageWithoutLinks() throws Exception {
         Path history = folder.resolve("jam.jsonl");
-        assertEquals(0, run("fleet", "run", "scenarios/jam.toml", "--history", history.toString(), "--set",
-                "length_s=30"));
+        assertEquals(
+                0, run("fleet", "run", "scenarios/jam.toml", "--history", history.toString(), "--set", "length_s=30"));
         Path page = folder.resolve("report.html");
         assertEquals(0, run("fleet", "report", folder.toString(), "--out", page.toString()));
         String html = Files.readString(page);
@@ -143,11 +172,19 @@
         }
     }
 
-    private static Members member(String name, String at, String seed, Consumer<String> log)
-            throws Exception {
-        return Members.join(MembersConfig.read(new ObjectMapper().createObjectNode().put("name", "told")
-                .put("bind", at).put("periodMs", 200).set("seeds", new ObjectMapper().createArrayNode()
-                        .add(seed)), name), log);
+    private static Members member(String name, String at, String seed, Consumer<String> log) throws Exception {
+        return Members.join(
+                MembersConfig.read(
+                        new ObjectMapper()
+                                .createObjectNode()
+                                .put("name", "told")
+                                .put("bind", at)
+                                .put("periodMs", 200)
+                                .set(
+                                        "seeds",
+                                        new ObjectMapper().createArrayNode().add(seed)),
+                        name),
+                log);
     }
 
     @Test
@@ -158,7 +195,7 @@
         Members one = member("one", first, second, log::add);
         Members two = member("two", second, first, log::add);
         try {
-            for (int joined = 0; joined < 2;) {
+            for (int joined = 0; joined < 2; ) {
                 String line = log.poll(30, TimeUnit.SECONDS);
                 assertNotNull(line, "nobody joined");
                 joined += line.contains("joined") ? 1 : 0;
--- a/node/src/main/java/kitemux/Balancer.java
+++ b/node/src/main/java/kitemux/Balancer.java
@@ -106,7 +106,11 @@
     }
 
     /** The life of a server as its list tells it. */
-    enum ServerState { READY, DRAINING, GONE }
+    enum ServerState {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /**
      * One line of a server list.
@@ -118,7 +122,7 @@
      * @param weight the list's figure for its size, compared with other servers' only
      * @param startedAtUs when it last started; 0 means long ago
      */
-    record ServerEntry(String id, int zone, int cell, ServerState state, double weight, long startedAtUs) { }
+    record ServerEntry(String id, int zone, int cell, ServerState state, double weight, long startedAtUs) {}
 
     /**
      * A client's request.
@@ -132,11 +136,10 @@
      * @param key what the request is about, or null
      * @param waitedUs how long ago it may have arrived, where whoever reads it was held up
      */
-    record Request(long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry,
-            String key, long waitedUs) {
+    record Request(
+            long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry, String key, long waitedUs) {
         /** A request that is told as it arrives. */
-        public Request(long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry,
-                String key) {
+        public Request(long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry, String key) {
             this(id, classIndex, tenant, leftUs, workUs, retry, key, 0);
         }
     }
@@ -179,8 +182,7 @@
      *     still owed
      * @param report the server's load report in the order of {@link Settings#reportFields}, or null
      */
-    record Outcome(long requestId, int attempt, Result result, long latencyUs, boolean requestEnded,
-            double[] report) { }
+    record Outcome(long requestId, int attempt, Result result, long latencyUs, boolean requestEnded, double[] report) {}
 
     /** Whether a request may run again. */
     enum Repeat {
@@ -193,10 +195,22 @@
     }
 
     /** The servers among which the repeats of a keyed request are dropped. */
-    enum Group { ALL, ZONE, CELL }
+    enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** What a server may tell of its load. */
-    enum ReportField { IN_FLIGHT, QUEUED, UTILISATION, LATENCY_MS, SERVED_PER_S, ERRORS_PER_S, OTHER }
+    enum ReportField {
+        IN_FLIGHT,
+        QUEUED,
+        UTILISATION,
+        LATENCY_MS,
+        SERVED_PER_S,
+        ERRORS_PER_S,
+        OTHER
+    }
 
     /**
      * A class of requests.
@@ -211,11 +225,20 @@
      * @param windowUs keyed classes: for how long, from the first attempt that may have run
      * @param stream whether answers are streamed
      */
-    record RequestClass(String name, long aimUs, double aimStretch, long deadlineUs, double worth,
-            double lateWorth, Repeat repeat, Group group, long windowUs, boolean stream) { }
+    record RequestClass(
+            String name,
+            long aimUs,
+            double aimStretch,
+            long deadlineUs,
+            double worth,
+            double lateWorth,
+            Repeat repeat,
+            Group group,
+            long windowUs,
+            boolean stream) {}
 
     /** A tenant, whose requests are served like all others'. */
-    record Tenant(String name) { }
+    record Tenant(String name) {}
 
     /** The settings of one node. Fields left alone keep the defaults given here. */
     final class Settings {
@@ -281,16 +304,23 @@
             require(maxAttempts >= 1, "maxAttempts is under 1");
             require(maxOpen >= 1, "maxOpen is under 1");
             require(myZone >= 0 && myZone < Math.max(1, zones.size()), "myZone is not among zones");
-            require(tickUs >= 0 && coldUs >= 0 && fallUs >= 0 && drainGraceUs >= 0 && connectTimeoutUs >= 0
-                    && askWithinUs >= 0 && maxRetryAfterUs >= 0, "a length of time is negative");
+            require(
+                    tickUs >= 0
+                            && coldUs >= 0
+                            && fallUs >= 0
+                            && drainGraceUs >= 0
+                            && connectTimeoutUs >= 0
+                            && askWithinUs >= 0
+                            && maxRetryAfterUs >= 0,
+                    "a length of time is negative");
             require(coldFrom > 0 && coldFrom <= 1, "coldFrom is not in (0, 1]");
             require(fallMultiple > 0, "fallMultiple is not above 0");
             for (RequestClass c : classes) {
-                require(c.aimUs() >= 0 && c.deadlineUs() > 0 && c.windowUs() >= 0 && c.aimStretch() >= 0,
+                require(
+                        c.aimUs() >= 0 && c.deadlineUs() > 0 && c.windowUs() >= 0 && c.aimStretch() >= 0,
                         "class " + c.name() + " has a length of time out of range");
                 require(c.worth() >= 0 && c.lateWorth() >= 0, "class " + c.name() + " has a negative worth");
-                require(c.repeat() != Repeat.KEYED || c.group() != null,
-                        "class " + c.name() + " has no group");
+                require(c.repeat() != Repeat.KEYED || c.group() != null, "class " + c.name() + " has no group");
             }
         }
 
--- a/node/src/main/java/kitemux/Main.java
+++ b/node/src/main/java/kitemux/Main.java
@@ -4,7 +4,7 @@
 
 /** One program in two modes: a real node, or the adapter that hosts instances for the bench. */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     /** Starts the mode that the one argument names. */
     public static void main(String[] args) {
--- a/node/src/main/java/kitemux/ServiceQBalancer.java
+++ b/node/src/main/java/kitemux/ServiceQBalancer.java
@@ -34,9 +34,11 @@
     private static final long MIN_SWEEP_US = 5_000;
     /** Share of a new value in a running mean, and in that of timely answers, which follows a jam. */
     private static final double MEAN_GAIN = 1.0 / 32;
+
     private static final double TIMELY_GAIN = 1.0 / 8;
     /** Share of timely answers under which a sparse node throttles, but for a part to learn of recovery. */
     private static final double THROTTLED_AT = 0.7;
+
     private static final double LEAST_ADMITTED = 0.05;
     /** Cost of a request where no keys are known, against the mean: not told, so on the careful side. */
     private static final double UNKNOWN_KEY_COST = 3;
@@ -54,6 +56,7 @@
     private static final double LEAST_GROWTH = 0.1;
     /** Growth of a limit over all nodes for an answer in good time, and its cut for a slow one. */
     private static final double LIMIT_STEP = 0.15;
+
     private static final double LIMIT_CUT = 0.1;
     /** Answers that take this many times the least mean of their class say so too, however far the aim is. */
     private static final double CROWDED_BY = 3;
@@ -73,19 +76,23 @@
     private static final double LIMIT_HARD_CUT = 0.3;
     /** A waiting request is too late with so many usual latencies left to its aim, or this share at most. */
     private static final double TOO_LATE_AT = 2;
+
     private static final double MOST_LATE_AT = 0.8;
     /** A repeat whose time left is this near to a first try's, in deadlines, has what every try has. */
     private static final double FIRST_LEFT_SLACK = 0.01;
     /** Failures among a server's last {@link #REMEMBERED} answers from which on it is ejected. */
     private static final int EJECT_AT = 4;
+
     private static final int REMEMBERED = 16;
     /** Successes in a row that restore a server: one may be luck, three hardly. */
     private static final int TRIALS = 3;
     /** First time without requests for an ejected server, doubled with each failed trial, and the longest. */
     private static final long EJECT_US = 250_000;
+
     private static final long MOST_EJECT_US = 4_000_000;
     /** Failed trials of all ejected servers: this share of first tries, and so many at once. */
     private static final double TRIAL_SHARE = 0.05;
+
     private static final double MOST_TRIALS = 4;
     /** Trials with unsafe requests are this much further apart: each that fails is lost. */
     private static final int UNSAFE_TRIALS = 4;
@@ -99,6 +106,7 @@
     private static final long PAUSED_US = 50_000;
     /** Retry budget of hedges: this share of first tries, and so many at once. */
     private static final double HEDGE_SHARE = 0.2;
+
     private static final double MOST_HEDGES = 20;
     /** Own requests in flight from which on a local server is compared with those of other zones. */
     private static final int SPILL_AT = 2;
@@ -121,6 +129,7 @@
     private static final int KEY_PLACES = 16;
     /** Waiting requests with a key drawn for in vain at each event and each sweep: more took too much CPU. */
     private static final int KEYS_TRIED = 4;
+
     private static final int KEYS_SWEPT = 64;
 
     private Settings set;
@@ -131,12 +140,14 @@
     private double limitCut;
     /** Whether so many nodes share a server that own requests in flight tell little of its load. */
     private boolean sparse;
+
     private double timely = 0.75;
 
     private final Map<String, Server> byId = new HashMap<>();
     private final Set<Server> listed = new LinkedHashSet<>();
     /** The servers in use: all that are ready, or this node's part of them in a large fleet. */
     private Server[] ready = new Server[0];
+
     private Map<String, Long> cordons = Map.of();
     private double sharers;
     private int nearSize;
@@ -186,11 +197,13 @@
         boolean answers;
         /** What all its answers say, and those of each class: it may fail one class and serve the others. */
         final Health overall = new Health();
+
         final List<Health> byClass = new ArrayList<>();
         /** From when the gap to the next request counts while it is cold; 0 if none is set for this start. */
         long coldSentAt;
         /** What it said that it holds, when, and how long the answer took that said so. */
         double held;
+
         long heldAt;
         double heldForUs = 1;
 
@@ -225,7 +238,7 @@
         final ArrayDeque<Try> watched = new ArrayDeque<>();
     }
 
-    private record Try(Call call, int attempt) { }
+    private record Try(Call call, int attempt) {}
 
     /** What is drawn from: servers, their weights summed up to each, and the places that keys draw. */
     private static final class Pool {
@@ -236,7 +249,8 @@
         Pool(Server[] servers, boolean forKeys) {
             this.servers = servers;
             weightsUpTo = new long[servers.length];
-            places = !forKeys || servers.length == 0 ? new Server[0]
+            places = !forKeys || servers.length == 0
+                    ? new Server[0]
                     : table(servers, nextPrime(KEY_PLACES * Integer.highestOneBit(servers.length)), 1);
         }
     }
@@ -255,6 +269,7 @@
         final boolean[] silent;
         /** Fixes the draws by the request's key; 0 without one. */
         final long keySeed;
+
         double value;
         boolean late;
         int attempts;
@@ -263,6 +278,7 @@
         boolean left;
         /** The attempt that the request is bound to, or -1. */
         int bound = -1;
+
         boolean ended;
 
         Call(Request request, Settings set, long now, Usual known) {
@@ -273,10 +289,11 @@
             deadlineAt = arrivedAt + Math.max(0, request.leftUs());
             // The aim runs from the client's first try. A repeat with other than a first try's time left has
             // the rest of the client's whole time, which tells when that was; else it is taken for new.
-            known.firstLeftUs = request.retry() && known.firstLeftUs > 0 ? known.firstLeftUs
+            known.firstLeftUs = request.retry() && known.firstLeftUs > 0
+                    ? known.firstLeftUs
                     : Math.max(request.leftUs(), known.firstLeftUs / LEAST_DRIFT);
-            boolean tells = request.retry() && Math.abs(request.leftUs() - known.firstLeftUs)
-                    > FIRST_LEFT_SLACK * cls.deadlineUs();
+            boolean tells = request.retry()
+                    && Math.abs(request.leftUs() - known.firstLeftUs) > FIRST_LEFT_SLACK * cls.deadlineUs();
             long sinceUs = tells ? Math.max(0, cls.deadlineUs() - request.leftUs()) : 0;
             aimAt = Math.min(deadlineAt, arrivedAt + aimUs - sinceUs);
             servers = new Server[set.maxAttempts];
@@ -288,8 +305,7 @@
 
         /** Rule 2: by when a further attempt has to begin, where this one may have run (-1: none has). */
         long mayBeginUntil(int binding) {
-            return cls.repeat() == Repeat.KEYED && binding >= 0 ? sentAt[binding] + cls.windowUs()
-                    : Long.MAX_VALUE;
+            return cls.repeat() == Repeat.KEYED && binding >= 0 ? sentAt[binding] + cls.windowUs() : Long.MAX_VALUE;
         }
 
         /** The earliest attempt not known never to have run, or -1: it binds repeats and refusals. */
@@ -316,8 +332,11 @@
         settings.validate();
         set = settings;
         sweepUs = Math.max(MIN_SWEEP_US, 2 * set.tickUs);
-        leastAimUs = set.classes.stream().filter(c -> c.worth() > 0)
-                .mapToLong(RequestClass::aimUs).min().orElse(0);
+        leastAimUs = set.classes.stream()
+                .filter(c -> c.worth() > 0)
+                .mapToLong(RequestClass::aimUs)
+                .min()
+                .orElse(0);
         int before = usual.size();
         forEachClass(usual, Usual::new);
         // What is known of the work stays; how long clients wait is a part of the rules that have changed.
@@ -394,7 +413,8 @@
         Map<String, Long> since = new HashMap<>();
         serverIds.forEach(id -> since.put(id, cordons.getOrDefault(id, now)));
         // What is back has most likely been restarted meanwhile: now, unless the list has told when.
-        listed.stream().filter(s -> !since.containsKey(s.id) && s.startedAt < cordons.getOrDefault(s.id, 0L))
+        listed.stream()
+                .filter(s -> !since.containsKey(s.id) && s.startedAt < cordons.getOrDefault(s.id, 0L))
                 .forEach(server -> startCold(server, now));
         cordons = since;
         chooseServers();
@@ -403,14 +423,16 @@
 
     @Override
     public int skipped() {
-        return ejected.size() + (int) listed.stream().filter(s -> cordons.containsKey(s.id)).count();
+        return ejected.size()
+                + (int) listed.stream().filter(s -> cordons.containsKey(s.id)).count();
     }
 
     private void chooseServers() {
         Server[] before = ready;
         // Gaps are counted from the first list on, not from the start of the clock.
         lastServedAt = lastServedAt == 0 ? now : lastServedAt;
-        ready = inUse(listed.stream().filter(s -> s.state == ServerState.READY && !cordons.containsKey(s.id))
+        ready = inUse(listed.stream()
+                .filter(s -> s.state == ServerState.READY && !cordons.containsKey(s.id))
                 .toArray(Server[]::new));
         Arrays.stream(before).forEach(server -> server.inUse = false);
         for (int i = 0; i < ready.length; i++) {
@@ -419,7 +441,8 @@
             // Not before it is known how many nodes share it. Where keys are warm, what a server can hold
             // depends on the keys it knows: the first cut shows it. A cold one knows none; it gets too little
             // to be cut before it is warm, and then all nodes fill it.
-            ready[i].limit = ready[i].limit != 0 ? ready[i].limit
+            ready[i].limit = ready[i].limit != 0
+                    ? ready[i].limit
                     : (set.warmKeys && !isCold(ready[i]) ? FIRST_WARM_LIMIT : FIRST_LIMIT) / sharers;
             if (isCold(ready[i]) && ready[i].coldSentAt == 0) {
                 // All nodes hear of a start at once: their first sends together would be a burst.
@@ -428,7 +451,8 @@
         }
         Arrays.stream(before).forEach(this::closeIfUnused);
         everywhere = new Pool(ready, set.warmKeys);
-        nearby = set.crossZonePrice == 0 ? everywhere
+        nearby = set.crossZonePrice == 0
+                ? everywhere
                 : new Pool(Arrays.stream(ready).filter(this::isNear).toArray(Server[]::new), set.warmKeys);
         countReady();
     }
@@ -494,7 +518,9 @@
         }
         Server[] table = table(from, nextPrime(rows * size), size);
         int first = set.me % rows * size;
-        return Arrays.stream(table, first, first + size).filter(Objects::nonNull).toList();
+        return Arrays.stream(table, first, first + size)
+                .filter(Objects::nonNull)
+                .toList();
     }
 
     /** The servers take turns in claiming places, each in an order of its own, none twice in a row. */
@@ -502,7 +528,9 @@
         Server[] turns = from.clone();
         Arrays.sort(turns, Comparator.comparingLong(server -> server.hash));
         Server[] table = new Server[places];
-        int[] at = Arrays.stream(turns).mapToInt(s -> (int) Math.floorMod(s.hash, (long) places)).toArray();
+        int[] at = Arrays.stream(turns)
+                .mapToInt(s -> (int) Math.floorMod(s.hash, (long) places))
+                .toArray();
         int[] tries = new int[turns.length];
         int[][] rows = new int[turns.length][0];
         int left = places;
@@ -560,8 +588,10 @@
     @Override
     public void onRequest(long nowUs, Request request) {
         now = nowUs;
-        if (request.classIndex() < 0 || request.classIndex() >= set.classes.size()
-                || request.tenant() >= set.tenants.size() || calls.containsKey(request.id())) {
+        if (request.classIndex() < 0
+                || request.classIndex() >= set.classes.size()
+                || request.tenant() >= set.tenants.size()
+                || calls.containsKey(request.id())) {
             throw new IllegalArgumentException("unknown class or tenant, or an id that is held: " + request);
         }
         Call call = new Call(request, set, now, usual.get(request.classIndex()));
@@ -600,12 +630,16 @@
         heed(server, outcome);
         Health ofClass = server.byClass.get(call.request.classIndex());
         if (result == Result.OK) {
-            succeeded(server, ofClass,
+            succeeded(
+                    server,
+                    ofClass,
                     sparse && outcome.latencyUs() > SLOW_BY * usual.get(call.request.classIndex()).latencyUs);
         } else if (result != Result.CANCELLED && result != Result.MOOT && !call.silent[attempt]) {
             // A time-out of a server that has answered since tells of crowding, as being full does.
-            failed(server, ofClass, result != Result.FULL
-                    && (result != Result.TIMEOUT || ofClass.answeredAt < call.sentAt[attempt]));
+            failed(
+                    server,
+                    ofClass,
+                    result != Result.FULL && (result != Result.TIMEOUT || ofClass.answeredAt < call.sentAt[attempt]));
         }
         boolean answered = result == Result.OK || result == Result.ERROR;
         ofClass.answeredAt = answered ? now : ofClass.answeredAt;
@@ -669,8 +703,9 @@
         long at = waiting.isEmpty() ? askListAt : Math.min(askListAt, now + sweepUs);
         for (int c = 0; c < usual.size(); c++) {
             Try first = usual.get(c).watched.peek();
-            at = first == null ? at : Math.min(at, Math.max(now + sweepUs,
-                    first.call.sentAt[first.attempt] + silentAfter(c)));
+            at = first == null
+                    ? at
+                    : Math.min(at, Math.max(now + sweepUs, first.call.sentAt[first.attempt] + silentAfter(c)));
         }
         if (at < wakePending) {
             wakePending = Math.max(at, now + 1);
@@ -688,8 +723,8 @@
         for (Health health : ill ? new Health[] {server.overall, ofClass} : new Health[0]) {
             health.history = health.history << 1 | 1;
             health.trialsWon = 0;
-            if (health.ejected || health.recentFailures() >= EJECT_AT
-                    && (health == ofClass || !servesOthers(server, ofClass))) {
+            if (health.ejected
+                    || health.recentFailures() >= EJECT_AT && (health == ofClass || !servesOthers(server, ofClass))) {
                 eject(server, health);
             }
         }
@@ -723,8 +758,11 @@
         if (!server.overall.ejected) {
             // Exception, slow answers: at a sparse node an answer slower than most of its class adds an error
             // and any other takes one off, so the weights settle where all servers are about equally quick.
-            int errors = !sparse ? 0 : slow ? Math.max(server.errors, Math.min(MOST_SLOW, server.errors + 1))
-                    : Math.max(0, server.errors - 1);
+            int errors = !sparse
+                    ? 0
+                    : slow
+                            ? Math.max(server.errors, Math.min(MOST_SLOW, server.errors + 1))
+                            : Math.max(0, server.errors - 1);
             weightsStale |= errors != server.errors;
             server.errors = errors;
         }
@@ -740,7 +778,9 @@
     private void eject(Server server, Health health) {
         if (!health.ejected) {
             int c = server.byClass.indexOf(health);
-            long many = ejected.stream().filter(s -> (c < 0 ? s.overall : s.byClass.get(c)).ejected).count();
+            long many = ejected.stream()
+                    .filter(s -> (c < 0 ? s.overall : s.byClass.get(c)).ejected)
+                    .count();
             if (2 * (many + 1) > ready.length) {
                 return;
             }
@@ -786,16 +826,25 @@
         for (Server server : ejected) {
             Health ofClass = server.byClass.get(call.request.classIndex());
             // Unsafe requests are risked only where no other could tell: for a class of their own.
-            boolean due = full ? server.answers && now >= server.restUntil
-                    && now >= server.overall.answeredAt + Math.max(0,
-                            Integer.numberOfTrailingZeros(~server.overall.history) - RESTS_AFTER)
-                                    * usual.get(call.request.classIndex()).latencyUs / REMEMBERED
-                    && call.cls.repeat() == Repeat.SAFE && call.attempts < call.servers.length - 1
+            boolean due = full
+                    ? server.answers
+                            && now >= server.restUntil
+                            && now
+                                    >= server.overall.answeredAt
+                                            + Math.max(
+                                                            0,
+                                                            Integer.numberOfTrailingZeros(~server.overall.history)
+                                                                    - RESTS_AFTER)
+                                                    * usual.get(call.request.classIndex()).latencyUs
+                                                    / REMEMBERED
+                            && call.cls.repeat() == Repeat.SAFE
+                            && call.attempts < call.servers.length - 1
                     : call.cls.repeat() == Repeat.UNSAFE
-                    ? !server.overall.ejected && ofClass.ejected
-                            && now >= ofClass.trialAt + UNSAFE_TRIALS * ofClass.ejectedForUs
-                    : server.overall.ejected && now >= server.overall.trialAt
-                            || ofClass.ejected && now >= ofClass.trialAt;
+                            ? !server.overall.ejected
+                                    && ofClass.ejected
+                                    && now >= ofClass.trialAt + UNSAFE_TRIALS * ofClass.ejectedForUs
+                            : server.overall.ejected && now >= server.overall.trialAt
+                                    || ofClass.ejected && now >= ofClass.trialAt;
             if (due && server.inFlight == 0 && isAllowed(call, server)) {
                 return server;
             }
@@ -840,8 +889,11 @@
         // only if the local choice is crowded, fails, or has at least two requests more in flight.
         if (nearby != everywhere && (server == null || server.inFlight >= SPILL_AT || server.errors > 0)) {
             Server other = drawTwo(call, everywhere);
-            server = server == null || other != null && (other.inFlight + SPILL_AT <= server.inFlight
-                    || other.errors < server.errors) ? other : server;
+            server = server == null
+                            || other != null
+                                    && (other.inFlight + SPILL_AT <= server.inFlight || other.errors < server.errors)
+                    ? other
+                    : server;
         }
         return server == null ? trial(call, true) : server;
     }
@@ -977,7 +1029,8 @@
     }
 
     private long silentAfter(int classIndex) {
-        return !isUsualKnown(classIndex) ? Long.MAX_VALUE / 4
+        return !isUsualKnown(classIndex)
+                ? Long.MAX_VALUE / 4
                 : (long) (SILENT_BY * usual.get(classIndex).latencyUs) + 2 * set.tickUs;
     }
 
@@ -992,8 +1045,7 @@
             call.silent[attempt] = true;
             failed(server, ofClass, true);
         }
-        if (set.secondCopies && !call.waiting && hedgesLeft >= 1 && mayTryAgain(call)
-                && call.outstanding == 1) {
+        if (set.secondCopies && !call.waiting && hedgesLeft >= 1 && mayTryAgain(call) && call.outstanding == 1) {
             Server next = nextInTurn(call, server);
             if (next != null) {
                 hedgesLeft--;
@@ -1020,8 +1072,8 @@
     }
 
     private boolean isLate(Call call) {
-        return call.aimAt - now < Math.min(MOST_LATE_AT * call.aimUs,
-                TOO_LATE_AT * usual.get(call.request.classIndex()).latencyUs);
+        return call.aimAt - now
+                < Math.min(MOST_LATE_AT * call.aimUs, TOO_LATE_AT * usual.get(call.request.classIndex()).latencyUs);
     }
 
     /** Sends what waits as far as servers allow and ends what has run out of time. */
@@ -1036,7 +1088,8 @@
                 continue;
             }
             boolean late = isLate(call);
-            if (call.deadlineAt - now <= sweepUs + set.tickUs || late && call.cls.lateWorth() == 0
+            if (call.deadlineAt - now <= sweepUs + set.tickUs
+                    || late && call.cls.lateWorth() == 0
                     || !mayTryAgain(call)) {
                 giveUp(call);
                 continue;
@@ -1088,23 +1141,22 @@
         boolean ok = result == Result.OK;
         // A client that leaves hides how long its answer would have taken, so that only quick ones stay in
         // sight: after more than the usual time, what it has waited counts like an answer no quicker.
-        boolean left = result == Result.CANCELLED && call.left
-                && outcome.latencyUs() > SLOW_BY * known.latencyUs;
+        boolean left = result == Result.CANCELLED && call.left && outcome.latencyUs() > SLOW_BY * known.latencyUs;
         boolean late = result == Result.TIMEOUT || result == Result.FULL;
         if (ok || late || left) {
             timely += TIMELY_GAIN * ((ok && now <= call.arrivedAt + call.aimUs ? 1 : 0) - timely);
         }
         if (ok) {
-            known.latencyUs += Math.max(MEAN_GAIN, 1.0 / ++known.answers)
-                    * (outcome.latencyUs() - known.latencyUs);
+            known.latencyUs += Math.max(MEAN_GAIN, 1.0 / ++known.answers) * (outcome.latencyUs() - known.latencyUs);
             // The mean of so few answers is chance; until it is known the aim alone tells.
-            known.leastLatencyUs = !isUsualKnown(c) ? Double.MAX_VALUE
-                    : Math.min(known.leastLatencyUs * LEAST_DRIFT, known.latencyUs);
+            known.leastLatencyUs =
+                    !isUsualKnown(c) ? Double.MAX_VALUE : Math.min(known.leastLatencyUs * LEAST_DRIFT, known.latencyUs);
         }
         if (ok || left) {
             boolean patient = set.warmKeys || sparse && known.leastLatencyUs < Double.MAX_VALUE;
-            double crowded = Math.min((patient ? SPARSE_CROWDED_AT : CROWDED_AT) * call.aimUs, set.warmKeys
-                    ? Double.MAX_VALUE : (sparse ? 2 : 1) * CROWDED_BY * known.leastLatencyUs);
+            double crowded = Math.min(
+                    (patient ? SPARSE_CROWDED_AT : CROWDED_AT) * call.aimUs,
+                    set.warmKeys ? Double.MAX_VALUE : (sparse ? 2 : 1) * CROWDED_BY * known.leastLatencyUs);
             double rank = sparse ? rank(call) : 1;
             // Or what it holds says that a request of the class with the shortest aim would be late there.
             if (outcome.latencyUs() > crowded
@@ -1116,8 +1168,9 @@
                 // While answers come late everywhere, one in time says little: growth would hold the jam.
                 double ease = set.warmKeys ? 1 : Math.max(LEAST_GROWTH, 2 * timely - 1);
                 server.limit += server.wantedAt >= call.sentAt[attempt]
-                        && (!isCold(server) || server.limit * ready.length < limits)
-                        ? limitStep * rank * ease : 0;
+                                && (!isCold(server) || server.limit * ready.length < limits)
+                        ? limitStep * rank * ease
+                        : 0;
             }
         } else if (late) {
             // Where keys are warm a full server is cut to what it held: less would send its keys elsewhere.
@@ -1188,8 +1241,9 @@
             server.held = outcome.report()[heldField];
             server.heldAt = now;
             server.heldForUs = Math.max(1, outcome.latencyUs());
-            heldCostUs += outcome.result() != Result.OK ? 0 : Math.max(MEAN_GAIN, 1.0 / ++heldAnswers)
-                    * (outcome.latencyUs() / (server.held + 1) - heldCostUs);
+            heldCostUs += outcome.result() != Result.OK
+                    ? 0
+                    : Math.max(MEAN_GAIN, 1.0 / ++heldAnswers) * (outcome.latencyUs() / (server.held + 1) - heldCostUs);
         }
     }
 
@@ -1218,7 +1272,8 @@
 
     /** Rule 1: the one final answer, a refusal wherever that is known to be harmless. */
     private void giveUp(Call call) {
-        if (call.binding() < 0 || call.cls.repeat() == Repeat.SAFE
+        if (call.binding() < 0
+                || call.cls.repeat() == Repeat.SAFE
                 || call.cls.repeat() == Repeat.KEYED && call.cls.group() == Group.ALL) {
             out.refuse(call.request.id(), set.maxRetryAfterUs);
         } else {
@@ -1259,18 +1314,23 @@
 
     /** Rules 2 to 4 for one server: the keyed group, the list's word, and a cold server's budget. */
     private boolean maySend(Call call, Server server) {
-        return !server.overall.ejected && !server.byClass.get(call.request.classIndex()).ejected
-                && !isLaden(server) && !isCrowded(call, server) && isAllowed(call, server);
+        return !server.overall.ejected
+                && !server.byClass.get(call.request.classIndex()).ejected
+                && !isLaden(server)
+                && !isCrowded(call, server)
+                && isAllowed(call, server);
     }
 
     private boolean isAllowed(Call call, Server server) {
-        if (server.state != ServerState.READY || isCold(server)
-                && now < server.coldSentAt + coldGap(server)) {
+        if (server.state != ServerState.READY || isCold(server) && now < server.coldSentAt + coldGap(server)) {
             return false;
         }
         int binding = call.cls.repeat() == Repeat.KEYED ? call.binding() : -1;
-        return binding < 0 || call.cls.group() == Group.ALL || (call.cls.group() == Group.ZONE
-                ? server.zone == call.servers[binding].zone : server.cell == call.servers[binding].cell);
+        return binding < 0
+                || call.cls.group() == Group.ALL
+                || (call.cls.group() == Group.ZONE
+                        ? server.zone == call.servers[binding].zone
+                        : server.cell == call.servers[binding].cell);
     }
 
     private boolean isCold(Server server) {
--- a/node/src/main/java/kitemux/adapter/BootInfo.java
+++ b/node/src/main/java/kitemux/adapter/BootInfo.java
@@ -2,7 +2,6 @@
 
 import java.util.HashMap;
 import java.util.Map;
-
 import kitemux.Balancer.Group;
 import kitemux.Balancer.Repeat;
 import kitemux.Balancer.ReportField;
@@ -73,7 +72,8 @@
         }
         set.worthByWork = "work".equals(values.get("countedBy"));
         set.maxAttempts = values.containsKey("limits.attemptsCap")
-                ? (int) Math.min(Integer.MAX_VALUE, positive("limits.attemptsCap")) : set.maxAttempts;
+                ? (int) Math.min(Integer.MAX_VALUE, positive("limits.attemptsCap"))
+                : set.maxAttempts;
         set.secondCopies = flag("limits.parallelTries");
         set.cancel = flag("limits.cancelling");
         set.probes = flag("limits.probes");
@@ -90,15 +90,16 @@
         set.crossZonePrice = decimal("costs.crossZone", set.crossZonePrice);
         set.warmKeys = flag("extra.warmKeys");
         for (String field : list("report.fields")) {
-            set.reportFields.add(switch (field) {
-                case "concurrent" -> ReportField.IN_FLIGHT;
-                case "depth" -> ReportField.QUEUED;
-                case "load_share" -> ReportField.UTILISATION;
-                case "mean_ms" -> ReportField.LATENCY_MS;
-                case "tps" -> ReportField.SERVED_PER_S;
-                case "err_ps" -> ReportField.ERRORS_PER_S;
-                default -> ReportField.OTHER;
-            });
+            set.reportFields.add(
+                    switch (field) {
+                        case "concurrent" -> ReportField.IN_FLIGHT;
+                        case "depth" -> ReportField.QUEUED;
+                        case "load_share" -> ReportField.UTILISATION;
+                        case "mean_ms" -> ReportField.LATENCY_MS;
+                        case "tps" -> ReportField.SERVED_PER_S;
+                        case "err_ps" -> ReportField.ERRORS_PER_S;
+                        default -> ReportField.OTHER;
+                    });
         }
         return set;
     }
@@ -106,9 +107,13 @@
     private RequestClass requestClass(String prefix) throws BadSettingException {
         String repeat = need(prefix + "repeat");
         String group = values.getOrDefault(prefix + "group", "all");
-        return new RequestClass(need(prefix + "name"), whole(prefix + "onTimeUs"),
-                decimal(prefix + "aimStretch", 0), positive(prefix + "giveUpUs"),
-                decimal(prefix + "importance", 1), decimal(prefix + "lateWorth", 0),
+        return new RequestClass(
+                need(prefix + "name"),
+                whole(prefix + "onTimeUs"),
+                decimal(prefix + "aimStretch", 0),
+                positive(prefix + "giveUpUs"),
+                decimal(prefix + "importance", 1),
+                decimal(prefix + "lateWorth", 0),
                 switch (repeat) {
                     case "safe" -> Repeat.SAFE;
                     case "keyed" -> Repeat.KEYED;
@@ -121,7 +126,8 @@
                     case "cell" -> Group.CELL;
                     default -> throw new BadSettingException(prefix + "group", "is unknown: " + group);
                 },
-                whole(prefix + "windowUs", 0), flag(prefix + "stream"));
+                whole(prefix + "windowUs", 0),
+                flag(prefix + "stream"));
     }
 
     private String need(String path) throws BadSettingException {
--- a/node/src/main/java/kitemux/adapter/Line.java
+++ b/node/src/main/java/kitemux/adapter/Line.java
@@ -185,12 +185,12 @@
 
     boolean flag(String key) throws WireException {
         int field = find(key);
-        if (field < 0 || matches(valueStart[field], valueEnd[field], "0")
+        if (field < 0
+                || matches(valueStart[field], valueEnd[field], "0")
                 || matches(valueStart[field], valueEnd[field], "false")) {
             return false;
         }
-        if (matches(valueStart[field], valueEnd[field], "1")
-                || matches(valueStart[field], valueEnd[field], "true")) {
+        if (matches(valueStart[field], valueEnd[field], "1") || matches(valueStart[field], valueEnd[field], "true")) {
             return true;
         }
         throw bad(key, "is neither 1 nor 0: " + value(field));
--- a/node/src/main/java/kitemux/adapter/Link.java
+++ b/node/src/main/java/kitemux/adapter/Link.java
@@ -7,7 +7,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-
 import kitemux.Balancer;
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Outcome;
@@ -23,12 +22,14 @@
     private static final int MOST_ROSTERS = 16;
 
     /** One node's module with what is needed to translate for it. */
-    private record Instance(Balancer balancer, Map<String, Integer> classes, Map<String, Integer> tenants,
-            Map<String, Integer> zones) { }
+    private record Instance(
+            Balancer balancer,
+            Map<String, Integer> classes,
+            Map<String, Integer> tenants,
+            Map<String, Integer> zones) {}
 
     /** A roster's line; its zone is still a name, since instances number zones by their own settings. */
-    private record RosterLine(String id, String zone, int cell, ServerState state, double weight,
-            long startedAt) { }
+    private record RosterLine(String id, String zone, int cell, ServerState state, double weight, long startedAt) {}
 
     private final Line line;
     private final Reply reply;
@@ -101,16 +102,26 @@
         Balancer balancer = to.balancer;
         long at = now;
         if (line.is("resolved")) {
-            Outcome outcome = new Outcome(line.id("handle"), (int) line.whole("seqNo"), result(),
-                    line.whole("latencyUs", 0), line.flag("ended"), line.row("metrics"));
+            Outcome outcome = new Outcome(
+                    line.id("handle"),
+                    (int) line.whole("seqNo"),
+                    result(),
+                    line.whole("latencyUs", 0),
+                    line.flag("ended"),
+                    line.row("metrics"));
             return () -> balancer.onOutcome(at, outcome);
         }
         if (line.is("work_item")) {
             String tenant = line.textOrNull("realm");
             boolean anyTenant = tenant != null && !tenant.equals("0");
-            Request request = new Request(line.id("handle"), index(to.classes, "lane", line.text("lane")),
-                    anyTenant ? index(to.tenants, "realm", tenant) : -1, line.whole("patienceLeftUs"),
-                    line.whole("workUs", 0), line.flag("resent"), line.textOrNull("routeKey"));
+            Request request = new Request(
+                    line.id("handle"),
+                    index(to.classes, "lane", line.text("lane")),
+                    anyTenant ? index(to.tenants, "realm", tenant) : -1,
+                    line.whole("patienceLeftUs"),
+                    line.whole("workUs", 0),
+                    line.flag("resent"),
+                    line.textOrNull("routeKey"));
             return () -> balancer.onRequest(at, request);
         }
         if (line.is("bell")) {
@@ -136,7 +147,7 @@
             return () -> balancer.onProbe(at, server, result, latency, report);
         }
         if (line.is("memo")) {
-            return () -> { };
+            return () -> {};
         }
         throw line.bad("unknown event " + line.name());
     }
@@ -168,14 +179,18 @@
                 throw line.bad("a roster's line must be server, not " + line.name());
             }
             String state = line.text("lifecycle");
-            entries.add(new RosterLine(line.text("server"), line.textOrNull("site"),
+            entries.add(new RosterLine(
+                    line.text("server"),
+                    line.textOrNull("site"),
                     (int) line.whole("block", 0),
                     switch (state) {
                         case "Running" -> ServerState.READY;
                         case "Stopping" -> ServerState.DRAINING;
                         case "Deleted" -> ServerState.GONE;
                         default -> throw line.bad("lifecycle", "is unknown: " + state);
-                    }, line.decimal("scale", 1), line.whole("sinceUs", 0)));
+                    },
+                    line.decimal("scale", 1),
+                    line.whole("sinceUs", 0)));
         }
         rosters.set(number, entries);
     }
@@ -206,8 +221,13 @@
         }
         List<ServerEntry> entries = new ArrayList<>(roster.size());
         for (RosterLine entry : roster) {
-            entries.add(new ServerEntry(entry.id, to.zones.getOrDefault(entry.zone, -1), entry.cell,
-                    entry.state, entry.weight, entry.startedAt));
+            entries.add(new ServerEntry(
+                    entry.id,
+                    to.zones.getOrDefault(entry.zone, -1),
+                    entry.cell,
+                    entry.state,
+                    entry.weight,
+                    entry.startedAt));
         }
         return () -> to.balancer.onServers(at, listKind, entries);
     }
--- a/node/src/main/java/kitemux/adapter/Main.java
+++ b/node/src/main/java/kitemux/adapter/Main.java
@@ -1,12 +1,12 @@
 package kitemux.adapter;
 
-import java.io.FileOutputStream;
 import java.io.FileDescriptor;
+import java.io.FileOutputStream;
 import java.io.IOException;
 
 /** Hosts instances of the module for the bench: the wire on standard input and output. */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     /**
      * Runs until the input ends; a malformed input ends it with one line on standard error and exit
--- a/node/src/main/java/kitemux/adapter/Reply.java
+++ b/node/src/main/java/kitemux/adapter/Reply.java
@@ -4,7 +4,6 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-
 import kitemux.Balancer;
 
 /** Writes the actions of the instance whose event is being handled; a reply goes out whole or not at all. */
--- a/node/src/main/java/kitemux/core/membership/Identity.java
+++ b/node/src/main/java/kitemux/core/membership/Identity.java
@@ -5,7 +5,7 @@
 /** This process as a member: which life it says it is in, and who else says that he has its name. */
 final class Identity {
     /** Somebody with this process's name, who is asked whether he lives. */
-    private record Rival(Member member, long number, long untilUs) { }
+    private record Rival(Member member, long number, long untilUs) {}
 
     /** Whom it asks and tells. */
     interface Outside {
@@ -36,8 +36,7 @@
     Identity(Settings set, long birthUs, Outside outside) {
         this.set = set;
         this.outside = outside;
-        self = new Member(set.name(), set.address(), set.zone(), set.role(), new Incarnation(birthUs, 0),
-                State.ALIVE);
+        self = new Member(set.name(), set.address(), set.zone(), set.role(), new Incarnation(birthUs, 0), State.ALIVE);
     }
 
     Member self() {
@@ -63,7 +62,8 @@
 
     /** Whether this is the answer of somebody who has its name; then this process gives way. */
     boolean isRivalsAnswer(Message.Ack ack) {
-        boolean his = rival != null && ack.number() == rival.number
+        boolean his = rival != null
+                && ack.number() == rival.number
                 && ack.from().address().equals(rival.member.address())
                 && ack.from().name().equals(self.name());
         if (his) {
--- a/node/src/main/java/kitemux/core/membership/Member.java
+++ b/node/src/main/java/kitemux/core/membership/Member.java
@@ -8,8 +8,7 @@
  * @param zone where it is
  * @param role what it does
  */
-public record Member(String name, String address, String zone, String role, Incarnation incarnation,
-        State state) {
+public record Member(String name, String address, String zone, String role, Incarnation incarnation, State state) {
     /** Longest name, address, zone or role: a datagram has to hold several members. */
     private static final int MOST_NAME = 64;
     /** What {@link #isName} allows, in words. */
@@ -17,7 +16,9 @@
 
     /** Whether this may be a name, address, zone or role. */
     public static boolean isName(String text) {
-        return text != null && !text.isEmpty() && text.length() <= MOST_NAME
+        return text != null
+                && !text.isEmpty()
+                && text.length() <= MOST_NAME
                 && text.chars().allMatch(c -> c > ' ' && c < 0x7f);
     }
 
--- a/node/src/main/java/kitemux/core/membership/Membership.java
+++ b/node/src/main/java/kitemux/core/membership/Membership.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-
 import kitemux.core.membership.View.Entry;
 
 /**
@@ -298,14 +297,17 @@
      */
     private void lookForLost() {
         lostAtUs = nowUs + set.periodUs() / 2 + random.nextLong(set.periodUs());
-        List<Member> dead = others.members().filter(m -> m.state() == State.DEAD).toList();
-        List<String> seeds = set.seeds().stream().filter(seed -> !seed.equals(set.address())
-                && others.members().noneMatch(m -> m.address().equals(seed))).toList();
+        List<Member> dead =
+                others.members().filter(m -> m.state() == State.DEAD).toList();
+        List<String> seeds = set.seeds().stream()
+                .filter(seed -> !seed.equals(set.address())
+                        && others.members().noneMatch(m -> m.address().equals(seed)))
+                .toList();
         int choice = dead.size() + seeds.size() == 0 ? -1 : random.nextInt(dead.size() + seeds.size());
         if (choice >= 0 && choice < dead.size()) {
-            send(dead.get(choice).address(),
-                    new Message.Ping(prober.number(), dead.get(choice).name(), self(),
-                    List.of()));
+            send(
+                    dead.get(choice).address(),
+                    new Message.Ping(prober.number(), dead.get(choice).name(), self(), List.of()));
         } else if (choice >= 0 && others.live() > 0) {
             out.exchange(seeds.get(choice - dead.size()));
         }
@@ -409,8 +411,8 @@
             told.add(new Rumor(before.member(), self().name()));
             out.exchange(ping.from().address());
         }
-        told.addAll(rumors.take(set.roomBytes() - told.stream().mapToInt(Rumors::size).sum(),
-                set.spread() * logOf(others.live() + 1)));
+        told.addAll(rumors.take(
+                set.roomBytes() - told.stream().mapToInt(Rumors::size).sum(), set.spread() * logOf(others.live() + 1)));
         out.send(ping.from().address(), new Message.Ack(ping.number(), self(), told));
     }
 
@@ -438,7 +440,9 @@
         if (entry == null) {
             begin(rumor);
         } else if (told.overrides(entry.member())) {
-            boolean settledElsewhere = old && told.state() == State.DEAD && entry.member().state().isLive()
+            boolean settledElsewhere = old
+                    && told.state() == State.DEAD
+                    && entry.member().state().isLive()
                     && told.incarnation().equals(entry.member().incarnation());
             if (!settledElsewhere) {
                 apply(entry, rumor);
@@ -447,7 +451,8 @@
                 // At once, as many at a time are held for dead by the other side of what was cut.
                 send(told.address(), new Message.Ping(prober.number(), told.name(), self(), List.of()));
             }
-        } else if (entry.suspicion() != null && told.state() == State.SUSPECT
+        } else if (entry.suspicion() != null
+                && told.state() == State.SUSPECT
                 && told.incarnation().equals(entry.member().incarnation())
                 && entry.suspicion().confirm(rumor.by())) {
             rumors.add(rumor);
@@ -513,13 +518,12 @@
         if (entry.member().state() != State.SUSPECT) {
             return;
         }
-        long least = (long) (set.suspicionPeriods() * Math.max(1,
-                Math.log10(others.live() + 1)) * set.periodUs());
+        long least = (long) (set.suspicionPeriods() * Math.max(1, Math.log10(others.live() + 1)) * set.periodUs());
         // Where fewer others are there to confirm it, fewer are waited for.
         int wanted = Math.max(0, Math.min(set.confirmations(), others.live() - 2));
-        others.suspect(entry,
-                new Suspicion(nowUs, least, wanted == 0 ? least : set.suspicionMost() * least, wanted,
-                rumor.by()));
+        others.suspect(
+                entry,
+                new Suspicion(nowUs, least, wanted == 0 ? least : set.suspicionMost() * least, wanted, rumor.by()));
         tell(Change.Kind.SUSPECTED, entry.member());
     }
 
--- a/node/src/main/java/kitemux/core/membership/Message.java
+++ b/node/src/main/java/kitemux/core/membership/Message.java
@@ -33,8 +33,7 @@
     }
 
     /** Ask this one for me, and tell me by this number. */
-    record PingRequest(long number, String to, String address, Member from, List<Rumor> rumors)
-            implements Message {
+    record PingRequest(long number, String to, String address, Member from, List<Rumor> rumors) implements Message {
         @Override
         public Message with(List<Rumor> others) {
             return new PingRequest(number, to, address, from, others);
--- a/node/src/main/java/kitemux/core/membership/Prober.java
+++ b/node/src/main/java/kitemux/core/membership/Prober.java
@@ -33,7 +33,7 @@
         void silent(String name);
     }
 
-    private record Relay(String address, long number, long untilUs) { }
+    private record Relay(String address, long number, long untilUs) {}
 
     private final Settings set;
     private final SplittableRandom random;
@@ -103,7 +103,9 @@
 
     long nextUs() {
         long next = Math.min(passOnAtUs, endsAtUs);
-        return relays.isEmpty() ? next : Math.min(next, relays.values().iterator().next().untilUs);
+        return relays.isEmpty()
+                ? next
+                : Math.min(next, relays.values().iterator().next().untilUs);
     }
 
     // ---------------------------------------------------------------- time
@@ -192,8 +194,9 @@
         others.remove(asked);
         for (int i = 0; i < set.askers() && !others.isEmpty(); i++) {
             Member by = outside.live(others.remove(random.nextInt(others.size())));
-            outside.send(by.address(), new Message.PingRequest(askedNumber, target.name(), target.address(),
-                    outside.self(), List.of()));
+            outside.send(
+                    by.address(),
+                    new Message.PingRequest(askedNumber, target.name(), target.address(), outside.self(), List.of()));
             passedOn = true;
             wordsDue++;
         }
@@ -227,8 +230,12 @@
         }
         long number = number();
         // The word that there was no answer has to be back before the asker's period is over.
-        relays.put(number, new Relay(request.from().address(), request.number(),
-                nowUs + Math.min(set.answerUs(), (set.periodUs() - set.answerUs()) / 2)));
+        relays.put(
+                number,
+                new Relay(
+                        request.from().address(),
+                        request.number(),
+                        nowUs + Math.min(set.answerUs(), (set.periodUs() - set.answerUs()) / 2)));
         outside.send(request.address(), new Message.Ping(number, request.to(), outside.self(), List.of()));
     }
 }
--- a/node/src/main/java/kitemux/core/membership/Rumor.java
+++ b/node/src/main/java/kitemux/core/membership/Rumor.java
@@ -5,4 +5,4 @@
  *
  * @param by who says so: suspicions count by how many independent members hold them
  */
-public record Rumor(Member member, String by) { }
+public record Rumor(Member member, String by) {}
--- a/node/src/main/java/kitemux/core/membership/Rumors.java
+++ b/node/src/main/java/kitemux/core/membership/Rumors.java
@@ -17,9 +17,9 @@
 
     private final Map<String, Queued> byName = new HashMap<>();
     /** The least often sent first, of these the newest. */
-    private final TreeSet<Queued> inTurn = new TreeSet<>(Comparator.comparingInt((Queued queued) ->
-            queued.sent)
+    private final TreeSet<Queued> inTurn = new TreeSet<>(Comparator.comparingInt((Queued queued) -> queued.sent)
             .thenComparing(queued -> queued.number, Comparator.reverseOrder()));
+
     private long added;
 
     private static final class Queued {
@@ -77,7 +77,11 @@
     /** At least as many bytes as a codec needs. */
     static int size(Rumor rumor) {
         Member m = rumor.member();
-        return OVERHEAD + m.name().length() + m.address().length() + m.zone().length() + m.role().length()
+        return OVERHEAD
+                + m.name().length()
+                + m.address().length()
+                + m.zone().length()
+                + m.role().length()
                 + rumor.by().length();
     }
 }
--- a/node/src/main/java/kitemux/core/membership/Settings.java
+++ b/node/src/main/java/kitemux/core/membership/Settings.java
@@ -19,9 +19,24 @@
  * @param roomBytes of rumors in a datagram
  * @param seeds addresses that are tried at the start, and for ever while nobody there is known alive
  */
-public record Settings(String name, String address, String zone, String role, long periodUs, long answerUs,
-        int askers, int suspicionPeriods, int suspicionMost, int confirmations, int healthMost, int spread,
-        long syncUs, long forgetUs, int mostMembers, int roomBytes, List<String> seeds) {
+public record Settings(
+        String name,
+        String address,
+        String zone,
+        String role,
+        long periodUs,
+        long answerUs,
+        int askers,
+        int suspicionPeriods,
+        int suspicionMost,
+        int confirmations,
+        int healthMost,
+        int spread,
+        long syncUs,
+        long forgetUs,
+        int mostMembers,
+        int roomBytes,
+        List<String> seeds) {
     /** What is left of a datagram of 1,400 bytes beside the longest of everything else in it. */
     public static final int MOST_ROOM = 880;
 
@@ -30,8 +45,24 @@
      * members.
      */
     public static Settings of(String name, String address, String zone, String role, List<String> seeds) {
-        return new Settings(name, address, zone, role, 1_000_000, 400_000, 3, 4, 6, 3, 8, 4, 30_000_000,
-                3_600_000_000L, 10_000, MOST_ROOM, List.copyOf(seeds));
+        return new Settings(
+                name,
+                address,
+                zone,
+                role,
+                1_000_000,
+                400_000,
+                3,
+                4,
+                6,
+                3,
+                8,
+                4,
+                30_000_000,
+                3_600_000_000L,
+                10_000,
+                MOST_ROOM,
+                List.copyOf(seeds));
     }
 
     /** Throws IllegalArgumentException, naming the field, its value and what is allowed. */
--- a/node/src/main/java/kitemux/core/membership/View.java
+++ b/node/src/main/java/kitemux/core/membership/View.java
@@ -49,7 +49,8 @@
     }
 
     static long hash(Member member) {
-        long h = member.name().hashCode() * 0x9E3779B97F4A7C15L + member.incarnation().birth();
+        long h = member.name().hashCode() * 0x9E3779B97F4A7C15L
+                + member.incarnation().birth();
         h = (h ^ h >>> 32) * 0xD6E8FEB86659FD93L;
         return h ^ h >>> 29;
     }
@@ -133,8 +134,10 @@
 
     /** Of those that have ended the one that did so first, or null. */
     Entry firstEnded() {
-        return byName.values().stream().filter(entry -> !entry.isLive())
-                .min(Comparator.comparingLong(Entry::endedAtUs)).orElse(null);
+        return byName.values().stream()
+                .filter(entry -> !entry.isLive())
+                .min(Comparator.comparingLong(Entry::endedAtUs))
+                .orElse(null);
     }
 
     /** When the next suspicion is over. */
--- a/node/src/main/java/kitemux/loop/LoopLag.java
+++ b/node/src/main/java/kitemux/loop/LoopLag.java
@@ -1,7 +1,5 @@
 package kitemux.loop;
 
-import java.util.function.LongSupplier;
-
 import io.netty.channel.IoEvent;
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
@@ -10,8 +8,8 @@
 import io.netty.channel.SelectStrategy;
 import io.netty.channel.nio.NioIoHandle;
 import io.netty.util.IntSupplier;
-
 import java.nio.channels.SelectableChannel;
+import java.util.function.LongSupplier;
 
 /**
  * Measures the lag of an event loop: since when what it reads may have been waiting in the sockets.
@@ -37,8 +35,8 @@
 
         @Override
         public String toString() {
-            return turns + " turns, at most " + longestHandlingNanos / MILLISECOND_NANOS + " ms of handling"
-                    + " and " + longestTasksNanos / MILLISECOND_NANOS + " ms of tasks in one";
+            return turns + " turns, at most " + longestHandlingNanos / MILLISECOND_NANOS + " ms of handling" + " and "
+                    + longestTasksNanos / MILLISECOND_NANOS + " ms of tasks in one";
         }
     }
 
@@ -49,9 +47,11 @@
      * When the last poll returned: the time of the first event that was handled, or of the end without one.
      */
     private long polledAtNanos;
+
     private boolean handledAny;
     /** Whether what is handled in this turn may have been waiting since the poll before it. */
     private boolean behind;
+
     private long behindSinceNanos;
     private long turn;
     private long turnEndedAtNanos;
--- a/node/src/main/java/kitemux/loop/MeasuredEventLoop.java
+++ b/node/src/main/java/kitemux/loop/MeasuredEventLoop.java
@@ -1,12 +1,11 @@
 package kitemux.loop;
 
-import java.nio.channels.spi.SelectorProvider;
-
 import io.netty.channel.IoHandler;
 import io.netty.channel.SingleThreadIoEventLoop;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import io.netty.util.concurrent.ThreadAwareExecutor;
+import java.nio.channels.spi.SelectorProvider;
 
 /** An event loop over NIO channels that sleeps until its timers are due and knows its own lag. */
 public final class MeasuredEventLoop extends SingleThreadIoEventLoop {
@@ -17,7 +16,8 @@
 
     private static IoHandler handlerFor(ThreadAwareExecutor executor) {
         LoopLag lag = new LoopLag(System::nanoTime);
-        lag.measure(NioIoHandler.newFactory(SelectorProvider.provider(), () -> lag).newHandler(executor));
+        lag.measure(
+                NioIoHandler.newFactory(SelectorProvider.provider(), () -> lag).newHandler(executor));
         return lag;
     }
 
--- a/node/src/main/java/kitemux/members/BadFrameException.java
+++ b/node/src/main/java/kitemux/members/BadFrameException.java
@@ -5,7 +5,13 @@
     private static final long serialVersionUID = 1;
 
     /** Why. */
-    enum Reason { NOT_OURS, DAMAGED, NEWER, FOREIGN_FLEET, MALFORMED }
+    enum Reason {
+        NOT_OURS,
+        DAMAGED,
+        NEWER,
+        FOREIGN_FLEET,
+        MALFORMED
+    }
 
     private final Reason reason;
 
--- a/node/src/main/java/kitemux/members/Codec.java
+++ b/node/src/main/java/kitemux/members/Codec.java
@@ -1,5 +1,9 @@
 package kitemux.members;
 
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
+import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -9,12 +13,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.zip.CRC32C;
-
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonToken;
-import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
-import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
-
 import kitemux.core.membership.Incarnation;
 import kitemux.core.membership.Member;
 import kitemux.core.membership.Message;
@@ -31,16 +29,27 @@
     static final int MOST_DATAGRAM = 1_400;
     /** 10,000 members with the longest texts. */
     static final int MOST_FRAME = 8 << 20;
+
     static final byte VERSION = 1;
     private static final byte[] MAGIC = {'K', 'M'};
     private static final int HEADER = 8;
     /** A time or count beyond it would run over when it is raised. */
     private static final long MOST_NUMBER = 1L << 62;
+
     private static final State[] STATES = State.values();
     private static final CBORFactory CBOR = new CBORFactory();
 
     /** What a frame is. */
-    enum Kind { PING, ACK, PING_REQUEST, GOSSIP, NACK, STATE, LOOK, VIEW }
+    enum Kind {
+        PING,
+        ACK,
+        PING_REQUEST,
+        GOSSIP,
+        NACK,
+        STATE,
+        LOOK,
+        VIEW
+    }
 
     private static final Kind[] KINDS = Kind.values();
 
@@ -74,7 +83,11 @@
             throw new UncheckedIOException("writing to memory", e);
         }
         byte[] frame = bytes.toByteArray();
-        ByteBuffer.wrap(frame).put(MAGIC).put(VERSION).put((byte) kind.ordinal()).putInt(checksum(frame));
+        ByteBuffer.wrap(frame)
+                .put(MAGIC)
+                .put(VERSION)
+                .put((byte) kind.ordinal())
+                .putInt(checksum(frame));
         return frame;
     }
 
@@ -121,7 +134,7 @@
     }
 
     byte[] encodeLook() {
-        return frame(Kind.LOOK, to -> { });
+        return frame(Kind.LOOK, to -> {});
     }
 
     byte[] encodeView(Look.View view) {
@@ -135,7 +148,10 @@
                 to.writeNumber(figure.getValue());
             }
             to.writeEndArray();
-            write(to, view.self(), view.others().stream().map(m -> new Rumor(m, m.name())).toList());
+            write(
+                    to,
+                    view.self(),
+                    view.others().stream().map(m -> new Rumor(m, m.name())).toList());
         });
     }
 
@@ -210,8 +226,8 @@
         Kind kind = kind(frame);
         return read(frame, false, from -> switch (kind) {
             case PING -> new Message.Ping(number(from), name(from), member(from), rumors(from));
-            case PING_REQUEST -> new Message.PingRequest(number(from), name(from), name(from), member(from),
-                    rumors(from));
+            case PING_REQUEST ->
+                new Message.PingRequest(number(from), name(from), name(from), member(from), rumors(from));
             case ACK -> new Message.Ack(number(from), member(from), rumors(from));
             case NACK -> new Message.Nack(number(from), member(from), rumors(from));
             case GOSSIP -> new Message.Gossip(member(from), rumors(from));
@@ -237,8 +253,13 @@
                 figures.put(from.getText(), number(from));
             }
             require(from.currentToken() == JsonToken.END_ARRAY);
-            return new Look.View(version, digest, health, member(from),
-                    rumors(from).stream().map(Rumor::member).toList(), figures);
+            return new Look.View(
+                    version,
+                    digest,
+                    health,
+                    member(from),
+                    rumors(from).stream().map(Rumor::member).toList(),
+                    figures);
         });
     }
 
--- a/node/src/main/java/kitemux/members/Exchanges.java
+++ b/node/src/main/java/kitemux/members/Exchanges.java
@@ -1,12 +1,5 @@
 package kitemux.members;
 
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Set;
-import java.util.concurrent.TimeUnit;
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -27,7 +20,12 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import io.netty.handler.codec.LengthFieldPrepender;
 import io.netty.util.concurrent.Future;
-
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
 import kitemux.core.membership.Rumor;
 import kitemux.members.BadFrameException.Reason;
 
@@ -38,6 +36,7 @@
 final class Exchanges {
     /** Connections at a time, both ways; what comes beyond is closed, and repair comes again by itself. */
     private static final int MOST_OPEN = 64;
+
     private static final int MOST_MS = 5_000;
     private static final int LENGTH = Integer.BYTES;
 
@@ -77,14 +76,17 @@
     }
 
     ChannelFuture listen() {
-        ChannelFuture opening = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        ChannelFuture opening = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         prepare(channel, new Answering());
                     }
-                }).bind(bind);
+                })
+                .bind(bind);
         listening = opening.channel();
         return opening;
     }
@@ -96,14 +98,18 @@
             return;
         }
         // From the configured address, as all that goes out.
-        new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, MOST_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         prepare(channel, new Asking());
                     }
-                }).connect(to, new InetSocketAddress(bind.getAddress(), 0)).addListener(connected -> {
+                })
+                .connect(to, new InetSocketAddress(bind.getAddress(), 0))
+                .addListener(connected -> {
                     if (!connected.isSuccess()) {
                         owner.ended(false);
                     }
@@ -121,9 +127,11 @@
             end.cancel(false);
             open.remove(channel);
         });
-        channel.pipeline().addLast(
-                new LengthFieldBasedFrameDecoder(Codec.MOST_FRAME + LENGTH, 0, LENGTH, 0, LENGTH),
-                new LengthFieldPrepender(LENGTH), handler);
+        channel.pipeline()
+                .addLast(
+                        new LengthFieldBasedFrameDecoder(Codec.MOST_FRAME + LENGTH, 0, LENGTH, 0, LENGTH),
+                        new LengthFieldPrepender(LENGTH),
+                        handler);
     }
 
     void close() {
--- a/node/src/main/java/kitemux/members/Figures.java
+++ b/node/src/main/java/kitemux/members/Figures.java
@@ -3,7 +3,6 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-
 import kitemux.core.membership.Change;
 import kitemux.members.BadFrameException.Reason;
 
--- a/node/src/main/java/kitemux/members/Look.java
+++ b/node/src/main/java/kitemux/members/Look.java
@@ -7,12 +7,11 @@
 import java.net.Socket;
 import java.util.List;
 import java.util.Map;
-
 import kitemux.core.membership.Member;
 
 /** Asks a process how it sees its fleet, from outside. */
 public final class Look {
-    private Look() { }
+    private Look() {}
 
     /**
      * How a process sees its fleet.
@@ -23,8 +22,8 @@
      * @param others all that it remembers, dead and left ones included
      * @param figures what it has counted since its start, by name
      */
-    public record View(long version, long digest, int health, Member self, List<Member> others,
-            Map<String, Long> figures) { }
+    public record View(
+            long version, long digest, int health, Member self, List<Member> others, Map<String, Long> figures) {}
 
     /** Throws IOException where nobody answers in time, or what answers is no member. */
     public static View at(InetSocketAddress address, int timeoutMs) throws IOException {
@@ -44,8 +43,7 @@
             }
             return codec.decodeView(from.readNBytes(length));
         } catch (BadFrameException e) {
-            throw new IOException("what answers is no member of a fleet that this version knows: "
-                    + e.reason(), e);
+            throw new IOException("what answers is no member of a fleet that this version knows: " + e.reason(), e);
         }
     }
 }
--- a/node/src/main/java/kitemux/members/Members.java
+++ b/node/src/main/java/kitemux/members/Members.java
@@ -1,17 +1,5 @@
 package kitemux.members;
 
-import java.net.BindException;
-import java.net.InetSocketAddress;
-import java.time.Instant;
-import java.time.temporal.ChronoUnit;
-import java.util.List;
-import java.util.Locale;
-import java.util.SplittableRandom;
-import java.util.concurrent.RejectedExecutionException;
-import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
-import java.util.function.Supplier;
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -24,14 +12,24 @@
 import io.netty.channel.socket.DatagramPacket;
 import io.netty.channel.socket.nio.NioDatagramChannel;
 import io.netty.util.concurrent.Future;
-
-import kitemux.loop.MeasuredEventLoop;
+import java.net.BindException;
+import java.net.InetSocketAddress;
+import java.time.Instant;
+import java.time.temporal.ChronoUnit;
+import java.util.List;
+import java.util.Locale;
+import java.util.SplittableRandom;
+import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
 import kitemux.core.membership.Change;
 import kitemux.core.membership.Member;
 import kitemux.core.membership.Membership;
 import kitemux.core.membership.Message;
 import kitemux.core.membership.Rumor;
 import kitemux.core.membership.State;
+import kitemux.loop.MeasuredEventLoop;
 import kitemux.members.BadFrameException.Reason;
 import kitemux.net.Addresses;
 
@@ -79,8 +77,7 @@
      * @param figures given what tells this part's
      * @return what leaves
      */
-    public static Runnable join(MembersConfig config, Consumer<String> log,
-            Consumer<Supplier<String>> figures) {
+    public static Runnable join(MembersConfig config, Consumer<String> log, Consumer<Supplier<String>> figures) {
         Members members = join(config, log);
         figures.accept(members::figures);
         return members::leave;
@@ -98,10 +95,12 @@
 
     private void open() {
         // One byte more than any message has, so that what is too long is damaged.
-        ChannelFuture binding = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                .option(ChannelOption.RECVBUF_ALLOCATOR,
-                        new FixedRecvByteBufAllocator(Codec.MOST_DATAGRAM + 1))
-                .handler(new Datagrams()).bind(config.bind());
+        ChannelFuture binding = new Bootstrap()
+                .group(loop)
+                .channel(NioDatagramChannel.class)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Codec.MOST_DATAGRAM + 1))
+                .handler(new Datagrams())
+                .bind(config.bind());
         datagrams = binding.channel();
         exchanges = new Exchanges(loop, codec, config.bind(), new Peers());
         binding.addListener(bound -> {
@@ -125,14 +124,19 @@
         if (!toldBusy) {
             toldBusy = true;
             say(Addresses.text(config.bind()) + " cannot be had yet: " + cause.getMessage()
-                    + (cause instanceof BindException ? "" : " (" + cause.getClass().getName() + ")"));
+                    + (cause instanceof BindException
+                            ? ""
+                            : " (" + cause.getClass().getName() + ")"));
         }
         loop.schedule(this::open, config.settings().periodUs(), TimeUnit.MICROSECONDS);
     }
 
     private void begin() {
-        core = new Membership(config.settings(), new SplittableRandom().nextLong(),
-                ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now()), new Actions());
+        core = new Membership(
+                config.settings(),
+                new SplittableRandom().nextLong(),
+                ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now()),
+                new Actions());
         core.start(nowUs());
         say("taking part in " + config.fleet() + " as " + core.self().name() + " at "
                 + core.self().address());
@@ -142,11 +146,12 @@
     public void leave() {
         try {
             loop.submit(() -> {
-                if (core != null) {
-                    core.leave(nowUs());
-                }
-                close();
-            }).awaitUninterruptibly(LEAVING_MS);
+                        if (core != null) {
+                            core.leave(nowUs());
+                        }
+                        close();
+                    })
+                    .awaitUninterruptibly(LEAVING_MS);
         } catch (RejectedExecutionException e) {
             // It has given way to another of its name, and has nothing left to say.
         }
@@ -183,8 +188,12 @@
         lines.append("members_live ").append(core.live()).append('\n');
         lines.append("members_view_version ").append(core.version()).append('\n');
         lines.append("members_health ").append(core.health()).append('\n');
-        figures.all().forEach((name, value) ->
-                lines.append("members_").append(name).append(' ').append(value).append('\n'));
+        figures.all()
+                .forEach((name, value) -> lines.append("members_")
+                        .append(name)
+                        .append(' ')
+                        .append(value)
+                        .append('\n'));
         text = lines.toString();
     }
 
@@ -218,7 +227,8 @@
             Member member = change.member();
             say(change.kind().name().toLowerCase(Locale.ROOT) + " " + member.name() + " at "
                     + member.address() + ", zone " + member.zone() + ", role " + member.role()
-                    + ", incarnation " + member.incarnation().birth() + "." + member.incarnation().count());
+                    + ", incarnation " + member.incarnation().birth() + "."
+                    + member.incarnation().count());
         }
 
         @Override
@@ -272,9 +282,13 @@
         @Override
         public byte[] view() {
             List<Rumor> all = core.state();
-            return codec.encodeView(new Look.View(core.version(), core.digest(), core.health(),
+            return codec.encodeView(new Look.View(
+                    core.version(),
+                    core.digest(),
+                    core.health(),
                     core.isOver() ? core.self().in(State.LEFT) : core.self(),
-                    all.stream().skip(1).map(Rumor::member).toList(), figures.all()));
+                    all.stream().skip(1).map(Rumor::member).toList(),
+                    figures.all()));
         }
 
         @Override
--- a/node/src/main/java/kitemux/members/MembersConfig.java
+++ b/node/src/main/java/kitemux/members/MembersConfig.java
@@ -1,14 +1,12 @@
 package kitemux.members;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-
-import com.fasterxml.jackson.databind.JsonNode;
-
 import kitemux.core.membership.Settings;
 import kitemux.net.Addresses;
 
@@ -33,31 +31,42 @@
         InetSocketAddress bind = fields.address("bind", null);
         boolean beyond = fields.yes("beyondLoopback");
         if (!beyond && !bind.getAddress().isLoopbackAddress()) {
-            throw bad("bind", Addresses.text(bind),
-                    "a loopback address, or \"beyondLoopback\": true beside it");
+            throw bad("bind", Addresses.text(bind), "a loopback address, or \"beyondLoopback\": true beside it");
         }
         InetSocketAddress advertised = fields.address("advertise", Addresses.text(bind));
         List<String> seeds = fields.addresses("seeds");
-        Settings usual = Settings.of(name, Addresses.text(advertised), fields.name("zone", "none"),
-                fields.name("role", "node"), seeds);
+        Settings usual = Settings.of(
+                name, Addresses.text(advertised), fields.name("zone", "none"), fields.name("role", "node"), seeds);
         long periodUs = fields.millis("periodMs", usual.periodUs());
-        Settings settings = new Settings(name, usual.address(), usual.zone(), usual.role(), periodUs,
+        Settings settings = new Settings(
+                name,
+                usual.address(),
+                usual.zone(),
+                usual.role(),
+                periodUs,
                 fields.millis("answerMs", periodUs * usual.answerUs() / usual.periodUs()),
                 fields.whole("askers", usual.askers()),
                 fields.whole("suspicionPeriods", usual.suspicionPeriods()),
                 fields.whole("suspicionMost", usual.suspicionMost()),
                 fields.whole("confirmations", usual.confirmations()),
-                fields.whole("healthMost", usual.healthMost()), fields.whole("spread", usual.spread()),
+                fields.whole("healthMost", usual.healthMost()),
+                fields.whole("spread", usual.spread()),
                 fields.millis("syncMs", periodUs * usual.syncUs() / usual.periodUs()),
                 fields.millis("forgetMs", usual.forgetUs()),
-                fields.whole("mostMembers", usual.mostMembers()), usual.roomBytes(), seeds);
+                fields.whole("mostMembers", usual.mostMembers()),
+                usual.roomBytes(),
+                seeds);
         fields.end();
         try {
             settings.validate();
         } catch (IllegalArgumentException e) {
             // The core counts in microseconds, the file in milliseconds.
-            throw new IllegalArgumentException("fleet." + e.getMessage()
-                    .replaceFirst("^(\\w+)Us = (\\d+)\\d{3}:", "$1Ms = $2:").replace("Us", "Ms"), e);
+            throw new IllegalArgumentException(
+                    "fleet."
+                            + e.getMessage()
+                                    .replaceFirst("^(\\w+)Us = (\\d+)\\d{3}:", "$1Ms = $2:")
+                                    .replace("Us", "Ms"),
+                    e);
         }
         return new MembersConfig(fleet, bind, settings);
     }
@@ -75,7 +84,7 @@
             if (!json.isObject()) {
                 throw new IllegalArgumentException("fleet = " + json + ": must be an object");
             }
-            for (Iterator<Map.Entry<String, JsonNode>> i = json.properties().iterator(); i.hasNext();) {
+            for (Iterator<Map.Entry<String, JsonNode>> i = json.properties().iterator(); i.hasNext(); ) {
                 Map.Entry<String, JsonNode> field = i.next();
                 left.put(field.getKey(), field.getValue());
             }
--- a/node/src/main/java/kitemux/net/Addresses.java
+++ b/node/src/main/java/kitemux/net/Addresses.java
@@ -1,14 +1,13 @@
 package kitemux.net;
 
+import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-import io.netty.util.NetUtil;
-
 /** Addresses as files and peers write them. */
 public final class Addresses {
-    private Addresses() { }
+    private Addresses() {}
 
     /**
      * An IP address with a port, or null where it is none. There are no host names: looking one up would
@@ -18,8 +17,9 @@
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
-            return ip == null ? null : new InetSocketAddress(InetAddress.getByAddress(ip),
-                    Integer.parseInt(text.substring(colon + 1)));
+            return ip == null
+                    ? null
+                    : new InetSocketAddress(InetAddress.getByAddress(ip), Integer.parseInt(text.substring(colon + 1)));
         } catch (IOException | IllegalArgumentException e) {
             return null;
         }
--- a/node/src/main/java/kitemux/node/Addresses.java
+++ b/node/src/main/java/kitemux/node/Addresses.java
@@ -4,7 +4,7 @@
 
 /** Addresses as configuration and discovery write them. */
 final class Addresses {
-    private Addresses() { }
+    private Addresses() {}
 
     static InetSocketAddress parse(String field, String text) throws ConfigException {
         InetSocketAddress address = kitemux.net.Addresses.parse(text);
--- a/node/src/main/java/kitemux/node/AttemptLife.java
+++ b/node/src/main/java/kitemux/node/AttemptLife.java
@@ -1,7 +1,5 @@
 package kitemux.node;
 
-import java.util.concurrent.TimeUnit;
-
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -11,7 +9,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.Future;
-
+import java.util.concurrent.TimeUnit;
 import kitemux.Balancer.Outcome;
 import kitemux.Balancer.Result;
 
@@ -35,13 +33,16 @@
     private final long untilUs;
     /** From when the server could work on it, and when it began to answer; 0 until then. */
     private long wholeAtUs;
+
     private long begunAtUs;
     /** When last something of it went on. */
     private long movedAtUs;
+
     private long passed;
     private Flow answer;
     /** How much of the answer has come. */
     private long given;
+
     private boolean heldBack;
     private Future<?> expiry;
     private double[] report;
@@ -81,10 +82,11 @@
         of.carriedBy(this);
         ClientRequest.Head head = of.request.head();
         byte[] body = of.request.body();
-        FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(),
-                Unpooled.wrappedBuffer(body));
+        FullHttpRequest message = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, head.method(), head.uri(), Unpooled.wrappedBuffer(body));
         long leftUs = of.isWhole() ? endsUs() - means.clock().nowUs() : head.leftUs();
-        message.headers().set(HttpHeaderNames.HOST, "backend.local")
+        message.headers()
+                .set(HttpHeaderNames.HOST, "backend.local")
                 .set("X-Txn", head.txn())
                 .set("X-Lane", of.className())
                 .set("X-Remaining", Math.max(1, leftUs) + "u");
@@ -160,8 +162,7 @@
 
     /** Whether the server has neither taken nor given anything for too long. */
     boolean isStalled(long nowUs) {
-        boolean onServer = answer == null ? upload().awaitsServer() && upload().passed() == passed
-                : !heldBack;
+        boolean onServer = answer == null ? upload().awaitsServer() && upload().passed() == passed : !heldBack;
         passed = answer == null ? upload().passed() : 0;
         movedAtUs = onServer ? movedAtUs : nowUs;
         return nowUs - movedAtUs > MOST_SILENCE_US;
@@ -249,8 +250,9 @@
         long answeredAtUs = begunAtUs == 0 ? means.clock().nowUs() : begunAtUs;
         means.module().tell(of, module -> {
             of.attemptTold();
-            module.onOutcome(means.clock().nowUs(), new Outcome(of.id, number, result,
-                    Math.max(0, answeredAtUs - wholeAtUs), of.isEnded(), report));
+            module.onOutcome(
+                    means.clock().nowUs(),
+                    new Outcome(of.id, number, result, Math.max(0, answeredAtUs - wholeAtUs), of.isEnded(), report));
         });
     }
 }
--- a/node/src/main/java/kitemux/node/ClientConnection.java
+++ b/node/src/main/java/kitemux/node/ClientConnection.java
@@ -1,9 +1,5 @@
 package kitemux.node;
 
-import java.io.IOException;
-import java.nio.charset.StandardCharsets;
-import java.util.concurrent.TimeUnit;
-
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -27,7 +23,9 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.Future;
-
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.TimeUnit;
 import kitemux.loop.LoopLag;
 
 /**
@@ -72,6 +70,7 @@
     private static final long MOST_UNPROVEN_NANOS = TimeUnit.MILLISECONDS.toNanos(2_300);
     /** From then on a first request must come on: no longer pauses, and half the rate of the slowest. */
     private static final long MOST_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+
     private static final double LEAST_BYTES_PER_NANO = 32e3 / 1e9;
     /** Whoever has begun a request and sends no more of it holds a socket and memory for nothing. */
     private static final long MOST_READING_NANOS = TimeUnit.SECONDS.toNanos(10);
@@ -86,15 +85,18 @@
     private final StrictServerCodec codec;
     /** What was sent ahead of the answer that is due. */
     private final SentAhead waiting = new SentAhead();
+
     private final long connectedAtNanos = System.nanoTime();
     private long activeAtNanos = connectedAtNanos;
     /** The turn of the loop in which it was accepted, and when it may have been opened. */
     private final long acceptedInTurn;
+
     private final long openedAtNanos;
     /** When, at the earliest, the part came that is taken now. */
     private long partArrivedAtNanos;
     /** Whether it has asked a request that could be read: it is a client, not just any peer. */
     private boolean proven;
+
     private boolean keepAlive = true;
 
     /** From a request's first part until its answer is written. */
@@ -103,10 +105,12 @@
     private boolean whole = true;
     /** Whether its answer has begun, and whether it is written. */
     private boolean settled;
+
     private boolean written;
     private ClientRequest.Head head;
     /** The answer to what is no request that can be taken, once it has come to its end. */
     private Verdict verdict;
+
     private ByteBuf gathered;
     private long length;
     private long came;
@@ -119,6 +123,7 @@
 
     /** A server's answer that flows to the client, and since when the client takes no more of it. */
     private Flow answering;
+
     private long stalledSinceNanos;
 
     ClientConnection(SocketChannel channel, StrictServerCodec codec, Owner owner) {
@@ -153,8 +158,7 @@
         }
         long since = now - connectedAtNanos;
         // What flows is no slower than the server that takes it.
-        boolean slow = upload == null
-                && came + MOST_PART < LEAST_BYTES_PER_NANO * (since - MOST_UNPROVEN_NANOS);
+        boolean slow = upload == null && came + MOST_PART < LEAST_BYTES_PER_NANO * (since - MOST_UNPROVEN_NANOS);
         return since > MOST_UNPROVEN_NANOS && (silence > MOST_PAUSE_NANOS || head == null || slow);
     }
 
@@ -268,8 +272,9 @@
             }
         } catch (BadRequestException e) {
             boolean bodiless = request.method().equals(HttpMethod.HEAD);
-            verdict = new Verdict(HttpResponseStatus.BAD_REQUEST, bodiless ? NO_BODY
-                    : (e.getMessage() + "\n").getBytes(StandardCharsets.UTF_8));
+            verdict = new Verdict(
+                    HttpResponseStatus.BAD_REQUEST,
+                    bodiless ? NO_BODY : (e.getMessage() + "\n").getBytes(StandardCharsets.UTF_8));
         }
         if (!StrictServerCodec.isPlain(request)) {
             reject(HttpResponseStatus.BAD_REQUEST);
@@ -284,8 +289,8 @@
         if (!HttpUtil.is100ContinueExpected(expecting)) {
             reject(HttpResponseStatus.EXPECTATION_FAILED);
         } else if (head != null) {
-            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+            channel.writeAndFlush(new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
@@ -391,8 +396,8 @@
 
     /** The one answer to the request that is open; {@code retryAfterUs} of 0 gives no advice. */
     void answer(HttpResponseStatus status, byte[] body, long retryAfterUs) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.wrappedBuffer(body));
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         if (retryAfterUs > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterUs / 1e6);
@@ -539,5 +544,5 @@
     }
 
     /** What a request that cannot be taken is answered. */
-    private record Verdict(HttpResponseStatus status, byte[] body) { }
+    private record Verdict(HttpResponseStatus status, byte[] body) {}
 }
--- a/node/src/main/java/kitemux/node/ClientRequest.java
+++ b/node/src/main/java/kitemux/node/ClientRequest.java
@@ -26,6 +26,16 @@
      * @param key what it is about, or null
      * @param knowsChunks whether its answer may come in chunks
      */
-    record Head(HttpMethod method, String uri, String txn, String idempotencyKey, int classIndex, int tenant,
-            long leftUs, long workUs, boolean retry, String key, boolean knowsChunks) { }
+    record Head(
+            HttpMethod method,
+            String uri,
+            String txn,
+            String idempotencyKey,
+            int classIndex,
+            int tenant,
+            long leftUs,
+            long workUs,
+            boolean retry,
+            String key,
+            boolean knowsChunks) {}
 }
--- a/node/src/main/java/kitemux/node/ClientServer.java
+++ b/node/src/main/java/kitemux/node/ClientServer.java
@@ -1,12 +1,5 @@
 package kitemux.node;
 
-import java.net.InetSocketAddress;
-import java.nio.channels.ServerSocketChannel;
-import java.util.ArrayList;
-import java.util.LinkedHashSet;
-import java.util.Set;
-import java.util.concurrent.TimeUnit;
-
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -15,7 +8,12 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.http.HttpResponseStatus;
-
+import java.net.InetSocketAddress;
+import java.nio.channels.ServerSocketChannel;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
 import kitemux.loop.LoopLag;
 import kitemux.loop.MeasuredEventLoop;
 
@@ -36,12 +34,14 @@
     private final Handler handler;
     /** All connections, the longest unused first. */
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
+
     private Channel listening;
     /** Whether another process of this node may accept on the same socket. */
     private boolean shared;
+
     private boolean draining;
     private boolean closed;
-    private Runnable whenEmpty = () -> { };
+    private Runnable whenEmpty = () -> {};
 
     ClientServer(MeasuredEventLoop loop, RequestReader reader, Sockets sockets, Handler handler) {
         this.loop = loop;
@@ -52,9 +52,10 @@
 
     /** Listens at this address, or on the socket that is inherited where there is one. */
     ChannelFuture listen(InetSocketAddress address, ServerSocketChannel inherited) {
-        ServerBootstrap bootstrap = new ServerBootstrap().group(loop)
-                .channelFactory(() -> inherited == null ? new NioServerSocketChannel()
-                        : new NioServerSocketChannel(inherited))
+        ServerBootstrap bootstrap = new ServerBootstrap()
+                .group(loop)
+                .channelFactory(
+                        () -> inherited == null ? new NioServerSocketChannel() : new NioServerSocketChannel(inherited))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, 1024)
                 .childOption(ChannelOption.ALLOCATOR, Flow.ALLOCATOR)
@@ -133,8 +134,7 @@
 
     /** What has begun to come is waited for, and its answer ends the connection. */
     private void shutDownResting() {
-        new ArrayList<>(clients).stream().filter(ClientConnection::isResting)
-                .forEach(ClientConnection::shutDown);
+        new ArrayList<>(clients).stream().filter(ClientConnection::isResting).forEach(ClientConnection::shutDown);
     }
 
     /**
@@ -146,11 +146,14 @@
     void drain(Runnable whenDone) {
         draining = true;
         whenEmpty = whenDone;
-        loop.schedule(() -> listening.close().addListener(done -> {
-            closed = true;
-            shutDownResting();
-            tellIfEmpty();
-        }), ARRIVING_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> listening.close().addListener(done -> {
+                    closed = true;
+                    shutDownResting();
+                    tellIfEmpty();
+                }),
+                ARRIVING_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     void close() {
--- a/node/src/main/java/kitemux/node/ControlServer.java
+++ b/node/src/main/java/kitemux/node/ControlServer.java
@@ -1,11 +1,5 @@
 package kitemux.node;
 
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.concurrent.TimeUnit;
-
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -21,6 +15,11 @@
 import io.netty.handler.codec.LineBasedFrameDecoder;
 import io.netty.handler.codec.TooLongFrameException;
 import io.netty.util.concurrent.Future;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.concurrent.TimeUnit;
 
 /** The address for operators: one call, a line, to a connection. */
 final class ControlServer {
@@ -42,6 +41,7 @@
 
     /** Descriptors that callers may hold, and the listener. */
     static final int SOCKETS = 17;
+
     private static final int MOST_CALLERS = SOCKETS - 1;
     private static final int MOST_LINE = 1 << 10;
     /** Whoever has not made its call by then, or not read its answer, is closed. */
@@ -51,6 +51,7 @@
     private final Operated node;
     /** Callers, the longest connected first. */
     private final ArrayDeque<Caller> callers = new ArrayDeque<>();
+
     private Channel listening;
 
     ControlServer(EventLoop loop, Operated node) {
@@ -59,7 +60,9 @@
     }
 
     ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture opening = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        ChannelFuture opening = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.ALLOCATOR, Flow.ALLOCATOR)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -73,7 +76,8 @@
                         callers.add(caller);
                         channel.pipeline().addLast(new LineBasedFrameDecoder(MOST_LINE, true, true), caller);
                     }
-                }).bind(address);
+                })
+                .bind(address);
         listening = opening.channel();
         return opening;
     }
@@ -84,7 +88,7 @@
     }
 
     /** What is said, and in how many milliseconds. */
-    private record Answer(String text, long inMs) { }
+    private record Answer(String text, long inMs) {}
 
     private Answer answer(String line) {
         String[] words = line.strip().split("\\s+");
--- a/node/src/main/java/kitemux/node/Cordons.java
+++ b/node/src/main/java/kitemux/node/Cordons.java
@@ -27,6 +27,7 @@
     private final Path lock;
     /** The file as it was last read, so that each state is told once. */
     private List<String> lines = List.of();
+
     private Set<String> out = Set.of();
     private boolean unreadable;
     private final Map<String, Boolean> listed = new LinkedHashMap<>() {
--- a/node/src/main/java/kitemux/node/Counters.java
+++ b/node/src/main/java/kitemux/node/Counters.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-
 import kitemux.Balancer.RequestClass;
 
 /**
@@ -13,15 +12,20 @@
  */
 final class Counters {
     /** How a request ended; written in small letters. */
-    enum Ending { PASSED, DROPPED, BAD_GATEWAY }
+    enum Ending {
+        PASSED,
+        DROPPED,
+        BAD_GATEWAY
+    }
 
     /** Figures that stand now, each told by its owner. */
-    record Gauges(int inProgress, int knownServers, int skippedServers) { }
+    record Gauges(int inProgress, int knownServers, int skippedServers) {}
 
     private static final String PREFIX = "node_";
 
     /** By class and ending; a class that has been dropped keeps its figures. */
     private final Map<String, long[]> handled = new LinkedHashMap<>();
+
     private long tries;
     private long loads;
     private long loadErrors;
@@ -56,8 +60,11 @@
         StringBuilder text = new StringBuilder();
         handled.forEach((name, counts) -> {
             for (Ending ending : Ending.values()) {
-                line(text, "handled{category=\"" + escaped(name) + "\",outcome=\""
-                        + ending.name().toLowerCase(Locale.ROOT) + "\"}", counts[ending.ordinal()]);
+                line(
+                        text,
+                        "handled{category=\"" + escaped(name) + "\",outcome=\""
+                                + ending.name().toLowerCase(Locale.ROOT) + "\"}",
+                        counts[ending.ordinal()]);
             }
         });
         line(text, "upstream_tries", tries);
--- a/node/src/main/java/kitemux/node/Discovery.java
+++ b/node/src/main/java/kitemux/node/Discovery.java
@@ -1,15 +1,7 @@
 package kitemux.node;
 
-import java.io.ByteArrayOutputStream;
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.util.List;
-import java.util.SplittableRandom;
-import java.util.concurrent.TimeUnit;
-
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.databind.ObjectMapper;
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -31,6 +23,12 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.concurrent.Future;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
 
 /**
  * The watch on discovery's list. When it breaks it says so. Asking again is the module's word where the list
@@ -67,6 +65,7 @@
     private static final int CONNECT_TIMEOUT_MS = 2_000;
     /** First wait before a kept watch is opened again, doubled with each failure, and the longest. */
     private static final long BACKOFF_MS = 50;
+
     private static final long MOST_BACKOFF_MS = 1_000;
     /** Where there are many nodes the longest wait grows, so that together they ask ten times a second. */
     private static final long MOST_BACKOFF_MS_A_NODE = 100;
@@ -90,6 +89,7 @@
     private Watch current;
     /** The watch at the address before the last move, until the current one has caught up; null if none. */
     private Watch former;
+
     private boolean kept;
     private long backoffMs = BACKOFF_MS;
     private Future<?> again;
@@ -103,7 +103,9 @@
         rev = config.known().rev();
         nodes = config.settings().nodes;
         random = new SplittableRandom(config.seed());
-        dialer = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        dialer = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, Flow.ALLOCATOR)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
@@ -190,8 +192,8 @@
                 return;
             }
             watch.channel.pipeline().addLast(watch);
-            FullHttpRequest ask = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                    "/discovery/hosts?watch=1&after=" + rev);
+            FullHttpRequest ask = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1, HttpMethod.GET, "/discovery/hosts?watch=1&after=" + rev);
             ask.headers().set(HttpHeaderNames.HOST, "discovery");
             watch.channel.writeAndFlush(ask);
         });
@@ -248,7 +250,8 @@
             }
             if (message.decoderResult().isFailure()) {
                 broken("answer cannot be read");
-            } else if (message instanceof HttpResponse response && response.status().code() != 200) {
+            } else if (message instanceof HttpResponse response
+                    && response.status().code() != 200) {
                 broken("status " + response.status().code());
             } else if (message instanceof HttpContent content) {
                 read(content.content());
--- a/node/src/main/java/kitemux/node/Exchange.java
+++ b/node/src/main/java/kitemux/node/Exchange.java
@@ -2,7 +2,6 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.FullHttpRequest;
-
 import kitemux.Balancer.Result;
 
 /** What is sent to a server and waits for its answer. */
--- a/node/src/main/java/kitemux/node/HangUp.java
+++ b/node/src/main/java/kitemux/node/HangUp.java
@@ -8,15 +8,15 @@
  * warns of that package and lets nobody suppress it.
  */
 final class HangUp {
-    private HangUp() { }
+    private HangUp() {}
 
     /** Runs this, on a thread of its own, each time that the signal comes. */
     static void handle(Runnable reload) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object reloader = Proxy.newProxyInstance(HangUp.class.getClassLoader(), new Class<?>[] {handler},
-                    (proxy, method, args) -> {
+            Object reloader = Proxy.newProxyInstance(
+                    HangUp.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
                         reload.run();
                         return null;
                     });
--- a/node/src/main/java/kitemux/node/HostList.java
+++ b/node/src/main/java/kitemux/node/HostList.java
@@ -1,15 +1,13 @@
 package kitemux.node;
 
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.util.ArrayList;
-import java.util.List;
-
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.MissingNode;
-
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 
@@ -23,7 +21,7 @@
 record HostList(long rev, boolean all, List<Host> hosts) {
 
     /** One entry: what the module is told, and the address, which it is not. */
-    record Host(ServerEntry entry, InetSocketAddress endpoint) { }
+    record Host(ServerEntry entry, InetSocketAddress endpoint) {}
 
     /**
      * Decodes a list; zones are named as in the settings.
@@ -77,8 +75,7 @@
         return new HostList(rev.asLong(), all.asBoolean(), hosts);
     }
 
-    private static List<Host> hosts(JsonParser parser, List<String> zones)
-            throws IOException, ConfigException {
+    private static List<Host> hosts(JsonParser parser, List<String> zones) throws IOException, ConfigException {
         List<Host> hosts = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             JsonNode target = parser.readValueAsTree();
@@ -110,11 +107,16 @@
             default -> throw new ConfigException(at + "state", "is unknown");
         };
         // A server that has gone needs no address; word of it must not be lost for want of one.
-        InetSocketAddress endpoint = state == ServerState.GONE ? null
+        InetSocketAddress endpoint = state == ServerState.GONE
+                ? null
                 : Addresses.parse(at + "endpoint", target.path("endpoint").asText());
         // Boot times may lie some milliseconds off ours; the module's clock is Unix time too.
-        ServerEntry entry = new ServerEntry(id, zones.indexOf(target.path("az").asText()),
-                target.path("pod_group").asInt(0), state, target.path("capacity_hint").asDouble(1),
+        ServerEntry entry = new ServerEntry(
+                id,
+                zones.indexOf(target.path("az").asText()),
+                target.path("pod_group").asInt(0),
+                state,
+                target.path("capacity_hint").asDouble(1),
                 target.path("boot_ms").asLong(0) * 1_000);
         return new Host(entry, endpoint);
     }
--- a/node/src/main/java/kitemux/node/InheritedSocket.java
+++ b/node/src/main/java/kitemux/node/InheritedSocket.java
@@ -10,12 +10,13 @@
  * standard streams, and so the log, at nothing.
  */
 final class InheritedSocket {
-    private InheritedSocket() { }
+    private InheritedSocket() {}
 
     static ServerSocketChannel open() throws ConfigException {
         try {
             if (System.inheritedChannel() instanceof ServerSocketChannel channel
-                    && channel.getLocalAddress() instanceof InetSocketAddress at && at.getPort() != 0) {
+                    && channel.getLocalAddress() instanceof InetSocketAddress at
+                    && at.getPort() != 0) {
                 return channel;
             }
         } catch (IOException e) {
--- a/node/src/main/java/kitemux/node/LoadReport.java
+++ b/node/src/main/java/kitemux/node/LoadReport.java
@@ -2,7 +2,6 @@
 
 import java.util.Arrays;
 import java.util.List;
-
 import kitemux.Balancer.ReportField;
 
 /**
@@ -13,7 +12,7 @@
     static final String HEADER = "X-Pressure";
     private static final String FORM = "TEXT ";
 
-    private LoadReport() { }
+    private LoadReport() {}
 
     /** The figures in the order of the settings, NaN for one left out; null for what cannot be read. */
     static double[] decode(String text, List<ReportField> fields) {
--- a/node/src/main/java/kitemux/node/Log.java
+++ b/node/src/main/java/kitemux/node/Log.java
@@ -7,7 +7,7 @@
     private static long second;
     private static int lines;
 
-    private Log() { }
+    private Log() {}
 
     static void line(String text) {
         if (hasRoom()) {
--- a/node/src/main/java/kitemux/node/Means.java
+++ b/node/src/main/java/kitemux/node/Means.java
@@ -1,10 +1,8 @@
 package kitemux.node;
 
+import io.netty.channel.EventLoop;
 import java.util.List;
 import java.util.Set;
-
-import io.netty.channel.EventLoop;
-
 import kitemux.Balancer.ReportField;
 
 /**
@@ -12,5 +10,11 @@
  *
  * @param flowing attempts of which something flows that is too large to be gathered
  */
-record Means(EventLoop loop, Clock clock, ServerPool pool, Counters counters, List<ReportField> reportFields,
-        ModuleEvents module, Set<AttemptLife> flowing) { }
+record Means(
+        EventLoop loop,
+        Clock clock,
+        ServerPool pool,
+        Counters counters,
+        List<ReportField> reportFields,
+        ModuleEvents module,
+        Set<AttemptLife> flowing) {}
--- a/node/src/main/java/kitemux/node/ModuleEvents.java
+++ b/node/src/main/java/kitemux/node/ModuleEvents.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
-
 import kitemux.Balancer;
 
 /**
@@ -16,7 +15,7 @@
         void defect();
     }
 
-    private record Event(Owed about, Consumer<Balancer> call) { }
+    private record Event(Owed about, Consumer<Balancer> call) {}
 
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private Balancer module;
--- a/node/src/main/java/kitemux/node/Node.java
+++ b/node/src/main/java/kitemux/node/Node.java
@@ -1,16 +1,14 @@
 package kitemux.node;
 
+import io.netty.channel.ChannelFuture;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.util.concurrent.Future;
 import java.nio.channels.ServerSocketChannel;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import java.util.function.Supplier;
-
-import io.netty.channel.ChannelFuture;
-import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.util.concurrent.Future;
-
 import kitemux.Balancer;
 import kitemux.Balancer.ListKind;
 import kitemux.ServiceQBalancer;
@@ -30,6 +28,7 @@
 
     /** At a planned end the process is killed after the longest deadline, counted so at most, and a while. */
     private static final long MOST_DEADLINE_US = 3_000_000;
+
     private static final long KILL_US = 700_000;
     /** So long before that all that is held has its answer. */
     private static final long ROOM_US = 200_000;
@@ -55,6 +54,7 @@
     private long housekeptUs;
     /** Lines beside the node's own; null where it has none. */
     private Supplier<String> moreFigures;
+
     private Future<?> wake;
     private long wakeAtUs;
 
@@ -72,8 +72,7 @@
         Sockets sockets = new Sockets(config.sockets(), operated ? ControlServer.SOCKETS : 0);
         pool = new ServerPool(loop, sockets, clock, config.settings().connectTimeoutUs, config.connIdleUs());
         tuning = Tuning.first(config.settings());
-        means = new Means(loop, clock, pool, counters, config.settings().reportFields, module,
-                new HashSet<>());
+        means = new Means(loop, clock, pool, counters, config.settings().reportFields, module, new HashSet<>());
         requests = new Requests(means, () -> tuning);
         clients = new ClientServer(loop, new RequestReader(tuning), sockets, requests);
         discovery = new Discovery(loop, config, Discovery.Patience.USUAL, new Discovery.Listener() {
@@ -129,20 +128,23 @@
     ChannelFuture start(ServerSocketChannel inherited) {
         watch();
         housekeptUs = clock.nowUs();
-        housekeeping = loop.scheduleAtFixedRate(() -> {
-            long lateUs = clock.nowUs() - housekeptUs - HOUSEKEEPING_MS * 1_000;
-            housekeptUs = clock.nowUs();
-            LoopLag.Activity activity = loop.lag().takeActivity();
-            if (lateUs > HELD_UP_US) {
-                Log.line("held up for " + lateUs / 1_000 + " ms: " + activity);
-            }
-            pool.closeOld();
-            clients.closeOld();
-            requests.expireStalled();
-            heedCordons();
-        }, HOUSEKEEPING_MS, HOUSEKEEPING_MS, TimeUnit.MILLISECONDS);
-        return clients.listen(config.listen(), inherited)
-                .addListener(listening -> serves = listening.isSuccess());
+        housekeeping = loop.scheduleAtFixedRate(
+                () -> {
+                    long lateUs = clock.nowUs() - housekeptUs - HOUSEKEEPING_MS * 1_000;
+                    housekeptUs = clock.nowUs();
+                    LoopLag.Activity activity = loop.lag().takeActivity();
+                    if (lateUs > HELD_UP_US) {
+                        Log.line("held up for " + lateUs / 1_000 + " ms: " + activity);
+                    }
+                    pool.closeOld();
+                    clients.closeOld();
+                    requests.expireStalled();
+                    heedCordons();
+                },
+                HOUSEKEEPING_MS,
+                HOUSEKEEPING_MS,
+                TimeUnit.MILLISECONDS);
+        return clients.listen(config.listen(), inherited).addListener(listening -> serves = listening.isSuccess());
     }
 
     /** Says no to the front, serves what still comes, and calls back once nothing is held. */
@@ -240,13 +242,16 @@
         clients.readBy(new RequestReader(next));
         pool.tune(next.settings().connectTimeoutUs, read.connIdleUs());
         discovery.moveTo(read.discovery());
-        loop.schedule(() -> {
-            // Unless another file has been taken since.
-            if (tuning == next) {
-                tuning = next.settled();
-                clients.readBy(new RequestReader(tuning));
-            }
-        }, next.settlesAfterUs(), TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    // Unless another file has been taken since.
+                    if (tuning == next) {
+                        tuning = next.settled();
+                        clients.readBy(new RequestReader(tuning));
+                    }
+                },
+                next.settlesAfterUs(),
+                TimeUnit.MICROSECONDS);
     }
 
     private void list(HostList list, ListKind kind) {
@@ -255,7 +260,10 @@
             // server is told after the list: the module would else send it there again.
             pool.update(list);
             cordons.listed(list);
-            told.onServers(clock.nowUs(), kind, list.hosts().stream().map(HostList.Host::entry).toList());
+            told.onServers(
+                    clock.nowUs(),
+                    kind,
+                    list.hosts().stream().map(HostList.Host::entry).toList());
         });
     }
 
@@ -292,15 +300,18 @@
     }
 
     private void scheduleWake() {
-        wake = loop.schedule(() -> {
-            long now = clock.nowUs();
-            if (now < wakeAtUs) {
-                scheduleWake();
-                return;
-            }
-            wake = null;
-            module.tell(told -> told.onWake(clock.nowUs()));
-        }, Math.max(0, wakeAtUs - clock.nowUs()), TimeUnit.MICROSECONDS);
+        wake = loop.schedule(
+                () -> {
+                    long now = clock.nowUs();
+                    if (now < wakeAtUs) {
+                        scheduleWake();
+                        return;
+                    }
+                    wake = null;
+                    module.tell(told -> told.onWake(clock.nowUs()));
+                },
+                Math.max(0, wakeAtUs - clock.nowUs()),
+                TimeUnit.MICROSECONDS);
     }
 
     @Override
--- a/node/src/main/java/kitemux/node/NodeConfig.java
+++ b/node/src/main/java/kitemux/node/NodeConfig.java
@@ -1,5 +1,8 @@
 package kitemux.node;
 
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.File;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,14 +12,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import java.util.TreeSet;
-
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
 import kitemux.adapter.BootInfo;
@@ -36,12 +34,21 @@
  * @param operators what is only there for operators
  * @param fleet the fleet of processes that it takes part in; null for none
  */
-record NodeConfig(InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-        long connIdleUs, HostList known, Settings settings, Set<String> keys, Operators operators,
+record NodeConfig(
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        long connIdleUs,
+        HostList known,
+        Settings settings,
+        Set<String> keys,
+        Operators operators,
         MembersConfig fleet) {
 
     /** A file that cannot be taken is looked at again for so long, this often: figures may be 0.5 s late. */
     private static final long SETTLES_MS = 200;
+
     private static final long LOOK_MS = 20;
 
     /**
@@ -55,20 +62,24 @@
         static final Operators NONE = new Operators(null, null, false);
 
         private static Operators read(Map<String, String> env, JsonNode json) throws ConfigException {
-            String control = env.getOrDefault("PROXY_CONTROL", json.path("control").asText());
+            String control =
+                    env.getOrDefault("PROXY_CONTROL", json.path("control").asText());
             String folder = env.getOrDefault("TMPDIR", "");
             String descriptor = env.getOrDefault("PROXY_SOCKET_FD", "");
             if (!descriptor.isEmpty() && !descriptor.equals("0")) {
                 throw new ConfigException("PROXY_SOCKET_FD", "is not 0, the only one: " + descriptor);
             }
-            return new Operators(control.isEmpty() ? null : Addresses.parse("control", control),
-                    folder.isEmpty() ? null : Path.of(folder), !descriptor.isEmpty());
+            return new Operators(
+                    control.isEmpty() ? null : Addresses.parse("control", control),
+                    folder.isEmpty() ? null : Path.of(folder),
+                    !descriptor.isEmpty());
         }
     }
 
     private static final int LEAST_SOCKETS = 64;
     /** Clients hold a third of the descriptors at most, over two processes of which one follows the other. */
     private static final int CLIENT_SHARE = 3 * 2;
+
     private static final long DEFAULT_CONN_IDLE_US = 15_000_000;
 
     /** The environment's addresses hold where they are set; all else is in the file that it names. */
@@ -93,10 +104,19 @@
             settings.maxOpen = sockets.asInt() / CLIENT_SHARE;
         }
         String listen = env.getOrDefault("PROXY_LISTEN", json.path("listen").asText());
-        String discovery = env.getOrDefault("PROXY_DISCOVERY", json.path("discovery").asText());
-        return new NodeConfig(Addresses.parse("listen", listen), Addresses.parse("discovery", discovery),
-                seed(json.path("seed").asText()), sockets.asInt(), idle, known(json, settings.zones),
-                settings, ownKeys(json), operators, fleet(json));
+        String discovery =
+                env.getOrDefault("PROXY_DISCOVERY", json.path("discovery").asText());
+        return new NodeConfig(
+                Addresses.parse("listen", listen),
+                Addresses.parse("discovery", discovery),
+                seed(json.path("seed").asText()),
+                sockets.asInt(),
+                idle,
+                known(json, settings.zones),
+                settings,
+                ownKeys(json),
+                operators,
+                fleet(json));
     }
 
     /**
@@ -222,8 +242,17 @@
         apart.tenants.addAll(settings.tenants);
         apart.maxAttempts = settings.maxAttempts;
         apart.cancel = settings.cancel;
-        return new NodeConfig(new InetSocketAddress(listen.getAddress(), 0), null, seed, sockets,
-                connIdleUs, servers, apart, Set.of(), Operators.NONE, null);
+        return new NodeConfig(
+                new InetSocketAddress(listen.getAddress(), 0),
+                null,
+                seed,
+                sockets,
+                connIdleUs,
+                servers,
+                apart,
+                Set.of(),
+                Operators.NONE,
+                null);
     }
 
     private static HostList known(JsonNode json, List<String> zones) throws ConfigException {
--- a/node/src/main/java/kitemux/node/Probe.java
+++ b/node/src/main/java/kitemux/node/Probe.java
@@ -1,7 +1,5 @@
 package kitemux.node;
 
-import java.util.concurrent.TimeUnit;
-
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -10,7 +8,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.Future;
-
+import java.util.concurrent.TimeUnit;
 import kitemux.Balancer.Result;
 
 /** A check of one server. */
@@ -31,10 +29,14 @@
     }
 
     void begin() {
-        expiry = means.loop().schedule(() -> {
-            means.pool().giveUp(serverId, this);
-            ended(Result.TIMEOUT, NO_BODY);
-        }, MOST_US, TimeUnit.MICROSECONDS);
+        expiry = means.loop()
+                .schedule(
+                        () -> {
+                            means.pool().giveUp(serverId, this);
+                            ended(Result.TIMEOUT, NO_BODY);
+                        },
+                        MOST_US,
+                        TimeUnit.MICROSECONDS);
         means.pool().start(serverId, this);
     }
 
@@ -45,8 +47,8 @@
 
     @Override
     public FullHttpRequest message() {
-        FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/alive",
-                Unpooled.EMPTY_BUFFER);
+        FullHttpRequest message =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/alive", Unpooled.EMPTY_BUFFER);
         message.headers().set(HttpHeaderNames.HOST, "backend.local");
         return message;
     }
@@ -84,7 +86,8 @@
     @Override
     public void ended(Result result, byte[] body) {
         expiry.cancel(false);
-        means.module().tell(module -> module.onProbe(means.clock().nowUs(), serverId, result,
-                means.clock().nowUs() - sentAtUs, report));
+        means.module()
+                .tell(module -> module.onProbe(
+                        means.clock().nowUs(), serverId, result, means.clock().nowUs() - sentAtUs, report));
     }
 }
--- a/node/src/main/java/kitemux/node/ProcessLife.java
+++ b/node/src/main/java/kitemux/node/ProcessLife.java
@@ -1,17 +1,15 @@
 package kitemux.node;
 
+import io.netty.channel.ChannelFuture;
 import java.nio.channels.ServerSocketChannel;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-
-import io.netty.channel.ChannelFuture;
-
 import kitemux.loop.MeasuredEventLoop;
 import kitemux.members.Members;
 
 /** The life of the process in which a node runs: its start, its signals and its end. */
 public final class ProcessLife {
-    private ProcessLife() { }
+    private ProcessLife() {}
 
     /** Runs a node until SIGTERM; a bad configuration ends it with one line and exit code 2. */
     public static void run(Map<String, String> env) {
@@ -29,8 +27,7 @@
         Node node = new Node(config, loop);
         HangUp.handle(() -> node.reload(env));
         // By an interface of the JDK's, so that a node of no fleet need not load what one is made of.
-        Runnable leave = config.fleet() == null ? null
-                : Members.join(config.fleet(), Log::line, node::alsoReport);
+        Runnable leave = config.fleet() == null ? null : Members.join(config.fleet(), Log::line, node::alsoReport);
         ChannelFuture control = node.startControl();
         if (control != null) {
             awaitListening("control " + config.operators().control(), control);
@@ -44,19 +41,22 @@
         }
         ChannelFuture listening = node.start(inherited);
         awaitListening("listen " + config.listen(), listening);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            if (leave != null) {
-                // First: the process that follows this one waits for the address.
-                leave.run();
-            }
-            CountDownLatch empty = new CountDownLatch(1);
-            node.drain(empty::countDown);
-            try {
-                empty.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "drain"));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(
+                        () -> {
+                            if (leave != null) {
+                                // First: the process that follows this one waits for the address.
+                                leave.run();
+                            }
+                            CountDownLatch empty = new CountDownLatch(1);
+                            node.drain(empty::countDown);
+                            try {
+                                empty.await();
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        },
+                        "drain"));
         Log.line("listening on " + listening.channel().localAddress());
     }
 
--- a/node/src/main/java/kitemux/node/Rehearsal.java
+++ b/node/src/main/java/kitemux/node/Rehearsal.java
@@ -1,10 +1,5 @@
 package kitemux.node;
 
-import java.net.InetSocketAddress;
-import java.util.List;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -27,7 +22,10 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpVersion;
-
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
 import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.ServerEntry;
@@ -42,6 +40,7 @@
 final class Rehearsal {
     /** Enough that what each request calls is compiled; with 600 a restart took over a second longer. */
     static final int REQUESTS = 200;
+
     private static final int CLIENTS = 4;
     /**
      * A start must not wait for longer, however little CPU there is: cold, half a core serves 35 requests
@@ -64,15 +63,21 @@
     }
 
     private long play(NodeConfig config) {
-        Channel server = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        Channel server = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.ALLOCATOR, Flow.ALLOCATOR)
                 .childHandler(pipeline(true))
-                .bind(new InetSocketAddress(config.listen().getAddress(), 0)).syncUninterruptibly().channel();
-        HostList.Host host = new HostList.Host(new ServerEntry("rehearsal", 0, 0, ServerState.READY, 1, 0),
-                (InetSocketAddress) server.localAddress());
+                .bind(new InetSocketAddress(config.listen().getAddress(), 0))
+                .syncUninterruptibly()
+                .channel();
+        HostList.Host host = new HostList.Host(
+                new ServerEntry("rehearsal", 0, 0, ServerState.READY, 1, 0), (InetSocketAddress) server.localAddress());
         Node node = new Node(config.apart(new HostList(0, true, List.of(host))), loop);
         Channel listening = node.start().syncUninterruptibly().channel();
-        Bootstrap client = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        Bootstrap client = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, Flow.ALLOCATOR)
                 .handler(pipeline(false));
         for (int i = 0; i < CLIENTS; i++) {
@@ -93,8 +98,11 @@
             @Override
             protected void initChannel(SocketChannel channel) {
                 ChannelHandler codec = server ? new HttpServerCodec() : new StrictClientCodec();
-                channel.pipeline().addLast(codec, new HttpObjectAggregator(Flow.MOST_GATHERED),
-                        server ? new FarServer() : new FarClient());
+                channel.pipeline()
+                        .addLast(
+                                codec,
+                                new HttpObjectAggregator(Flow.MOST_GATHERED),
+                                server ? new FarServer() : new FarClient());
             }
         };
     }
@@ -111,8 +119,8 @@
     private static final class FarServer extends Far<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.OK, Unpooled.wrappedBuffer(new byte[64]));
+            FullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(new byte[64]));
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 64);
             context.writeAndFlush(response);
         }
@@ -136,10 +144,13 @@
         private void ask(ChannelHandlerContext context) {
             RequestClass asked = classes.get((int) (left.getCount() % classes.size()));
             boolean safe = asked.repeat() == Repeat.SAFE;
-            FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                    safe ? HttpMethod.GET : HttpMethod.POST, "/api/rehearsal",
+            FullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    safe ? HttpMethod.GET : HttpMethod.POST,
+                    "/api/rehearsal",
                     Unpooled.wrappedBuffer(new byte[safe ? 0 : 64]));
-            request.headers().set(HttpHeaderNames.HOST, "rehearsal")
+            request.headers()
+                    .set(HttpHeaderNames.HOST, "rehearsal")
                     .set("X-Txn", Long.toString(left.getCount()))
                     .set("X-Lane", asked.name())
                     .set("X-Remaining", "1000m")
--- a/node/src/main/java/kitemux/node/RequestLife.java
+++ b/node/src/main/java/kitemux/node/RequestLife.java
@@ -1,11 +1,9 @@
 package kitemux.node;
 
+import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-
-import io.netty.handler.codec.http.HttpResponseStatus;
-
 import kitemux.Balancer.Request;
 import kitemux.Balancer.Result;
 import kitemux.node.Counters.Ending;
@@ -35,16 +33,24 @@
     private final Means means;
     /** By when it wants its answer; not known until all of it has come. */
     private long deadlineUs = Long.MAX_VALUE;
+
     private final List<AttemptLife> attempts = new ArrayList<>(1);
     private int outstanding;
     /** The attempt whose message is on a connection, and the one whose answer flows to the client. */
     private AttemptLife carried;
+
     private AttemptLife answering;
     private boolean whole;
     private boolean ended;
 
-    RequestLife(long id, ClientRequest request, ClientConnection client, String className, int maxAttempts,
-            Keeper keeper, Means means) {
+    RequestLife(
+            long id,
+            ClientRequest request,
+            ClientConnection client,
+            String className,
+            int maxAttempts,
+            Keeper keeper,
+            Means means) {
         this.id = id;
         this.request = request;
         this.client = client;
@@ -77,8 +83,8 @@
 
     /** How it stands, for the log. */
     String told() {
-        return attempts.size() + " attempts made, " + outstanding + " out" + (answering == null ? ""
-                : ", its answer flows");
+        return attempts.size() + " attempts made, " + outstanding + " out"
+                + (answering == null ? "" : ", its answer flows");
     }
 
     /** Whether nothing will be heard of it any more. */
@@ -98,8 +104,10 @@
             @Override
             public void bound() {
                 int attempt = carried.number();
-                means.module().tell(RequestLife.this,
-                        module -> module.onFirstByte(means.clock().nowUs(), id, attempt));
+                means.module()
+                        .tell(
+                                RequestLife.this,
+                                module -> module.onFirstByte(means.clock().nowUs(), id, attempt));
             }
 
             @Override
@@ -115,9 +123,17 @@
         means.module().tell(this, module -> {
             long nowUs = means.clock().nowUs();
             long waitedUs = Math.max(0, nowUs - arrivedAtUs());
-            module.onRequest(nowUs, new Request(id, head.classIndex(), head.tenant(),
-                    Math.max(0, wantedUs - nowUs + waitedUs), head.workUs(), head.retry(), head.key(),
-                    waitedUs));
+            module.onRequest(
+                    nowUs,
+                    new Request(
+                            id,
+                            head.classIndex(),
+                            head.tenant(),
+                            Math.max(0, wantedUs - nowUs + waitedUs),
+                            head.workUs(),
+                            head.retry(),
+                            head.key(),
+                            waitedUs));
         });
     }
 
@@ -149,7 +165,9 @@
 
     /** Whether an attempt of this number may still go out. */
     boolean admits(int number) {
-        return number < maxAttempts && !ended && (request.upload() == null || request.upload().isFree());
+        return number < maxAttempts
+                && !ended
+                && (request.upload() == null || request.upload().isFree());
     }
 
     void send(String serverId, long beginByUs, long untilUs) {
@@ -158,10 +176,14 @@
         outstanding++;
         // Behind all that has come by this turn of the loop, and behind all timers that are due: where those
         // came late, the client may have left since it asked, the server been told to drain, or time run out.
-        means.loop().schedule(() -> {
-            client.tellIfLeft();
-            attempt.begin();
-        }, 0, TimeUnit.NANOSECONDS);
+        means.loop()
+                .schedule(
+                        () -> {
+                            client.tellIfLeft();
+                            attempt.begin();
+                        },
+                        0,
+                        TimeUnit.NANOSECONDS);
     }
 
     void cancel(int attempt) {
@@ -217,11 +239,14 @@
             return;
         }
         end();
-        means.counters().handled(className, switch (status.code()) {
-            case 200 -> Ending.PASSED;
-            case 503 -> Ending.DROPPED;
-            default -> Ending.BAD_GATEWAY;
-        });
+        means.counters()
+                .handled(
+                        className,
+                        switch (status.code()) {
+                            case 200 -> Ending.PASSED;
+                            case 503 -> Ending.DROPPED;
+                            default -> Ending.BAD_GATEWAY;
+                        });
         client.answer(status, body, retryAfterUs);
         forgetIfOver();
     }
@@ -229,8 +254,10 @@
     /** Answers it without waiting any longer, as the process ends; an answer that flows goes on. */
     void cutOff() {
         if (!ended && answering == null) {
-            answer(attempts.isEmpty() ? HttpResponseStatus.SERVICE_UNAVAILABLE
-                    : HttpResponseStatus.BAD_GATEWAY, NO_BODY, 0);
+            answer(
+                    attempts.isEmpty() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.BAD_GATEWAY,
+                    NO_BODY,
+                    0);
             means.module().tell(module -> module.onClientGone(means.clock().nowUs(), id));
         }
     }
--- a/node/src/main/java/kitemux/node/RequestReader.java
+++ b/node/src/main/java/kitemux/node/RequestReader.java
@@ -1,12 +1,10 @@
 package kitemux.node;
 
-import java.util.List;
-import java.util.Set;
-
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
-
+import java.util.List;
+import java.util.Set;
 import kitemux.Balancer.Repeat;
 
 /** Reads a client's request by the protocol; what does not keep to it is turned down here. */
@@ -15,6 +13,7 @@
     private static final String SCHEME = "http://";
     /** The way from the client, by which its time is shorter than it says. */
     private static final long WAY_US = 1_000;
+
     private static final double MOST_LEFT_US = 3.6e9;
 
     private final Tuning tuning;
@@ -53,10 +52,17 @@
         String tenant = one(message, "X-Org");
         String path = path(message.uri());
         String key = path.substring(path.lastIndexOf('/') + 1);
-        return new ClientRequest.Head(message.method(), message.uri(), txn, idempotencyKey, classIndex,
+        return new ClientRequest.Head(
+                message.method(),
+                message.uri(),
+                txn,
+                idempotencyKey,
+                classIndex,
                 tenant == null ? -1 : tuning.tenants().getOrDefault(tenant, -1),
-                left(need(message, "X-Remaining")), work(one(message, "X-Estimate")),
-                "1".equals(one(message, "X-Resent")), key.isEmpty() ? null : key,
+                left(need(message, "X-Remaining")),
+                work(one(message, "X-Estimate")),
+                "1".equals(one(message, "X-Resent")),
+                key.isEmpty() ? null : key,
                 message.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0);
     }
 
@@ -74,9 +80,12 @@
             }
             methodFits |= fits;
         }
-        throw new BadRequestException(!tuning.asked().containsKey(name) ? "X-Lane names no class"
-                : methodFits ? "Idempotency-Key does not go with the class"
-                : "the class does not go with the method");
+        throw new BadRequestException(
+                !tuning.asked().containsKey(name)
+                        ? "X-Lane names no class"
+                        : methodFits
+                                ? "Idempotency-Key does not go with the class"
+                                : "the class does not go with the method");
     }
 
     private static String need(HttpRequest message, String name) throws BadRequestException {
--- a/node/src/main/java/kitemux/node/Requests.java
+++ b/node/src/main/java/kitemux/node/Requests.java
@@ -1,12 +1,11 @@
 package kitemux.node;
 
+import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
 
-import io.netty.handler.codec.http.HttpResponseStatus;
-
 /** All requests that a node holds. */
 final class Requests implements ClientServer.Handler, RequestLife.Keeper {
     private static final byte[] NO_BODY = {};
@@ -18,6 +17,7 @@
     private final Map<Long, RequestLife> held = new HashMap<>();
     /** How many of these have come whole and not had the end of their final answer. */
     private int open;
+
     private long lastId;
     private long endsAtUs = Long.MAX_VALUE;
 
@@ -46,8 +46,14 @@
     public void asked(ClientConnection client, ClientRequest request) {
         Tuning now = tuning.get();
         ClientRequest.Head head = request.head();
-        RequestLife taken = new RequestLife(++lastId, request, client,
-                now.known().get(head.classIndex()).name(), now.settings().maxAttempts, this, means);
+        RequestLife taken = new RequestLife(
+                ++lastId,
+                request,
+                client,
+                now.known().get(head.classIndex()).name(),
+                now.settings().maxAttempts,
+                this,
+                means);
         client.hold(taken);
         held.put(taken.id, taken);
         taken.begin();
@@ -58,8 +64,11 @@
     public void cameWhole(RequestLife request) {
         if (!request.isEnded()) {
             open++;
-            long wholeAtUs = request.request.upload() == null ? request.arrivedAtUs() : means.clock().nowUs();
-            request.wholeUntil(Math.min(endsAtUs, wholeAtUs + request.request.head().leftUs()));
+            long wholeAtUs = request.request.upload() == null
+                    ? request.arrivedAtUs()
+                    : means.clock().nowUs();
+            request.wholeUntil(
+                    Math.min(endsAtUs, wholeAtUs + request.request.head().leftUs()));
         }
     }
 
@@ -84,7 +93,8 @@
     /** Gives up attempts whose servers neither take nor give anything of what flows. */
     void expireStalled() {
         long nowUs = means.clock().nowUs();
-        List.copyOf(means.flowing()).stream().filter(attempt -> attempt.isStalled(nowUs))
+        List.copyOf(means.flowing()).stream()
+                .filter(attempt -> attempt.isStalled(nowUs))
                 .forEach(AttemptLife::expire);
     }
 
--- a/node/src/main/java/kitemux/node/SentAhead.java
+++ b/node/src/main/java/kitemux/node/SentAhead.java
@@ -1,10 +1,9 @@
 package kitemux.node;
 
-import java.util.ArrayDeque;
-
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.util.ReferenceCountUtil;
+import java.util.ArrayDeque;
 
 /** What a client has sent ahead of the answer that it is due, in order; bounded, as it may never stop. */
 final class SentAhead {
@@ -12,7 +11,7 @@
     private static final int PART_BYTES = 512;
 
     /** A part of a request, and when it came at the earliest: its client's time runs while it waits here. */
-    record Part(HttpObject part, long arrivedAtNanos) { }
+    record Part(HttpObject part, long arrivedAtNanos) {}
 
     private final ArrayDeque<Part> parts = new ArrayDeque<>();
     private int bytes;
@@ -46,6 +45,7 @@
     }
 
     private static int weight(HttpObject part) {
-        return PART_BYTES + (part instanceof HttpContent content ? content.content().readableBytes() : 0);
+        return PART_BYTES
+                + (part instanceof HttpContent content ? content.content().readableBytes() : 0);
     }
 }
--- a/node/src/main/java/kitemux/node/ServerConnection.java
+++ b/node/src/main/java/kitemux/node/ServerConnection.java
@@ -1,9 +1,5 @@
 package kitemux.node;
 
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.util.concurrent.TimeUnit;
-
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
@@ -21,7 +17,9 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.Future;
-
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.concurrent.TimeUnit;
 import kitemux.Balancer.Result;
 
 /** A connection to a server, which carries one exchange at a time. */
@@ -68,10 +66,12 @@
     private HttpResponse head;
     /** What has come of an answer that is gathered, and the end of its time where it tells no length. */
     private ByteBuf body;
+
     private Future<?> gathering;
     private boolean flows;
     /** It ends before its time: an end of the answer that comes with that is none. */
     private boolean broken;
+
     private boolean answered;
 
     ServerConnection(Home home, InetSocketAddress endpoint, Channel channel, Clock clock) {
@@ -117,8 +117,8 @@
             return;
         }
         // The head alone: what flows behind it is framed as the head says.
-        DefaultHttpRequest head = new DefaultHttpRequest(message.protocolVersion(), message.method(),
-                message.uri(), message.headers());
+        DefaultHttpRequest head =
+                new DefaultHttpRequest(message.protocolVersion(), message.method(), message.uri(), message.headers());
         message.release();
         closeIfFailed(channel.write(head));
         next.upload().flowTo(this);
@@ -205,13 +205,15 @@
         if (message instanceof HttpResponse response) {
             head = response;
             dropBody();
-            body = ALLOCATOR.buffer(Math.max(0, (int) Math.min(MOST_GATHERED,
-                    HttpUtil.getContentLength(response, 256L))));
+            body = ALLOCATOR.buffer(
+                    Math.max(0, (int) Math.min(MOST_GATHERED, HttpUtil.getContentLength(response, 256L))));
             // Where only the end of the connection ends a body, it must be an end that was announced:
             // else one cut short would pass for whole.
-            if (!StrictServerCodec.isPlain(response) || response.status().code() == 200
-                    && length() < 0 && !HttpUtil.isTransferEncodingChunked(response)
-                    && HttpUtil.isKeepAlive(response)) {
+            if (!StrictServerCodec.isPlain(response)
+                    || response.status().code() == 200
+                            && length() < 0
+                            && !HttpUtil.isTransferEncodingChunked(response)
+                            && HttpUtil.isKeepAlive(response)) {
                 fail();
                 return;
             }
@@ -219,8 +221,7 @@
         if (message instanceof HttpContent content && content.content().isReadable()) {
             take(content.content());
         }
-        if (message instanceof LastHttpContent
-                && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
+        if (message instanceof LastHttpContent && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
             answered();
         }
     }
@@ -257,8 +258,7 @@
         } else {
             body.writeBytes(part);
             if (length() < 0 && gathering == null) {
-                gathering = channel.eventLoop().schedule(this::flow, MOST_GATHERING_MS,
-                        TimeUnit.MILLISECONDS);
+                gathering = channel.eventLoop().schedule(this::flow, MOST_GATHERING_MS, TimeUnit.MILLISECONDS);
             }
         }
     }
@@ -284,9 +284,11 @@
     private void answered() {
         byte[] bytes = flows ? NO_BODY : ByteBufUtil.getBytes(body);
         int status = head.status().code();
-        Result result = status == 200 ? Result.OK
+        Result result = status == 200
+                ? Result.OK
                 : (status == 503 || status == 504) && "1".equals(head.headers().get("X-Turned-Away"))
-                ? Result.FULL : Result.ERROR;
+                        ? Result.FULL
+                        : Result.ERROR;
         report();
         answered = written && HttpUtil.isKeepAlive(head);
         if (!answered) {
--- a/node/src/main/java/kitemux/node/ServerPool.java
+++ b/node/src/main/java/kitemux/node/ServerPool.java
@@ -1,13 +1,5 @@
 package kitemux.node;
 
-import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
@@ -15,7 +7,13 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
-
+import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.ServerState;
 
@@ -38,7 +36,9 @@
         this.loop = loop;
         this.sockets = sockets;
         this.clock = clock;
-        dialer = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        dialer = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, Flow.ALLOCATOR)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.SO_SNDBUF, Flow.SYSTEM_BUFFER)
@@ -65,6 +65,7 @@
         private final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
         /** Exchanges for which a connection is being opened; they take the first that is free. */
         private final ArrayDeque<Exchange> awaiting = new ArrayDeque<>();
+
         private InetSocketAddress endpoint;
         private long startedAtUs;
         private boolean listedReady;
@@ -146,15 +147,14 @@
             Upstream upstream = upstreams.computeIfAbsent(id, Upstream::new);
             // What was opened to another address, or to a process that has ended, is of no more use: a
             // request written to it would end as a reset, which may not be repeated.
-            boolean moved = !host.endpoint().equals(upstream.endpoint)
-                    || host.entry().startedAtUs() > upstream.startedAtUs;
+            boolean moved =
+                    !host.endpoint().equals(upstream.endpoint) || host.entry().startedAtUs() > upstream.startedAtUs;
             upstream.endpoint = host.endpoint();
             upstream.startedAtUs = host.entry().startedAtUs();
             upstream.listedReady = host.entry().state() == ServerState.READY;
             upstream.ready = upstream.listedReady && !cordoned.contains(id);
             if (moved || !upstream.ready) {
-                List.copyOf(upstream.idle).stream().filter(c -> !c.isUsable())
-                        .forEach(ServerConnection::close);
+                List.copyOf(upstream.idle).stream().filter(c -> !c.isUsable()).forEach(ServerConnection::close);
             }
             if (!upstream.ready) {
                 turnAway(upstream);
--- a/node/src/main/java/kitemux/node/StrictServerCodec.java
+++ b/node/src/main/java/kitemux/node/StrictServerCodec.java
@@ -1,7 +1,5 @@
 package kitemux.node;
 
-import java.util.List;
-
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.CombinedChannelDuplexHandler;
@@ -12,6 +10,7 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.LastHttpContent;
+import java.util.List;
 
 /**
  * HTTP as a node speaks it to clients. A request whose end could be read in two ways is none: Netty drops the
