--- a/node/src/main/java/kitemux/node/Tuning.java
+++ b/node/src/main/java/kitemux/node/Tuning.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
@@ -23,8 +22,12 @@
  *     current until lately, as requests by the rules before are still under way and clients repeat theirs
  * @param tenants places by name
  */
-record Tuning(Settings settings, List<RequestClass> known, Map<String, Integer> current,
-        Map<String, Set<Integer>> asked, Map<String, Integer> tenants) {
+record Tuning(
+        Settings settings,
+        List<RequestClass> known,
+        Map<String, Integer> current,
+        Map<String, Set<Integer>> asked,
+        Map<String, Integer> tenants) {
 
     static Tuning first(Settings settings) {
         return new Tuning(new Settings(), List.of(), Map.of(), Map.of(), Map.of()).with(settings);
@@ -69,8 +72,17 @@
     }
 
     private static RequestClass worthless(RequestClass c) {
-        return new RequestClass(c.name(), c.aimUs(), c.aimStretch(), c.deadlineUs(), 0, 0, c.repeat(),
-                c.group(), c.windowUs(), c.stream());
+        return new RequestClass(
+                c.name(),
+                c.aimUs(),
+                c.aimStretch(),
+                c.deadlineUs(),
+                0,
+                0,
+                c.repeat(),
+                c.group(),
+                c.windowUs(),
+                c.stream());
     }
 
     private Map<String, Integer> allTenants(List<Tenant> read) {
@@ -91,13 +103,20 @@
 
     /** What the platform reckons with at a planned end: it knows the file as it is, not those before. */
     long longestDeadlineUs() {
-        return current.values().stream().mapToLong(place -> known.get(place).deadlineUs()).max().orElse(0);
+        return current.values().stream()
+                .mapToLong(place -> known.get(place).deadlineUs())
+                .max()
+                .orElse(0);
     }
 
     /** How long clients may still ask by rules that are no longer in the file. */
     long settlesAfterUs() {
-        return asked.values().stream().flatMap(Set::stream).filter(place -> !current.containsValue(place))
-                .mapToLong(place -> known.get(place).deadlineUs()).max().orElse(0);
+        return asked.values().stream()
+                .flatMap(Set::stream)
+                .filter(place -> !current.containsValue(place))
+                .mapToLong(place -> known.get(place).deadlineUs())
+                .max()
+                .orElse(0);
     }
 
     /** The same once nobody can be asking by those. */
--- a/node/src/main/java/kitemux/node/Upload.java
+++ b/node/src/main/java/kitemux/node/Upload.java
@@ -1,8 +1,7 @@
 package kitemux.node;
 
-import java.util.ArrayDeque;
-
 import io.netty.buffer.ByteBuf;
+import java.util.ArrayDeque;
 
 /**
  * A request's body that is too large to be gathered, on its way from a client to a server. Its beginning is
@@ -34,10 +33,12 @@
     private final Flow client;
     /** What it says of its length, or -1 where it comes in chunks. */
     private final long length;
+
     private Listener listener;
     private ByteBuf beginning;
     /** What came behind the beginning before a server was there to take it. */
     private final ArrayDeque<ByteBuf> behind = new ArrayDeque<>();
+
     private boolean whole;
     private boolean heldBack = true;
     private long passed;
--- a/node/src/test/java/kitemux/BlackHoleTest.java
+++ b/node/src/test/java/kitemux/BlackHoleTest.java
@@ -7,14 +7,12 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-
 import kitemux.Balancer.Outcome;
 import kitemux.Balancer.Result;
 import kitemux.Node.Sent;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /**
  * A server that fails at once is always free, so that a node whose other servers are at their limits is drawn
@@ -28,7 +26,7 @@
     private static final long SECOND = 1_000_000;
 
     /** An attempt that a server will have dealt with, or that its node gives up before. */
-    private record Due(long atUs, Sent sent, Result result) { }
+    private record Due(long atUs, Sent sent, Result result) {}
 
     private final Node node = new Node().with(SERVERS);
     private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::atUs));
@@ -70,8 +68,10 @@
             long from = Math.max(sent.atUs(), busyUntil.getOrDefault(sent.server(), 0L));
             long done = from + (long) (WORK_US * (0.5 + chance.nextDouble()));
             busyUntil.put(sent.server(), done);
-            due.add(done < sent.untilUs() ? new Due(done, sent, Result.OK)
-                    : new Due(sent.untilUs(), sent, Result.TIMEOUT));
+            due.add(
+                    done < sent.untilUs()
+                            ? new Due(done, sent, Result.OK)
+                            : new Due(sent.untilUs(), sent, Result.TIMEOUT));
         }
     }
 
@@ -82,8 +82,15 @@
         drawn += ended.result == Result.ERROR ? 1 : 0;
         lost += ended.result == Result.ERROR && unsafe ? 1 : 0;
         servedInTime += ended.result == Result.OK && latency < 200_000 ? 1 : 0;
-        node.balancer.onOutcome(node.now, new Outcome(ended.sent.request(), ended.sent.attempt(),
-                ended.result, latency, ended.result == Result.OK, null));
+        node.balancer.onOutcome(
+                node.now,
+                new Outcome(
+                        ended.sent.request(),
+                        ended.sent.attempt(),
+                        ended.result,
+                        latency,
+                        ended.result == Result.OK,
+                        null));
     }
 
     /**
--- a/node/src/test/java/kitemux/ColdServerTest.java
+++ b/node/src/test/java/kitemux/ColdServerTest.java
@@ -7,16 +7,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** Rule 4: a node's part of a cold server's budget. */
 class ColdServerTest {
@@ -44,7 +42,10 @@
             }
             node.advance(10_000);
             // Only one of ten is answered, so that arrivals are ten times what the fleet gets done.
-            burst.stream().map(node::last).filter(s -> s != null && !s.server().equals("cold")).findFirst()
+            burst.stream()
+                    .map(node::last)
+                    .filter(s -> s != null && !s.server().equals("cold"))
+                    .findFirst()
                     .ifPresent(s -> node.answer(s.request(), Result.OK, 0));
         }
         long toCold = node.sentTo("cold");
@@ -80,8 +81,12 @@
             nodes.get(i).list(i < fresh ? ListKind.CACHED : ListKind.FULL, all);
         }
         serve(nodes, 8_000, chance);
-        List<Long> sentAt = nodes.stream().flatMap(n -> n.sent.stream())
-                .filter(s -> s.server().equals("cold")).map(Node.Sent::atUs).sorted().toList();
+        List<Long> sentAt = nodes.stream()
+                .flatMap(n -> n.sent.stream())
+                .filter(s -> s.server().equals("cold"))
+                .map(Node.Sent::atUs)
+                .sorted()
+                .toList();
         // Every server can do just what it is asked on average: an even part of what all nodes ask.
         double capacity = ASKED_A_SECOND / 1e6 / (WARM + 1);
         for (int first = 0; first < sentAt.size(); first++) {
@@ -89,8 +94,11 @@
             double age = (double) (from - startedAt) / set.coldUs;
             double share = set.coldFrom + (1 - set.coldFrom) * age;
             double budget = set.fallMultiple * share * capacity * set.fallUs;
-            long sent = sentAt.stream().filter(at -> at >= from && at < from + set.fallUs).count();
-            assertTrue(sent <= budget + 2 * Math.sqrt(budget) + 2,
+            long sent = sentAt.stream()
+                    .filter(at -> at >= from && at < from + set.fallUs)
+                    .count();
+            assertTrue(
+                    sent <= budget + 2 * Math.sqrt(budget) + 2,
                     sent + " from " + (from - startedAt) + " us on, the budget is " + budget);
         }
         assertTrue(sentAt.size() > 20, "sent to the cold server: " + sentAt.size());
@@ -264,8 +272,15 @@
                 long id = node.askFor("k" + i % 300, Node.UNSAFE);
                 node.advance(10_000);
                 boolean cold = node.last(id).server().equals("cold");
-                node.balancer.onOutcome(node.now, new Balancer.Outcome(id, 0, Result.OK, 10_000, true,
-                        cold && reports == 0 ? null : new double[] {cold ? 0.5 : 1}));
+                node.balancer.onOutcome(
+                        node.now,
+                        new Balancer.Outcome(
+                                id,
+                                0,
+                                Result.OK,
+                                10_000,
+                                true,
+                                cold && reports == 0 ? null : new double[] {cold ? 0.5 : 1}));
             }
             sent[reports] = node.sentTo("cold");
         }
--- a/node/src/test/java/kitemux/CordonTest.java
+++ b/node/src/test/java/kitemux/CordonTest.java
@@ -5,13 +5,11 @@
 
 import java.util.List;
 import java.util.Set;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
+import org.junit.jupiter.api.Test;
 
 /** Servers that operators keep out by hand. */
 class CordonTest {
--- a/node/src/test/java/kitemux/ExampleTest.java
+++ b/node/src/test/java/kitemux/ExampleTest.java
@@ -4,7 +4,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-
 import org.junit.jupiter.api.Test;
 
 /** The README's example, compiled and run. */
@@ -35,31 +34,33 @@
         }
 
         @Override
-        public void wakeAt(long atUs) { }
+        public void wakeAt(long atUs) {}
 
         @Override
-        public void probe(String serverId) { }
+        public void probe(String serverId) {}
 
         @Override
-        public void closeIdle(String serverId) { }
+        public void closeIdle(String serverId) {}
 
         @Override
-        public void subscribe() { }
+        public void subscribe() {}
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
     }
 
     @Test
     void aRequestIsSentAndServed() {
         Balancer.Settings settings = new Balancer.Settings();
-        settings.classes.add(new Balancer.RequestClass("page", 200_000, 0, 1_000_000, 1, 0,
-                Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
+        settings.classes.add(new Balancer.RequestClass(
+                "page", 200_000, 0, 1_000_000, 1, 0, Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
         Proxy proxy = new Proxy();
         Balancer balancer = new ServiceQBalancer(settings, 42, proxy);
         long now = 0;
-        balancer.onServers(now, Balancer.ListKind.CACHED, List.of(
-                new Balancer.ServerEntry("10.0.0.1:80", 0, 0, Balancer.ServerState.READY, 1, 0)));
+        balancer.onServers(
+                now,
+                Balancer.ListKind.CACHED,
+                List.of(new Balancer.ServerEntry("10.0.0.1:80", 0, 0, Balancer.ServerState.READY, 1, 0)));
         balancer.onRequest(now, new Balancer.Request(1, 0, -1, 1_000_000, 0, false, null));
         assertEquals(List.of("send 1 to 10.0.0.1:80"), proxy.asked);
         now += 20_000;
--- a/node/src/test/java/kitemux/HealthTest.java
+++ b/node/src/test/java/kitemux/HealthTest.java
@@ -6,14 +6,12 @@
 
 import java.util.ArrayList;
 import java.util.List;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
+import org.junit.jupiter.api.Test;
 
 /** Exceptions: ejection and trials, silent servers, zones. */
 class HealthTest {
@@ -39,8 +37,7 @@
     }
 
     private static void assertEjected(Node node) {
-        assertTrue(node.logged.stream().anyMatch(l -> l.startsWith("ejected server s0")),
-                node.logged.toString());
+        assertTrue(node.logged.stream().anyMatch(l -> l.startsWith("ejected server s0")), node.logged.toString());
     }
 
     @Test
@@ -83,7 +80,8 @@
         for (long id = 401; id <= 460; id++) {
             long request = id;
             long toBad = node.sent.stream()
-                    .filter(s -> s.request() == request && s.server().equals("s0")).count();
+                    .filter(s -> s.request() == request && s.server().equals("s0"))
+                    .count();
             assertTrue(toBad < node.settings.maxAttempts, "attempts of one request: " + toBad);
         }
         assertEquals(0, overflow(withFailingServer(), Node.UNSAFE, Result.ERROR), "unsafe");
@@ -215,8 +213,10 @@
             crowd.add(node.ask(Node.SAFE, 30_000));
         }
         for (String server : List.of("s0", "s1")) {
-            long answered = crowd.stream().filter(id -> node.last(id).server().equals(server))
-                    .findFirst().get();
+            long answered = crowd.stream()
+                    .filter(id -> node.last(id).server().equals(server))
+                    .findFirst()
+                    .get();
             node.answer(answered, Result.OK, 1_000);
             crowd.remove(answered);
         }
--- a/node/src/test/java/kitemux/KeysTest.java
+++ b/node/src/test/java/kitemux/KeysTest.java
@@ -10,14 +10,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
+import org.junit.jupiter.api.Test;
 
 /** Exception, keys: draws fixed by the request's key where servers remember keys. */
 class KeysTest {
@@ -92,11 +90,13 @@
         String first = node.last(node.askFor("hot", Node.UNSAFE)).server();
         String second = node.last(node.askFor("hot", Node.UNSAFE)).server();
         assertTrue(!first.equals(second));
-        assertEquals(List.of(first, second, first, second), List.of(
-                node.last(node.askFor("hot", Node.UNSAFE)).server(),
-                node.last(node.askFor("hot", Node.UNSAFE)).server(),
-                node.last(node.askFor("hot", Node.UNSAFE)).server(),
-                node.last(node.askFor("hot", Node.UNSAFE)).server()));
+        assertEquals(
+                List.of(first, second, first, second),
+                List.of(
+                        node.last(node.askFor("hot", Node.UNSAFE)).server(),
+                        node.last(node.askFor("hot", Node.UNSAFE)).server(),
+                        node.last(node.askFor("hot", Node.UNSAFE)).server(),
+                        node.last(node.askFor("hot", Node.UNSAFE)).server()));
     }
 
     @Test
@@ -105,8 +105,9 @@
         Map<String, String> before = placesOf(node);
         node.list(ListKind.CHANGES, List.of(new ServerEntry("s7", 0, 0, ServerState.GONE, 1, 0)));
         Map<String, String> after = placesOf(node);
-        long moved = before.keySet().stream().filter(k -> !before.get(k).equals("s7")
-                && !before.get(k).equals(after.get(k))).count();
+        long moved = before.keySet().stream()
+                .filter(k -> !before.get(k).equals("s7") && !before.get(k).equals(after.get(k)))
+                .count();
         assertTrue(!after.containsValue("s7"));
         assertTrue(moved < KEYS / 8, "other keys moved: " + moved);
     }
@@ -115,8 +116,11 @@
     void aServerWithErrorsLosesKeysAndTheOthersKeepTheirs() {
         Node node = node(0, true);
         Map<String, String> before = placesOf(node);
-        String key = before.keySet().stream().sorted().filter(k -> before.get(k).equals("s3"))
-                .findFirst().get();
+        String key = before.keySet().stream()
+                .sorted()
+                .filter(k -> before.get(k).equals("s3"))
+                .findFirst()
+                .get();
         // Two failures: two in three of its keys are now drawn elsewhere.
         assertEquals("s3", serve(node, key, Result.ERROR));
         for (int i = 0; i < KEYS && !serve(node, "x" + i, Result.ERROR).equals("s3"); i++) {
--- a/node/src/test/java/kitemux/LargeFleetTest.java
+++ b/node/src/test/java/kitemux/LargeFleetTest.java
@@ -11,14 +11,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
+import org.junit.jupiter.api.Test;
 
 /** Exceptions of large fleets: subsets of servers, slow answers as errors, throttling. */
 class LargeFleetTest {
@@ -103,8 +101,7 @@
             Node node = node(me).with(SERVERS);
             Set<String> before = inUse(node);
             node.closed.clear();
-            node.list(ListKind.CHANGES,
-                    List.of(new ServerEntry("s7", 0, 0, ServerState.GONE, 1, 0)));
+            node.list(ListKind.CHANGES, List.of(new ServerEntry("s7", 0, 0, ServerState.GONE, 1, 0)));
             Set<String> after = inUse(node);
             assertFalse(after.contains("s7"));
             for (String server : before) {
--- a/node/src/test/java/kitemux/LoadReportTest.java
+++ b/node/src/test/java/kitemux/LoadReportTest.java
@@ -5,9 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.Balancer.Group;
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Outcome;
@@ -18,6 +15,7 @@
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
+import org.junit.jupiter.api.Test;
 
 /** Exception, load reports: a server that holds well more than the others is passed over for a while. */
 class LoadReportTest {
@@ -29,8 +27,8 @@
     private static Node node() {
         Settings set = Node.settings();
         set.nodes = 14;
-        set.classes.add(new RequestClass("leisurely", 4_000_000, 0, 8_000_000, 1, 0, Repeat.UNSAFE, Group.ALL,
-                0, false));
+        set.classes.add(
+                new RequestClass("leisurely", 4_000_000, 0, 8_000_000, 1, 0, Repeat.UNSAFE, Group.ALL, 0, false));
         set.warmKeys = true;
         set.reportFields.add(ReportField.QUEUED);
         set.reportFields.add(ReportField.IN_FLIGHT);
@@ -41,8 +39,7 @@
     private static String serve(Node node, String key, int classIndex, long latencyUs, double held) {
         long id = node.askFor(key, classIndex);
         node.advance(latencyUs);
-        node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.OK, latencyUs, true,
-                new double[] {0, held}));
+        node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.OK, latencyUs, true, new double[] {0, held}));
         return node.last(id).server();
     }
 
@@ -119,8 +116,9 @@
             Node.Sent sent = node.last(id);
             node.advance(2_000);
             if (sent != null) {
-                node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.OK, 2_000, true,
-                        new double[] {0, sent.server().equals("cold") ? held : 4}));
+                node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.OK, 2_000, true, new double[] {
+                    0, sent.server().equals("cold") ? held : 4
+                }));
             }
         }
         return node.sentTo("cold");
--- a/node/src/test/java/kitemux/MechanismTest.java
+++ b/node/src/test/java/kitemux/MechanismTest.java
@@ -9,14 +9,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.Settings;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** The ordinary path of DESIGN: weighted draws, own requests in flight, counting, pass-on, deferral. */
 class MechanismTest {
@@ -91,7 +89,9 @@
         node.advance(50_000);
         assertTrue(node.sent.isEmpty());
         node.list(ListKind.CHANGES, List.of(Node.server("s0"), Node.server("s1")));
-        assertEquals(List.of(first, second), node.sent.stream().map(Node.Sent::request).toList());
+        assertEquals(
+                List.of(first, second),
+                node.sent.stream().map(Node.Sent::request).toList());
     }
 
     @Test
@@ -106,8 +106,8 @@
     @Test
     void aServerAtItsLimitIsPassedOverAndTheQueueServesWorthFirst() {
         Settings set = Node.settings();
-        set.classes.add(new Balancer.RequestClass("dear", 200_000, 0, 1_000_000, 9, 0, Balancer.Repeat.SAFE,
-                Balancer.Group.ALL, 0, false));
+        set.classes.add(new Balancer.RequestClass(
+                "dear", 200_000, 0, 1_000_000, 9, 0, Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
         set.nodes = 2;
         Node node = new Node(set, 3).with(2);
         List<Long> ids = new ArrayList<>();
@@ -167,8 +167,8 @@
     @Test
     void answersFarSlowerThanTheirClassCanBeLowerALimitHoweverFarTheAim() {
         Settings set = Node.settings();
-        set.classes.add(new Balancer.RequestClass("patient", 20_000_000, 0, 30_000_000, 1, 0,
-                Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
+        set.classes.add(new Balancer.RequestClass(
+                "patient", 20_000_000, 0, 30_000_000, 1, 0, Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
         Node node = new Node(set, 3).with(1);
         for (int i = 0; i < 80; i++) {
             node.serve(5, Result.OK, i < 40 ? 10_000 : 200_000);
--- a/node/src/test/java/kitemux/Node.java
+++ b/node/src/test/java/kitemux/Node.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-
 import kitemux.Balancer.Actions;
 import kitemux.Balancer.Group;
 import kitemux.Balancer.ListKind;
@@ -25,7 +24,7 @@
     static final int UNSAFE = 4;
 
     /** An attempt as it was asked for. */
-    record Sent(long atUs, long request, int attempt, String server, long untilUs) { }
+    record Sent(long atUs, long request, int attempt, String server, long untilUs) {}
 
     final Settings settings;
     final List<Sent> sent = new ArrayList<>();
@@ -130,8 +129,8 @@
     void answer(long request, Result result, long afterUs) {
         advance(afterUs);
         Sent attempt = last(request);
-        balancer.onOutcome(now, new Outcome(request, attempt.attempt, result, now - attempt.atUs,
-                result == Result.OK, null));
+        balancer.onOutcome(
+                now, new Outcome(request, attempt.attempt, result, now - attempt.atUs, result == Result.OK, null));
     }
 
     /** One request sent and ended; its server. */
--- a/node/src/test/java/kitemux/RandomEventsTest.java
+++ b/node/src/test/java/kitemux/RandomEventsTest.java
@@ -11,10 +11,6 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
-
 import kitemux.Balancer.Group;
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Outcome;
@@ -25,6 +21,8 @@
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Long odd sequences of events with fixed seeds; what the module does is held against all four rules. */
 class RandomEventsTest {
@@ -44,8 +42,10 @@
         final List<Attempt> attempts = new ArrayList<>();
 
         Attempt binding() {
-            return attempts.stream().filter(a -> a.result == null || !a.result.neverRan)
-                    .findFirst().orElse(null);
+            return attempts.stream()
+                    .filter(a -> a.result == null || !a.result.neverRan)
+                    .findFirst()
+                    .orElse(null);
         }
     }
 
@@ -67,8 +67,17 @@
 
         Judge(long seed) {
             random = new SplittableRandom(seed);
-            set.classes.replaceAll(c -> new RequestClass(c.name(), c.aimUs(), 0, c.deadlineUs(), c.worth(),
-                    random.nextInt(2) * 0.5, c.repeat(), c.group(), 80_000, false));
+            set.classes.replaceAll(c -> new RequestClass(
+                    c.name(),
+                    c.aimUs(),
+                    0,
+                    c.deadlineUs(),
+                    c.worth(),
+                    random.nextInt(2) * 0.5,
+                    c.repeat(),
+                    c.group(),
+                    80_000,
+                    false));
             set.nodes = 1 + random.nextInt(5);
             set.maxAttempts = 1 + random.nextInt(5);
             set.cancel = random.nextBoolean();
@@ -85,7 +94,11 @@
 
         @Override
         public void send(long requestId, String serverId, long beginByUs, long untilUs) {
-            trace.append(now).append(" send ").append(requestId).append(serverId).append('\n');
+            trace.append(now)
+                    .append(" send ")
+                    .append(requestId)
+                    .append(serverId)
+                    .append('\n');
             Held request = held.get(requestId);
             ServerEntry server = servers.get(serverId);
             assertNotNull(request, "a request that is held");
@@ -98,8 +111,7 @@
                 assertTrue(request.cls.repeat() != Repeat.UNSAFE, "rule 2: an unsafe request may have run");
                 if (request.cls.repeat() == Repeat.KEYED) {
                     assertTrue(now <= binding.sentAt + request.cls.windowUs(), "rule 2: inside the window");
-                    assertTrue(sameGroup(request.cls.group(), binding.server, server),
-                            "rule 2: in the group");
+                    assertTrue(sameGroup(request.cls.group(), binding.server, server), "rule 2: in the group");
                 }
                 assertTrue(set.secondCopies || request.attempts.stream().allMatch(a -> a.result != null));
             }
@@ -113,8 +125,12 @@
             request.attempts.add(attempt);
             boolean timesOut = random.nextInt(30) == 0;
             long at = timesOut ? untilUs : Math.min(untilUs, now + 1_000 + random.nextInt(120_000));
-            answers.add(new long[] {at, requestId, request.attempts.size() - 1,
-                timesOut || at == untilUs ? Result.TIMEOUT.ordinal() : draw()});
+            answers.add(new long[] {
+                at,
+                requestId,
+                request.attempts.size() - 1,
+                timesOut || at == untilUs ? Result.TIMEOUT.ordinal() : draw()
+            });
         }
 
         private int draw() {
@@ -133,8 +149,9 @@
             assertFalse(request.over, "rule 1: one final answer only");
             assertTrue(now <= request.deadlineAt + set.tickUs, "rule 1: the answer comes in time");
             if (refusal && request.binding() != null) {
-                assertTrue(request.cls.repeat() == Repeat.SAFE
-                        || request.cls.repeat() == Repeat.KEYED && request.cls.group() == Group.ALL,
+                assertTrue(
+                        request.cls.repeat() == Repeat.SAFE
+                                || request.cls.repeat() == Repeat.KEYED && request.cls.group() == Group.ALL,
                         "rule 2: a refusal promises that trying again is harmless");
             }
             request.over = true;
@@ -168,8 +185,7 @@
         }
 
         @Override
-        public void closeIdle(String serverId) {
-        }
+        public void closeIdle(String serverId) {}
 
         @Override
         public void probe(String serverId) {
@@ -194,8 +210,16 @@
             request.deadlineAt = now + left;
             long id = nextId++;
             held.put(id, request);
-            balancer.onRequest(now, new Request(id, classIndex, random.nextInt(2) - 1, left, 0, false,
-                    random.nextInt(4) == 0 ? null : "k" + random.nextInt(40)));
+            balancer.onRequest(
+                    now,
+                    new Request(
+                            id,
+                            classIndex,
+                            random.nextInt(2) - 1,
+                            left,
+                            0,
+                            false,
+                            random.nextInt(4) == 0 ? null : "k" + random.nextInt(40)));
         }
 
         void changeList() {
@@ -203,7 +227,12 @@
             for (int i = 0; i < 1 + random.nextInt(3); i++) {
                 int number = random.nextInt(9);
                 ServerState state = ServerState.values()[Math.max(0, random.nextInt(5) - 2)];
-                ServerEntry entry = new ServerEntry("s" + number, number % 2, number % 3, state, 1,
+                ServerEntry entry = new ServerEntry(
+                        "s" + number,
+                        number % 2,
+                        number % 3,
+                        state,
+                        1,
                         state == ServerState.READY && random.nextInt(3) == 0 ? now : 0);
                 if (servers.containsKey(entry.id()) || state != ServerState.GONE) {
                     changes.add(entry);
@@ -211,8 +240,8 @@
             }
             if (random.nextInt(6) == 0) {
                 changes.removeIf(e -> e.state() == ServerState.GONE);
-                servers.replaceAll((id, e) -> new ServerEntry(id, e.zone(), e.cell(), ServerState.GONE, 1,
-                        e.startedAtUs()));
+                servers.replaceAll(
+                        (id, e) -> new ServerEntry(id, e.zone(), e.cell(), ServerState.GONE, 1, e.startedAtUs()));
                 changes.forEach(e -> servers.put(e.id(), e));
                 balancer.onServers(now, ListKind.FULL, changes);
             } else {
@@ -230,8 +259,8 @@
                 finals++;
                 served++;
             }
-            balancer.onOutcome(now, new Outcome(due[1], (int) due[2], attempt.result, now - attempt.sentAt,
-                    request.over, null));
+            balancer.onOutcome(
+                    now, new Outcome(due[1], (int) due[2], attempt.result, now - attempt.sentAt, request.over, null));
         }
 
         void run(int events) {
@@ -240,7 +269,7 @@
                 changeList();
             }
             long nextEvent = now;
-            for (int done = 0; done < events || !answers.isEmpty() || open() > 0;) {
+            for (int done = 0; done < events || !answers.isEmpty() || open() > 0; ) {
                 long at = done < events ? nextEvent : Long.MAX_VALUE;
                 at = Math.min(at, answers.isEmpty() ? Long.MAX_VALUE : answers.peek()[0]);
                 at = Math.min(at, wakes.isEmpty() ? Long.MAX_VALUE : wakes.peek());
@@ -269,7 +298,9 @@
         }
 
         private long ready() {
-            return servers.values().stream().filter(e -> e.state() == ServerState.READY).count();
+            return servers.values().stream()
+                    .filter(e -> e.state() == ServerState.READY)
+                    .count();
         }
 
         private long open() {
@@ -301,11 +332,14 @@
         judge.coldSends.forEach((start, sends) -> {
             for (long[] first : sends) {
                 List<long[]> span = sends.stream()
-                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.fallUs).toList();
-                double ready = Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
+                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.fallUs)
+                        .toList();
+                double ready =
+                        Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
                 double age = Math.min(1, (first[0] + set.fallUs - start.startedAtUs()) / (double) set.coldUs);
                 double share = set.coldFrom + (1 - set.coldFrom) * age;
-                assertTrue(span.size() - 2 <= set.fallMultiple * share * rate / ready * set.fallUs / 1e6,
+                assertTrue(
+                        span.size() - 2 <= set.fallMultiple * share * rate / ready * set.fallUs / 1e6,
                         "rule 4: " + span.size() + " sends in one span");
             }
         });
--- a/node/src/test/java/kitemux/RepeatTest.java
+++ b/node/src/test/java/kitemux/RepeatTest.java
@@ -6,11 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.Balancer.Result;
 import kitemux.Balancer.Settings;
+import org.junit.jupiter.api.Test;
 
 /** Repeats that clients make by themselves: their aim, 200 ms here, runs from the first try. */
 class RepeatTest {
--- a/node/src/test/java/kitemux/RetuningTest.java
+++ b/node/src/test/java/kitemux/RetuningTest.java
@@ -5,13 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.Balancer.Group;
 import kitemux.Balancer.Repeat;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.Settings;
+import org.junit.jupiter.api.Test;
 
 /** Settings that change while requests are open. */
 class RetuningTest {
--- a/node/src/test/java/kitemux/RulesTest.java
+++ b/node/src/test/java/kitemux/RulesTest.java
@@ -5,11 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Outcome;
 import kitemux.Balancer.Request;
@@ -17,6 +12,9 @@
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** Rules 1 to 3 in named cases. */
 class RulesTest {
@@ -28,15 +26,29 @@
     /** After a first attempt that ends so: does another follow, and else which final answer? */
     @ParameterizedTest
     @CsvSource({
-        "0, ERROR, again", "0, FULL, again", "0, TIMEOUT, again", "0, CONNECT_FAILED, again",
+        "0, ERROR, again",
+        "0, FULL, again",
+        "0, TIMEOUT, again",
+        "0, CONNECT_FAILED, again",
         "0, RESET, again",
-        "1, ERROR, again", "1, FULL, again", "1, TIMEOUT, again", "1, CONNECT_FAILED, again",
+        "1, ERROR, again",
+        "1, FULL, again",
+        "1, TIMEOUT, again",
+        "1, CONNECT_FAILED, again",
         "1, RESET, again",
-        "3, ERROR, again", "3, FULL, again", "3, TIMEOUT, again", "3, CONNECT_FAILED, again",
+        "3, ERROR, again",
+        "3, FULL, again",
+        "3, TIMEOUT, again",
+        "3, CONNECT_FAILED, again",
         "3, RESET, again",
-        "4, ERROR, failed", "4, FULL, again", "4, TIMEOUT, failed", "4, CONNECT_FAILED, again",
+        "4, ERROR, failed",
+        "4, FULL, again",
+        "4, TIMEOUT, failed",
+        "4, CONNECT_FAILED, again",
         "4, RESET, failed",
-        "4, CANCELLED, failed", "4, MOOT, again"})
+        "4, CANCELLED, failed",
+        "4, MOOT, again"
+    })
     void repeatsFollowTheClass(int classIndex, Result result, String then) {
         Node node = new Node().with(4);
         long id = node.ask(classIndex);
@@ -50,9 +62,13 @@
     void aKeyedRequestThatMayHaveRunStaysInItsCellAndZone() {
         for (int classIndex : new int[] {Node.KEYED_CELL, Node.KEYED_ZONE}) {
             Node node = new Node();
-            node.list(ListKind.CACHED, List.of(in("a", 0, 1, ServerState.READY),
-                    in("x", 1, 2, ServerState.READY),
-                    in("b", 0, 1, ServerState.READY), in("y", 1, 2, ServerState.READY)));
+            node.list(
+                    ListKind.CACHED,
+                    List.of(
+                            in("a", 0, 1, ServerState.READY),
+                            in("x", 1, 2, ServerState.READY),
+                            in("b", 0, 1, ServerState.READY),
+                            in("y", 1, 2, ServerState.READY)));
             long id = node.ask(classIndex);
             String first = node.last(id).server();
             node.answer(id, Result.RESET, 1_000);
@@ -65,8 +81,7 @@
     @Test
     void aKeyedRequestThatSurelyNeverRanMayGoAnywhere() {
         Node node = new Node();
-        node.list(ListKind.CACHED, List.of(in("a", 0, 1, ServerState.READY),
-                    in("x", 1, 2, ServerState.READY)));
+        node.list(ListKind.CACHED, List.of(in("a", 0, 1, ServerState.READY), in("x", 1, 2, ServerState.READY)));
         long id = node.ask(Node.KEYED_CELL);
         node.answer(id, Result.FULL, 1_000);
         assertEquals(2, node.attempts(id));
@@ -200,10 +215,12 @@
         assertThrows(IllegalArgumentException.class, () -> new Node(zone, 1));
         Node node = new Node().with(1);
         assertThrows(IllegalArgumentException.class, () -> node.ask(99));
-        assertThrows(IllegalArgumentException.class,
+        assertThrows(
+                IllegalArgumentException.class,
                 () -> node.balancer.onRequest(node.now, new Request(5, 0, 7, 1_000, 0, false, null)));
         node.balancer.onRequest(node.now, new Request(6, 0, -1, 1_000_000, 0, false, null));
-        assertThrows(IllegalArgumentException.class,
+        assertThrows(
+                IllegalArgumentException.class,
                 () -> node.balancer.onRequest(node.now, new Request(6, 0, -1, 1_000_000, 0, false, null)));
     }
 }
--- a/node/src/test/java/kitemux/SilenceTest.java
+++ b/node/src/test/java/kitemux/SilenceTest.java
@@ -6,12 +6,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.Balancer.Outcome;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.Settings;
+import org.junit.jupiter.api.Test;
 
 /** Exceptions: silence counts while an attempt is out, hedges, health by class. */
 class SilenceTest {
@@ -129,8 +127,7 @@
         // The node stands still for a second; the late wake-up is handled first, then the answers.
         node.now += 1_000_000 - 1;
         node.balancer.onWake(node.now);
-        ids.forEach(id -> node.balancer.onOutcome(node.now,
-                new Outcome(id, 0, Result.OK, USUAL_US, true, null)));
+        ids.forEach(id -> node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.OK, USUAL_US, true, null)));
         assertEquals(sent, node.sent.size());
         assertTrue(node.logged.isEmpty(), node.logged.toString());
     }
--- a/node/src/test/java/kitemux/adapter/LinkTest.java
+++ b/node/src/test/java/kitemux/adapter/LinkTest.java
@@ -7,7 +7,6 @@
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -21,9 +20,8 @@
     private static final String LIST = "roster setId=0 nodesList=1\n"
             + "server server=10.0.0.7:8003 site=z generationHw=k block=0 lifecycle=Running scale=1 extra=2\n"
             + "topology node=node-3 setId=0 generation=1 kind=stale_copy\n";
-    private static final String ITEM = "work_item node=node-3 handle=b7c6f2075d3a91c4 lane=view"
-            + " patienceLeftUs=240000"
-            + " novel=x\n";
+    private static final String ITEM =
+            "work_item node=node-3 handle=b7c6f2075d3a91c4 lane=view" + " patienceLeftUs=240000" + " novel=x\n";
     private static final String OPEN = "begin_batch timeUs=1000000\n";
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -41,8 +39,8 @@
     @Test
     void aRequestIsRoutedAndItsIdGivenBackUnchanged() throws Exception {
         String reply = run(OPEN + BOOT + LIST + ITEM + "eob\n");
-        assertTrue(reply.contains("route node=node-3 handle=b7c6f2075d3a91c4"
-                + " server=10.0.0.7:8003 untilUs=1240000\n"),
+        assertTrue(
+                reply.contains("route node=node-3 handle=b7c6f2075d3a91c4" + " server=10.0.0.7:8003 untilUs=1240000\n"),
                 reply);
         assertTrue(reply.endsWith("next\n"));
     }
@@ -55,30 +53,33 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "begin_batch timeUs=1 | the input ends inside a batch",
-        "begin_batch timeUs=1;mystery node=node-3 x=1;eob | node",
-        "begin_batch timeUs=x;eob | timeUs",
-        "begin_batch;eob | timeUs",
-        "hello;eob | begin_batch",
-        "begin_batch timeUs=1;bell node=node-9 label=w;eob | never started",
-        "B;mystery node=node-3 x=1;eob | unknown event mystery",
-        "B;topology node=node-3 setId=4 generation=1 kind=whole;eob | never given",
-        "B;topology node=node-3 setId=99 generation=1 kind=whole;eob | setId",
-        "B;topology node=node-3 setId=0 generation=1 kind=odd;eob | kind",
-        "B;work_item node=node-3 handle=b7c6 lane=view patienceLeftUs=1;eob | handle",
-        "B;work_item node=node-3 handle=b7c6f2075d3a91c4 lane=other patienceLeftUs=1;eob | lane",
-        "B;work_item node=node-3 handle=b7c6f2075d3a91c4 lane=view;eob | patienceLeftUs",
-        "B;resolved node=node-3 handle=b7c6f2075d3a91c4 rc=11 seqNo=0;eob | rc",
-        "B;roster setId=0 nodesList=2;server server=a lifecycle=Running;eob | roster",
-        "B;roster setId=0 nodesList=1;server server=a lifecycle=Odd;eob | lifecycle",
-        "begin_batch timeUs=1;boot node=n initSeed=1 classes.count=1;eob | classes.0.",
-        "B;boot node=n initSeed=1 limits.probes=maybe;eob | limits.probes",
-        "B;boot node=n initSeed=1 rules.coldFrom=NaN;eob | rules.coldFrom",
-        "B;boot node=n initSeed=1 costs.crossZone=Infinity;eob | costs.crossZone",
-        "B;roster setId=0 nodesList=1;server server=a lifecycle=Running;topology node=node-3 setId=0;eob"
-            + " | kind",
-        "begin_batch timeUs=1;boot node=n initSeed=1;eob | classes is empty"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "begin_batch timeUs=1 | the input ends inside a batch",
+                "begin_batch timeUs=1;mystery node=node-3 x=1;eob | node",
+                "begin_batch timeUs=x;eob | timeUs",
+                "begin_batch;eob | timeUs",
+                "hello;eob | begin_batch",
+                "begin_batch timeUs=1;bell node=node-9 label=w;eob | never started",
+                "B;mystery node=node-3 x=1;eob | unknown event mystery",
+                "B;topology node=node-3 setId=4 generation=1 kind=whole;eob | never given",
+                "B;topology node=node-3 setId=99 generation=1 kind=whole;eob | setId",
+                "B;topology node=node-3 setId=0 generation=1 kind=odd;eob | kind",
+                "B;work_item node=node-3 handle=b7c6 lane=view patienceLeftUs=1;eob | handle",
+                "B;work_item node=node-3 handle=b7c6f2075d3a91c4 lane=other patienceLeftUs=1;eob | lane",
+                "B;work_item node=node-3 handle=b7c6f2075d3a91c4 lane=view;eob | patienceLeftUs",
+                "B;resolved node=node-3 handle=b7c6f2075d3a91c4 rc=11 seqNo=0;eob | rc",
+                "B;roster setId=0 nodesList=2;server server=a lifecycle=Running;eob | roster",
+                "B;roster setId=0 nodesList=1;server server=a lifecycle=Odd;eob | lifecycle",
+                "begin_batch timeUs=1;boot node=n initSeed=1 classes.count=1;eob | classes.0.",
+                "B;boot node=n initSeed=1 limits.probes=maybe;eob | limits.probes",
+                "B;boot node=n initSeed=1 rules.coldFrom=NaN;eob | rules.coldFrom",
+                "B;boot node=n initSeed=1 costs.crossZone=Infinity;eob | costs.crossZone",
+                "B;roster setId=0 nodesList=1;server server=a lifecycle=Running;topology node=node-3 setId=0;eob"
+                        + " | kind",
+                "begin_batch timeUs=1;boot node=n initSeed=1;eob | classes is empty"
+            })
     void malformedInputIsNamedByLineAndFieldAndNothingIsWritten(String lines, String named) {
         String input = lines.trim().replace("B;", OPEN + BOOT).replace(';', '\n') + "\n";
         WireException e = assertThrows(WireException.class, () -> run(input));
@@ -101,8 +102,13 @@
                     + ITEM.replace("novel=x", "routeKey=k:same") + "eob\n");
         }
         // Whatever the seed, the key draws the same server.
-        assertEquals(1, out.toString(StandardCharsets.UTF_8).lines().filter(l -> l.startsWith("route"))
-                .distinct().count());
+        assertEquals(
+                1,
+                out.toString(StandardCharsets.UTF_8)
+                        .lines()
+                        .filter(l -> l.startsWith("route"))
+                        .distinct()
+                        .count());
     }
 
     @Test
@@ -121,10 +127,12 @@
     void instancesActAlikeAloneAndTogether() throws Exception {
         String one = run(OPEN + BOOT + LIST + ITEM + "eob\n");
         out.reset();
-        String both = run(OPEN + BOOT.replace("node-3", "node-5") + LIST.replace("node=node-3", "node=node-5")
-                + BOOT + LIST + ITEM.replace("node-3", "node-5") + ITEM + "eob\n");
+        String both = run(OPEN + BOOT.replace("node-3", "node-5") + LIST.replace("node=node-3", "node=node-5") + BOOT
+                + LIST + ITEM.replace("node-3", "node-5") + ITEM + "eob\n");
         StringBuilder own = new StringBuilder();
-        both.lines().filter(l -> !l.contains("node-5")).forEach(l -> own.append(l).append('\n'));
+        both.lines()
+                .filter(l -> !l.contains("node-5"))
+                .forEach(l -> own.append(l).append('\n'));
         assertEquals(one, own.toString());
     }
 }
--- a/node/src/test/java/kitemux/loop/MeasuredEventLoopTest.java
+++ b/node/src/test/java/kitemux/loop/MeasuredEventLoopTest.java
@@ -4,7 +4,6 @@
 
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
--- a/node/src/test/java/kitemux/members/CodecTest.java
+++ b/node/src/test/java/kitemux/members/CodecTest.java
@@ -13,9 +13,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.zip.CRC32C;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.core.membership.Change;
 import kitemux.core.membership.Incarnation;
 import kitemux.core.membership.Member;
@@ -25,6 +22,7 @@
 import kitemux.core.membership.Settings;
 import kitemux.core.membership.State;
 import kitemux.members.BadFrameException.Reason;
+import org.junit.jupiter.api.Test;
 
 class CodecTest {
     private static final int FUZZED = Integer.getInteger("kitemux.fuzzed", 1_000_000);
@@ -41,7 +39,11 @@
     }
 
     private static Member member(SplittableRandom random, int most) {
-        return new Member(name(random, most), name(random, most), name(random, most), name(random, most),
+        return new Member(
+                name(random, most),
+                name(random, most),
+                name(random, most),
+                name(random, most),
                 new Incarnation(random.nextLong(1L << 62), random.nextLong(1L << random.nextInt(1, 62))),
                 State.values()[random.nextInt(4)]);
     }
@@ -70,24 +72,22 @@
             assertEquals(message, codec.decode(codec.encode(message)));
             assertEquals(message.rumors(), codec.decodeState(codec.encodeState(message.rumors())));
         }
-        Look.View view = new Look.View(7, -3, 2, member(random, 64), List.of(member(random, 64)),
-                Map.of("a", 1L));
+        Look.View view = new Look.View(7, -3, 2, member(random, 64), List.of(member(random, 64)), Map.of("a", 1L));
         assertEquals(view, Codec.ofAnyFleet().decodeView(codec.encodeView(view)));
     }
 
     @Test
     void theLongestNamesFitIntoADatagram() {
         String longest = "x".repeat(64);
-        Member member = new Member(longest, longest, longest, longest,
-                new Incarnation(1L << 62, 1L << 62), State.LEFT);
+        Member member = new Member(longest, longest, longest, longest, new Incarnation(1L << 62, 1L << 62), State.LEFT);
         Rumor rumor = new Rumor(member, longest);
         // What the core reckons a rumor to need, and not less, is what it may fill its room with.
         List<Rumor> rumors = new ArrayList<>();
         for (int bytes = 48 + 5 * 64; bytes <= Settings.MOST_ROOM; bytes += 48 + 5 * 64) {
             rumors.add(rumor);
         }
-        int length = new Codec(longest).encode(new Message.PingRequest(1L << 62, longest, longest, member,
-                rumors)).length;
+        int length =
+                new Codec(longest).encode(new Message.PingRequest(1L << 62, longest, longest, member, rumors)).length;
         assertTrue(length <= Codec.MOST_DATAGRAM, "bytes: " + length);
         int more = codec.encode(new Message.Gossip(member, List.of(rumor, rumor))).length
                 - codec.encode(new Message.Gossip(member, List.of(rumor))).length;
@@ -101,8 +101,7 @@
     @Test
     void whatIsNotOfThisFleetIsTurnedAwayByItsReason() {
         byte[] frame = codec.encode(message(new SplittableRandom(2), 10));
-        assertEquals(Reason.FOREIGN_FLEET, reason(new Codec("there").encode(message(
-                new SplittableRandom(2), 10))));
+        assertEquals(Reason.FOREIGN_FLEET, reason(new Codec("there").encode(message(new SplittableRandom(2), 10))));
         assertEquals(Reason.NOT_OURS, reason("GET / HTTP/1.1\r\n\r\n".getBytes()));
         assertEquals(Reason.NOT_OURS, reason(new byte[0]));
         assertEquals(Reason.DAMAGED, reason(Arrays.copyOf(frame, frame.length - 1)));
@@ -186,10 +185,24 @@
     void noDatagramHarmsWhoeverItComesUpon() throws Exception {
         SplittableRandom random = new SplittableRandom(4);
         Settings usual = Settings.of("me", "127.0.0.1:1", "z", "node", List.of());
-        Settings small = new Settings("me", usual.address(), "z", "node", usual.periodUs(), usual.answerUs(),
-                usual.askers(), usual.suspicionPeriods(), usual.suspicionMost(), usual.confirmations(),
-                usual.healthMost(), usual.spread(), usual.syncUs(), usual.forgetUs(), MOST_HELD,
-                usual.roomBytes(), usual.seeds());
+        Settings small = new Settings(
+                "me",
+                usual.address(),
+                "z",
+                "node",
+                usual.periodUs(),
+                usual.answerUs(),
+                usual.askers(),
+                usual.suspicionPeriods(),
+                usual.suspicionMost(),
+                usual.confirmations(),
+                usual.healthMost(),
+                usual.spread(),
+                usual.syncUs(),
+                usual.forgetUs(),
+                MOST_HELD,
+                usual.roomBytes(),
+                usual.seeds());
         Quiet out = new Quiet();
         Membership core = new Membership(small, 1, 1L << 62, out);
         core.start(0);
@@ -210,12 +223,13 @@
                 core.onWake(i * 1_000L);
             }
         }
-        assertTrue(taken > FUZZED / 100 && dropped.size() == Reason.values().length,
-                taken + " taken, dropped " + dropped);
+        assertTrue(
+                taken > FUZZED / 100 && dropped.size() == Reason.values().length, taken + " taken, dropped " + dropped);
         assertTrue(core.state().size() <= MOST_HELD, "held: " + core.state().size());
         Member asking = new Member("asking", "127.0.0.1:2", "z", "node", new Incarnation(1, 0), State.ALIVE);
         core.onMessage(FUZZED * 1_000L, new Message.Ping(77, "me", asking, List.of()));
-        assertTrue(core.isOver() || out.last instanceof Message.Ack ack && ack.number() == 77,
+        assertTrue(
+                core.isOver() || out.last instanceof Message.Ack ack && ack.number() == 77,
                 "answers no more: " + out.last);
         assertArrayEquals(codec.encode(out.last), codec.encode(codec.decode(codec.encode(out.last))));
     }
--- a/node/src/test/java/kitemux/node/ClassListTest.java
+++ b/node/src/test/java/kitemux/node/ClassListTest.java
@@ -11,24 +11,25 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.Main;
+import org.junit.jupiter.api.Test;
 
 /** The list from which the class-data archive is made: what it lacks makes every start of a node longer. */
 class ClassListTest {
 
     @Test
     void theListNamesEveryClassOfANode() throws Exception {
-        Path classes = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        Path classes = Path.of(
+                Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         Set<String> listed = Set.copyOf(Files.readAllLines(Path.of("deploy/classes.lst")));
         List<String> built = built(classes);
         assertTrue(built.contains("kitemux/node/Node"), built.toString());
-        List<String> missing = built.stream().filter(name -> !listed.contains(name)).toList();
+        List<String> missing =
+                built.stream().filter(name -> !listed.contains(name)).toList();
         assertEquals(List.of(), missing, "make the list anew, as the README says");
         // What a node loads only where a setting asks for it.
-        assertEquals(List.of(), listed.stream().filter(ClassListTest::isOffByDefault).toList());
+        assertEquals(
+                List.of(), listed.stream().filter(ClassListTest::isOffByDefault).toList());
     }
 
     /** One more lambda in a class gives others new numbers: then they are made anew at each start. */
@@ -40,13 +41,19 @@
         assertTrue(lambdas.size() > 50, "lambdas named: " + lambdas.size());
         for (String line : lambdas) {
             String[] words = line.split(" ");
-            int method = List.of(words).indexOf(Stream.of(words).filter(word -> word.startsWith("lambda$"))
-                    .findFirst().orElseThrow());
-            Class<?> owner = Class.forName(words[method - 1].replace('/', '.'), false,
-                    ClassListTest.class.getClassLoader());
-            assertTrue(Stream.of(owner.getDeclaredMethods()).anyMatch(m -> m.getName().equals(words[method])
-                    && MethodType.methodType(m.getReturnType(), m.getParameterTypes())
-                            .toMethodDescriptorString().equals(words[method + 1])),
+            int method = List.of(words)
+                    .indexOf(Stream.of(words)
+                            .filter(word -> word.startsWith("lambda$"))
+                            .findFirst()
+                            .orElseThrow());
+            Class<?> owner =
+                    Class.forName(words[method - 1].replace('/', '.'), false, ClassListTest.class.getClassLoader());
+            assertTrue(
+                    Stream.of(owner.getDeclaredMethods())
+                            .anyMatch(m -> m.getName().equals(words[method])
+                                    && MethodType.methodType(m.getReturnType(), m.getParameterTypes())
+                                            .toMethodDescriptorString()
+                                            .equals(words[method + 1])),
                     "make the list anew, as the README says: " + line);
         }
     }
@@ -59,10 +66,11 @@
     private static List<String> built(Path classes) throws IOException {
         try (Stream<Path> files = Files.walk(classes.resolve("kitemux"))) {
             return files.map(file -> classes.relativize(file).toString().replace('\\', '/'))
-                    .filter(name -> name.endsWith(".class") && !name.startsWith("kitemux/adapter/")
-                            && !isOffByDefault(name))
+                    .filter(name ->
+                            name.endsWith(".class") && !name.startsWith("kitemux/adapter/") && !isOffByDefault(name))
                     .map(name -> name.substring(0, name.length() - ".class".length()))
-                    .sorted().collect(Collectors.toList());
+                    .sorted()
+                    .collect(Collectors.toList());
         }
     }
 }
--- a/node/src/test/java/kitemux/node/ClientServerTest.java
+++ b/node/src/test/java/kitemux/node/ClientServerTest.java
@@ -11,7 +11,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -21,7 +20,8 @@
 
     @Test
     void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
-        try (FarServer server = FarServer.serving("proof"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("proof");
+                Site site = Site.quiet().start(server)) {
             String photo = "POST /api/7f3a?x=1&y=%20 HTTP/1.1\r\nHost: h\r\nX-Txn: 9b1f\r\nX-Lane: photo\r\n"
                     + "X-Org: org\r\nX-Remaining: 480m\r\nIdempotency-Key: 5c0f\r\n"
                     + "Content-Length: 4\r\n\r\nbody";
@@ -41,24 +41,37 @@
     @ParameterizedTest
     @ValueSource(strings = {"http://h:8000", "HTTP://h", "http://[::1]:80"})
     void aRequestThatNamesTheHostInItsFirstLineGoesOnByItsPath(String host) throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
-            assertEquals(200, site.ask(Http.page(host + "/api/7f3a?u=http://y", "t", "400m")).status());
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
+            assertEquals(
+                    200,
+                    site.ask(Http.page(host + "/api/7f3a?u=http://y", "t", "400m"))
+                            .status());
             assertEquals("/api/7f3a?u=http://y", FarServer.next(server.requests).path());
-            assertEquals(200, site.ask("GET " + host + "/up HTTP/1.1\r\nHost: h\r\n\r\n").status());
-            assertEquals(404, site.ask("GET " + host + "?/up HTTP/1.1\r\nHost: h\r\n\r\n").status());
+            assertEquals(
+                    200,
+                    site.ask("GET " + host + "/up HTTP/1.1\r\nHost: h\r\n\r\n").status());
+            assertEquals(
+                    404,
+                    site.ask("GET " + host + "?/up HTTP/1.1\r\nHost: h\r\n\r\n").status());
         }
     }
 
     @Test
     void aFirstLineOfEightThousandBytesIsUnderstood() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
-            assertEquals(200, site.ask(Http.page("/api/" + "k".repeat(7_900), "t", "400m")).status());
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
+            assertEquals(
+                    200,
+                    site.ask(Http.page("/api/" + "k".repeat(7_900), "t", "400m"))
+                            .status());
         }
     }
 
     @Test
     void aConnectionCarriesOneRequestAfterAnother() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             for (int i = 0; i < 3; i++) {
                 assertEquals(200, Site.ask(client, Http.page("t" + i)).status());
@@ -69,8 +82,8 @@
 
     @Test
     void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
-        try (FarServer server = new FarServer((request, peer) ->
-                peer.write(Http.ok(request.headers().get("x-txn"))));
+        try (FarServer server = new FarServer(
+                        (request, peer) -> peer.write(Http.ok(request.headers().get("x-txn"))));
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("a") + Http.page("b") + Http.page("c"));
@@ -81,23 +94,25 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "GET /api/x HTTP/1.1|X-Lane: page|X-Remaining: 400m",
-        "GET /api/x HTTP/1.1|X-Txn: t|X-Txn: u|X-Lane: page|X-Remaining: 400m",
-        "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: none|X-Remaining: 400m",
-        "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: page",
-        "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: page|X-Remaining: 400",
-        "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: page|X-Remaining: -4m",
-        "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: page|X-Remaining: NaNm",
-        "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: page|X-Remaining: 9999999999m",
-        "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: photo|X-Remaining: 400m",
-        "POST /api/x HTTP/1.1|X-Txn: t|X-Lane: page|X-Remaining: 400m",
-        "POST /api/x HTTP/1.1|X-Txn: t|X-Lane: photo|X-Remaining: 400m",
-        "POST /api/x HTTP/1.1|X-Txn: t|X-Lane: order|X-Remaining: 400m|Idempotency-Key: k",
-        "not http at all",
-    })
+    @ValueSource(
+            strings = {
+                "GET /api/x HTTP/1.1|X-Lane: page|X-Remaining: 400m",
+                "GET /api/x HTTP/1.1|X-Txn: t|X-Txn: u|X-Lane: page|X-Remaining: 400m",
+                "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: none|X-Remaining: 400m",
+                "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: page",
+                "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: page|X-Remaining: 400",
+                "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: page|X-Remaining: -4m",
+                "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: page|X-Remaining: NaNm",
+                "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: page|X-Remaining: 9999999999m",
+                "GET /api/x HTTP/1.1|X-Txn: t|X-Lane: photo|X-Remaining: 400m",
+                "POST /api/x HTTP/1.1|X-Txn: t|X-Lane: page|X-Remaining: 400m",
+                "POST /api/x HTTP/1.1|X-Txn: t|X-Lane: photo|X-Remaining: 400m",
+                "POST /api/x HTTP/1.1|X-Txn: t|X-Lane: order|X-Remaining: 400m|Idempotency-Key: k",
+                "not http at all",
+            })
     void whatCannotBeUsedGets400AndReachesNoServer(String lines) throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             assertEquals(400, site.ask(lines.replace("|", "\r\n") + "\r\n\r\n").status());
             assertEquals(0, server.connections.get());
             assertEquals(200, site.ask(Http.page("next")).status(), "the node goes on");
@@ -106,7 +121,8 @@
 
     @Test
     void anUnknownPathGets404() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             assertEquals(404, site.ask(Http.page("/apis/x", "t", "400m")).status());
             assertEquals(0, server.connections.get());
         }
@@ -114,11 +130,15 @@
 
     @Test
     void aBodyOver32MiBGets413AndOneThatIsGatheredOrFlowsIsServed() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             String order = Http.order("t", "4000m");
             for (int length : new int[] {65_535, 65_536, 65_537, 100_000}) {
-                assertEquals(200, site.ask(order.replace("Length: 2\r\n\r\nab",
-                        "Length: " + length + "\r\n\r\n" + "a".repeat(length))).status());
+                assertEquals(
+                        200,
+                        site.ask(order.replace(
+                                        "Length: 2\r\n\r\nab", "Length: " + length + "\r\n\r\n" + "a".repeat(length)))
+                                .status());
                 assertEquals(length, FarServer.next(server.requests).body().length());
             }
             String larger = order.replace("Length: 2\r\n\r\nab", "Length: 33554433\r\n\r\n");
@@ -129,10 +149,13 @@
 
     @Test
     void theAnswerToTooLargeABodyOutlastsWhatStillComes() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
-            Site.write(client, Http.order("t", "4000m").replace("Length: 2\r\n\r\nab",
-                    "Length: 60000000\r\n\r\n" + "a".repeat(8_000_000)));
+            Site.write(
+                    client,
+                    Http.order("t", "4000m")
+                            .replace("Length: 2\r\n\r\nab", "Length: 60000000\r\n\r\n" + "a".repeat(8_000_000)));
             assertEquals(413, Http.read(client.getInputStream()).status());
             assertEquals(-1, client.getInputStream().read());
             assertEquals(0, server.connections.get());
@@ -141,7 +164,7 @@
 
     @Test
     void aClientThatClosesIsGoneAndItsAttemptGivenUp() throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> { });
+        try (FarServer server = new FarServer((request, peer) -> {});
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("/api/x", "t", "5000m"));
@@ -156,14 +179,15 @@
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch answer = new CountDownLatch(1);
         try (FarServer server = new FarServer((request, peer) -> {
-            asked.countDown();
-            try {
-                answer.await();
-            } catch (InterruptedException e) {
-                throw new IOException(e);
-            }
-            peer.write(Http.ok("late"));
-        }); Site site = Site.quiet().start(server)) {
+                    asked.countDown();
+                    try {
+                        answer.await();
+                    } catch (InterruptedException e) {
+                        throw new IOException(e);
+                    }
+                    peer.write(Http.ok("late"));
+                });
+                Site site = Site.quiet().start(server)) {
             assertEquals(200, site.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
             Socket client = site.connect();
             Socket idle = site.connect();
@@ -188,13 +212,15 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "",
-        "GET /api/x HT",
-        "POST /api/x HTTP/1.1\r\nX-Txn: t\r\nX-Lane: order\r\nX-Remaining: 400m\r\nContent-Length: 9\r\n\r\n",
-    })
+    @ValueSource(
+            strings = {
+                "",
+                "GET /api/x HT",
+                "POST /api/x HTTP/1.1\r\nX-Txn: t\r\nX-Lane: order\r\nX-Remaining: 400m\r\nContent-Length: 9\r\n\r\n",
+            })
     void aPeerThatAsksNothingWholeIsClosedSoonAndAClientStays(String part) throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             assertEquals(200, Site.ask(client, Http.page("t")).status());
             Socket peer = site.connect();
@@ -209,14 +235,15 @@
     void aClientThatLeavesAmidItsRequestIsNotLoggedAsADefect() throws Exception {
         PrintStream err = System.err;
         ByteArrayOutputStream said = new ByteArrayOutputStream();
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             System.setErr(new PrintStream(said, true, StandardCharsets.UTF_8));
             Socket client = site.connect();
             Site.write(client, Http.order("t", "400m").replace("Length: 2", "Length: 9"));
             client.shutdownOutput();
             assertEquals(-1, client.getInputStream().read());
             // What the loop still does about the closed connection comes before this.
-            site.loop.submit(() -> { }).sync();
+            site.loop.submit(() -> {}).sync();
         } finally {
             System.setErr(err);
         }
@@ -226,7 +253,8 @@
 
     @Test
     void clientsLeaveRoomForConnectionsToServers() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet()) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet()) {
             site.sockets = 64;
             site.start(server);
             Socket first = site.connect();
@@ -241,8 +269,8 @@
 
     @Test
     void refusalsSayWhenToComeBack() throws Exception {
-        try (FarServer server = new FarServer((request, peer) ->
-                peer.write(Http.answer("503 Busy", "X-Turned-Away: 1\r\n", "")));
+        try (FarServer server = new FarServer(
+                        (request, peer) -> peer.write(Http.answer("503 Busy", "X-Turned-Away: 1\r\n", "")));
                 Site site = Site.quiet().start(server)) {
             Http.Message answer = site.ask(Http.order("t", "300m"));
             assertEquals(503, answer.status());
--- a/node/src/test/java/kitemux/node/ControlServerTest.java
+++ b/node/src/test/java/kitemux/node/ControlServerTest.java
@@ -11,7 +11,6 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -28,22 +27,36 @@
 
     @Test
     void healthIsYesFromWhenClientsCanConnectUntilTheDrain() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = operated()) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = operated()) {
             site.control(Site.list(1, true, "s0=" + server.endpoint() + "=Ready"));
             assertEquals("NO not serving\n", site.call("health\n"));
             site.begin();
             assertEquals("YES\n", site.call("health\n"));
             assertEquals("YES\n", site.call("health\r\n"));
-            site.node.drain(() -> { });
+            site.node.drain(() -> {});
             assertEquals("NO not serving\n", site.call("health\n"));
         }
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", " ", "health now", "cordon", "cordon s0 s1", "uncordon", "quiesce", "HEALTH",
-        "cordon none", "uncordon none", "GET / HTTP/1.1"})
+    @ValueSource(
+            strings = {
+                "",
+                " ",
+                "health now",
+                "cordon",
+                "cordon s0 s1",
+                "uncordon",
+                "quiesce",
+                "HEALTH",
+                "cordon none",
+                "uncordon none",
+                "GET / HTTP/1.1"
+            })
     void aCallThatIsNoneGetsNo(String call) throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = operated().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = operated().start(server)) {
             String answer = site.call(call + "\n");
             assertTrue(answer.matches("NO .+\n"), answer);
             assertEquals(200, site.ask(Http.page("t")).status());
@@ -52,21 +65,22 @@
 
     @Test
     void aCallTooLongGetsNoAndACallInPiecesIsRead() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = operated().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = operated().start(server)) {
             assertEquals("NO line too long\n", site.call("cordon " + "s".repeat(5_000)));
             try (Socket caller = new Socket(site.control.getAddress(), site.control.getPort())) {
                 for (String piece : "health\n".split("")) {
                     Site.write(caller, piece);
                 }
-                assertEquals("YES\n", new String(caller.getInputStream().readAllBytes(),
-                        StandardCharsets.UTF_8));
+                assertEquals("YES\n", new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8));
             }
         }
     }
 
     @Test
     void callersThatSayNothingDelayNobodyAndAreClosed() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = operated().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = operated().start(server)) {
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 Socket caller = new Socket(site.control.getAddress(), site.control.getPort());
@@ -87,29 +101,36 @@
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch left = new CountDownLatch(1);
         try (FarServer server = new FarServer((request, peer) -> {
-            String txn = request.headers().get("x-txn");
-            if (txn.startsWith("full")) {
-                peer.write(Http.answer("503 Busy", "X-Turned-Away: 1\r\n", ""));
-            } else if (txn.startsWith("bad")) {
-                peer.write(Http.answer("500 No", "", ""));
-            } else if (txn.equals("held")) {
-                try {
-                    held.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-                peer.write(Http.ok("x"));
-            } else if (txn.equals("left")) {
-                left.countDown();
-            } else {
-                peer.write(Http.ok("x"));
-            }
-        }); Site site = operated().start(server)) {
+                    String txn = request.headers().get("x-txn");
+                    if (txn.startsWith("full")) {
+                        peer.write(Http.answer("503 Busy", "X-Turned-Away: 1\r\n", ""));
+                    } else if (txn.startsWith("bad")) {
+                        peer.write(Http.answer("500 No", "", ""));
+                    } else if (txn.equals("held")) {
+                        try {
+                            held.await();
+                        } catch (InterruptedException e) {
+                            Thread.currentThread().interrupt();
+                        }
+                        peer.write(Http.ok("x"));
+                    } else if (txn.equals("left")) {
+                        left.countDown();
+                    } else {
+                        peer.write(Http.ok("x"));
+                    }
+                });
+                Site site = operated().start(server)) {
             String none = site.call("counters\n");
-            for (String line : new String[] {"handled{category=\"page\",outcome=\"passed\"}",
+            for (String line : new String[] {
+                "handled{category=\"page\",outcome=\"passed\"}",
                 "handled{category=\"photo\",outcome=\"dropped\"}",
-                "handled{category=\"order\",outcome=\"bad_gateway\"}", "upstream_tries", "in_progress",
-                "skipped_app_servers", "loads", "load_errors"}) {
+                "handled{category=\"order\",outcome=\"bad_gateway\"}",
+                "upstream_tries",
+                "in_progress",
+                "skipped_app_servers",
+                "loads",
+                "load_errors"
+            }) {
                 assertTrue(none.contains("node_" + line + " 0\n"), none);
             }
             assertTrue(none.contains("node_known_app_servers 1\n"), none);
@@ -146,7 +167,8 @@
 
     @Test
     void aCordonedServerGetsNothingFromTheYesUntilItIsCalledBack() throws Exception {
-        try (FarServer one = FarServer.serving("one"); FarServer two = FarServer.serving("two");
+        try (FarServer one = FarServer.serving("one");
+                FarServer two = FarServer.serving("two");
                 Site site = operated().start(one, two)) {
             FarServer.Peer watch = FarServer.next(site.discovery.peers);
             assertEquals("YES\n", site.call("cordon s0\n"));
@@ -154,12 +176,13 @@
             // Dropped from the list and named again: the cordon stands.
             watch.write(Site.chunk(Site.list(2, true, "s1=" + two.endpoint() + "=Ready") + "\n"));
             site.awaitFigure("node_known_app_servers 1");
-            watch.write(Site.chunk(Site.list(3, true, "s0=" + one.endpoint() + "=Ready",
-                    "s1=" + two.endpoint() + "=Ready") + "\n"));
+            watch.write(Site.chunk(
+                    Site.list(3, true, "s0=" + one.endpoint() + "=Ready", "s1=" + two.endpoint() + "=Ready") + "\n"));
             site.awaitFigure("node_known_app_servers 2");
             site.awaitFigure("node_skipped_app_servers 1");
             for (int i = 0; i < 30; i++) {
-                assertEquals("two", site.ask(Http.page("/api/x", "t" + i, "4000m")).body());
+                assertEquals(
+                        "two", site.ask(Http.page("/api/x", "t" + i, "4000m")).body());
             }
             assertEquals("YES\n", site.call("uncordon s0\n"), "one call back ends it");
             site.awaitFigure("node_skipped_app_servers 0");
@@ -174,8 +197,10 @@
 
     @Test
     void aCordonBindsAllProcessesOfANodeAndTheNextOne(@TempDir Path folder) throws Exception {
-        try (FarServer one = FarServer.serving("one"); FarServer two = FarServer.serving("two");
-                Site first = operated(); Site second = operated()) {
+        try (FarServer one = FarServer.serving("one");
+                FarServer two = FarServer.serving("two");
+                Site first = operated();
+                Site second = operated()) {
             first.folder = folder;
             second.folder = folder;
             first.start(one, two);
@@ -195,9 +220,9 @@
     }
 
     @Test
-    void cordonsThatCannotBeReadDoNotStopTheNodeAndOnesThatCannotBeKeptGetNo(@TempDir Path folder)
-            throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = operated()) {
+    void cordonsThatCannotBeReadDoNotStopTheNodeAndOnesThatCannotBeKeptGetNo(@TempDir Path folder) throws Exception {
+        try (FarServer server = FarServer.serving("x");
+                Site site = operated()) {
             site.folder = folder;
             Files.write(folder.resolve("kitemux.cordons"), new byte[] {(byte) 0xff, (byte) 0xfe, 0});
             site.start(server);
--- a/node/src/test/java/kitemux/node/DiscoveryMoveTest.java
+++ b/node/src/test/java/kitemux/node/DiscoveryMoveTest.java
@@ -10,7 +10,6 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -20,8 +19,7 @@
  * speak and fall silent, and nothing that is known is unlearned.
  */
 class DiscoveryMoveTest {
-    private static final Discovery.Patience PATIENCE =
-            new Discovery.Patience(300_000, 20_000_000, 60_000_000);
+    private static final Discovery.Patience PATIENCE = new Discovery.Patience(300_000, 20_000_000, 60_000_000);
 
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
     private Site site;
@@ -48,24 +46,23 @@
     }
 
     private void start(Discovery.Patience patience) throws Exception {
-        discovery = new Discovery(site.loop, site.config(Site.list(41, true)), patience,
-                new Discovery.Listener() {
-                    @Override
-                    public void listed(HostList list) {
-                        told.add(Long.toString(list.rev()));
-                    }
-
-                    @Override
-                    public void failed(String reason) {
-                        // Counted by what is opened next.
-                    }
-                });
+        discovery = new Discovery(site.loop, site.config(Site.list(41, true)), patience, new Discovery.Listener() {
+            @Override
+            public void listed(HostList list) {
+                told.add(Long.toString(list.rev()));
+            }
+
+            @Override
+            public void failed(String reason) {
+                // Counted by what is opened next.
+            }
+        });
         site.loop.execute(discovery::keepSubscribed);
     }
 
     /** Takes what it is asked and answers only what a test writes. */
     private static FarServer silent() throws IOException {
-        return new FarServer((request, peer) -> { });
+        return new FarServer((request, peer) -> {});
     }
 
     private void move(FarServer to) throws Exception {
@@ -98,7 +95,9 @@
         begin(after, 44, false);
         assertEquals("44", FarServer.next(told));
         FarServer.next(site.discovery.ended);
-        assertEquals("/discovery/hosts?watch=1&after=42", FarServer.next(next.requests).path());
+        assertEquals(
+                "/discovery/hosts?watch=1&after=42",
+                FarServer.next(next.requests).path());
     }
 
     @Test
@@ -131,8 +130,9 @@
         moveTo("127.0.0.77:" + port);
         // The old agent leaves as it does after a move, and the new one comes late.
         before.socket().close();
-        site.loop.submit(() -> { }).sync();
-        try (ServerSocket late = new ServerSocket(port, 50, apart); Socket watch = late.accept()) {
+        site.loop.submit(() -> {}).sync();
+        try (ServerSocket late = new ServerSocket(port, 50, apart);
+                Socket watch = late.accept()) {
             Http.read(watch.getInputStream());
             begin(new FarServer.Peer(watch), 43, false);
             assertEquals("43", FarServer.next(told));
@@ -173,8 +173,12 @@
         }
         begin(FarServer.next(next.peers), 3, true);
         assertEquals("3", FarServer.next(told));
-        assertEquals("/discovery/hosts?watch=1&after=42", FarServer.next(next.requests).path());
-        assertEquals("/discovery/hosts?watch=1&after=0", FarServer.next(next.requests).path());
+        assertEquals(
+                "/discovery/hosts?watch=1&after=42",
+                FarServer.next(next.requests).path());
+        assertEquals(
+                "/discovery/hosts?watch=1&after=0",
+                FarServer.next(next.requests).path());
     }
 
     /** Whether the watch still takes a beat: its end shows to the writer as a broken pipe. */
--- a/node/src/test/java/kitemux/node/DiscoveryTest.java
+++ b/node/src/test/java/kitemux/node/DiscoveryTest.java
@@ -3,38 +3,38 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicInteger;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
-
 /** The watch on the list. */
 class DiscoveryTest {
     private static final String KNOWN = Site.list(41, true);
     /** As short as a slow machine allows. */
     private static final Discovery.Patience BRIEF = new Discovery.Patience(100_000, 20_000_000, 100_000);
+
     private static final String ENTRY = "s0=10.0.0.1:80=Ready";
 
     /** A watch alone; what it tells comes as a line. */
     private static Discovery watch(Site site, Discovery.Patience patience, BlockingQueue<String> told)
             throws Exception {
-        Discovery discovery = new Discovery(site.loop, site.config(KNOWN), patience,
-                new Discovery.Listener() {
-                    @Override
-                    public void listed(HostList list) {
-                        told.add(list.rev() + (list.all() ? " all " : " changes ") + list.hosts().size());
-                    }
-
-                    @Override
-                    public void failed(String reason) {
-                        told.add("failed");
-                    }
-                });
+        Discovery discovery = new Discovery(site.loop, site.config(KNOWN), patience, new Discovery.Listener() {
+            @Override
+            public void listed(HostList list) {
+                told.add(list.rev()
+                        + (list.all() ? " all " : " changes ")
+                        + list.hosts().size());
+            }
+
+            @Override
+            public void failed(String reason) {
+                told.add("failed");
+            }
+        });
         site.loop.execute(discovery::subscribe);
         return discovery;
     }
@@ -44,7 +44,9 @@
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
             Discovery discovery = watch(site, Discovery.Patience.USUAL, told);
-            assertEquals("/discovery/hosts?watch=1&after=41", FarServer.next(site.discovery.requests).path());
+            assertEquals(
+                    "/discovery/hosts?watch=1&after=41",
+                    FarServer.next(site.discovery.requests).path());
             FarServer.Peer peer = FarServer.next(site.discovery.peers);
             String line = Site.list(43, true, ENTRY, "s1=10.0.0.2:80=Terminating");
             peer.write(Site.chunk(line.substring(0, 20)));
@@ -54,7 +56,9 @@
             peer.socket().close();
             assertEquals("failed", FarServer.next(told));
             site.loop.execute(discovery::subscribe);
-            assertEquals("/discovery/hosts?watch=1&after=44", FarServer.next(site.discovery.requests).path());
+            assertEquals(
+                    "/discovery/hosts?watch=1&after=44",
+                    FarServer.next(site.discovery.requests).path());
         }
     }
 
@@ -70,7 +74,9 @@
             assertEquals("failed", FarServer.next(told));
             site.loop.execute(discovery::subscribe);
             FarServer.next(site.discovery.requests);
-            assertEquals("/discovery/hosts?watch=1&after=41", FarServer.next(site.discovery.requests).path());
+            assertEquals(
+                    "/discovery/hosts?watch=1&after=41",
+                    FarServer.next(site.discovery.requests).path());
             FarServer.next(site.discovery.peers).write(Site.chunk(line));
             assertEquals("42 changes 1", FarServer.next(told));
         }
@@ -81,21 +87,22 @@
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
             watch(site, Discovery.Patience.USUAL, told);
-            FarServer.next(site.discovery.peers).write(Site.chunk("\n") + Site.chunk("\n")
-                    + Site.chunk(Site.list(42, false, ENTRY) + "\n"));
+            FarServer.next(site.discovery.peers)
+                    .write(Site.chunk("\n") + Site.chunk("\n") + Site.chunk(Site.list(42, false, ENTRY) + "\n"));
             assertEquals("41 changes 0", FarServer.next(told));
             assertEquals("42 changes 1", FarServer.next(told));
         }
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "{\"rev\":42,\"all\":false,\"targets\":[{}]}",
-        "{\"rev\":42,\"all\":false\n",
-        "{\"rev\":42,\"all\":false,\"targets\":[\n  {\"uid\":\"s0\n\n",
-        "[]",
-        "{\"rev\":42,\"all\":false,\"targets\":[{\"uid\":\"s\",\"endpoint\":\"x\",\"state\":\"Ready\"}]}",
-    })
+    @ValueSource(
+            strings = {
+                "{\"rev\":42,\"all\":false,\"targets\":[{}]}",
+                "{\"rev\":42,\"all\":false\n",
+                "{\"rev\":42,\"all\":false,\"targets\":[\n  {\"uid\":\"s0\n\n",
+                "[]",
+                "{\"rev\":42,\"all\":false,\"targets\":[{\"uid\":\"s\",\"endpoint\":\"x\",\"state\":\"Ready\"}]}",
+            })
     void aBadLineBreaksTheWatch(String line) throws Exception {
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
@@ -112,8 +119,11 @@
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
             watch(site, Discovery.Patience.USUAL, told);
             FarServer.Peer peer = FarServer.next(site.discovery.peers);
-            String indented = new ObjectMapper().readTree(Site.list(42, true, "s\\\"]{=10.0.0.1:80=Ready"))
-                    .toPrettyString().replace("\n", "\r\n") + "\r\n";
+            String indented = new ObjectMapper()
+                            .readTree(Site.list(42, true, "s\\\"]{=10.0.0.1:80=Ready"))
+                            .toPrettyString()
+                            .replace("\n", "\r\n")
+                    + "\r\n";
             for (int cut = 0; cut < indented.length(); cut += 7) {
                 peer.write(Site.chunk(indented.substring(cut, Math.min(cut + 7, indented.length()))));
             }
@@ -126,9 +136,9 @@
     @Test
     void aHeadThatCannotBeReadBreaksTheWatch() throws Exception {
         BlockingQueue<String> told = new LinkedBlockingQueue<>();
-        try (FarServer discovery = new FarServer((request, peer) -> peer.write(
-                Site.watchHead().replace("OK\r\n", "OK\r\nno colon here\r\n")
-                + Site.chunk(Site.list(42, false, ENTRY) + "\n")));
+        try (FarServer discovery = new FarServer(
+                        (request, peer) -> peer.write(Site.watchHead().replace("OK\r\n", "OK\r\nno colon here\r\n")
+                                + Site.chunk(Site.list(42, false, ENTRY) + "\n")));
                 Site site = new Site(discovery)) {
             watch(site, Discovery.Patience.USUAL, told);
             assertEquals("failed", FarServer.next(told));
@@ -150,9 +160,11 @@
         AtomicInteger calls = new AtomicInteger();
         try (FarServer server = FarServer.serving("x");
                 FarServer discovery = new FarServer((request, peer) -> peer.write(
-                        calls.getAndIncrement() == 0 ? Http.answer("503 Busy", "", "")
-                        : Site.watchHead() + Site.chunk(
-                                Site.list(2, true, "s0=" + server.endpoint() + "=Ready") + "\n")));
+                        calls.getAndIncrement() == 0
+                                ? Http.answer("503 Busy", "", "")
+                                : Site.watchHead()
+                                        + Site.chunk(
+                                                Site.list(2, true, "s0=" + server.endpoint() + "=Ready") + "\n")));
                 Site site = new Site(discovery).startKnowing(Site.list(1, true))) {
             assertEquals(200, site.ask(Http.page("/api/p", "t", "5000m")).status());
             assertEquals(2, calls.get());
@@ -162,19 +174,28 @@
     @Test
     void changesThatArePushedComeByAWatchThatTheNodeKeepsOpen() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (FarServer first = FarServer.serving("first"); FarServer second = FarServer.serving("second");
+        try (FarServer first = FarServer.serving("first");
+                FarServer second = FarServer.serving("second");
                 FarServer discovery = new FarServer((request, peer) -> {
                     FarServer server = calls.getAndIncrement() == 0 ? first : second;
-                    peer.write(Site.watchHead() + Site.chunk(Site.list(1 + calls.get(), true,
-                            "s" + calls.get() + "=" + server.endpoint() + "=Ready") + "\n"));
+                    peer.write(Site.watchHead()
+                            + Site.chunk(Site.list(
+                                            1 + calls.get(),
+                                            true,
+                                            "s" + calls.get() + "=" + server.endpoint() + "=Ready")
+                                    + "\n"));
                 });
                 Site site = new Site(discovery)) {
             site.settings.listOnRequest = false;
             site.startKnowing(Site.list(1, true));
-            assertEquals("/discovery/hosts?watch=1&after=1", FarServer.next(discovery.requests).path());
+            assertEquals(
+                    "/discovery/hosts?watch=1&after=1",
+                    FarServer.next(discovery.requests).path());
             assertEquals("first", site.ask(Http.page("/api/p", "t", "5000m")).body());
             FarServer.next(discovery.peers).socket().close();
-            assertEquals("/discovery/hosts?watch=1&after=2", FarServer.next(discovery.requests).path());
+            assertEquals(
+                    "/discovery/hosts?watch=1&after=2",
+                    FarServer.next(discovery.requests).path());
             // The node reads the new list before it can end the old server's connection.
             FarServer.next(first.ended);
             assertEquals("second", site.ask(Http.page("/api/p", "u", "5000m")).body());
--- a/node/src/test/java/kitemux/node/Early.java
+++ b/node/src/test/java/kitemux/node/Early.java
@@ -11,15 +11,17 @@
     private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
     Early(String answer) throws IOException {
-        Thread thread = new Thread(() -> {
-            try (Socket socket = listening.accept()) {
-                Http.readHead(socket.getInputStream());
-                socket.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
-                socket.getInputStream().readAllBytes();
-            } catch (IOException e) {
-                // The node has closed, or the test is over.
-            }
-        }, "early");
+        Thread thread = new Thread(
+                () -> {
+                    try (Socket socket = listening.accept()) {
+                        Http.readHead(socket.getInputStream());
+                        socket.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+                        socket.getInputStream().readAllBytes();
+                    } catch (IOException e) {
+                        // The node has closed, or the test is over.
+                    }
+                },
+                "early");
         thread.setDaemon(true);
         thread.start();
     }
--- a/node/src/test/java/kitemux/node/EndingTest.java
+++ b/node/src/test/java/kitemux/node/EndingTest.java
@@ -4,17 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.netty.handler.codec.http.LastHttpContent;
 import java.io.IOException;
 import java.net.Socket;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import io.netty.handler.codec.http.LastHttpContent;
-
 /** Clients' connections that end while something else happens on them: {@code docs/acceptance.md}. */
 class EndingTest {
     private static final String PIPELINED = Http.page("a") + Http.page("b");
@@ -39,7 +37,8 @@
 
     @Test
     void connectionsThatComeAtOnceMakeRoomForEachOther() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet()) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet()) {
             site.sockets = 64;
             site.start(server);
             CountDownLatch closed = new CountDownLatch(31);
@@ -67,7 +66,8 @@
     @Test
     void aClientThatLeavesIsHeardOfThoughItHasSentRequestsAhead() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = answering(answer); Site site = Site.quiet()) {
+        try (FarServer server = answering(answer);
+                Site site = Site.quiet()) {
             site.operated = true;
             site.start(server);
             Socket client = site.connect();
@@ -85,7 +85,8 @@
     @Test
     void aDrainingNodeAnswersAllThatItHasReadAndEndsWithTheLast() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = answering(answer); Site site = Site.quiet().start(server)) {
+        try (FarServer server = answering(answer);
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, PIPELINED.replace("400m", "50000m"));
             FarServer.next(server.requests);
@@ -115,7 +116,8 @@
 
     @Test
     void aRequestThatCrossesTheEndOfARestingConnectionIsNotSentOn() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             assertEquals(200, Site.ask(client, Http.page("t")).status());
             CountDownLatch done = drain(site);
@@ -132,7 +134,8 @@
     @ValueSource(booleans = {false, true})
     void whatComesBehindTheLastAnswerIsReadAndDropped(boolean drains) throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = answering(answer); Site site = Site.quiet().start(server)) {
+        try (FarServer server = answering(answer);
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             String last = Http.page("/api/page", "a", "5000m");
             Site.write(client, drains ? last : last.replace("X-Org", "Connection: close\r\nX-Org"));
@@ -150,7 +153,8 @@
 
     @Test
     void aClientThatKeepsSendingBehindItsEndIsClosedInTheEnd() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             assertEquals(200, Site.ask(client, Http.page("t")).status());
             CountDownLatch done = drain(site);
--- a/node/src/test/java/kitemux/node/Http.java
+++ b/node/src/test/java/kitemux/node/Http.java
@@ -11,7 +11,7 @@
 
 /** HTTP/1.1 messages as bytes, for the far sides of a node under test. */
 final class Http {
-    private Http() { }
+    private Http() {}
 
     /** A message; header names are in small letters. */
     record Message(String start, Map<String, String> headers, String body) {
@@ -27,8 +27,7 @@
     /** Reads one message whole; an answer that ends with its connection says so. */
     static Message read(InputStream in) throws IOException {
         Message head = readHead(in);
-        return new Message(head.start, head.headers,
-                new String(readBody(in, head), StandardCharsets.ISO_8859_1));
+        return new Message(head.start, head.headers, new String(readBody(in, head), StandardCharsets.ISO_8859_1));
     }
 
     /** Reads a message up to its body. */
@@ -37,7 +36,9 @@
         Map<String, String> headers = new TreeMap<>();
         for (String line = line(in); !line.isEmpty(); line = line(in)) {
             int colon = line.indexOf(':');
-            headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).strip());
+            headers.put(
+                    line.substring(0, colon).toLowerCase(Locale.ROOT),
+                    line.substring(colon + 1).strip());
         }
         return new Message(start, headers, "");
     }
@@ -82,8 +83,7 @@
     }
 
     static String answer(String status, String headers, String body) {
-        return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length()
-                + "\r\n\r\n" + body;
+        return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     static String page(String txn) {
--- a/node/src/test/java/kitemux/node/LargeListTest.java
+++ b/node/src/test/java/kitemux/node/LargeListTest.java
@@ -11,13 +11,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-
+import kitemux.Main;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import kitemux.Main;
-
 /** Long lists of servers, told to a node with the memory that it has in service. */
 class LargeListTest {
     private static final String HEAP = "-Xmx64m";
@@ -25,7 +23,7 @@
     /** An entry as discovery writes it, with all its fields. */
     private static String entry(int server, String endpoint) {
         return "{\"uid\":\"s-%08x\",\"endpoint\":\"%s\",\"az\":\"here\",\"model\":\"m2\",\"pod_group\":%d,"
-                .formatted(server, endpoint, server % 40)
+                        .formatted(server, endpoint, server % 40)
                 + "\"state\":\"Ready\",\"capacity_hint\":1.0,\"boot_ms\":1764600000000}";
     }
 
@@ -50,8 +48,7 @@
                 assertEquals(200, ask(port, "before"));
                 String list = wholeList(servers, server.endpoint());
                 FarServer.next(discovery.peers).write(Site.chunk(list + "\n"));
-                awaitLine(program, line -> line.endsWith("list 2 whole: " + servers
-                        + " ready, 0 draining, 0 gone"));
+                awaitLine(program, line -> line.endsWith("list 2 whole: " + servers + " ready, 0 draining, 0 gone"));
                 for (int i = 0; i < 20; i++) {
                     assertEquals(200, ask(port, "after" + i));
                 }
@@ -69,9 +66,18 @@
                  "classes":[{"name":"page","onTimeUs":60000000,"giveUpUs":60000000,"repeat":"safe"}]}}
                 """.formatted(discovery, known));
         String java = ProcessHandle.current().info().command().orElseThrow();
-        ProcessBuilder builder = new ProcessBuilder(java, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", HEAP,
-                "-Xss256k", "-XX:MaxDirectMemorySize=16m", "-XX:+ExitOnOutOfMemoryError", "-cp",
-                System.getProperty("java.class.path"), Main.class.getName(), "node");
+        ProcessBuilder builder = new ProcessBuilder(
+                java,
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                HEAP,
+                "-Xss256k",
+                "-XX:MaxDirectMemorySize=16m",
+                "-XX:+ExitOnOutOfMemoryError",
+                "-cp",
+                System.getProperty("java.class.path"),
+                Main.class.getName(),
+                "node");
         builder.environment().put("PROXY_CONFIG", config.toString());
         return builder.redirectErrorStream(true).start();
     }
--- a/node/src/test/java/kitemux/node/LateConnectionTest.java
+++ b/node/src/test/java/kitemux/node/LateConnectionTest.java
@@ -16,14 +16,12 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.Balancer;
 import kitemux.Balancer.Group;
 import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
 import kitemux.ServiceQBalancer;
+import org.junit.jupiter.api.Test;
 
 /** Connections to servers that come up once what they were opened for has changed. */
 class LateConnectionTest {
@@ -48,19 +46,21 @@
 
         /** Takes connections from now on and notes what is asked on each. */
         void letIn() {
-            Thread thread = new Thread(() -> {
-                try {
-                    while (true) {
-                        Socket socket = listening.accept();
-                        open.add(socket);
-                        Thread peer = new Thread(() -> serve(socket), "late peer");
-                        peer.setDaemon(true);
-                        peer.start();
-                    }
-                } catch (IOException e) {
-                    // Closed: the test is over.
-                }
-            }, "late");
+            Thread thread = new Thread(
+                    () -> {
+                        try {
+                            while (true) {
+                                Socket socket = listening.accept();
+                                open.add(socket);
+                                Thread peer = new Thread(() -> serve(socket), "late peer");
+                                peer.setDaemon(true);
+                                peer.start();
+                            }
+                        } catch (IOException e) {
+                            // Closed: the test is over.
+                        }
+                    },
+                    "late");
             thread.setDaemon(true);
             thread.start();
         }
@@ -85,8 +85,7 @@
     /** The module, with a permit for each attempt that it has started. */
     private static Balancer counting(Site site, Balancer.Actions actions, Semaphore started) {
         return new ServiceQBalancer(site.settings, 7, (Balancer.Actions) Proxy.newProxyInstance(
-                Balancer.class.getClassLoader(), new Class<?>[] {Balancer.Actions.class},
-                (proxy, method, args) -> {
+                Balancer.class.getClassLoader(), new Class<?>[] {Balancer.Actions.class}, (proxy, method, args) -> {
                     try {
                         Object result = method.invoke(actions, args);
                         started.release(method.getName().equals("send") ? 1 : 0);
@@ -101,17 +100,21 @@
     void aRepeatWhoseConnectionComesUpBehindItsWindowIsNotSent() throws Exception {
         Semaphore started = new Semaphore(0);
         CountDownLatch listed = new CountDownLatch(1);
-        try (LateServer late = new LateServer(); FarServer first = new FarServer((request, peer) -> {
-            try {
-                assertTrue(listed.await(20, TimeUnit.SECONDS));
-            } catch (InterruptedException e) {
-                throw new IOException(e);
-            }
-            peer.reset();
-        }); Site site = Site.quiet()) {
+        try (LateServer late = new LateServer();
+                FarServer first = new FarServer((request, peer) -> {
+                    try {
+                        assertTrue(listed.await(20, TimeUnit.SECONDS));
+                    } catch (InterruptedException e) {
+                        throw new IOException(e);
+                    }
+                    peer.reset();
+                });
+                Site site = Site.quiet()) {
             site.operated = true;
-            site.settings.classes.set(1, new RequestClass("photo", 1_000_000, 0, 15_000_000, 1, 0,
-                    Repeat.KEYED, Group.CELL, 900_000, false));
+            site.settings.classes.set(
+                    1,
+                    new RequestClass(
+                            "photo", 1_000_000, 0, 15_000_000, 1, 0, Repeat.KEYED, Group.CELL, 900_000, false));
             site.module = actions -> counting(site, actions, started);
             site.start(first);
             FarServer.Peer watch = FarServer.next(site.discovery.peers);
@@ -133,7 +136,8 @@
     @Test
     void aConnectionThatComesUpBehindItsRequestsEndCarriesTheNextOne() throws Exception {
         Semaphore started = new Semaphore(0);
-        try (LateServer late = new LateServer(); Site site = Site.quiet()) {
+        try (LateServer late = new LateServer();
+                Site site = Site.quiet()) {
             site.operated = true;
             site.module = actions -> counting(site, actions, started);
             site.startKnowing(Site.list(1, true, late.entry("s0")));
--- a/node/src/test/java/kitemux/node/NodeConfigTest.java
+++ b/node/src/test/java/kitemux/node/NodeConfigTest.java
@@ -11,16 +11,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-
 import kitemux.Balancer.Group;
 import kitemux.Balancer.Repeat;
 import kitemux.Balancer.ServerState;
 import kitemux.Main;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** What a node is told at its start. */
 class NodeConfigTest {
@@ -67,7 +65,9 @@
         assertEquals(Group.CELL, config.settings().classes.get(0).group());
         assertEquals("school-a", config.settings().tenants.get(0).name());
         HostList.Host host = config.known().hosts().get(0);
-        assertEquals("10.1.0.18:8000", host.endpoint().getHostString() + ":" + host.endpoint().getPort());
+        assertEquals(
+                "10.1.0.18:8000",
+                host.endpoint().getHostString() + ":" + host.endpoint().getPort());
         assertEquals(1, host.entry().zone());
         assertEquals(3, host.entry().cell());
         assertEquals(ServerState.DRAINING, host.entry().state());
@@ -76,8 +76,7 @@
 
     @Test
     void theEnvironmentsAddressesHoldWhereTheyAreSet() throws Exception {
-        NodeConfig config = read(CONFIG,
-                Map.of("PROXY_LISTEN", "127.0.0.7:81", "PROXY_DISCOVERY", "127.0.0.8:82"));
+        NodeConfig config = read(CONFIG, Map.of("PROXY_LISTEN", "127.0.0.7:81", "PROXY_DISCOVERY", "127.0.0.8:82"));
         assertEquals("127.0.0.7", config.listen().getHostString());
         assertEquals(82, config.discovery().getPort());
     }
@@ -89,14 +88,13 @@
         assertEquals(Integer.MAX_VALUE, plain.settings().maxOpen);
         NodeConfig file = read(CONFIG.replace("\"seed\"", "\"control\":\"127.0.0.3:9\",\"seed\""), Map.of());
         assertEquals(9, file.operators().control().getPort());
-        NodeConfig operated = read(CONFIG, Map.of("TMPDIR", folder.toString(),
-                "PROXY_CONTROL", "127.0.0.2:9800", "PROXY_SOCKET_FD", "0"));
+        NodeConfig operated = read(
+                CONFIG, Map.of("TMPDIR", folder.toString(), "PROXY_CONTROL", "127.0.0.2:9800", "PROXY_SOCKET_FD", "0"));
         assertEquals(9800, operated.operators().control().getPort());
         assertEquals(folder, operated.operators().folder());
         assertTrue(operated.operators().inherits());
         assertEquals(170, operated.settings().maxOpen, "a sixth of 1,024");
-        for (Map<String, String> bad : List.of(Map.of("PROXY_CONTROL", "9800"),
-                Map.of("PROXY_SOCKET_FD", "3"))) {
+        for (Map<String, String> bad : List.of(Map.of("PROXY_CONTROL", "9800"), Map.of("PROXY_SOCKET_FD", "3"))) {
             ConfigException e = assertThrows(ConfigException.class, () -> read(CONFIG, bad));
             String value = bad.values().iterator().next();
             assertTrue(e.getMessage().endsWith(": " + value), e.getMessage());
@@ -104,29 +102,30 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "127.0.0.1:8000 | nowhere | listen",
-        "127.0.0.1:8500 | host.example:8500 | discovery",
-        "8c1f30d27a5be964 | xyz | seed",
-        "\"sockets\":1024 | \"sockets\":\"many\" | limits.sockets",
-        "\"onTimeUs\":200000, | '' | settings.classes.0.onTimeUs",
-        "\"keyed\" | \"never\" | settings.classes.0.repeat",
-        "\"me\":1 | \"me\":2 | settings: me",
-        "\"rev\":41 | \"rev\":\"x\" | known.rev",
-        "Terminating | Asleep | known.targets[0].state",
-        "\"settings\":{ | \"sittings\":{ | settings",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "127.0.0.1:8000 | nowhere | listen",
+                "127.0.0.1:8500 | host.example:8500 | discovery",
+                "8c1f30d27a5be964 | xyz | seed",
+                "\"sockets\":1024 | \"sockets\":\"many\" | limits.sockets",
+                "\"onTimeUs\":200000, | '' | settings.classes.0.onTimeUs",
+                "\"keyed\" | \"never\" | settings.classes.0.repeat",
+                "\"me\":1 | \"me\":2 | settings: me",
+                "\"rev\":41 | \"rev\":\"x\" | known.rev",
+                "Terminating | Asleep | known.targets[0].state",
+                "\"settings\":{ | \"sittings\":{ | settings",
+            })
     void aBadFieldIsNamed(String good, String bad, String field) {
-        ConfigException e = assertThrows(ConfigException.class,
-                () -> read(CONFIG.replace(good, bad), Map.of()));
+        ConfigException e = assertThrows(ConfigException.class, () -> read(CONFIG.replace(good, bad), Map.of()));
         assertTrue(e.getMessage().startsWith(field + " "), e.getMessage());
     }
 
     @Test
     void aMissingFileEndsTheProgramWithOneLineAndCode2() throws Exception {
         String java = ProcessHandle.current().info().command().orElseThrow();
-        ProcessBuilder builder = new ProcessBuilder(java, "-cp",
-                System.getProperty("java.class.path"), Main.class.getName(), "node");
+        ProcessBuilder builder =
+                new ProcessBuilder(java, "-cp", System.getProperty("java.class.path"), Main.class.getName(), "node");
         builder.environment().put("PROXY_CONFIG", folder.resolve("none.json").toString());
         Process process = builder.start();
         String said = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/node/src/test/java/kitemux/node/NodeTest.java
+++ b/node/src/test/java/kitemux/node/NodeTest.java
@@ -10,24 +10,22 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-
+import kitemux.Balancer;
+import kitemux.Main;
+import kitemux.ServiceQBalancer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import kitemux.Balancer;
-import kitemux.Main;
-import kitemux.ServiceQBalancer;
-
 /** A node as a whole. */
 class NodeTest {
 
     /** A module that breaks the first time that it is told of this event. */
     private static Balancer breaking(Balancer sound, String event) {
         boolean[] broken = {false};
-        return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
-                new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
+        return (Balancer) Proxy.newProxyInstance(
+                Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                     if (method.getName().equals(event) && !broken[0]) {
                         broken[0] = true;
                         throw new IllegalStateException("broken for the test");
@@ -63,8 +61,13 @@
     /** The program itself, started with this configuration and, as in service, told of discovery twice. */
     private static Process program(Path config, String discovery) throws IOException {
         String java = ProcessHandle.current().info().command().orElseThrow();
-        ProcessBuilder builder = new ProcessBuilder(java, "-XX:TieredStopAtLevel=1", "-cp",
-                System.getProperty("java.class.path"), Main.class.getName(), "node");
+        ProcessBuilder builder = new ProcessBuilder(
+                java,
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                Main.class.getName(),
+                "node");
         builder.environment().put("PROXY_CONFIG", config.toString());
         builder.environment().put("PROXY_DISCOVERY", discovery);
         return builder.redirectErrorStream(true).start();
@@ -80,7 +83,11 @@
     }
 
     private static void hangUp(Process process) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     private static void endsOnSigterm(Process process) throws InterruptedException {
@@ -115,7 +122,9 @@
                 assertTrue(before.ended.isEmpty(), "a file that cannot be read changes nothing");
                 Files.writeString(file, config(after.endpoint()));
                 hangUp(process);
-                assertEquals("/discovery/hosts?watch=1&after=0", FarServer.next(after.requests).path());
+                assertEquals(
+                        "/discovery/hosts?watch=1&after=0",
+                        FarServer.next(after.requests).path());
                 FarServer.next(before.ended);
                 endsOnSigterm(process);
             } finally {
@@ -127,18 +136,19 @@
     /** Guards a day on which nodes that had just started sent to servers that drained while they did. */
     @Test
     void aNodeHearsOfDrainsBeforeItServesClients() throws Exception {
-        try (FarServer one = FarServer.serving("one"); FarServer two = FarServer.serving("two");
+        try (FarServer one = FarServer.serving("one");
+                FarServer two = FarServer.serving("two");
                 Site site = Site.quiet()) {
             site.operated = true;
-            site.control(Site.list(1, true, "s0=" + one.endpoint() + "=Ready",
-                    "s1=" + two.endpoint() + "=Ready"));
+            site.control(Site.list(1, true, "s0=" + one.endpoint() + "=Ready", "s1=" + two.endpoint() + "=Ready"));
             site.node.watch();
-            FarServer.next(site.discovery.peers).write(Site.chunk(
-                    Site.list(2, false, "s0=" + one.endpoint() + "=Gone") + "\n"));
+            FarServer.next(site.discovery.peers)
+                    .write(Site.chunk(Site.list(2, false, "s0=" + one.endpoint() + "=Gone") + "\n"));
             site.awaitFigure("node_known_app_servers 1");
             site.begin();
             for (int i = 0; i < 20; i++) {
-                assertEquals("two", site.ask(Http.page("/api/x", "t" + i, "4000m")).body());
+                assertEquals(
+                        "two", site.ask(Http.page("/api/x", "t" + i, "4000m")).body());
             }
             assertTrue(one.requests.isEmpty());
             assertEquals(1, site.discovery.requests.size(), "one watch");
--- a/node/src/test/java/kitemux/node/OwedAtEndTest.java
+++ b/node/src/test/java/kitemux/node/OwedAtEndTest.java
@@ -10,7 +10,6 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -44,7 +43,8 @@
     @CsvSource({"0, 10", "0, 40", "1, 10", "1, 70", "0, 1"})
     void aRequestHalfReadAtSigtermIsServedOnceItIsWhole(int before, int cut) throws Exception {
         // Behind an answered request or as the first; cut amid the first line, a field, or ahead of the body.
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             for (int i = 0; i < before; i++) {
                 assertEquals(200, Site.ask(client, Http.page("b")).status());
@@ -61,12 +61,13 @@
 
     @Test
     void aRequestThatWaitsForAServerAtSigtermIsServed() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start()) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start()) {
             Socket client = site.connect();
             Site.write(client, ORDER);
             CountDownLatch done = drained(site);
-            FarServer.next(site.discovery.peers).write(Site.chunk(
-                    Site.list(2, false, "s0=" + server.endpoint() + "=Ready") + "\n"));
+            FarServer.next(site.discovery.peers)
+                    .write(Site.chunk(Site.list(2, false, "s0=" + server.endpoint() + "=Ready") + "\n"));
             assertServedLast(client, "x", done);
         }
     }
@@ -74,14 +75,15 @@
     @Test
     void aRequestThatIsPassedOnAfterSigtermIsServed() throws Exception {
         CountDownLatch drains = new CountDownLatch(1);
-        try (FarServer first = resetting(drains); FarServer second = FarServer.serving("x");
+        try (FarServer first = resetting(drains);
+                FarServer second = FarServer.serving("x");
                 Site site = Site.quiet().start(first)) {
             Socket client = site.connect();
             Site.write(client, PAGE);
             FarServer.next(first.requests);
             CountDownLatch done = drained(site);
-            FarServer.next(site.discovery.peers).write(Site.chunk(
-                    Site.list(2, false, "s1=" + second.endpoint() + "=Ready") + "\n"));
+            FarServer.next(site.discovery.peers)
+                    .write(Site.chunk(Site.list(2, false, "s1=" + second.endpoint() + "=Ready") + "\n"));
             drains.countDown();
             assertServedLast(client, "x", done);
         }
@@ -107,10 +109,11 @@
         CountDownLatch drains = new CountDownLatch(1);
         String half = "a".repeat(100_000);
         try (FarServer server = new FarServer((request, peer) -> {
-            peer.write("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + half);
-            await(drains);
-            peer.write(half);
-        }); Site site = Site.quiet().start(server)) {
+                    peer.write("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + half);
+                    await(drains);
+                    peer.write(half);
+                });
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, PAGE);
             Http.Message head = Http.readHead(client.getInputStream());
@@ -126,7 +129,8 @@
 
     @Test
     void nothingIsSentForAClientThatLeavesWhileItsRequestWaits() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet()) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet()) {
             site.operated = true;
             site.start();
             Socket client = site.connect();
@@ -134,8 +138,8 @@
             site.awaitFigure("node_in_progress 1");
             client.close();
             site.awaitFigure("node_in_progress 0");
-            FarServer.next(site.discovery.peers).write(Site.chunk(
-                    Site.list(2, false, "s0=" + server.endpoint() + "=Ready") + "\n"));
+            FarServer.next(site.discovery.peers)
+                    .write(Site.chunk(Site.list(2, false, "s0=" + server.endpoint() + "=Ready") + "\n"));
             assertEquals(200, site.ask(Http.page("/api/p", "next", "15000m")).status());
             assertEquals("next", FarServer.next(server.requests).headers().get("x-txn"));
         }
@@ -152,15 +156,16 @@
     }
 
     private static void join(Site site, FarServer second) throws Exception {
-        FarServer.next(site.discovery.peers).write(Site.chunk(
-                Site.list(2, false, "s1=" + second.endpoint() + "=Ready") + "\n"));
+        FarServer.next(site.discovery.peers)
+                .write(Site.chunk(Site.list(2, false, "s1=" + second.endpoint() + "=Ready") + "\n"));
         site.awaitFigure("node_known_app_servers 2");
     }
 
     @Test
     void nothingIsSentForAClientThatLeavesBetweenAttempts() throws Exception {
         CountDownLatch reset = new CountDownLatch(1);
-        try (FarServer first = resetting(reset); FarServer second = FarServer.serving("x");
+        try (FarServer first = resetting(reset);
+                FarServer second = FarServer.serving("x");
                 Site site = Site.quiet()) {
             Socket client = asking(site, first);
             reset.countDown();
@@ -177,7 +182,8 @@
 
     @Test
     void nothingIsSentForAClientWhoseRequestAndEndAreReadInOneTurn() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             // A connection to the server that is free: what is sent on it is written at once.
             assertEquals(200, site.ask(Http.page("first")).status());
             Socket open = site.connect();
@@ -198,7 +204,8 @@
     @Test
     void nothingIsPassedOnForAClientWhoseEndIsReadInTheTurnOfTheFailure() throws Exception {
         CountDownLatch reset = new CountDownLatch(1);
-        try (FarServer first = resetting(reset); FarServer second = FarServer.serving("x");
+        try (FarServer first = resetting(reset);
+                FarServer second = FarServer.serving("x");
                 Site site = Site.quiet()) {
             Socket client = asking(site, first);
             join(site, second);
@@ -217,11 +224,12 @@
     void anAnswerAndTheEndOfItsTimeInOneTurnGiveOneAnswer() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         try (FarServer server = new FarServer((request, peer) -> {
-            if ("t0".equals(request.headers().get("x-txn"))) {
-                await(held);
-            }
-            peer.write(Http.ok(request.headers().get("x-txn")));
-        }); Site site = Site.quiet().start(server)) {
+                    if ("t0".equals(request.headers().get("x-txn"))) {
+                        await(held);
+                    }
+                    peer.write(Http.ok(request.headers().get("x-txn")));
+                });
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("/api/p", "t0", "60m"));
             FarServer.next(server.requests);
@@ -235,7 +243,8 @@
             release.countDown();
             int status = Http.read(client.getInputStream()).status();
             assertTrue(status == 200 || status == 502 || status == 503, "status " + status);
-            assertEquals("t1", Site.ask(client, Http.page("/api/p", "t1", "15000m")).body());
+            assertEquals(
+                    "t1", Site.ask(client, Http.page("/api/p", "t1", "15000m")).body());
             assertEquals("t2", site.ask(Http.page("/api/p", "t2", "15000m")).body());
         }
     }
@@ -245,13 +254,14 @@
     void anAnswerOfNoToldLengthThatIsResetIsNeverWhole(boolean flows) throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         try (FarServer server = new FarServer((request, peer) -> {
-            peer.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nonly a part"
-                    + "a".repeat(flows ? 70_000 : 0));
-            if (flows) {
-                await(begun);
-            }
-            peer.reset();
-        }); Site site = Site.quiet().start(server)) {
+                    peer.write(
+                            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nonly a part" + "a".repeat(flows ? 70_000 : 0));
+                    if (flows) {
+                        await(begun);
+                    }
+                    peer.reset();
+                });
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, ORDER);
             Http.Message head = Http.readHead(client.getInputStream());
@@ -273,8 +283,8 @@
 
     @Test
     void anAnswerThatNeverEndsEndsWithItsClient() throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> peer.write(
-                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nnever\r\n"));
+        try (FarServer server = new FarServer((request, peer) ->
+                        peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nnever\r\n"));
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, PAGE);
@@ -287,10 +297,11 @@
     @Test
     void anAnswerOfNoToldLengthThatStandsStillIsBrokenOffSoonBehindItsTime() throws Exception {
         try (FarServer server = new FarServer((request, peer) -> {
-            if ("stands".equals(request.headers().get("x-txn"))) {
-                peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nstill\r\n");
-            }
-        }); Site site = Site.quiet().start(server)) {
+                    if ("stands".equals(request.headers().get("x-txn"))) {
+                        peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nstill\r\n");
+                    }
+                });
+                Site site = Site.quiet().start(server)) {
             Socket other = site.connect();
             Site.write(other, Http.page("/api/p", "silent", "4000m"));
             FarServer.next(server.requests);
@@ -305,10 +316,11 @@
     @Test
     void halfALineFromAServerThatIsBeingLeftHurtsNobody() throws Exception {
         try (FarServer server = new FarServer((request, peer) -> {
-            if (!"t".equals(request.headers().get("x-txn"))) {
-                peer.write(Http.ok("next"));
-            }
-        }); Site site = Site.quiet().start(server)) {
+                    if (!"t".equals(request.headers().get("x-txn"))) {
+                        peer.write(Http.ok("next"));
+                    }
+                });
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, PAGE);
             FarServer.Peer peer = FarServer.next(server.peers);
--- a/node/src/test/java/kitemux/node/ReloadTest.java
+++ b/node/src/test/java/kitemux/node/ReloadTest.java
@@ -10,7 +10,6 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -26,12 +25,12 @@
 
     @TempDir
     private Path folder;
+
     private Map<String, String> env;
 
     @BeforeEach
     void name() {
-        env = Map.of("PROXY_CONFIG", folder.resolve("config.json").toString(),
-                "PROXY_DISCOVERY", "127.0.0.1:9");
+        env = Map.of("PROXY_CONFIG", folder.resolve("config.json").toString(), "PROXY_DISCOVERY", "127.0.0.1:9");
     }
 
     private static String file(Site site, int attempts, String... classes) {
@@ -61,12 +60,13 @@
     private void reload(Site site, String text) throws Exception {
         write(text);
         site.node.reload(env);
-        site.loop.submit(() -> { }).sync();
+        site.loop.submit(() -> {}).sync();
     }
 
     @Test
     void classesAreAddedAndDroppedAndTheirFiguresWithThem() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet()) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet()) {
             start(site, file(site, 4, PAGE, ORDER), server);
             String note = Http.order("t", "4000m").replace("X-Lane: order", "X-Lane: note");
             assertEquals(400, site.ask(note).status());
@@ -84,7 +84,8 @@
 
     @Test
     void aDroppedClassIsRefusedOnceNobodyCanBeRepeatingIt() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet()) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet()) {
             start(site, file(site, 4, PAGE, CLASS.formatted("order", 200_000, "unsafe")), server);
             reload(site, file(site, 4, PAGE));
             int tries = 0;
@@ -100,14 +101,16 @@
         CountDownLatch arrived = new CountDownLatch(2);
         CountDownLatch reset = new CountDownLatch(1);
         try (FarServer server = new FarServer((request, peer) -> {
-            arrived.countDown();
-            try {
-                reset.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-            peer.reset();
-        }); FarServer other = FarServer.serving("other"); Site site = Site.quiet()) {
+                    arrived.countDown();
+                    try {
+                        reset.await();
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                    peer.reset();
+                });
+                FarServer other = FarServer.serving("other");
+                Site site = Site.quiet()) {
             start(site, file(site, 4, PAGE, ORDER), server);
             Socket page = site.connect();
             Site.write(page, Http.page("/api/x", "p", "5000m"));
@@ -115,8 +118,13 @@
             Site.write(order, Http.order("o", "5000m"));
             arrived.await();
             // Safe becomes unsafe and the other way round, and no second attempt is allowed any more.
-            reload(site, file(site, 1, CLASS.formatted("page", 5_000_000, "unsafe"),
-                    CLASS.formatted("order", 5_000_000, "safe")));
+            reload(
+                    site,
+                    file(
+                            site,
+                            1,
+                            CLASS.formatted("page", 5_000_000, "unsafe"),
+                            CLASS.formatted("order", 5_000_000, "safe")));
             FarServer.Peer watch = FarServer.next(site.discovery.peers);
             watch.write(Site.chunk(Site.list(2, false, "s1=" + other.endpoint() + "=Ready") + "\n"));
             site.awaitFigure("node_known_app_servers 2");
@@ -125,7 +133,8 @@
             assertEquals(502, Http.read(order.getInputStream()).status(), "unsafe when it was asked");
             // By now both ways of asking are understood, each by its own rules.
             for (String asked : new String[] {Http.page("/api/x", "q", "5000m"), Http.order("r", "5000m")}) {
-                assertNotEquals(400, site.ask(asked.replace("page\r", "order\r")).status());
+                assertNotEquals(
+                        400, site.ask(asked.replace("page\r", "order\r")).status());
             }
         }
     }
@@ -133,7 +142,8 @@
     /** The signal comes ahead of the file's end: it is taken once, and counts as no broken one. */
     @Test
     void aFileThatIsStillBeingWrittenIsTakenOnceItIsWhole() throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet()) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet()) {
             String text = file(site, 4, PAGE, ORDER);
             start(site, text, server);
             write(text.substring(0, text.length() / 2));
@@ -151,35 +161,41 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "(?s).* | `` | PROXY_CONFIG is empty",
-        "(?s)\"classes.* | `` | PROXY_CONFIG is not JSON",
-        "\"giveUpUs\":5000000, | `` | settings.classes.0.giveUpUs is missing",
-        "\"giveUpUs\":5000000 | \"giveUpUs\":0 | settings.classes.0.giveUpUs is not positive and whole: 0",
-        "\"giveUpUs\":5000000 | \"giveUpUs\":-5 | settings.classes.0.giveUpUs is not positive and whole: -5",
-        "\"giveUpUs\":5000000 | \"giveUpUs\":\"soon\" | settings.classes.0.giveUpUs is not a number: soon",
-        "\"giveUpUs\":5000000 | \"giveUpUs\":null | settings.classes.0.giveUpUs is missing",
-        "\"attemptsCap\":4 | \"attemptsCap\":0 | settings.limits.attemptsCap is not positive and whole: 0",
-        "attemptsCap\":4 | attemptsCap\":1.5 | settings.limits.attemptsCap is not positive and whole: 1.5",
-        "\"attemptsCap\":4, | `` | settings.limits.attemptsCap is missing",
-        "\"attemptsCap\":4 | \"attemptsCap\":true | settings.limits.attemptsCap is not a number: true",
-        "\"rules\":[^}]*} | \"rules\":{} | settings.rules.drainGraceUs is missing",
-        ",\"importance\":2.0 | `` | settings.classes[].importance is missing",
-        "\"classes\":.* | \"classes\":[]}} | settings: classes is empty",
-        "\"name\":\"order\" | \"name\":\"page\" | settings.classes has two of the name page",
-        "\"discovery\":\"[^\"]*\", | `` | discovery is not address:port",
-        "\"discovery\":\"[^\"]*\" | \"discovery\":\"nowhere\" | discovery is not address:port: nowhere",
-        "\"settings\" | \"sittings\" | settings is missing",
-        "\"name\":\"n0\", | `` | name is missing",
-        "\"memory_mb\":128, | `` | limits.memory_mb is missing",
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "(?s).* | `` | PROXY_CONFIG is empty",
+                "(?s)\"classes.* | `` | PROXY_CONFIG is not JSON",
+                "\"giveUpUs\":5000000, | `` | settings.classes.0.giveUpUs is missing",
+                "\"giveUpUs\":5000000 | \"giveUpUs\":0 | settings.classes.0.giveUpUs is not positive and whole: 0",
+                "\"giveUpUs\":5000000 | \"giveUpUs\":-5 | settings.classes.0.giveUpUs is not positive and whole: -5",
+                "\"giveUpUs\":5000000 | \"giveUpUs\":\"soon\" | settings.classes.0.giveUpUs is not a number: soon",
+                "\"giveUpUs\":5000000 | \"giveUpUs\":null | settings.classes.0.giveUpUs is missing",
+                "\"attemptsCap\":4 | \"attemptsCap\":0 | settings.limits.attemptsCap is not positive and whole: 0",
+                "attemptsCap\":4 | attemptsCap\":1.5 | settings.limits.attemptsCap is not positive and whole: 1.5",
+                "\"attemptsCap\":4, | `` | settings.limits.attemptsCap is missing",
+                "\"attemptsCap\":4 | \"attemptsCap\":true | settings.limits.attemptsCap is not a number: true",
+                "\"rules\":[^}]*} | \"rules\":{} | settings.rules.drainGraceUs is missing",
+                ",\"importance\":2.0 | `` | settings.classes[].importance is missing",
+                "\"classes\":.* | \"classes\":[]}} | settings: classes is empty",
+                "\"name\":\"order\" | \"name\":\"page\" | settings.classes has two of the name page",
+                "\"discovery\":\"[^\"]*\", | `` | discovery is not address:port",
+                "\"discovery\":\"[^\"]*\" | \"discovery\":\"nowhere\" | discovery is not address:port: nowhere",
+                "\"settings\" | \"sittings\" | settings is missing",
+                "\"name\":\"n0\", | `` | name is missing",
+                "\"memory_mb\":128, | `` | limits.memory_mb is missing",
+            })
     void aBrokenFileChangesNothingAndIsCounted(String good, String bad, String reason) throws Exception {
-        try (FarServer server = FarServer.serving("x"); FarServer moved = FarServer.serving("");
+        try (FarServer server = FarServer.serving("x");
+                FarServer moved = FarServer.serving("");
                 Site site = Site.quiet()) {
             String before = file(site, 4, PAGE, ORDER);
             start(site, before, server);
             NodeConfig running = site.config(Site.list(1, true));
-            reload(site, before.replace(site.discovery.endpoint(), moved.endpoint()).replaceFirst(good, bad));
+            reload(
+                    site,
+                    before.replace(site.discovery.endpoint(), moved.endpoint()).replaceFirst(good, bad));
             ConfigException e = assertThrows(ConfigException.class, () -> running.again(env));
             assertTrue(e.getMessage().startsWith(reason), e.getMessage());
             site.awaitFigure("node_load_errors 1");
--- a/node/src/test/java/kitemux/node/RestartTest.java
+++ b/node/src/test/java/kitemux/node/RestartTest.java
@@ -23,12 +23,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
-
+import kitemux.Main;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-import kitemux.Main;
-
 /** Processes of one node that follow each other on a listening socket that the platform holds. */
 class RestartTest {
     private static final int CLIENTS = 4;
@@ -60,8 +58,17 @@
     private static ProcessHandle program(Process platform, Path log) throws IOException {
         String java = ProcessHandle.current().info().command().orElseThrow();
         Writer in = platform.outputWriter();
-        in.write(String.join("\t", log.toString(), "127.0.0.1:0", java, "-XX:TieredStopAtLevel=1", "-cp",
-                System.getProperty("java.class.path"), Main.class.getName(), "node") + "\n");
+        in.write(String.join(
+                        "\t",
+                        log.toString(),
+                        "127.0.0.1:0",
+                        java,
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        Main.class.getName(),
+                        "node")
+                + "\n");
         in.flush();
         String pid = platform.inputReader().readLine();
         assertNotNull(pid, "the platform has ended");
@@ -86,11 +93,13 @@
 
     private static InetSocketAddress control(Path log) {
         String said = "operators at /127.0.0.1:";
-        await(() -> read(log).contains(said) && read(log).substring(read(log).indexOf(said)).contains("\n"),
+        await(
+                () -> read(log).contains(said)
+                        && read(log).substring(read(log).indexOf(said)).contains("\n"),
                 "no address for operators");
         String rest = read(log).substring(read(log).indexOf(said) + said.length());
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                Integer.parseInt(rest.substring(0, rest.indexOf('\n'))));
+        return new InetSocketAddress(
+                InetAddress.getLoopbackAddress(), Integer.parseInt(rest.substring(0, rest.indexOf('\n'))));
     }
 
     private static String call(InetSocketAddress control, String line) {
@@ -130,8 +139,8 @@
                  "known":%s,
                  "settings":{"zones":["here"],"limits":{"attemptsCap":4},
                  "classes":[{"name":"page","onTimeUs":1000000,"giveUpUs":5000000,"repeat":"safe"}]}}
-                """.formatted(Site.list(1, true, "s0=" + one.endpoint() + "=Ready",
-                        "s1=" + two.endpoint() + "=Ready")));
+                """.formatted(
+                        Site.list(1, true, "s0=" + one.endpoint() + "=Ready", "s1=" + two.endpoint() + "=Ready")));
     }
 
     @Test
@@ -140,9 +149,17 @@
         List<ProcessHandle> programs = new ArrayList<>();
         ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
         AtomicInteger more = new AtomicInteger(1);
-        try (FarServer one = FarServer.serving("one"); FarServer two = FarServer.serving("two")) {
-            platform = platform("listen", Map.of("PROXY_CONFIG", config(folder, one, two).toString(),
-                    "PROXY_SOCKET_FD", "0", "TMPDIR", folder.toString()));
+        try (FarServer one = FarServer.serving("one");
+                FarServer two = FarServer.serving("two")) {
+            platform = platform(
+                    "listen",
+                    Map.of(
+                            "PROXY_CONFIG",
+                            config(folder, one, two).toString(),
+                            "PROXY_SOCKET_FD",
+                            "0",
+                            "TMPDIR",
+                            folder.toString()));
             BufferedReader said = platform.inputReader();
             int port = Integer.parseInt(said.readLine());
             Path oldLog = folder.resolve("old.log");
@@ -192,12 +209,19 @@
 
     @Test
     void aDescriptorThatIsNoListeningSocketEndsTheStart(@TempDir Path folder) throws Exception {
-        try (FarServer one = FarServer.serving("one"); FarServer two = FarServer.serving("two")) {
+        try (FarServer one = FarServer.serving("one");
+                FarServer two = FarServer.serving("two")) {
             String java = ProcessHandle.current().info().command().orElseThrow();
             for (String descriptor : new String[] {"0", "3"}) {
-                ProcessBuilder builder = new ProcessBuilder(java, "-XX:TieredStopAtLevel=1", "-cp",
-                        System.getProperty("java.class.path"), Main.class.getName(), "node");
-                builder.environment().put("PROXY_CONFIG", config(folder, one, two).toString());
+                ProcessBuilder builder = new ProcessBuilder(
+                        java,
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        Main.class.getName(),
+                        "node");
+                builder.environment()
+                        .put("PROXY_CONFIG", config(folder, one, two).toString());
                 builder.environment().put("PROXY_SOCKET_FD", descriptor);
                 Process process = builder.redirectErrorStream(true).start();
                 String line = process.inputReader().readLine();
--- a/node/src/test/java/kitemux/node/Site.java
+++ b/node/src/test/java/kitemux/node/Site.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -14,9 +15,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-
-import com.fasterxml.jackson.databind.ObjectMapper;
-
 import kitemux.Balancer;
 import kitemux.Balancer.Group;
 import kitemux.Balancer.Repeat;
@@ -37,6 +35,7 @@
     Function<Balancer.Actions, Balancer> module;
     /** Whether the node has an address for operators, and what it shares with other processes of the node. */
     boolean operated;
+
     Path folder;
     Set<String> keys = Set.of();
     Node node;
@@ -81,9 +80,13 @@
         StringBuilder targets = new StringBuilder();
         for (String entry : entries) {
             String[] parts = entry.split("=");
-            targets.append(targets.isEmpty() ? "" : ",").append("{\"uid\":\"").append(parts[0])
-                    .append("\",\"endpoint\":\"").append(parts[1])
-                    .append("\",\"az\":\"here\",\"pod_group\":0,\"state\":\"").append(parts[2])
+            targets.append(targets.isEmpty() ? "" : ",")
+                    .append("{\"uid\":\"")
+                    .append(parts[0])
+                    .append("\",\"endpoint\":\"")
+                    .append(parts[1])
+                    .append("\",\"az\":\"here\",\"pod_group\":0,\"state\":\"")
+                    .append(parts[2])
                     .append("\",\"capacity_hint\":1.0,\"boot_ms\":0}");
         }
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + targets + "]}";
@@ -94,10 +97,17 @@
     }
 
     NodeConfig config(String known) throws Exception {
-        return new NodeConfig(anyPort(),
-                Addresses.parse("discovery", discovery.endpoint()), 7, sockets, connIdleUs,
+        return new NodeConfig(
+                anyPort(),
+                Addresses.parse("discovery", discovery.endpoint()),
+                7,
+                sockets,
+                connIdleUs,
                 HostList.decode(new ObjectMapper().readTree(known), settings.zones, ""),
-                settings, keys, new NodeConfig.Operators(operated ? anyPort() : null, folder, false), null);
+                settings,
+                keys,
+                new NodeConfig.Operators(operated ? anyPort() : null, folder, false),
+                null);
     }
 
     /** Starts the node with the servers s0, s1, ... */
@@ -185,7 +195,7 @@
 
     /** Waits until the loop has done all that it had to do by now. */
     void awaitLoop() throws InterruptedException {
-        loop.submit(() -> { }).sync();
+        loop.submit(() -> {}).sync();
     }
 
     static Http.Message ask(Socket client, String request) throws IOException {
--- a/node/src/test/java/kitemux/node/SmallHeapTest.java
+++ b/node/src/test/java/kitemux/node/SmallHeapTest.java
@@ -22,18 +22,17 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-
+import kitemux.Main;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-import kitemux.Main;
-
 /** Far more flows through a node at once than it has memory for. */
 class SmallHeapTest {
     private static final String HEAP = "-Xmx32m";
     private static final int LENGTH = 32 << 20;
     /** Each way; together 512 MB. */
     private static final int EXCHANGES = 8;
+
     private static final int PART = 8_192;
 
     private final ExecutorService threads = Executors.newCachedThreadPool();
@@ -87,7 +86,7 @@
         MessageDigest sha = sha();
         sha.update(in.readNBytes(begins));
         begin();
-        for (int left = LENGTH - begins; left > 0;) {
+        for (int left = LENGTH - begins; left > 0; ) {
             byte[] part = in.readNBytes(Math.min(left, PART));
             sha.update(part);
             left -= part.length;
@@ -135,8 +134,10 @@
 
     private String upload(int port, String txn) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            Site.write(socket, Http.order(txn, "60000m").replace("Content-Length: 2\r\n\r\nab",
-                    "Content-Length: " + LENGTH + "\r\n\r\n"));
+            Site.write(
+                    socket,
+                    Http.order(txn, "60000m")
+                            .replace("Content-Length: 2\r\n\r\nab", "Content-Length: " + LENGTH + "\r\n\r\n"));
             send(socket.getOutputStream(), txn);
             return Http.read(socket.getInputStream()).body();
         }
@@ -152,11 +153,18 @@
                      "settings":{"zones":["here"],"limits":{"attemptsCap":4},
                      "classes":[{"name":"page","onTimeUs":60000000,"giveUpUs":60000000,"repeat":"safe"},
                       {"name":"order","onTimeUs":60000000,"giveUpUs":60000000,"repeat":"unsafe"}]}}
-                    """.formatted(Site.list(1, true, "s0=127.0.0.1:" + listening.getLocalPort() + "=Ready")));
+                    """.formatted(
+                            Site.list(1, true, "s0=127.0.0.1:" + listening.getLocalPort() + "=Ready")));
             String java = ProcessHandle.current().info().command().orElseThrow();
-            ProcessBuilder builder = new ProcessBuilder(java, HEAP, "-XX:MaxDirectMemorySize=16m",
-                    "-XX:+ExitOnOutOfMemoryError", "-cp",
-                    System.getProperty("java.class.path"), Main.class.getName(), "node");
+            ProcessBuilder builder = new ProcessBuilder(
+                    java,
+                    HEAP,
+                    "-XX:MaxDirectMemorySize=16m",
+                    "-XX:+ExitOnOutOfMemoryError",
+                    "-cp",
+                    System.getProperty("java.class.path"),
+                    Main.class.getName(),
+                    "node");
             builder.environment().put("PROXY_CONFIG", config.toString());
             Process program = builder.redirectErrorStream(true).start();
             try {
--- a/node/src/test/java/kitemux/node/StalledLoopTest.java
+++ b/node/src/test/java/kitemux/node/StalledLoopTest.java
@@ -11,14 +11,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Function;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
-
 import kitemux.Balancer;
 import kitemux.Balancer.Outcome;
 import kitemux.Balancer.Result;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** What a node owes whose event loop has stood still while clients asked and servers hung. */
 class StalledLoopTest {
@@ -35,11 +33,12 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aRequestThatWaitedToBeReadTellsTheServerWhatIsLeftToItsClient(boolean newConnection)
-            throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+    void aRequestThatWaitedToBeReadTellsTheServerWhatIsLeftToItsClient(boolean newConnection) throws Exception {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             Socket open = site.connect();
-            assertEquals(200, Site.ask(open, Http.page("/api/p", "first", "15000m")).status());
+            assertEquals(
+                    200, Site.ask(open, Http.page("/api/p", "first", "15000m")).status());
             CountDownLatch release = site.holdLoop();
             Socket client = newConnection ? site.connect() : open;
             Site.write(client, Http.page("/api/p", "second", "15000m"));
@@ -55,15 +54,18 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aRequestWhoseTimeRanOutUnreadIsRefusedAndNotSent(boolean newConnection) throws Exception {
-        try (FarServer server = FarServer.serving("x"); Site site = Site.quiet().start(server)) {
+        try (FarServer server = FarServer.serving("x");
+                Site site = Site.quiet().start(server)) {
             Socket open = site.connect();
-            assertEquals(200, Site.ask(open, Http.page("/api/p", "first", "15000m")).status());
+            assertEquals(
+                    200, Site.ask(open, Http.page("/api/p", "first", "15000m")).status());
             CountDownLatch release = site.holdLoop();
             Socket client = newConnection ? site.connect() : open;
             Site.write(client, Http.page("/api/p", "late", "200m"));
             stall(release);
             assertEquals(503, Http.read(client.getInputStream()).status());
-            assertEquals(200, Site.ask(client, Http.page("/api/p", "last", "15000m")).status());
+            assertEquals(
+                    200, Site.ask(client, Http.page("/api/p", "last", "15000m")).status());
             assertEquals("first", FarServer.next(server.requests).headers().get("x-txn"));
             assertEquals("last", FarServer.next(server.requests).headers().get("x-txn"));
         }
@@ -72,14 +74,14 @@
     @Test
     void aRequestSentAheadHasTheTimeThatIsLeftOnceItIsItsTurn() throws Exception {
         try (FarServer server = new FarServer((request, peer) -> {
-            if ("first".equals(request.headers().get("x-txn"))) {
-                stall(new CountDownLatch(1));
-            }
-            peer.write(Http.ok("x"));
-        }); Site site = Site.quiet().start(server)) {
+                    if ("first".equals(request.headers().get("x-txn"))) {
+                        stall(new CountDownLatch(1));
+                    }
+                    peer.write(Http.ok("x"));
+                });
+                Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
-            Site.write(client, Http.page("/api/p", "first", "15000m")
-                    + Http.page("/api/p", "second", "15000m"));
+            Site.write(client, Http.page("/api/p", "first", "15000m") + Http.page("/api/p", "second", "15000m"));
             assertEquals(200, Http.read(client.getInputStream()).status());
             FarServer.next(server.requests);
             String left = FarServer.next(server.requests).headers().get("x-remaining");
@@ -93,11 +95,12 @@
         CountDownLatch never = new CountDownLatch(1);
         AtomicBoolean newOneWasFirst = new AtomicBoolean();
         try (FarServer server = new FarServer((request, peer) -> {
-            if ("hangs".equals(request.headers().get("x-txn"))) {
-                await(never);
-            }
-            peer.write(Http.ok("x"));
-        }); Site site = Site.quiet()) {
+                    if ("hangs".equals(request.headers().get("x-txn"))) {
+                        await(never);
+                    }
+                    peer.write(Http.ok("x"));
+                });
+                Site site = Site.quiet()) {
             Function<Balancer.Actions, Balancer> module = site.module;
             site.module = actions -> onTimeout(module.apply(actions), () -> {
                 // Whatever was written by now has come to the server.
@@ -111,7 +114,9 @@
             Site.write(first, Http.order("hangs", "150m"));
             FarServer.next(server.requests);
             // A connection to the server that is free, so that the new attempt is written as it begins.
-            assertEquals(200, Site.ask(second, Http.page("/api/p", "before", "15000m")).status());
+            assertEquals(
+                    200,
+                    Site.ask(second, Http.page("/api/p", "before", "15000m")).status());
             CountDownLatch release = site.holdLoop();
             Site.write(second, Http.page("/api/p", "new", "15000m"));
             stall(release);
@@ -123,11 +128,9 @@
 
     /** The same module, which runs this as it is told that an attempt is out of time. */
     private static Balancer onTimeout(Balancer module, Runnable then) {
-        return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
-                new Class<?>[] {Balancer.class},
-                (proxy, method, arguments) -> {
-                    if (method.getName().equals("onOutcome")
-                            && ((Outcome) arguments[1]).result() == Result.TIMEOUT) {
+        return (Balancer) Proxy.newProxyInstance(
+                Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, arguments) -> {
+                    if (method.getName().equals("onOutcome") && ((Outcome) arguments[1]).result() == Result.TIMEOUT) {
                         then.run();
                     }
                     return method.invoke(module, arguments);
--- a/node/src/test/java/kitemux/node/TuningTest.java
+++ b/node/src/test/java/kitemux/node/TuningTest.java
@@ -3,13 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.Balancer.Group;
 import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
+import org.junit.jupiter.api.Test;
 
 /** Settings over changes of the file. */
 class TuningTest {
@@ -29,6 +27,7 @@
         Tuning first = Tuning.first(settings(page, requestClass("report", 2_500_000)));
         assertEquals(2_500_000, first.longestDeadlineUs());
         assertEquals(1_000_000, first.then(settings(page)).longestDeadlineUs());
-        assertEquals(400_000, first.then(settings(requestClass("page", 400_000))).longestDeadlineUs());
+        assertEquals(
+                400_000, first.then(settings(requestClass("page", 400_000))).longestDeadlineUs());
     }
 }
--- a/rig/src/main/java/kitemux/rig/baseline/Baseline.java
+++ b/rig/src/main/java/kitemux/rig/baseline/Baseline.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
 import kitemux.Balancer;
 
 /**
@@ -73,9 +72,10 @@
     }
 
     private void chooseReady() {
-        ready = listed.values().stream().filter(e -> e.state() == ServerState.READY
-                && !cordoned.contains(e.id()))
-                .map(ServerEntry::id).toList();
+        ready = listed.values().stream()
+                .filter(e -> e.state() == ServerState.READY && !cordoned.contains(e.id()))
+                .map(ServerEntry::id)
+                .toList();
     }
 
     @Override
@@ -124,8 +124,7 @@
         call.mayHaveRun |= !outcome.result().neverRan;
         if (outcome.requestEnded()) {
             call.ended = true;
-        } else if (call.mayHaveRun && call.cls.repeat() != Repeat.SAFE
-                || outcome.result() == Result.TIMEOUT) {
+        } else if (call.mayHaveRun && call.cls.repeat() != Repeat.SAFE || outcome.result() == Result.TIMEOUT) {
             call.ended = true;
             out.fail(call.request.id());
         } else if (!call.ended) {
--- a/rig/src/main/java/kitemux/rig/baseline/Baselines.java
+++ b/rig/src/main/java/kitemux/rig/baseline/Baselines.java
@@ -7,7 +7,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-
 import kitemux.Balancer.Actions;
 import kitemux.Balancer.Settings;
 import kitemux.rig.world.AppServer;
@@ -24,7 +23,7 @@
             "plain", (settings, seed, out, servers) -> new Plain(settings, seed, out),
             "oracle", (settings, seed, out, servers) -> new Oracle(settings, seed, out, servers)));
 
-    private Baselines() { }
+    private Baselines() {}
 
     public static List<String> names() {
         return List.copyOf(BY_NAME.keySet());
@@ -117,7 +116,10 @@
 
         @Override
         String draw(List<String> among) {
-            int most = among.stream().mapToInt(s -> errors.getOrDefault(s, 0)).max().orElseThrow();
+            int most = among.stream()
+                    .mapToInt(s -> errors.getOrDefault(s, 0))
+                    .max()
+                    .orElseThrow();
             double effect = Math.floor(Math.pow(1 + most, 1.5));
             long[] weights = among.stream()
                     .mapToLong(s -> (long) Math.ceil(effect / (1 + errors.getOrDefault(s, 0))))
--- a/rig/src/main/java/kitemux/rig/baseline/JarPolicy.java
+++ b/rig/src/main/java/kitemux/rig/baseline/JarPolicy.java
@@ -7,7 +7,6 @@
 import java.nio.file.Path;
 import java.util.jar.JarFile;
 import java.util.zip.ZipEntry;
-
 import kitemux.Balancer;
 import kitemux.Balancer.Actions;
 import kitemux.Balancer.Settings;
@@ -20,7 +19,7 @@
 public final class JarPolicy {
     private static final String MODULE = "kitemux.ServiceQBalancer";
 
-    private JarPolicy() { }
+    private JarPolicy() {}
 
     /** Opens a node's jar; it is read once, whole, as classes are asked for. */
     public static Policy of(Path jar) throws IOException {
--- a/rig/src/main/java/kitemux/rig/check/AckedWrites.java
+++ b/rig/src/main/java/kitemux/rig/check/AckedWrites.java
@@ -3,7 +3,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-
 import kitemux.rig.history.Event;
 
 /**
@@ -19,18 +18,20 @@
         switch (event.kind()) {
             case RETURN -> {
                 if (event.has("number") && event.yes("ok")) {
-                    acknowledged.merge(event.process(), event,
-                            (a, b) -> a.number("number") > b.number("number") ? a : b);
+                    acknowledged.merge(
+                            event.process(), event, (a, b) -> a.number("number") > b.number("number") ? a : b);
                 }
             }
             case STARTED -> {
                 Event last = acknowledged.get(event.process());
                 if (last != null && event.has("found") && event.number("found") < last.number("number")) {
-                    violated(event.atUs(), "found " + event.number("found") + " though "
-                            + last.number("number") + " was acknowledged", List.of(last, event));
+                    violated(
+                            event.atUs(),
+                            "found " + event.number("found") + " though " + last.number("number") + " was acknowledged",
+                            List.of(last, event));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 }
--- a/rig/src/main/java/kitemux/rig/check/Ages.java
+++ b/rig/src/main/java/kitemux/rig/check/Ages.java
@@ -1,7 +1,6 @@
 package kitemux.rig.check;
 
 import java.util.List;
-
 import kitemux.rig.history.Event;
 
 /**
@@ -14,8 +13,10 @@
         if (event.kind() == Event.Kind.USED) {
             long ageUs = event.atUs() - event.number("written");
             if (ageUs > event.number("bound")) {
-                violated(event.atUs(), event.text("value") + " was " + ageUs + " us old, bound "
-                        + event.number("bound"), List.of(event));
+                violated(
+                        event.atUs(),
+                        event.text("value") + " was " + ageUs + " us old, bound " + event.number("bound"),
+                        List.of(event));
             }
         }
     }
--- a/rig/src/main/java/kitemux/rig/check/Checker.java
+++ b/rig/src/main/java/kitemux/rig/check/Checker.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-
 import kitemux.rig.history.Event;
 import kitemux.rig.history.History;
 
--- a/rig/src/main/java/kitemux/rig/check/ColdServers.java
+++ b/rig/src/main/java/kitemux/rig/check/ColdServers.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
 import kitemux.rig.history.Event;
 
 /**
@@ -51,18 +50,22 @@
                 }
             }
             case FELL -> judge(event);
-            default -> { }
+            default -> {}
         }
     }
 
     private void judge(Event fell) {
         Set<String> knew = told.get(fell.process());
         List<Event> all = sent.get(fell.process()).stream()
-                .filter(e -> e.atUs() >= fell.atUs() - windowUs).toList();
-        List<Event> byThose = all.stream().filter(e -> knew.contains(e.process())).toList();
+                .filter(e -> e.atUs() >= fell.atUs() - windowUs)
+                .toList();
+        List<Event> byThose =
+                all.stream().filter(e -> knew.contains(e.process())).toList();
         if (byThose.size() > BLAMED_FROM * all.size()) {
-            violated(fell.atUs(), byThose.size() + " of " + all.size()
-                    + " sends that felled it came from nodes told of its start", List.of(fell));
+            violated(
+                    fell.atUs(),
+                    byThose.size() + " of " + all.size() + " sends that felled it came from nodes told of its start",
+                    List.of(fell));
         }
     }
 }
--- a/rig/src/main/java/kitemux/rig/check/Converged.java
+++ b/rig/src/main/java/kitemux/rig/check/Converged.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.Map;
 import java.util.TreeMap;
-
 import kitemux.rig.history.Event;
 
 /** Within a time after the last fault all processes that live hold the same view: {@code VIEW} has digest. */
@@ -25,15 +24,18 @@
                 hurtAtUs = event.atUs();
             }
             case STARTED, ENDING, PAUSED, RESUMED, FAULT, HEALED -> hurtAtUs = event.atUs();
-            default -> { }
+            default -> {}
         }
     }
 
     @Override
     public void end(long nowUs) {
-        long digests = views.values().stream().map(e -> e.text("digest")).distinct().count();
+        long digests =
+                views.values().stream().map(e -> e.text("digest")).distinct().count();
         if (nowUs >= hurtAtUs + withinUs && digests > 1) {
-            violated(nowUs, digests + " different views " + (nowUs - hurtAtUs) + " us after the last fault",
+            violated(
+                    nowUs,
+                    digests + " different views " + (nowUs - hurtAtUs) + " us after the last fault",
                     new ArrayList<>(views.values()));
         }
     }
--- a/rig/src/main/java/kitemux/rig/check/Cordons.java
+++ b/rig/src/main/java/kitemux/rig/check/Cordons.java
@@ -3,7 +3,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-
 import kitemux.rig.history.Event;
 
 /**
@@ -21,11 +20,10 @@
             case UNCORDON -> out.remove(pair);
             case SEND -> {
                 if (out.containsKey(pair)) {
-                    violated(event.atUs(), "sent to a server that is out by hand",
-                            List.of(out.get(pair), event));
+                    violated(event.atUs(), "sent to a server that is out by hand", List.of(out.get(pair), event));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 }
--- a/rig/src/main/java/kitemux/rig/check/Drains.java
+++ b/rig/src/main/java/kitemux/rig/check/Drains.java
@@ -3,7 +3,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-
 import kitemux.rig.history.Event;
 
 /**
@@ -34,15 +33,15 @@
             case SEND -> {
                 Event last = told.getOrDefault(event.process(), Map.of()).get(event.text("server"));
                 if (last == null) {
-                    violated(event.atUs(), "sent to a server that the node was never told of",
-                            List.of(event));
+                    violated(event.atUs(), "sent to a server that the node was never told of", List.of(event));
                 } else if (!isReady(last) && event.atUs() > last.atUs() + graceUs) {
-                    violated(event.atUs(),
-                            "sent " + (event.atUs() - last.atUs()) + " us after word that it is "
-                            + last.text("state"), List.of(last, event));
+                    violated(
+                            event.atUs(),
+                            "sent " + (event.atUs() - last.atUs()) + " us after word that it is " + last.text("state"),
+                            List.of(last, event));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/rig/src/main/java/kitemux/rig/check/Linearizable.java
+++ b/rig/src/main/java/kitemux/rig/check/Linearizable.java
@@ -7,7 +7,6 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-
 import kitemux.rig.history.Event;
 
 /**
@@ -19,6 +18,7 @@
 public final class Linearizable extends Checker {
     /** Calls of one key beyond which the search is not tried: it takes exponential time at worst. */
     static final int MOST_CALLS = 10_000;
+
     private static final int MOST_STATES = 5_000_000;
 
     private final Map<String, List<Call>> byKey = new LinkedHashMap<>();
@@ -38,7 +38,7 @@
     }
 
     /** What has happened so far, as a set of calls, and the value that left. */
-    private record State(Set<Integer> done, String value) { }
+    private record State(Set<Integer> done, String value) {}
 
     @Override
     public void read(Event event) {
@@ -47,7 +47,8 @@
                 if (event.has("key")) {
                     Call call = new Call(event);
                     open.put(event.number("call"), call);
-                    byKey.computeIfAbsent(event.text("key"), key -> new ArrayList<>()).add(call);
+                    byKey.computeIfAbsent(event.text("key"), key -> new ArrayList<>())
+                            .add(call);
                 }
             }
             case RETURN -> {
@@ -56,7 +57,7 @@
                     call.returned = event;
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -125,8 +126,8 @@
         }
         return switch (call.invoked.text("op")) {
             case "read" -> Objects.equals(call.returned.fields().get("value"), value);
-            case "cas" -> call.returned.yes("ok") == Objects.equals(call.invoked.fields().get("expect"),
-                    value);
+            case "cas" ->
+                call.returned.yes("ok") == Objects.equals(call.invoked.fields().get("expect"), value);
             default -> true;
         };
     }
@@ -134,8 +135,8 @@
     private static String after(Call call, String value) {
         return switch (call.invoked.text("op")) {
             case "write" -> call.invoked.text("value");
-            case "cas" -> Objects.equals(call.invoked.fields().get("expect"), value)
-                    ? call.invoked.text("value") : value;
+            case "cas" ->
+                Objects.equals(call.invoked.fields().get("expect"), value) ? call.invoked.text("value") : value;
             default -> value;
         };
     }
--- a/rig/src/main/java/kitemux/rig/check/NoCrash.java
+++ b/rig/src/main/java/kitemux/rig/check/NoCrash.java
@@ -1,7 +1,6 @@
 package kitemux.rig.check;
 
 import java.util.List;
-
 import kitemux.rig.history.Event;
 
 /** No process ends that was neither killed nor told to end: {@code KILLED} then says crash. */
@@ -9,8 +8,10 @@
     @Override
     public void read(Event event) {
         if (event.kind() == Event.Kind.KILLED && event.yes("crash")) {
-            violated(event.atUs(),
-                    event.process() + " ended by itself, exit code " + event.fields().get("code"),
+            violated(
+                    event.atUs(),
+                    event.process() + " ended by itself, exit code "
+                            + event.fields().get("code"),
                     List.of(event));
         }
     }
--- a/rig/src/main/java/kitemux/rig/check/OneAnswer.java
+++ b/rig/src/main/java/kitemux/rig/check/OneAnswer.java
@@ -33,8 +33,7 @@
         }
         if (event.text("answer").equals("ALIEN")) {
             violated(event.atUs(), "an answer made for another request", of.events);
-        } else if (event.text("answer").equals("OK")
-                && of.events.stream().noneMatch(e -> e.kind() == Kind.SERVED)) {
+        } else if (event.text("answer").equals("OK") && of.events.stream().noneMatch(e -> e.kind() == Kind.SERVED)) {
             violated(event.atUs(), "an answer that no app server made", of.events);
         }
     }
--- a/rig/src/main/java/kitemux/rig/check/OneHolder.java
+++ b/rig/src/main/java/kitemux/rig/check/OneHolder.java
@@ -3,7 +3,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-
 import kitemux.rig.history.Event;
 
 /** No two processes hold a lease at once. {@code LEASED} has lease and until, {@code RELEASED} has lease. */
@@ -15,15 +14,19 @@
         switch (event.kind()) {
             case LEASED -> {
                 Event before = holders.put(event.text("lease"), event);
-                if (before != null && !before.process().equals(event.process())
+                if (before != null
+                        && !before.process().equals(event.process())
                         && before.number("until") > event.atUs()) {
-                    violated(event.atUs(), event.process() + " took " + event.text("lease") + " which "
-                            + before.process() + " held", List.of(before, event));
+                    violated(
+                            event.atUs(),
+                            event.process() + " took " + event.text("lease") + " which " + before.process() + " held",
+                            List.of(before, event));
                 }
             }
-            case RELEASED -> holders.computeIfPresent(event.text("lease"),
-                    (lease, held) -> held.process().equals(event.process()) ? null : held);
-            default -> { }
+            case RELEASED ->
+                holders.computeIfPresent(
+                        event.text("lease"), (lease, held) -> held.process().equals(event.process()) ? null : held);
+            default -> {}
         }
     }
 }
--- a/rig/src/main/java/kitemux/rig/check/OpenRequests.java
+++ b/rig/src/main/java/kitemux/rig/check/OpenRequests.java
@@ -5,7 +5,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-
 import kitemux.rig.history.Event;
 
 /**
@@ -54,7 +53,7 @@
                 }
             }
             case KILLED -> open.values().removeIf(of -> of.asked.process().equals(event.process()));
-            default -> { }
+            default -> {}
         }
     }
 
--- a/rig/src/main/java/kitemux/rig/check/Repeats.java
+++ b/rig/src/main/java/kitemux/rig/check/Repeats.java
@@ -3,7 +3,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-
 import kitemux.Balancer.Repeat;
 import kitemux.Balancer.Result;
 import kitemux.rig.history.Event;
@@ -38,10 +37,10 @@
                 violated(event.atUs(), "two attempts at once", of.events);
             }
         }
-        if ((event.kind() == Kind.SEND || refused) && classes.get(of.cls()) == Repeat.UNSAFE
+        if ((event.kind() == Kind.SEND || refused)
+                && classes.get(of.cls()) == Repeat.UNSAFE
                 && mayHaveRun(of.events.subList(0, of.events.size() - 1))) {
-            violated(event.atUs(), (refused ? "refused" : "sent again") + " though it may have run",
-                    of.events);
+            violated(event.atUs(), (refused ? "refused" : "sent again") + " though it may have run", of.events);
         }
     }
 
@@ -51,8 +50,11 @@
 
     /** Whether an attempt is not known never to have run. */
     private static boolean mayHaveRun(List<Event> events) {
-        return events.stream().filter(e -> e.kind() == Kind.SEND).anyMatch(sent -> events.stream()
-                .noneMatch(e -> e.kind() == Kind.OUTCOME && e.number("attempt") == sent.number("attempt")
-                        && Result.valueOf(e.text("result")).neverRan));
+        return events.stream()
+                .filter(e -> e.kind() == Kind.SEND)
+                .anyMatch(sent -> events.stream()
+                        .noneMatch(e -> e.kind() == Kind.OUTCOME
+                                && e.number("attempt") == sent.number("attempt")
+                                && Result.valueOf(e.text("result")).neverRan));
     }
 }
--- a/rig/src/main/java/kitemux/rig/check/Rules.java
+++ b/rig/src/main/java/kitemux/rig/check/Rules.java
@@ -1,12 +1,11 @@
 package kitemux.rig.check;
 
 import java.util.List;
-
 import kitemux.rig.scenario.Scenario;
 
 /** The checkers that every run of a fleet is held to. */
 public final class Rules {
-    private Rules() { }
+    private Rules() {}
 
     /**
      * One of each of the platform's, with the figures of a scenario.
@@ -15,8 +14,11 @@
      */
     public static List<Checker> of(Scenario scenario, long slackUs) {
         Scenario.Rules rules = scenario.rules();
-        return List.of(new OneAnswer(rules.answerGraceUs() + slackUs), new Repeats(scenario),
-                new Drains(rules.drainGraceUs() + rules.answerGraceUs() + slackUs), new Cordons(),
+        return List.of(
+                new OneAnswer(rules.answerGraceUs() + slackUs),
+                new Repeats(scenario),
+                new Drains(rules.drainGraceUs() + rules.answerGraceUs() + slackUs),
+                new Cordons(),
                 new ColdServers(rules.fallUs()));
     }
 }
--- a/rig/src/main/java/kitemux/rig/check/VersionedList.java
+++ b/rig/src/main/java/kitemux/rig/check/VersionedList.java
@@ -5,7 +5,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-
 import kitemux.rig.history.Event;
 
 /**
@@ -32,7 +31,7 @@
                 }
             }
             case RETURN -> returned(event);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -45,7 +44,9 @@
         long before = seenAtCall.remove(event.number("call"));
         boolean list = invoked.text("op").equals("list");
         if (revision < before + (list ? 0 : 1) && !invoked.yes("stale")) {
-            violated(event.atUs(), "revision " + revision + " after " + before + " had come back",
+            violated(
+                    event.atUs(),
+                    "revision " + revision + " after " + before + " had come back",
                     List.of(invoked, event));
         }
         if (list) {
@@ -53,8 +54,7 @@
         } else {
             Event twice = changes.put(revision, invoked);
             if (twice != null) {
-                violated(event.atUs(), "revision " + revision + " used twice",
-                        List.of(twice, invoked, event));
+                violated(event.atUs(), "revision " + revision + " used twice", List.of(twice, invoked, event));
             }
         }
         newest = Math.max(newest, invoked.yes("stale") ? 0 : revision);
@@ -66,11 +66,12 @@
             long revision = returned.number("revision");
             // Changes that never returned may have happened: only where all revisions are known can it be
             // told.
-            if (changes.headMap(revision, true).size() == revision && !holds(revision).equals(
-                    returned.text("digest"))) {
-                violated(returned.atUs(), "revision " + revision + " holds " + holds(revision),
-                        List.of(invoked,
-                        returned));
+            if (changes.headMap(revision, true).size() == revision
+                    && !holds(revision).equals(returned.text("digest"))) {
+                violated(
+                        returned.atUs(),
+                        "revision " + revision + " holds " + holds(revision),
+                        List.of(invoked, returned));
             }
         });
     }
@@ -84,7 +85,10 @@
                 entries.remove(change.text("entry"));
             }
         }
-        return String.join(",",
-                entries.entrySet().stream().map(e -> e.getKey() + "=" + e.getValue()).toList());
+        return String.join(
+                ",",
+                entries.entrySet().stream()
+                        .map(e -> e.getKey() + "=" + e.getValue())
+                        .toList());
     }
 }
--- a/rig/src/main/java/kitemux/rig/check/Versions.java
+++ b/rig/src/main/java/kitemux/rig/check/Versions.java
@@ -3,7 +3,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-
 import kitemux.rig.history.Event;
 
 /**
@@ -24,17 +23,19 @@
                     return;
                 }
                 long seen = before.number("version");
-                if (event.number("version") < seen || event.number("version") == seen
-                        && !event.yes("whole")) {
-                    violated(event.atUs(), "version " + event.number("version") + " after " + seen,
+                if (event.number("version") < seen || event.number("version") == seen && !event.yes("whole")) {
+                    violated(
+                            event.atUs(),
+                            "version " + event.number("version") + " after " + seen,
                             List.of(before, event));
                 } else if (!event.yes("whole") && event.number("from") != seen) {
-                    violated(event.atUs(),
+                    violated(
+                            event.atUs(),
                             "a gap: changes since " + event.number("from") + " after version " + seen,
                             List.of(before, event));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 }
--- a/rig/src/main/java/kitemux/rig/check/Violation.java
+++ b/rig/src/main/java/kitemux/rig/check/Violation.java
@@ -1,7 +1,6 @@
 package kitemux.rig.check;
 
 import java.util.List;
-
 import kitemux.rig.history.Event;
 import kitemux.rig.history.History;
 
--- a/rig/src/main/java/kitemux/rig/history/Event.java
+++ b/rig/src/main/java/kitemux/rig/history/Event.java
@@ -18,24 +18,41 @@
         /** A run begins; always the first. */
         RUN,
         /** A process began, was told to end, was killed, stands still, goes on. */
-        STARTED, ENDING, KILLED, PAUSED, RESUMED,
+        STARTED,
+        ENDING,
+        KILLED,
+        PAUSED,
+        RESUMED,
         /**
          * A request reached a node; an attempt left it, and ended; the client has its final answer, or left.
          */
-        ASK, SEND, OUTCOME, ANSWER, LEFT,
+        ASK,
+        SEND,
+        OUTCOME,
+        ANSWER,
+        LEFT,
         /** An app server served an attempt; it fell over. */
-        SERVED, FELL,
+        SERVED,
+        FELL,
         /** A node was told of an app server, or to keep one out. */
-        TOLD, CORDON, UNCORDON,
+        TOLD,
+        CORDON,
+        UNCORDON,
         /** The rig hurt something, or healed it. */
-        FAULT, HEALED,
+        FAULT,
+        HEALED,
         /** A call to something shared began, and came back. */
-        INVOKE, RETURN,
+        INVOKE,
+        RETURN,
         /**
          * A watcher saw a version; a decision used a value; a lease was taken, and given up; views were equal
          * or not.
          */
-        WATCHED, USED, LEASED, RELEASED, VIEW
+        WATCHED,
+        USED,
+        LEASED,
+        RELEASED,
+        VIEW
     }
 
     public String text(String field) {
--- a/rig/src/main/java/kitemux/rig/history/History.java
+++ b/rig/src/main/java/kitemux/rig/history/History.java
@@ -1,5 +1,9 @@
 package kitemux.rig.history;
 
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -12,12 +16,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonGenerator;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonToken;
-
 import kitemux.rig.history.Event.Kind;
 import kitemux.rig.time.Timeline;
 
@@ -140,17 +138,21 @@
                 case "us" -> atUs = json.getLongValue();
                 case "by" -> process = json.getText();
                 case "what" -> kind = Kind.valueOf(json.getText());
-                default -> fields.put(name, switch (token) {
-                    case VALUE_TRUE -> true;
-                    case VALUE_FALSE -> false;
-                    case VALUE_NUMBER_INT -> json.getLongValue();
-                    case VALUE_NUMBER_FLOAT -> json.getDoubleValue();
-                    default -> json.getText();
-                });
+                default ->
+                    fields.put(
+                            name,
+                            switch (token) {
+                                case VALUE_TRUE -> true;
+                                case VALUE_FALSE -> false;
+                                case VALUE_NUMBER_INT -> json.getLongValue();
+                                case VALUE_NUMBER_FLOAT -> json.getDoubleValue();
+                                default -> json.getText();
+                            });
             }
         }
         if (kind == null) {
-            throw new IOException("an event without a kind at " + json.currentLocation().offsetDescription());
+            throw new IOException(
+                    "an event without a kind at " + json.currentLocation().offsetDescription());
         }
         return new Event(atUs, process, kind, fields);
     }
--- a/rig/src/main/java/kitemux/rig/members/DatagramNet.java
+++ b/rig/src/main/java/kitemux/rig/members/DatagramNet.java
@@ -2,7 +2,6 @@
 
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
-
 import kitemux.core.membership.Message;
 import kitemux.members.Codec;
 import kitemux.rig.time.Timeline;
--- a/rig/src/main/java/kitemux/rig/members/MembersStudy.java
+++ b/rig/src/main/java/kitemux/rig/members/MembersStudy.java
@@ -3,7 +3,6 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
-
 import kitemux.core.membership.Change;
 import kitemux.core.membership.Settings;
 
@@ -14,11 +13,12 @@
 public final class MembersStudy {
     /** Views have to be alike, and rumors to have gone quiet, before anything is measured. */
     private static final int SETTLE_PERIODS = 60;
+
     private static final int LOAD_PERIODS = 60;
     private static final int MOST_PERIODS = 200;
     private static final int CUT_PERIODS = 60;
 
-    private MembersStudy() { }
+    private MembersStudy() {}
 
     /**
      * One fleet's figures; times are in periods, and -1 for what did not come within {@link #MOST_PERIODS}.
@@ -29,8 +29,8 @@
      * @param all from a crash until all who live suspected it or held it for dead
      * @param healed from the end of a cut in two halves until all held the same
      */
-    public record Figures(int members, long seed, double datagrams, double bytes, double first, double all,
-            double healed) { }
+    public record Figures(
+            int members, long seed, double datagrams, double bytes, double first, double all, double healed) {}
 
     /** Throws IllegalStateException where a fleet in which nothing goes wrong does not settle. */
     public static Figures play(int members, long seed, UnaryOperator<Settings> tuned) {
@@ -53,31 +53,41 @@
         SimMember victim = world.member(random.nextInt(members));
         long killedUs = world.time().nowUs();
         victim.kill();
-        List<SimMember> living = world.members().stream().filter(SimMember::isUp).toList();
+        List<SimMember> living =
+                world.members().stream().filter(SimMember::isUp).toList();
         // Steps well under a period, as the times themselves are kept to the microsecond.
         for (int i = 0; i < 4 * MOST_PERIODS && !living.stream().allMatch(m -> m.heardUs(victim) >= 0); i++) {
             pass(world, period / 4);
         }
-        double first = living.stream().mapToLong(m -> m.heardUs(victim)).filter(us -> us >= 0).min()
+        double first = living.stream()
+                .mapToLong(m -> m.heardUs(victim))
+                .filter(us -> us >= 0)
+                .min()
                 .orElse(killedUs - period);
         double all = living.stream().allMatch(m -> m.heardUs(victim) >= 0)
-                ? living.stream().mapToLong(m -> m.heardUs(victim)).max().orElseThrow() : killedUs - period;
+                ? living.stream().mapToLong(m -> m.heardUs(victim)).max().orElseThrow()
+                : killedUs - period;
 
         world.net().cut((a, b) -> half(a) != half(b));
         pass(world, CUT_PERIODS * period);
         world.net().heal();
         long healedUs = world.time().nowUs();
         long agreed = world.agreedAtUs(period / 4, healedUs + MOST_PERIODS * period);
-        return new Figures(members, seed, datagrams, load, (first - killedUs) / period,
-                (all - killedUs) / period, agreed < 0 ? -1 : (double) (agreed - healedUs) / period);
+        return new Figures(
+                members,
+                seed,
+                datagrams,
+                load,
+                (first - killedUs) / period,
+                (all - killedUs) / period,
+                agreed < 0 ? -1 : (double) (agreed - healedUs) / period);
     }
 
     /**
      * Members that live and were held for dead, or suspected, by somebody: a share of datagrams is lost, and
      * three members stand still now and then, for less than a suspicion lasts.
      */
-    public static Falsely falsely(int members, long seed, double lost, int seconds,
-            UnaryOperator<Settings> tuned) {
+    public static Falsely falsely(int members, long seed, double lost, int seconds, UnaryOperator<Settings> tuned) {
         MembersWorld world = new MembersWorld(seed, Long.MAX_VALUE / 4).with(members, tuned);
         long period = world.member(0).settings().periodUs();
         SplittableRandom random = world.time().stream("study");
@@ -97,10 +107,12 @@
     }
 
     /** Of members that live: how often one was held for dead, and how often one suspected another. */
-    public record Falsely(int members, long seed, long deaths, long suspicions) { }
+    public record Falsely(int members, long seed, long deaths, long suspicions) {}
 
     private static long suspicions(MembersWorld world) {
-        return world.members().stream().mapToLong(m -> m.count(Change.Kind.SUSPECTED)).sum();
+        return world.members().stream()
+                .mapToLong(m -> m.count(Change.Kind.SUSPECTED))
+                .sum();
     }
 
     private static boolean half(String name) {
--- a/rig/src/main/java/kitemux/rig/members/MembersWorld.java
+++ b/rig/src/main/java/kitemux/rig/members/MembersWorld.java
@@ -7,7 +7,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
-
 import kitemux.core.membership.Change;
 import kitemux.core.membership.Settings;
 import kitemux.rig.check.Checker;
@@ -30,7 +29,7 @@
     private final List<Death> deaths = new ArrayList<>();
 
     /** Somebody was held for dead by somebody. */
-    public record Death(long atUs, String by, String who, boolean was) { }
+    public record Death(long atUs, String by, String who, boolean was) {}
 
     /** @param withinUs how long after the last fault views may differ */
     public MembersWorld(long seed, long withinUs) {
@@ -106,11 +105,17 @@
 
     void changed(SimMember at, Change change) {
         if (change.kind() == Change.Kind.DIED) {
-            SimMember who = members.stream().filter(m -> m.name().equals(change.member().name()) && m.isUp())
-                    .findFirst().orElse(null);
-            deaths.add(new Death(time.nowUs(), at.name(), change.member().name(),
+            SimMember who = members.stream()
+                    .filter(m -> m.name().equals(change.member().name()) && m.isUp())
+                    .findFirst()
+                    .orElse(null);
+            deaths.add(new Death(
+                    time.nowUs(),
+                    at.name(),
+                    change.member().name(),
                     who == null
-                    || who.core().self().incarnation().birth() != change.member().incarnation().birth()));
+                            || who.core().self().incarnation().birth()
+                                    != change.member().incarnation().birth()));
         }
         viewed(at);
     }
@@ -139,16 +144,27 @@
 
     /** Whether all that are up hold just these for live. */
     public boolean agree() {
-        if (members.stream().filter(SimMember::isUp).mapToLong(m -> m.core().digest()).distinct()
-                .count() > 1) {
+        if (members.stream()
+                        .filter(SimMember::isUp)
+                        .mapToLong(m -> m.core().digest())
+                        .distinct()
+                        .count()
+                > 1) {
             return false;
         }
-        List<String> up = members.stream().filter(SimMember::isUp).map(SimMember::name).sorted().distinct()
+        List<String> up = members.stream()
+                .filter(SimMember::isUp)
+                .map(SimMember::name)
+                .sorted()
+                .distinct()
                 .toList();
         return !up.isEmpty()
-                && members.stream().filter(SimMember::isUp)
-                .allMatch(member -> member.core().members().stream()
-                .map(m -> m.name()).toList().equals(up));
+                && members.stream()
+                        .filter(SimMember::isUp)
+                        .allMatch(member -> member.core().members().stream()
+                                .map(m -> m.name())
+                                .toList()
+                                .equals(up));
     }
 
     /** When all agreed, looking every so often up to a time; -1 if they did not. */
