--- a/rig/src/main/java/kitemux/rig/members/ModelCheck.java
+++ b/rig/src/main/java/kitemux/rig/members/ModelCheck.java
@@ -7,7 +7,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-
 import kitemux.core.membership.Change;
 import kitemux.core.membership.Incarnation;
 import kitemux.core.membership.Member;
@@ -52,7 +51,7 @@
      * @param whole whether all states up to the depth were reached
      * @param broken what was found, with the path to it
      */
-    public record Result(long states, long ends, boolean whole, List<String> broken) { }
+    public record Result(long states, long ends, boolean whole, List<String> broken) {}
 
     private ModelCheck(int processes, int depth, long mostStates) {
         this.processes = processes;
@@ -113,7 +112,7 @@
         private boolean mayCrash = true;
         private boolean mayLeave = true;
 
-        private record Sent(int from, String to, Message message) { }
+        private record Sent(int from, String to, Message message) {}
 
         World() {
             for (int i = 0; i < processes; i++) {
@@ -143,7 +142,10 @@
         }
 
         int choices() {
-            return processes + 2 * underWay.size() + (mayCrash ? 1 : 0) + (mayLeave ? 1 : 0)
+            return processes
+                    + 2 * underWay.size()
+                    + (mayCrash ? 1 : 0)
+                    + (mayLeave ? 1 : 0)
                     + (mayCut || cutOff >= 0 ? 1 : 0);
         }
 
@@ -195,8 +197,7 @@
 
         private void exchange(Process from, String address) {
             for (Process to : fleet) {
-                if (to.address().equals(address) && to.up && from.up
-                        && comesThrough(from.number, to.number)) {
+                if (to.address().equals(address) && to.up && from.up && comesThrough(from.number, to.number)) {
                     List<Rumor> mine = from.core.state();
                     List<Rumor> theirs = to.core.state();
                     to.event("exchange " + mine, core -> core.onState(to.nowUs, mine));
@@ -250,11 +251,13 @@
         private final Membership core;
         /** What it has been given, summed up in order. */
         private long events = 1;
+
         private boolean up = true;
         private long nowUs;
         private long wakeAtUs;
         /** What it held of each name before this event, and who has left by its knowledge, in which life. */
         private final Map<String, Member> held = new HashMap<>();
+
         private final Map<String, Incarnation> left = new HashMap<>();
         private boolean busy;
         private final List<Runnable> later = new ArrayList<>();
@@ -265,9 +268,24 @@
             Settings usual = Settings.of("p" + number, address(), "z", "node", List.of("p0:1"));
             // As little of each as still does all: fewer askers and periods make more of the space fit the
             // depth.
-            Settings small = new Settings(usual.name(), usual.address(), usual.zone(), usual.role(),
-                    usual.periodUs(), usual.answerUs(), 1, 1, 1, 0, 1, 2, usual.syncUs(), usual.forgetUs(),
-                    usual.mostMembers(), usual.roomBytes(), usual.seeds());
+            Settings small = new Settings(
+                    usual.name(),
+                    usual.address(),
+                    usual.zone(),
+                    usual.role(),
+                    usual.periodUs(),
+                    usual.answerUs(),
+                    1,
+                    1,
+                    1,
+                    0,
+                    1,
+                    2,
+                    usual.syncUs(),
+                    usual.forgetUs(),
+                    usual.mostMembers(),
+                    usual.roomBytes(),
+                    usual.seeds());
             core = new Membership(small, number + 1, BIRTH + number, this);
             core.start(0);
         }
@@ -306,7 +324,9 @@
         /** No word about a name may go behind one that was held before, and who has left stays so. */
         private void look() {
             Map<String, Member> now = new TreeMap<>();
-            core.state().stream().skip(1).forEach(rumor -> now.put(rumor.member().name(), rumor.member()));
+            core.state().stream()
+                    .skip(1)
+                    .forEach(rumor -> now.put(rumor.member().name(), rumor.member()));
             now.forEach((name, member) -> {
                 Member before = held.get(name);
                 if (member.state() == State.LEFT) {
--- a/rig/src/main/java/kitemux/rig/members/SimMember.java
+++ b/rig/src/main/java/kitemux/rig/members/SimMember.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-
 import kitemux.core.membership.Change;
 import kitemux.core.membership.Membership;
 import kitemux.core.membership.Message;
@@ -31,6 +30,7 @@
     private boolean paused;
     /** What has come while it stood still; the system keeps it. */
     private final List<Runnable> kept = new ArrayList<>();
+
     private Timer wake;
     private int life;
     private long clockOffUs;
@@ -162,7 +162,8 @@
             world.net().send(name, world.nameAt(to), () -> {
                 SimMember target = world.at(to);
                 if (target != null) {
-                    target.deliver(target.life(), core -> core.onMessage(world.time().nowUs(), message));
+                    target.deliver(
+                            target.life(), core -> core.onMessage(world.time().nowUs(), message));
                 }
             });
         }
@@ -172,7 +173,10 @@
             List<Rumor> mine = core.state();
             world.time().after(world.net().delay(), () -> {
                 SimMember target = world.at(to);
-                if (target == null || !target.up || target.paused || world.net().isCut(name, target.name)
+                if (target == null
+                        || !target.up
+                        || target.paused
+                        || world.net().isCut(name, target.name)
                         || world.net().isCut(target.name, name)) {
                     return;
                 }
@@ -190,9 +194,10 @@
         public void changed(Change change) {
             changes.merge(change.kind(), 1, Integer::sum);
             switch (change.kind()) {
-                case SUSPECTED, DIED -> heard.putIfAbsent(change.member().name(), world.time().nowUs());
+                case SUSPECTED, DIED ->
+                    heard.putIfAbsent(change.member().name(), world.time().nowUs());
                 case CLEARED, JOINED -> heard.remove(change.member().name());
-                default -> { }
+                default -> {}
             }
             world.changed(SimMember.this, change);
         }
@@ -207,10 +212,13 @@
             if (wake != null) {
                 wake.cancel();
             }
-            wake = world.time().at(atUs, () -> run(of, () -> {
-                core.onWake(world.time().nowUs());
-                world.viewed(SimMember.this);
-            }));
+            wake = world.time()
+                    .at(
+                            atUs,
+                            () -> run(of, () -> {
+                                core.onWake(world.time().nowUs());
+                                world.viewed(SimMember.this);
+                            }));
         }
     }
 }
--- a/rig/src/main/java/kitemux/rig/play/Comparison.java
+++ b/rig/src/main/java/kitemux/rig/play/Comparison.java
@@ -8,9 +8,8 @@
  * Two ways compared on the same seeds: the mean of the differences, and where 95 of 100 means lie that are
  * drawn from them anew (the bootstrap's percentile interval).
  */
-public record Comparison(double meanA, double meanB, double worstA, double worstB, double difference,
-        double from,
-        double to) {
+public record Comparison(
+        double meanA, double meanB, double worstA, double worstB, double difference, double from, double to) {
     private static final int DRAWS = 10_000;
 
     /** Figures of A and B by seed. */
@@ -30,8 +29,13 @@
             means[draw] = sum / differences.length;
         }
         Arrays.sort(means);
-        return new Comparison(mean(a), mean(b), Arrays.stream(a).min().orElseThrow(),
-                Arrays.stream(b).min().orElseThrow(), mean(differences), means[DRAWS / 40],
+        return new Comparison(
+                mean(a),
+                mean(b),
+                Arrays.stream(a).min().orElseThrow(),
+                Arrays.stream(b).min().orElseThrow(),
+                mean(differences),
+                means[DRAWS / 40],
                 means[DRAWS - 1 - DRAWS / 40]);
     }
 
@@ -41,7 +45,15 @@
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "A mean %.4f worst %.4f   B mean %.4f worst %.4f   A - B %+.4f"
-                + " (95%%: %+.4f to %+.4f)", meanA, worstA, meanB, worstB, difference, from, to);
+        return String.format(
+                Locale.ROOT,
+                "A mean %.4f worst %.4f   B mean %.4f worst %.4f   A - B %+.4f" + " (95%%: %+.4f to %+.4f)",
+                meanA,
+                worstA,
+                meanB,
+                worstB,
+                difference,
+                from,
+                to);
     }
 }
--- a/rig/src/main/java/kitemux/rig/play/Outcome.java
+++ b/rig/src/main/java/kitemux/rig/play/Outcome.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-
 import kitemux.rig.check.Checker;
 import kitemux.rig.check.Violation;
 import kitemux.rig.history.History;
@@ -18,15 +17,19 @@
  */
 public record Outcome(long seed, Score.Result score, List<Violation> violations, long events, String digest) {
     /** Sums up a run that has come to its end. */
-    public static Outcome of(long seed, World world, History history, List<Checker> checkers, long nowUs,
-            boolean summed) {
+    public static Outcome of(
+            long seed, World world, History history, List<Checker> checkers, long nowUs, boolean summed) {
         List<Violation> violations = new ArrayList<>();
         for (Checker checker : checkers) {
             checker.end(nowUs);
             checker.violations().stream().limit(1).forEach(violations::add);
         }
-        return new Outcome(seed, world.score().result(List.copyOf(world.servers().values())), violations,
-                history.events(), summed ? history.digest() : null);
+        return new Outcome(
+                seed,
+                world.score().result(List.copyOf(world.servers().values())),
+                violations,
+                history.events(),
+                summed ? history.digest() : null);
     }
 
     public boolean isKept() {
--- a/rig/src/main/java/kitemux/rig/play/Seeds.java
+++ b/rig/src/main/java/kitemux/rig/play/Seeds.java
@@ -11,7 +11,7 @@
 
 /** The same run with many seeds, several at a time; what comes of each does not depend on how many. */
 public final class Seeds {
-    private Seeds() { }
+    private Seeds() {}
 
     /**
      * @param first the first seed; the others follow it
--- a/rig/src/main/java/kitemux/rig/play/Shrink.java
+++ b/rig/src/main/java/kitemux/rig/play/Shrink.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Function;
-
 import kitemux.rig.check.Violation;
 import kitemux.rig.scenario.Scenario;
 
@@ -15,6 +14,7 @@
 public final class Shrink {
     /** A run goes on for so long after the violation, so that its own end does not hide it. */
     private static final long BEYOND_US = 1_000_000;
+
     private static final int MOST_PLAYS = 200;
 
     private final Function<Scenario, Outcome> play;
@@ -22,7 +22,7 @@
     private int plays;
 
     /** A smaller scenario that still breaks the rule, and how. */
-    public record Smallest(Scenario scenario, Violation violation, int plays) { }
+    public record Smallest(Scenario scenario, Violation violation, int plays) {}
 
     private Shrink(Function<Scenario, Outcome> play, String rule) {
         this.play = play;
@@ -53,7 +53,9 @@
 
     private Optional<Violation> breaks(Scenario scenario) {
         plays++;
-        return play.apply(scenario).violations().stream().filter(v -> v.rule().equals(rule)).findFirst();
+        return play.apply(scenario).violations().stream()
+                .filter(v -> v.rule().equals(rule))
+                .findFirst();
     }
 
     /** What to try next, the largest step first. */
@@ -75,8 +77,7 @@
             lesser.add(s.with(s.lengthUs(), f.first(f.nodes() / 2, f.servers()), l));
         }
         if (f.servers() > 1) {
-            lesser.add(s.with(s.lengthUs(), f.first(f.nodes(), f.servers() / 2),
-                    l.of(l.perSecond() / 2, l.keys())));
+            lesser.add(s.with(s.lengthUs(), f.first(f.nodes(), f.servers() / 2), l.of(l.perSecond() / 2, l.keys())));
         }
         if (l.keys() > 0) {
             lesser.add(s.with(s.lengthUs(), f, l.of(l.perSecond(), 0)));
--- a/rig/src/main/java/kitemux/rig/play/SimPlay.java
+++ b/rig/src/main/java/kitemux/rig/play/SimPlay.java
@@ -3,7 +3,6 @@
 import java.io.OutputStream;
 import java.util.List;
 import java.util.SplittableRandom;
-
 import kitemux.rig.check.Checker;
 import kitemux.rig.check.Rules;
 import kitemux.rig.history.Event.Kind;
@@ -20,7 +19,7 @@
 public final class SimPlay {
     private static final long SECOND_US = 1_000_000;
 
-    private SimPlay() { }
+    private SimPlay() {}
 
     /** Whoever follows a run while it goes on, once a simulated second. */
     public interface Progress {
@@ -29,15 +28,15 @@
 
     /** With no file and nobody looking on. */
     public static Outcome play(Scenario scenario, long seed, Policy policy) {
-        return play(scenario, seed, policy, null, false, (nowUs, world) -> { });
+        return play(scenario, seed, policy, null, false, (nowUs, world) -> {});
     }
 
     /**
      * @param file where the history goes, or null
      * @param summed whether the outcome is to hold the sum over the history
      */
-    public static Outcome play(Scenario scenario, long seed, Policy policy, OutputStream file, boolean summed,
-            Progress progress) {
+    public static Outcome play(
+            Scenario scenario, long seed, Policy policy, OutputStream file, boolean summed, Progress progress) {
         Simulator time = new Simulator(seed);
         List<Checker> checkers = Rules.of(scenario, 0);
         History history = new History(time, checkers, file, summed);
@@ -61,9 +60,16 @@
             SplittableRandom random = time.stream("trouble " + number++ + " " + trouble.kind());
             time.after(trouble.atUs(), () -> {
                 Struck struck = Troubles.named(trouble.kind()).strike(world, trouble, random);
-                world.history().add("rig", Kind.FAULT, "kind", trouble.kind(), "who",
-                        String.join(" ", struck.who()),
-                        "size", trouble.size());
+                world.history()
+                        .add(
+                                "rig",
+                                Kind.FAULT,
+                                "kind",
+                                trouble.kind(),
+                                "who",
+                                String.join(" ", struck.who()),
+                                "size",
+                                trouble.size());
                 time.after(trouble.lengthUs(), () -> {
                     struck.heal().run();
                     world.history().add("rig", Kind.HEALED, "kind", trouble.kind());
--- a/rig/src/main/java/kitemux/rig/real/Asked.java
+++ b/rig/src/main/java/kitemux/rig/real/Asked.java
@@ -2,7 +2,6 @@
 
 import java.util.HashMap;
 import java.util.Map;
-
 import kitemux.Balancer.Result;
 import kitemux.rig.history.Event.Kind;
 import kitemux.rig.history.History;
@@ -29,7 +28,7 @@
     }
 
     /** One attempt of a node. */
-    record Attempt(String txn, long request, int number, Try asked, NodePort node) { }
+    record Attempt(String txn, long request, int number, Try asked, NodePort node) {}
 
     Asked(World world, History history) {
         this.world = world;
@@ -59,15 +58,32 @@
         boolean crosses = server.zone() != of.node.zone();
         Attempt sent = new Attempt(txn, of.asked.id(), of.attempts++, of.asked, of.node);
         world.score().sent(crosses);
-        history.add(of.node.name(), Kind.SEND, "request", sent.request(), "attempt", sent.number(), "server",
-                server.id(), "crosses", crosses);
+        history.add(
+                of.node.name(),
+                Kind.SEND,
+                "request",
+                sent.request(),
+                "attempt",
+                sent.number(),
+                "server",
+                server.id(),
+                "crosses",
+                crosses);
         return sent;
     }
 
     /** How it ended, as the server sees it. */
     void ended(Attempt attempt, AppServer server, Result result) {
-        history.add(attempt.node().name(), Kind.OUTCOME, "request", attempt.request(), "attempt",
+        history.add(
+                attempt.node().name(),
+                Kind.OUTCOME,
+                "request",
+                attempt.request(),
+                "attempt",
                 attempt.number(),
-                "server", server.id(), "result", result.name());
+                "server",
+                server.id(),
+                "result",
+                result.name());
     }
 }
--- a/rig/src/main/java/kitemux/rig/real/Child.java
+++ b/rig/src/main/java/kitemux/rig/real/Child.java
@@ -21,6 +21,7 @@
 final class Child implements AutoCloseable {
     /** Of what it prints the newest is kept: twice so much at the most. */
     static final long MOST_OUTPUT = 8L << 20;
+
     private static final long GRACE_MS = 5_000;
     /** $0 is the command. Its id comes first, then what it prints; the exit code is its own. */
     static final String GUARD = "exec 3<&0; sh -c \"$0\" </dev/null 3<&- & p=$!; echo $p;"
@@ -48,11 +49,11 @@
         this.name = name;
         this.output = output;
         ProcessBuilder builder = new ProcessBuilder(List.of("sh", "-c", GUARD, command))
-                .directory(folder.toFile()).redirectErrorStream(true);
+                .directory(folder.toFile())
+                .redirectErrorStream(true);
         builder.environment().putAll(environment);
         guard = builder.start();
-        BufferedReader from = new BufferedReader(new InputStreamReader(guard.getInputStream(),
-                StandardCharsets.UTF_8));
+        BufferedReader from = new BufferedReader(new InputStreamReader(guard.getInputStream(), StandardCharsets.UTF_8));
         String id = from.readLine();
         if (id == null) {
             throw new IOException(name + " did not start");
@@ -77,7 +78,9 @@
                     byte[] bytes = (line + "\n").getBytes(StandardCharsets.UTF_8);
                     if (printed + bytes.length > MOST_OUTPUT) {
                         to.close();
-                        Files.move(output, output.resolveSibling(output.getFileName() + ".1"),
+                        Files.move(
+                                output,
+                                output.resolveSibling(output.getFileName() + ".1"),
                                 StandardCopyOption.REPLACE_EXISTING);
                         to = Files.newOutputStream(output);
                         printed = 0;
--- a/rig/src/main/java/kitemux/rig/real/DatagramLink.java
+++ b/rig/src/main/java/kitemux/rig/real/DatagramLink.java
@@ -1,11 +1,5 @@
 package kitemux.rig.real;
 
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.util.SplittableRandom;
-import java.util.concurrent.TimeUnit;
-import java.util.function.Predicate;
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -14,6 +8,11 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DatagramPacket;
 import io.netty.channel.socket.nio.NioDatagramChannel;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Predicate;
 
 /**
  * The way to one party over UDP, which can be hurt: it listens in place of that party and passes on what
@@ -44,12 +43,13 @@
     private int held;
 
     /** Listens at this address; called from outside the loop. */
-    public DatagramLink(EventLoop loop, InetSocketAddress at, InetSocketAddress target,
-            SplittableRandom random) {
+    public DatagramLink(EventLoop loop, InetSocketAddress at, InetSocketAddress target, SplittableRandom random) {
         this.loop = loop;
         this.target = target;
         this.random = random;
-        channel = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
+        channel = new Bootstrap()
+                .group(loop)
+                .channel(NioDatagramChannel.class)
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
@@ -60,7 +60,10 @@
                     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
                         // Nobody listens at the target just now: what is sent there is lost.
                     }
-                }).bind(at).syncUninterruptibly().channel();
+                })
+                .bind(at)
+                .syncUninterruptibly()
+                .channel();
     }
 
     public void set(Faults to) {
@@ -80,10 +83,13 @@
             ByteBuf bytes = packet.content().copy();
             long jitterUs = faults.jitterUs() == 0 ? 0 : random.nextLong(faults.jitterUs());
             held++;
-            loop.schedule(() -> {
-                held--;
-                channel.writeAndFlush(new DatagramPacket(bytes, target));
-            }, faults.delayUs() + jitterUs, TimeUnit.MICROSECONDS);
+            loop.schedule(
+                    () -> {
+                        held--;
+                        channel.writeAndFlush(new DatagramPacket(bytes, target));
+                    },
+                    faults.delayUs() + jitterUs,
+                    TimeUnit.MICROSECONDS);
         }
     }
 
--- a/rig/src/main/java/kitemux/rig/real/DeployFile.java
+++ b/rig/src/main/java/kitemux/rig/real/DeployFile.java
@@ -1,12 +1,11 @@
 package kitemux.rig.real;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-
 /**
  * Where the program is and how it is started, as the deploy file tells.
  *
--- a/rig/src/main/java/kitemux/rig/real/FaultLink.java
+++ b/rig/src/main/java/kitemux/rig/real/FaultLink.java
@@ -1,17 +1,5 @@
 package kitemux.rig.real;
 
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
-import java.util.EnumMap;
-import java.util.HashSet;
-import java.util.Map;
-import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.concurrent.TimeUnit;
-import java.util.function.Predicate;
-import java.util.function.UnaryOperator;
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -25,6 +13,17 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
+import java.util.EnumMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Predicate;
+import java.util.function.UnaryOperator;
 
 /**
  * A way between two parties over TCP that can be hurt: it listens in place of the one and passes on to it
@@ -39,7 +38,10 @@
     private static final int PIECES_PER_S = 50;
 
     /** Which way bytes go. */
-    public enum Way { TO_TARGET, FROM_TARGET }
+    public enum Way {
+        TO_TARGET,
+        FROM_TARGET
+    }
 
     /**
      * What is wrong with a direction.
@@ -53,8 +55,8 @@
      *    are; 0 for never
      * @param halfOpen an end of the connection on one side is not told on the other
      */
-    public record Faults(boolean silent, long delayUs, long jitterUs, long bytesPerSecond, long resetAfter,
-            boolean halfOpen) {
+    public record Faults(
+            boolean silent, long delayUs, long jitterUs, long bytesPerSecond, long resetAfter, boolean halfOpen) {
         public static final Faults NONE = new Faults(false, 0, 0, 0, 0, false);
         public static final Faults SILENT = new Faults(true, 0, 0, 0, 0, true);
 
@@ -97,15 +99,20 @@
     }
 
     private ChannelFuture listen(int on) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 1024)
-                .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         connect(channel);
                     }
-                }).bind(at, on);
+                })
+                .bind(at, on);
     }
 
     public InetSocketAddress address() {
@@ -121,11 +128,13 @@
             if (!to) {
                 listening.close();
             } else if (!listening.isOpen()) {
-                listening = listen(port).addListener(opened -> {
-                    if (!opened.isSuccess()) {
-                        throw new IllegalStateException("cannot listen at " + address(), opened.cause());
-                    }
-                }).channel();
+                listening = listen(port)
+                        .addListener(opened -> {
+                            if (!opened.isSuccess()) {
+                                throw new IllegalStateException("cannot listen at " + address(), opened.cause());
+                            }
+                        })
+                        .channel();
             }
         });
     }
@@ -170,8 +179,11 @@
         InetAddress source = from.remoteAddress().getAddress();
         Passage there = new Passage(Way.TO_TARGET, from, source);
         from.pipeline().addLast(there);
-        new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.AUTO_READ, false)
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.AUTO_READ, false)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel to) {
@@ -181,7 +193,9 @@
                         back.to = from;
                         passages.add(back);
                     }
-                }).connect(target).addListener(done -> {
+                })
+                .connect(target)
+                .addListener(done -> {
                     if (done.isSuccess()) {
                         passages.add(there);
                         there.pass();
@@ -198,16 +212,18 @@
         private final SocketChannel from;
         /** Where the connection came from. */
         private final InetAddress source;
+
         private SocketChannel to;
         /** What has come and is not through yet, each with when it may be. */
         private final ArrayDeque<Piece> held = new ArrayDeque<>();
+
         private int heldBytes;
         private long lastDueNanos;
         private long passed;
         private boolean ended;
         private boolean planned;
 
-        private record Piece(long dueNanos, ByteBuf bytes) { }
+        private record Piece(long dueNanos, ByteBuf bytes) {}
 
         Passage(Way way, SocketChannel from, InetAddress source) {
             this.way = way;
@@ -223,8 +239,8 @@
         public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf bytes = way == tamperedWay ? tampered.apply((ByteBuf) message) : (ByteBuf) message;
             long jitter = now().jitterUs() == 0 ? 0 : random.nextLong(now().jitterUs());
-            lastDueNanos = Math.max(lastDueNanos,
-                    System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(now().delayUs() + jitter));
+            lastDueNanos =
+                    Math.max(lastDueNanos, System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(now().delayUs() + jitter));
             heldBytes += bytes.readableBytes();
             held.add(new Piece(lastDueNanos, bytes));
             pass();
@@ -237,20 +253,23 @@
             }
             from.config().setAutoRead(!now().silent() && heldBytes < MOST_HELD);
             long nowNanos = System.nanoTime();
-            int budget = now().bytesPerSecond() == 0 ? Integer.MAX_VALUE
+            int budget = now().bytesPerSecond() == 0
+                    ? Integer.MAX_VALUE
                     : (int) Math.max(1, now().bytesPerSecond() / PIECES_PER_S);
-            while (!now().silent() && !planned && budget > 0 && !held.isEmpty()
-                    && held.peek().dueNanos <= nowNanos) {
+            while (!now().silent() && !planned && budget > 0 && !held.isEmpty() && held.peek().dueNanos <= nowNanos) {
                 budget -= passSome(budget);
             }
             if (!held.isEmpty() && !planned && !now().silent()) {
                 planned = true;
-                long waitNanos = Math.max(held.peek().dueNanos - nowNanos,
-                        budget > 0 ? 0 : TimeUnit.SECONDS.toNanos(1) / PIECES_PER_S);
-                loop.schedule(() -> {
-                    planned = false;
-                    pass();
-                }, waitNanos, TimeUnit.NANOSECONDS);
+                long waitNanos = Math.max(
+                        held.peek().dueNanos - nowNanos, budget > 0 ? 0 : TimeUnit.SECONDS.toNanos(1) / PIECES_PER_S);
+                loop.schedule(
+                        () -> {
+                            planned = false;
+                            pass();
+                        },
+                        waitNanos,
+                        TimeUnit.NANOSECONDS);
             }
             if (ended && held.isEmpty() && !now().halfOpen()) {
                 to.close();
@@ -284,8 +303,7 @@
         }
 
         void reset() {
-            for (SocketChannel end : to == null ? new SocketChannel[] {from}
-                    : new SocketChannel[] {from, to}) {
+            for (SocketChannel end : to == null ? new SocketChannel[] {from} : new SocketChannel[] {from, to}) {
                 if (end.isActive()) {
                     end.config().setSoLinger(0);
                     end.close();
--- a/rig/src/main/java/kitemux/rig/real/Listener.java
+++ b/rig/src/main/java/kitemux/rig/real/Listener.java
@@ -1,13 +1,5 @@
 package kitemux.rig.real;
 
-import java.io.IOException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
-import java.util.HashSet;
-import java.util.Set;
-import java.util.function.Supplier;
-
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
@@ -18,6 +10,13 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpServerCodec;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.util.HashSet;
+import java.util.Set;
+import java.util.function.Supplier;
 
 /** An address of a stand-in, on loopback, which keeps its port while it is closed and opened again. */
 final class Listener {
@@ -46,18 +45,22 @@
         if (listening != null) {
             return;
         }
-        var opening = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 1024)
+        var opening = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 1024)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         connections.add(channel);
                         channel.closeFuture().addListener(closed -> connections.remove(channel));
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY),
-                                handler.get());
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), handler.get());
                     }
-                }).bind(at, port);
+                })
+                .bind(at, port);
         listening = opening.channel();
         if (loop.inEventLoop()) {
             opening.addListener(opened -> {
--- a/rig/src/main/java/kitemux/rig/real/MemberFleet.java
+++ b/rig/src/main/java/kitemux/rig/real/MemberFleet.java
@@ -1,5 +1,11 @@
 package kitemux.rig.real;
 
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -16,14 +22,6 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
-
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.netty.channel.EventLoop;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
-
 import kitemux.Balancer.Group;
 import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
@@ -47,8 +45,7 @@
     private final Path folder;
     private final int periodMs;
     private final SplittableRandom random;
-    private final EventLoop loop =
-            (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+    private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final List<Process> processes = new ArrayList<>();
 
     /** One place for a process; whoever runs there is one life after the other. */
@@ -117,18 +114,30 @@
             String nobody = own + ":1";
             ObjectNode empty = JSON.createObjectNode().put("rev", 0).put("all", true);
             empty.putArray("targets");
-            NodeConfigFile.write(config, name, Listener.text(listen), nobody,
-                    Listener.text(Listener.free(own)), random.nextLong(), empty, settings(), IDLE_US,
+            NodeConfigFile.write(
+                    config,
+                    name,
+                    Listener.text(listen),
+                    nobody,
+                    Listener.text(Listener.free(own)),
+                    random.nextLong(),
+                    empty,
+                    settings(),
+                    IDLE_US,
                     fleet);
             Map<String, String> all = new HashMap<>(environment);
             all.put("PROXY_NAME", name);
             all.put("PROXY_CONFIG", config.toString());
-            child = new Child(name, deploy.run(), all, deploy.root(), log(), code -> { });
+            child = new Child(name, deploy.run(), all, deploy.root(), log(), code -> {});
         }
 
         private ObjectNode fleet() {
-            ObjectNode fleet = JSON.createObjectNode().put("name", "rig").put("member", name)
-                    .put("bind", Listener.text(bind)).put("advertise", address()).put("periodMs", periodMs);
+            ObjectNode fleet = JSON.createObjectNode()
+                    .put("name", "rig")
+                    .put("member", name)
+                    .put("bind", Listener.text(bind))
+                    .put("advertise", address())
+                    .put("periodMs", periodMs);
             ArrayNode seeds = fleet.putArray("seeds");
             processes.stream().limit(SEEDS).forEach(seed -> seeds.add(seed.address()));
             return fleet;
@@ -187,8 +196,7 @@
     private static Settings settings() {
         Settings settings = new Settings();
         settings.zones.add("a");
-        settings.classes.add(new RequestClass("any", 1_000_000, 0, 2_000_000, 1, 0, Repeat.SAFE, Group.ALL, 0,
-                false));
+        settings.classes.add(new RequestClass("any", 1_000_000, 0, 2_000_000, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
         settings.maxAttempts = 2;
         settings.connectTimeoutUs = 500_000;
         settings.coldFrom = 0.5;
@@ -199,8 +207,12 @@
     }
 
     private static List<String> live(Look.View view) {
-        return Stream.concat(Stream.of(view.self()), view.others().stream().filter(m -> m.state().isLive()))
-                .map(Member::name).sorted().toList();
+        return Stream.concat(
+                        Stream.of(view.self()),
+                        view.others().stream().filter(m -> m.state().isLive()))
+                .map(Member::name)
+                .sorted()
+                .toList();
     }
 
     /** One more place; nothing runs there yet. */
@@ -234,13 +246,15 @@
         for (Process to : processes) {
             Predicate<InetAddress> datagrams = from -> sender(from) != null && between.test(sender(from), to);
             to.datagrams.cut(datagrams);
-            to.connections.cut(from -> datagrams.test(from)
-                    || sender(from) != null && between.test(to, sender(from)));
+            to.connections.cut(from -> datagrams.test(from) || sender(from) != null && between.test(to, sender(from)));
         }
     }
 
     private Process sender(InetAddress address) {
-        return processes.stream().filter(p -> p.bind.getAddress().equals(address)).findFirst().orElse(null);
+        return processes.stream()
+                .filter(p -> p.bind.getAddress().equals(address))
+                .findFirst()
+                .orElse(null);
     }
 
     void heal() {
@@ -269,7 +283,8 @@
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() > end) {
                 StringBuilder told = new StringBuilder("waited " + withinMs + " ms in vain for " + what);
-                processes.forEach(p -> told.append("\n").append(p.name).append(" ").append(p.live()));
+                processes.forEach(
+                        p -> told.append("\n").append(p.name).append(" ").append(p.live()));
                 throw new IllegalStateException(told.toString());
             }
             TimeUnit.MILLISECONDS.sleep(20);
--- a/rig/src/main/java/kitemux/rig/real/NodeClients.java
+++ b/rig/src/main/java/kitemux/rig/real/NodeClients.java
@@ -1,12 +1,5 @@
 package kitemux.rig.real;
 
-import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -27,7 +20,12 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import kitemux.Balancer.Repeat;
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.world.NodePort.Answer;
@@ -56,13 +54,18 @@
     NodeClients(EventLoop loop, InetSocketAddress to, List<Scenario.RequestClass> classes) {
         this.to = to;
         this.classes = classes;
-        dialer = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        dialer = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY),
-                                new Connection(channel));
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MOST_BODY),
+                                        new Connection(channel));
                     }
                 });
     }
@@ -75,7 +78,11 @@
         }
         dialer.connect(to).addListener(done -> {
             if (done.isSuccess()) {
-                ((ChannelFuture) done).channel().pipeline().get(Connection.class).ask(asked, heard);
+                ((ChannelFuture) done)
+                        .channel()
+                        .pipeline()
+                        .get(Connection.class)
+                        .ask(asked, heard);
             } else {
                 heard.ended(Answer.UNREACHABLE, false);
             }
@@ -123,12 +130,16 @@
         private FullHttpRequest message(Try next) {
             Scenario.RequestClass cls = classes.get(next.classIndex());
             boolean safe = cls.repeat() == Repeat.SAFE;
-            FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
+            FullHttpRequest message = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
                     safe ? HttpMethod.GET : HttpMethod.POST,
                     "/api/" + (next.key() == null ? "any" : next.key()),
                     Unpooled.wrappedBuffer(new byte[safe ? 0 : BODY]));
-            message.headers().set(HttpHeaderNames.HOST, "backend.local").set("X-Txn", Asked.txn(next.id()))
-                    .set("X-Lane", cls.name()).set("X-Remaining", next.leftUs() + "u");
+            message.headers()
+                    .set(HttpHeaderNames.HOST, "backend.local")
+                    .set("X-Txn", Asked.txn(next.id()))
+                    .set("X-Lane", cls.name())
+                    .set("X-Remaining", next.leftUs() + "u");
             if (!safe) {
                 message.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY);
             }
@@ -142,8 +153,8 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             int status = response.status().code();
             boolean ok = status == 200;
-            boolean alien = ok && !response.content().toString(StandardCharsets.US_ASCII)
-                    .equals(Asked.txn(asked.id()));
+            boolean alien = ok
+                    && !response.content().toString(StandardCharsets.US_ASCII).equals(Asked.txn(asked.id()));
             Heard by = heard;
             busy.remove(asked.id());
             heard = null;
@@ -153,8 +164,7 @@
                 channel.close();
             }
             if (by != null) {
-                by.ended(ok ? Answer.OK : status == 429 || status == 503 ? Answer.REFUSED : Answer.FAILED,
-                        alien);
+                by.ended(ok ? Answer.OK : status == 429 || status == 503 ? Answer.REFUSED : Answer.FAILED, alien);
             }
         }
 
--- a/rig/src/main/java/kitemux/rig/real/RealNode.java
+++ b/rig/src/main/java/kitemux/rig/real/RealNode.java
@@ -1,5 +1,6 @@
 package kitemux.rig.real;
 
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -10,9 +11,6 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.concurrent.ExecutorService;
-
-import com.fasterxml.jackson.databind.node.ObjectNode;
-
 import kitemux.Balancer.Settings;
 import kitemux.rig.history.Event.Kind;
 import kitemux.rig.history.History;
@@ -26,6 +24,7 @@
 final class RealNode implements NodePort {
     /** How often it is asked whether it is up. */
     private static final long LOOK_US = 50_000;
+
     private static final int CALL_MS = 2_000;
 
     private final String name;
@@ -56,8 +55,18 @@
      * @param discovery where it reaches the list
      * @param outside where what blocks is done: starts, and calls at the control address
      */
-    RealNode(int number, String address, World world, RealTimeline time, Asked asked, StandInList list,
-            String discovery, DeployFile deploy, Path folder, ExecutorService outside) throws IOException {
+    RealNode(
+            int number,
+            String address,
+            World world,
+            RealTimeline time,
+            Asked asked,
+            StandInList list,
+            String discovery,
+            DeployFile deploy,
+            Path folder,
+            ExecutorService outside)
+            throws IOException {
         name = "n" + number;
         zone = world.scenario().fleet().zoneOfNode(number);
         settings = world.settings(number);
@@ -117,13 +126,33 @@
             try {
                 Path temporary = Files.createDirectories(folder.resolve("tmp" + of));
                 Path config = folder.resolve("config.json");
-                NodeConfigFile.write(config, name, Listener.text(listen), discovery,
-                        Listener.text(control), seed, known, settings, world.scenario().net().idleUs(),
-                        null);
-                Child started = new Child(name, deploy.run(), Map.of("PROXY_NAME", name, "PROXY_CONFIG",
-                        config.toString(), "PROXY_LISTEN", Listener.text(listen), "PROXY_DISCOVERY",
+                NodeConfigFile.write(
+                        config,
+                        name,
+                        Listener.text(listen),
                         discovery,
-                        "TMPDIR", temporary.toString()), deploy.root(), folder.resolve("log" + of),
+                        Listener.text(control),
+                        seed,
+                        known,
+                        settings,
+                        world.scenario().net().idleUs(),
+                        null);
+                Child started = new Child(
+                        name,
+                        deploy.run(),
+                        Map.of(
+                                "PROXY_NAME",
+                                name,
+                                "PROXY_CONFIG",
+                                config.toString(),
+                                "PROXY_LISTEN",
+                                Listener.text(listen),
+                                "PROXY_DISCOVERY",
+                                discovery,
+                                "TMPDIR",
+                                temporary.toString()),
+                        deploy.root(),
+                        folder.resolve("log" + of),
                         code -> time.soon(() -> ended(of, code)));
                 time.soon(() -> begun(of, started));
             } catch (IOException e) {
@@ -249,15 +278,22 @@
                 if (!taken) {
                     return;
                 }
-                history().add(name, Kind.ASK, "request", made.id(), "class",
-                        settings.classes.get(made.classIndex()).name(), "left", made.leftUs());
+                history()
+                        .add(
+                                name,
+                                Kind.ASK,
+                                "request",
+                                made.id(),
+                                "class",
+                                settings.classes.get(made.classIndex()).name(),
+                                "left",
+                                made.leftUs());
             }
 
             @Override
             public void ended(Answer answer, boolean alien) {
                 if (taken && answer != Answer.BROKEN) {
-                    history().add(name, Kind.ANSWER, "request", made.id(), "answer",
-                            alien ? "ALIEN" : answer.name());
+                    history().add(name, Kind.ANSWER, "request", made.id(), "answer", alien ? "ALIEN" : answer.name());
                 }
                 asker.answered(answer);
             }
@@ -284,7 +320,8 @@
             history().add(name, Kind.UNCORDON, "server", server);
         }
         outside.execute(() -> {
-            boolean yes = call(control, (out ? "cordon " : "uncordon ") + server + "\n").startsWith("YES");
+            boolean yes = call(control, (out ? "cordon " : "uncordon ") + server + "\n")
+                    .startsWith("YES");
             time.soon(() -> {
                 if (out && yes && cordoned.contains(server)) {
                     history().add(name, Kind.CORDON, "server", server);
--- a/rig/src/main/java/kitemux/rig/real/RealPlay.java
+++ b/rig/src/main/java/kitemux/rig/real/RealPlay.java
@@ -1,5 +1,8 @@
 package kitemux.rig.real;
 
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.file.Path;
@@ -12,11 +15,6 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-
-import io.netty.channel.EventLoop;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
-
 import kitemux.rig.check.Checker;
 import kitemux.rig.check.NoCrash;
 import kitemux.rig.check.Rules;
@@ -35,6 +33,7 @@
 public final class RealPlay implements AutoCloseable {
     /** The most that are started at once on one machine. */
     public static final int MOST_NODES = 128;
+
     private static final long READY_WITHIN_MS = 60_000;
     /** How much later than it happened the rig may hear of something. */
     private static final long SLACK_US = 100_000;
@@ -61,8 +60,9 @@
      * @param file where the history goes, or null
      * @param reader reads along
      */
-    public RealPlay(Scenario scenario, long seed, DeployFile deploy, Path folder, OutputStream file,
-            History.Reader reader) throws IOException {
+    public RealPlay(
+            Scenario scenario, long seed, DeployFile deploy, Path folder, OutputStream file, History.Reader reader)
+            throws IOException {
         if (scenario.fleet().nodes() > MOST_NODES || scenario.fleet().servers() > 60_000) {
             throw new IOException("fleet.nodes = " + scenario.fleet().nodes() + ": at most " + MOST_NODES
                     + " processes are started on one machine");
@@ -84,21 +84,39 @@
         Asked asked = new Asked(world, history);
         int number = 0;
         for (String id : world.servers().keySet()) {
-            servers.put(id, new StandInServer(world.servers().get(id), "127.2." + number / 250 + "."
-                    + (1 + number % 250), world, time, asked));
+            servers.put(
+                    id,
+                    new StandInServer(
+                            world.servers().get(id),
+                            "127.2." + number / 250 + "." + (1 + number % 250),
+                            world,
+                            time,
+                            asked));
             number++;
         }
         for (int i = 0; i < scenario.fleet().nodes(); i++) {
             int of = i;
             servers.forEach((id, server) -> links.add(of, id, server.address()));
-            StandInList list = new StandInList("127.3.0." + (1 + i), time, scenario.fleet().zones(),
+            StandInList list = new StandInList(
+                    "127.3.0." + (1 + i),
+                    time,
+                    scenario.fleet().zones(),
                     id -> Listener.text(links.link(of, id).address()));
             lists.add(list);
-            FaultLink listLink = new FaultLink(linkLoop, "127.5.0." + (1 + i), list.address(),
-                    time.stream("list link " + i));
+            FaultLink listLink =
+                    new FaultLink(linkLoop, "127.5.0." + (1 + i), list.address(), time.stream("list link " + i));
             listLinks.add(listLink);
-            RealNode node = new RealNode(i, "127.1.0." + (1 + i), world, time, asked, list,
-                    Listener.text(listLink.address()), deploy, folder, outside);
+            RealNode node = new RealNode(
+                    i,
+                    "127.1.0." + (1 + i),
+                    world,
+                    time,
+                    asked,
+                    list,
+                    Listener.text(listLink.address()),
+                    deploy,
+                    folder,
+                    outside);
             nodes.add(node);
             world.add(node);
         }
@@ -123,7 +141,9 @@
             world.start();
             return null;
         });
-        await("all nodes to be up", READY_WITHIN_MS,
+        await(
+                "all nodes to be up",
+                READY_WITHIN_MS,
                 () -> world.nodes().stream().allMatch(NodePort::isReady));
         long startedUs = onLoop(() -> {
             world.open();
@@ -136,8 +156,7 @@
             if (time.nowUs() > lastUs && onLoop(world::waiting) == 0) {
                 break;
             }
-            TimeUnit.MICROSECONDS.sleep(Math.max(1,
-                    Math.min(endUs, startedUs + second * 1_000_000) - time.nowUs()));
+            TimeUnit.MICROSECONDS.sleep(Math.max(1, Math.min(endUs, startedUs + second * 1_000_000) - time.nowUs()));
             long played = second;
             onLoop(() -> {
                 progress.second(played * 1_000_000, world);
@@ -158,8 +177,7 @@
         }
     }
 
-    private void await(String what, long withinMs, Callable<Boolean> holds)
-            throws IOException, InterruptedException {
+    private void await(String what, long withinMs, Callable<Boolean> holds) throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
         while (!onLoop(holds)) {
             if (time.failure() != null) {
@@ -197,12 +215,13 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        loop.submit(() -> { }).awaitUninterruptibly();
+        loop.submit(() -> {}).awaitUninterruptibly();
         nodes.parallelStream().forEach(RealNode::close);
         loop.submit(() -> {
-            servers.values().forEach(StandInServer::close);
-            lists.forEach(StandInList::close);
-        }).awaitUninterruptibly();
+                    servers.values().forEach(StandInServer::close);
+                    lists.forEach(StandInList::close);
+                })
+                .awaitUninterruptibly();
         links.close();
         listLinks.forEach(FaultLink::close);
         linkLoop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
--- a/rig/src/main/java/kitemux/rig/real/RealTimeline.java
+++ b/rig/src/main/java/kitemux/rig/real/RealTimeline.java
@@ -1,12 +1,10 @@
 package kitemux.rig.real;
 
+import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.Future;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-
-import io.netty.channel.EventLoop;
-import io.netty.util.concurrent.Future;
-
 import kitemux.rig.time.Streams;
 import kitemux.rig.time.Timeline;
 
@@ -35,8 +33,7 @@
 
     @Override
     public Timer at(long atUs, Runnable what) {
-        Future<?> planned = loop.schedule(() -> run(what), Math.max(0, atUs - nowUs()),
-                TimeUnit.MICROSECONDS);
+        Future<?> planned = loop.schedule(() -> run(what), Math.max(0, atUs - nowUs()), TimeUnit.MICROSECONDS);
         return () -> planned.cancel(false);
     }
 
--- a/rig/src/main/java/kitemux/rig/real/ServerLinks.java
+++ b/rig/src/main/java/kitemux/rig/real/ServerLinks.java
@@ -1,5 +1,6 @@
 package kitemux.rig.real;
 
+import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -7,9 +8,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-
-import io.netty.channel.EventLoop;
-
 import kitemux.rig.real.FaultLink.Faults;
 import kitemux.rig.real.FaultLink.Way;
 import kitemux.rig.world.Links;
--- a/rig/src/main/java/kitemux/rig/real/StandInList.java
+++ b/rig/src/main/java/kitemux/rig/real/StandInList.java
@@ -1,15 +1,5 @@
 package kitemux.rig.real;
 
-import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Locale;
-import java.util.Map;
-import java.util.Set;
-import java.util.function.Function;
-
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -25,7 +15,15 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Function;
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
@@ -93,13 +91,18 @@
         ObjectNode list = JSON.createObjectNode().put("rev", version).put("all", all);
         ArrayNode targets = list.putArray("targets");
         for (ServerEntry entry : entries) {
-            String state = entry.state() == ServerState.DRAINING ? "Terminating"
-                    : entry.state().name().charAt(0) + entry.state().name().substring(1)
-                    .toLowerCase(Locale.ROOT);
-            targets.addObject().put("uid", entry.id()).put("endpoint", endpoints.apply(entry.id()))
-                    .put("az", zones.get(entry.zone())).put("model", "stand-in")
+            String state = entry.state() == ServerState.DRAINING
+                    ? "Terminating"
+                    : entry.state().name().charAt(0)
+                            + entry.state().name().substring(1).toLowerCase(Locale.ROOT);
+            targets.addObject()
+                    .put("uid", entry.id())
+                    .put("endpoint", endpoints.apply(entry.id()))
+                    .put("az", zones.get(entry.zone()))
+                    .put("model", "stand-in")
                     .put("pod_group", entry.cell())
-                    .put("state", state).put("capacity_hint", entry.weight())
+                    .put("state", state)
+                    .put("capacity_hint", entry.weight())
                     .put("boot_ms", entry.startedAtUs() == 0 ? 0 : time.unixMs(entry.startedAtUs()));
         }
         return list;
@@ -117,8 +120,7 @@
             } else if (!request.uri().contains("watch=1")) {
                 end(HttpResponseStatus.OK, json(true, List.copyOf(known.values())));
             } else {
-                DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1,
-                        HttpResponseStatus.OK);
+                DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 HttpUtil.setTransferEncodingChunked(head, true);
                 context.write(head);
                 watches.add(this);
@@ -128,9 +130,10 @@
         }
 
         private void end(HttpResponseStatus status, String body) {
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                    Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+            FullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
             context.writeAndFlush(response);
         }
 
@@ -144,8 +147,7 @@
         }
 
         private void say(String line) {
-            context.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(line,
-                    StandardCharsets.UTF_8)));
+            context.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8)));
         }
 
         @Override
--- a/rig/src/main/java/kitemux/rig/real/StandInServer.java
+++ b/rig/src/main/java/kitemux/rig/real/StandInServer.java
@@ -1,10 +1,5 @@
 package kitemux.rig.real;
 
-import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.Locale;
-import java.util.SplittableRandom;
-
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
@@ -14,7 +9,10 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
-
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.Locale;
+import java.util.SplittableRandom;
 import kitemux.Balancer.Result;
 import kitemux.rig.world.AppServer;
 import kitemux.rig.world.Work;
@@ -93,16 +91,21 @@
             long untilUs = time.nowUs() + leftUs;
             time.after(world.links().delay(random, from, server.zone()), () -> {
                 if (attempt == sent) {
-                    job = server.take(new Work(sent.node().name(), sent.request(), sent.number(),
-                            sent.asked().classIndex(), sent.asked().key(),
-                            world.attemptWork(sent.asked(), random), untilUs),
+                    job = server.take(
+                            new Work(
+                                    sent.node().name(),
+                                    sent.request(),
+                                    sent.number(),
+                                    sent.asked().classIndex(),
+                                    sent.asked().key(),
+                                    world.attemptWork(sent.asked(), random),
+                                    untilUs),
                             (result, report) -> replied(context, sent, result, report));
                 }
             });
         }
 
-        private void replied(ChannelHandlerContext context, Asked.Attempt of, Result result,
-                double[] report) {
+        private void replied(ChannelHandlerContext context, Asked.Attempt of, Result result, double[] report) {
             int to = of.node().zone();
             if (attempt != of || server.isSilent() || world.links().isCut(server.zone(), to)) {
                 return;
@@ -114,10 +117,8 @@
                 end(result);
                 switch (result) {
                     case OK -> answer(context, HttpResponseStatus.OK, of.txn(), false, report);
-                    case ERROR -> answer(context, HttpResponseStatus.INTERNAL_SERVER_ERROR, "error", false,
-                            report);
-                    case FULL -> answer(context, HttpResponseStatus.SERVICE_UNAVAILABLE, "full", true,
-                            report);
+                    case ERROR -> answer(context, HttpResponseStatus.INTERNAL_SERVER_ERROR, "error", false, report);
+                    case FULL -> answer(context, HttpResponseStatus.SERVICE_UNAVAILABLE, "full", true, report);
                     default -> context.close();
                 }
             });
@@ -129,19 +130,20 @@
             job = null;
         }
 
-        private void answer(ChannelHandlerContext context, HttpResponseStatus status, String body,
-                boolean away,
-                double... report) {
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                    Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+        private void answer(
+                ChannelHandlerContext context, HttpResponseStatus status, String body, boolean away, double... report) {
+            FullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
             if (away) {
                 response.headers().set("X-Turned-Away", "1");
             }
             if (report != null && report.length == 2) {
-                response.headers().set("X-Pressure",
-                        String.format(Locale.ROOT, "TEXT queue=%.2f, inflight=%.2f",
-                        report[0], report[1]));
+                response.headers()
+                        .set(
+                                "X-Pressure",
+                                String.format(Locale.ROOT, "TEXT queue=%.2f, inflight=%.2f", report[0], report[1]));
             }
             context.writeAndFlush(response);
         }
--- a/rig/src/main/java/kitemux/rig/scale/ModuleScale.java
+++ b/rig/src/main/java/kitemux/rig/scale/ModuleScale.java
@@ -6,7 +6,6 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-
 import kitemux.Balancer;
 import kitemux.Balancer.Group;
 import kitemux.Balancer.ListKind;
@@ -30,9 +29,10 @@
     private static final int ZONES = 19;
     /** Of attempts that fail, where some do: each changes the weights of all draws. */
     private static final double FAILING = 0.01;
+
     private static final long GAP_US = 8_000;
 
-    private ModuleScale() { }
+    private ModuleScale() {}
 
     /**
      * What one module cost.
@@ -45,8 +45,14 @@
      * @param decisionUs the same for a request and its answer, where all succeed, median of five means
      * @param failingDecisionUs the same where one answer in a hundred is an error
      */
-    public record Cost(int nodes, int servers, long stateBytes, double wholeListUs, double oneChangeUs,
-            double decisionUs, double failingDecisionUs) { }
+    public record Cost(
+            int nodes,
+            int servers,
+            long stateBytes,
+            double wholeListUs,
+            double oneChangeUs,
+            double decisionUs,
+            double failingDecisionUs) {}
 
     /** Measures a module before so many servers, with so many requests in each round. */
     public static Cost measure(int nodes, int servers, int requests) {
@@ -64,8 +70,7 @@
             failing[i] = cpuUs(() -> driver.ask(requests, FAILING)) / requests;
         }
         double change = cpuUs(() -> driver.change(CHANGES)) / CHANGES;
-        return new Cost(nodes, servers, stateBytes, median(lists), change, median(decisions),
-                median(failing));
+        return new Cost(nodes, servers, stateBytes, median(lists), change, median(decisions), median(failing));
     }
 
     private static double median(double[] values) {
@@ -103,8 +108,8 @@
             for (int zone = 0; zone < ZONES; zone++) {
                 settings.zones.add("zone-" + zone);
             }
-            settings.classes.add(new RequestClass("page", 1_000_000, 0, 5_000_000, 1, 0, Repeat.SAFE,
-                    Group.ALL, 1_000_000, false));
+            settings.classes.add(
+                    new RequestClass("page", 1_000_000, 0, 5_000_000, 1, 0, Repeat.SAFE, Group.ALL, 1_000_000, false));
             for (int i = 0; i < servers; i++) {
                 entries.add(new ServerEntry("s-" + i, i % ZONES, 0, ServerState.READY, 1, 0));
             }
@@ -120,8 +125,10 @@
             for (int i = 0; i < changes; i++) {
                 ServerEntry entry = entries.get(0);
                 ServerState state = i % 2 == 0 ? ServerState.DRAINING : ServerState.READY;
-                module.onServers(nowUs, ListKind.CHANGES, List.of(new ServerEntry(entry.id(), entry.zone(),
-                        entry.cell(), state, 1, 0)));
+                module.onServers(
+                        nowUs,
+                        ListKind.CHANGES,
+                        List.of(new ServerEntry(entry.id(), entry.zone(), entry.cell(), state, 1, 0)));
             }
         }
 
@@ -135,8 +142,9 @@
                 while (sent) {
                     sent = false;
                     boolean fails = random.nextDouble() < failing;
-                    module.onOutcome(nowUs, new Outcome(id, attempts - 1, fails ? Result.ERROR : Result.OK,
-                            1_000, !fails, null));
+                    module.onOutcome(
+                            nowUs,
+                            new Outcome(id, attempts - 1, fails ? Result.ERROR : Result.OK, 1_000, !fails, null));
                 }
             }
         }
@@ -148,27 +156,27 @@
         }
 
         @Override
-        public void cancel(long requestId, int attempt) { }
+        public void cancel(long requestId, int attempt) {}
 
         @Override
-        public void refuse(long requestId, long retryAfterUs) { }
+        public void refuse(long requestId, long retryAfterUs) {}
 
         @Override
-        public void fail(long requestId) { }
+        public void fail(long requestId) {}
 
         @Override
-        public void wakeAt(long atUs) { }
+        public void wakeAt(long atUs) {}
 
         @Override
-        public void probe(String serverId) { }
+        public void probe(String serverId) {}
 
         @Override
-        public void closeIdle(String serverId) { }
+        public void closeIdle(String serverId) {}
 
         @Override
-        public void subscribe() { }
+        public void subscribe() {}
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
     }
 }
--- a/rig/src/main/java/kitemux/rig/scenario/DayFile.java
+++ b/rig/src/main/java/kitemux/rig/scenario/DayFile.java
@@ -1,14 +1,13 @@
 package kitemux.rig.scenario;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
 
 /**
  * Makes a scenario of a day that the platform's simulator has drawn, so that this model's G can be held
@@ -28,7 +27,8 @@
     /** The scenario as TOML. */
     public static String toToml(Path file, String name) throws IOException {
         JsonNode day = new ObjectMapper().readTree(Files.readString(file));
-        if (!day.path("tiers").isArray() || !day.path("servers").isArray()
+        if (!day.path("tiers").isArray()
+                || !day.path("servers").isArray()
                 || !day.path("classes").isArray()) {
             throw new IOException(file + ": is no day, which has tiers, servers and classes");
         }
@@ -54,7 +54,8 @@
     }
 
     private void fleet() {
-        ObjectNode fleet = scenario.putObject("fleet").put("nodes", day.path("balancers").size())
+        ObjectNode fleet = scenario.putObject("fleet")
+                .put("nodes", day.path("balancers").size())
                 .put("servers", day.path("servers").size());
         fleet.set("zones", day.path("zones"));
         copy(day.path("balancers"), "zone", fleet.putArray("node_zones"));
@@ -73,7 +74,10 @@
         double capacity = 0;
         for (JsonNode server : day.path("servers")) {
             capacity += server.path("speed").asDouble()
-                    * tier().path("kinds").path(server.path("kind").asInt()).path("cores").asInt();
+                    * tier().path("kinds")
+                            .path(server.path("kind").asInt())
+                            .path("cores")
+                            .asInt();
         }
         double work = 0;
         for (JsonNode c : day.path("classes")) {
@@ -93,20 +97,24 @@
         ArrayNode classes = scenario.putArray("class");
         for (JsonNode c : day.path("classes")) {
             boolean exponential = c.path("dist").asText().equals("exp");
-            classes.addObject().put("name", c.path("name").asText()).put("share", c.path("share").asDouble())
+            classes.addObject()
+                    .put("name", c.path("name").asText())
+                    .put("share", c.path("share").asDouble())
                     .put("work_ms", c.path("work").asDouble() / MS)
                     .put("cv", exponential ? 1 : c.path("cv").asDouble())
                     .put("attempt_noise", c.path("attempt_noise").asDouble())
                     .put("aim_ms", c.path("aim").asDouble() / MS)
                     .put("deadline_ms", c.path("deadline").asDouble() / MS)
-                    .put("worth", c.path("worth").asDouble()).put("effect", c.path("effect").asText());
+                    .put("worth", c.path("worth").asDouble())
+                    .put("effect", c.path("effect").asText());
         }
     }
 
     private void clients() {
         JsonNode clients = day.path("clients");
         boolean waits = !clients.path("backoff").asText().equals("none");
-        scenario.putObject("clients").put("tries", 1 + clients.path("retries").asInt())
+        scenario.putObject("clients")
+                .put("tries", 1 + clients.path("retries").asInt())
                 .put("try_share", clients.path("try_share").asDouble())
                 .put("backoff_ms", waits ? clients.path("backoff_us").asDouble() / MS : 0)
                 .put("leaving", clients.path("impatient").asDouble())
@@ -116,20 +124,24 @@
 
     private void net() {
         JsonNode net = day.path("net");
-        scenario.putObject("net").put("same_zone_ms", net.path("same").asDouble() / MS)
+        scenario.putObject("net")
+                .put("same_zone_ms", net.path("same").asDouble() / MS)
                 .put("cross_zone_ms", net.path("cross").asDouble() / MS)
                 .put("client_ms", net.path("client").asDouble() / MS)
                 .put("jitter", net.path("jitter").asDouble())
                 .put("connect_timeout_ms", tier().path("connect_timeout").asDouble() / MS)
-                .put("handshake_trips", (int) Math.round(tier().path("handshake_rtts").asDouble()))
+                .put("handshake_trips", (int)
+                        Math.round(tier().path("handshake_rtts").asDouble()))
                 .put("handshake_work_ms", tier().path("handshake_work").asDouble() / MS)
-                .put("connections_per_core", (int) tier().path("conn_cap_per_core").asDouble())
+                .put("connections_per_core", (int)
+                        tier().path("conn_cap_per_core").asDouble())
                 .put("idle_s", tier().path("conn_idle").asDouble() / S);
     }
 
     private void list() {
         JsonNode discovery = day.path("discovery");
-        scenario.putObject("list").put("add_s", discovery.path("add").asDouble() / S)
+        scenario.putObject("list")
+                .put("add_s", discovery.path("add").asDouble() / S)
                 .put("change_s", discovery.path("period").asDouble() / S)
                 .put("death_s", discovery.path("notice").asDouble() / S)
                 .put("silence_s", discovery.path("silent_notice").asDouble() / S)
@@ -141,7 +153,8 @@
         for (JsonNode kind : tier().path("kinds")) {
             int cores = kind.path("cores").asInt();
             // Slots and queue are told of the machine, and counted by the core here.
-            servers.addObject().put("cores", cores)
+            servers.addObject()
+                    .put("cores", cores)
                     .put("slots", Math.max(1, kind.path("slots").asInt() / cores))
                     .put("queue", kind.path("queue").asInt() / cores)
                     .put("thrash", kind.path("thrash").asDouble())
@@ -152,8 +165,8 @@
                     .put("pause_ms", kind.path("pause").asDouble() / MS)
                     .put("pause_grow", kind.path("pause_grow").asDouble())
                     .put("error_rate", kind.path("error_rate").asDouble())
-                    .put("keys_kept",
-                            (int) Math.round(day.path("fam").path("affinity_keys_per_core").asDouble()))
+                    .put("keys_kept", (int) Math.round(
+                            day.path("fam").path("affinity_keys_per_core").asDouble()))
                     .put("keys_kept_s", day.path("fam").path("affinity_s").asDouble())
                     .put("key_gain", day.path("fam").path("affinity_gain").asDouble())
                     .put("report_every_ms", tier().path("report_period").asDouble() / MS)
@@ -165,7 +178,8 @@
 
     private void rules() {
         JsonNode allow = day.path("allow");
-        scenario.putObject("rules").put("max_attempts", allow.path("max_attempts").asInt())
+        scenario.putObject("rules")
+                .put("max_attempts", allow.path("max_attempts").asInt())
                 .put("second_copies", allow.path("second_copies").asBoolean())
                 .put("cancel", allow.path("cancel").asBoolean())
                 .put("drain_grace_ms", day.path("drain_grace").asDouble() / MS)
@@ -173,7 +187,8 @@
                 .put("fall_ms", day.path("fall_for").asDouble() / MS);
         JsonNode goal = day.path("goal");
         JsonNode prices = day.path("prices");
-        scenario.putObject("prices").put("whole", goal.path("whole").asDouble())
+        scenario.putObject("prices")
+                .put("whole", goal.path("whole").asDouble())
                 .put("worst_window", goal.path("worst_window").asDouble())
                 .put("worst_class", goal.path("worst_class").asDouble())
                 .put("cross_zone", prices.path("cross_zone").asDouble())
@@ -184,7 +199,8 @@
     private void troubles() {
         ArrayNode troubles = scenario.putArray("trouble");
         for (JsonNode trouble : day.path("troubles")) {
-            ObjectNode told = troubles.addObject().put("kind", trouble.path("kind").asText())
+            ObjectNode told = troubles.addObject()
+                    .put("kind", trouble.path("kind").asText())
                     .put("at_s", trouble.path("at").asDouble() / S)
                     .put("length_s", trouble.path("len").asDouble() / S)
                     .put("size", trouble.path("size").asDouble())
--- a/rig/src/main/java/kitemux/rig/scenario/Fields.java
+++ b/rig/src/main/java/kitemux/rig/scenario/Fields.java
@@ -1,5 +1,7 @@
 package kitemux.rig.scenario;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.Iterator;
@@ -7,9 +9,6 @@
 import java.util.Locale;
 import java.util.Set;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.JsonNodeFactory;
-
 /**
  * One table of a scenario file, read key by key. What is wrong is gathered and not thrown, so that all faults
  * of a file are told at once.
@@ -94,8 +93,7 @@
             return orElse;
         }
         if (!value.isTextual() || value.asText().isBlank()) {
-            faults.add(path(key) + (value.isMissingNode() ? " is missing" : " = " + value)
-                    + ": must be a text");
+            faults.add(path(key) + (value.isMissingNode() ? " is missing" : " = " + value) + ": must be a text");
             return orElse == null ? "" : orElse;
         }
         return value.asText();
@@ -132,12 +130,15 @@
         JsonNode value = value(key);
         List<Double> numbers = new ArrayList<>();
         value.forEach(number -> numbers.add(number.isNumber() ? number.asDouble() : Double.NaN));
-        boolean fits = value.isArray() && (wanted < 0 || numbers.size() == wanted)
+        boolean fits = value.isArray()
+                && (wanted < 0 || numbers.size() == wanted)
                 && numbers.stream().allMatch(number -> number >= least && number <= most);
         if (!value.isMissingNode() && !fits) {
-            fault(key, value,
+            fault(
+                    key,
+                    value,
                     "a list of " + (wanted < 0 ? "" : wanted + " ") + "numbers from " + plain(least) + " to "
-                    + plain(most));
+                            + plain(most));
             return List.of();
         }
         return numbers;
@@ -179,17 +180,19 @@
 
     /** To be called once all keys are read: what is left is not known. */
     void end() {
-        for (Iterator<String> keys = table.fieldNames(); keys.hasNext();) {
+        for (Iterator<String> keys = table.fieldNames(); keys.hasNext(); ) {
             String key = keys.next();
             if (!known.contains(key)) {
-                faults.add(path(key) + " = " + table.get(key) + ": is not known" + nearest(key, known)
-                        + "; keys here are " + String.join(", ", known.stream().sorted().toList()));
+                faults.add(
+                        path(key) + " = " + table.get(key) + ": is not known" + nearest(key, known) + "; keys here are "
+                                + String.join(", ", known.stream().sorted().toList()));
             }
         }
     }
 
     private static String plain(double number) {
-        return number == Math.rint(number) && Math.abs(number) < 1e15 ? Long.toString((long) number)
+        return number == Math.rint(number) && Math.abs(number) < 1e15
+                ? Long.toString((long) number)
                 : String.format(Locale.ROOT, "%s", number);
     }
 
--- a/rig/src/main/java/kitemux/rig/scenario/Scenario.java
+++ b/rig/src/main/java/kitemux/rig/scenario/Scenario.java
@@ -1,25 +1,39 @@
 package kitemux.rig.scenario;
 
 import java.util.List;
-
 import kitemux.Balancer.Repeat;
 
 /**
  * All that one run is made of, but for its seed. Lengths of time are microseconds; shares lie between 0 and
  * 1. What each figure does stands in {@code docs/model.md}.
  */
-public record Scenario(String name, long lengthUs, Fleet fleet, Load load, List<RequestClass> classes,
+public record Scenario(
+        String name,
+        long lengthUs,
+        Fleet fleet,
+        Load load,
+        List<RequestClass> classes,
         Clients clients,
-        Net net, ServerList list, List<ServerKind> servers, Rules rules, Prices prices,
+        Net net,
+        ServerList list,
+        List<ServerKind> servers,
+        Rules rules,
+        Prices prices,
         List<Trouble> troubles) {
 
     /**
      * How many there are of each, and where. What stands in the lists is by number; where one is empty, nodes
      * and servers go round the zones, servers are of the first kind, and their speeds are drawn.
      */
-    public record Fleet(int nodes, int servers, List<String> zones, long readyAfterUs,
+    public record Fleet(
+            int nodes,
+            int servers,
+            List<String> zones,
+            long readyAfterUs,
             List<Integer> nodeZones,
-            List<Integer> serverZones, List<Integer> serverKinds, List<Double> speeds) {
+            List<Integer> serverZones,
+            List<Integer> serverKinds,
+            List<Double> speeds) {
 
         public int zoneOfNode(int number) {
             return nodeZones.isEmpty() ? number % zones.size() : nodeZones.get(number);
@@ -35,8 +49,14 @@
 
         /** With fewer of both, the first ones. */
         public Fleet first(int fewerNodes, int fewerServers) {
-            return new Fleet(fewerNodes, fewerServers, zones, readyAfterUs, head(nodeZones, fewerNodes),
-                    head(serverZones, fewerServers), head(serverKinds, fewerServers),
+            return new Fleet(
+                    fewerNodes,
+                    fewerServers,
+                    zones,
+                    readyAfterUs,
+                    head(nodeZones, fewerNodes),
+                    head(serverZones, fewerServers),
+                    head(serverKinds, fewerServers),
                     head(speeds, fewerServers));
         }
 
@@ -55,8 +75,8 @@
      * @param zoneShares in place of the skew, where not empty: what part each zone's clients ask for
      * @param shape by how much more or less is asked for in each second; from its last on, as in that
      */
-    public record Load(double perSecond, double zoneSkew, int keys, double keyZipf, List<Double> zoneShares,
-            List<Double> shape) {
+    public record Load(
+            double perSecond, double zoneSkew, int keys, double keyZipf, List<Double> zoneShares, List<Double> shape) {
 
         /** With this much asked for, and so many keys. */
         public Load of(double otherPerSecond, int otherKeys) {
@@ -70,40 +90,77 @@
      * @param cv spread of the work over its mean, from request to request
      * @param attemptNoise the same from attempt to attempt of one request
      */
-    public record RequestClass(String name, double share, long workUs, double cv, double attemptNoise,
+    public record RequestClass(
+            String name,
+            double share,
+            long workUs,
+            double cv,
+            double attemptNoise,
             long aimUs,
-            long deadlineUs, double worth, Repeat repeat) { }
+            long deadlineUs,
+            double worth,
+            Repeat repeat) {}
 
     /**
      * @param tries a client makes at most
      * @param tryShare of its time left that it gives each try but the last
      * @param leaving share of first tries that the client leaves early
      */
-    public record Clients(int tries, double tryShare, long backoffUs, double leaving, boolean marksRepeats,
-            long noticeUs) { }
+    public record Clients(
+            int tries, double tryShare, long backoffUs, double leaving, boolean marksRepeats, long noticeUs) {}
 
     /** One way from one party to another: mean, and the spread around it as a share. */
-    public record Net(long sameZoneUs, long crossZoneUs, long clientUs, double jitter, long connectTimeoutUs,
-            int handshakeTrips, long handshakeWorkUs, int connectionsPerCore, long idleUs) { }
+    public record Net(
+            long sameZoneUs,
+            long crossZoneUs,
+            long clientUs,
+            double jitter,
+            long connectTimeoutUs,
+            int handshakeTrips,
+            long handshakeWorkUs,
+            int connectionsPerCore,
+            long idleUs) {}
 
     /** How late nodes hear of what: starts, planned changes, deaths, and machines that fall silent. */
-    public record ServerList(long addUs, long changeUs, long deathUs, long silenceUs, long spreadUs) { }
+    public record ServerList(long addUs, long changeUs, long deathUs, long silenceUs, long spreadUs) {}
 
     /** What an app server is; see {@code AppServer}. */
-    public record ServerKind(int cores, double speed, double speedCv, int slots, int queue, double thrash,
-            int thrashAt, double coldFrom, long coldUs, long pauseEveryUs, long pauseUs, double pauseGrow,
-            double errorRate, int keysKept, long keysKeptUs, double keyGain, long reportEveryUs,
+    public record ServerKind(
+            int cores,
+            double speed,
+            double speedCv,
+            int slots,
+            int queue,
+            double thrash,
+            int thrashAt,
+            double coldFrom,
+            long coldUs,
+            long pauseEveryUs,
+            long pauseUs,
+            double pauseGrow,
+            double errorRate,
+            int keysKept,
+            long keysKeptUs,
+            double keyGain,
+            long reportEveryUs,
             long reportDelayUs,
-            double reportNoise, boolean dropsExpired) { }
+            double reportNoise,
+            boolean dropsExpired) {}
 
     /** What the platform forbids, in figures. */
-    public record Rules(int maxAttempts, boolean secondCopies, boolean cancel, long drainGraceUs,
+    public record Rules(
+            int maxAttempts,
+            boolean secondCopies,
+            boolean cancel,
+            long drainGraceUs,
             long answerGraceUs,
-            double fallMultiple, long fallUs, long downUs) { }
+            double fallMultiple,
+            long fallUs,
+            long downUs) {}
 
     /** What G is made of: shares of the whole, the worst window and the worst class, and what comes off. */
-    public record Prices(double whole, double worstWindow, double worstClass, double crossZone, double waste,
-            double lateFail) { }
+    public record Prices(
+            double whole, double worstWindow, double worstClass, double crossZone, double waste, double lateFail) {}
 
     /**
      * Something that goes wrong.
@@ -113,8 +170,8 @@
      * @param on the numbers of the servers that it strikes, or of the class, in place of a part by chance; or
      *    empty
      */
-    public record Trouble(String kind, long atUs, long lengthUs, double part, double size, double extra,
-            List<Integer> on) { }
+    public record Trouble(
+            String kind, long atUs, long lengthUs, double part, double size, double extra, List<Integer> on) {}
 
     /** Mean work of a request on a standard core. */
     public double meanWorkUs() {
@@ -123,13 +180,12 @@
 
     /** The same with other troubles. */
     public Scenario with(List<Trouble> others) {
-        return new Scenario(name, lengthUs, fleet, load, classes, clients, net, list, servers, rules,
-                prices, List.copyOf(others));
+        return new Scenario(
+                name, lengthUs, fleet, load, classes, clients, net, list, servers, rules, prices, List.copyOf(others));
     }
 
     /** The same with another length, fleet and load. */
     public Scenario with(long length, Fleet other, Load less) {
-        return new Scenario(name, length, other, less, classes, clients, net, list, servers, rules, prices,
-                troubles);
+        return new Scenario(name, length, other, less, classes, clients, net, list, servers, rules, prices, troubles);
     }
 }
--- a/rig/src/main/java/kitemux/rig/time/Streams.java
+++ b/rig/src/main/java/kitemux/rig/time/Streams.java
@@ -11,7 +11,7 @@
     private static final long FNV_START = 0xCBF29CE484222325L;
     private static final long FNV_PRIME = 0x100000001B3L;
 
-    private Streams() { }
+    private Streams() {}
 
     /** The stream of an actor. */
     public static SplittableRandom stream(long seed, String actor) {
--- a/rig/src/main/java/kitemux/rig/trouble/Crash.java
+++ b/rig/src/main/java/kitemux/rig/trouble/Crash.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.world.AppServer;
 import kitemux.rig.world.World;
@@ -13,7 +12,7 @@
     public Struck strike(World world, Scenario.Trouble told, SplittableRandom random) {
         List<AppServer> struck = world.struckBy(told, random);
         struck.forEach(world::killServer);
-        return Struck.servers(struck,
-                () -> struck.stream().filter(server -> !server.isUp()).forEach(world::startServer));
+        return Struck.servers(
+                struck, () -> struck.stream().filter(server -> !server.isUp()).forEach(world::startServer));
     }
 }
--- a/rig/src/main/java/kitemux/rig/trouble/HeavyTail.java
+++ b/rig/src/main/java/kitemux/rig/trouble/HeavyTail.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.world.World;
 
@@ -10,10 +9,10 @@
 final class HeavyTail implements Trouble {
     @Override
     public Struck strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        int classIndex = told.on().isEmpty() ? random.nextInt(world.scenario().classes().size())
+        int classIndex = told.on().isEmpty()
+                ? random.nextInt(world.scenario().classes().size())
                 : told.on().get(0);
         world.heavy(classIndex, told.extra(), told.size());
-        return new Struck(List.of(world.scenario().classes().get(classIndex).name()),
-                () -> world.heavy(-1, 0, 1));
+        return new Struck(List.of(world.scenario().classes().get(classIndex).name()), () -> world.heavy(-1, 0, 1));
     }
 }
--- a/rig/src/main/java/kitemux/rig/trouble/LostAnswers.java
+++ b/rig/src/main/java/kitemux/rig/trouble/LostAnswers.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.world.AppServer;
 import kitemux.rig.world.World;
@@ -13,6 +12,7 @@
     public Struck strike(World world, Scenario.Trouble told, SplittableRandom random) {
         List<AppServer> struck = world.struckBy(told, random);
         struck.forEach(server -> world.links().mute(server, true));
-        return Struck.servers(struck, () -> struck.forEach(server -> world.links().mute(server, false)));
+        return Struck.servers(
+                struck, () -> struck.forEach(server -> world.links().mute(server, false)));
     }
 }
--- a/rig/src/main/java/kitemux/rig/trouble/Partition.java
+++ b/rig/src/main/java/kitemux/rig/trouble/Partition.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.world.World;
 
@@ -14,8 +13,8 @@
     public Struck strike(World world, Scenario.Trouble told, SplittableRandom random) {
         int zone = random.nextInt(world.zones());
         cut(world, zone, told.size() == 2, true);
-        return new Struck(List.of(world.scenario().fleet().zones().get(zone)),
-                () -> cut(world, zone, told.size() == 2, false));
+        return new Struck(
+                List.of(world.scenario().fleet().zones().get(zone)), () -> cut(world, zone, told.size() == 2, false));
     }
 
     private static void cut(World world, int zone, boolean outwards, boolean off) {
--- a/rig/src/main/java/kitemux/rig/trouble/Release.java
+++ b/rig/src/main/java/kitemux/rig/trouble/Release.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.world.AppServer;
 import kitemux.rig.world.World;
@@ -11,6 +10,7 @@
 final class Release implements Trouble {
     /** From the word that one drains to its end, beyond what the list and the rule on drains take. */
     private static final long LINGERS_US = 1_000_000;
+
     private static final long DOWN_US = 500_000;
 
     @Override
@@ -18,8 +18,9 @@
         List<AppServer> struck = world.struckBy(told, random);
         long gapUs = told.lengthUs() / Math.max(1, struck.size());
         Scenario scenario = world.scenario();
-        long toldUs = scenario.list().changeUs() + scenario.list().spreadUs() + scenario.rules()
-                .drainGraceUs();
+        long toldUs = scenario.list().changeUs()
+                + scenario.list().spreadUs()
+                + scenario.rules().drainGraceUs();
         for (int i = 0; i < struck.size(); i++) {
             AppServer server = struck.get(i);
             world.time().after(i * gapUs, () -> {
@@ -31,6 +32,6 @@
                 });
             });
         }
-        return Struck.servers(struck, () -> { });
+        return Struck.servers(struck, () -> {});
     }
 }
--- a/rig/src/main/java/kitemux/rig/trouble/Resets.java
+++ b/rig/src/main/java/kitemux/rig/trouble/Resets.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.world.AppServer;
 import kitemux.rig.world.World;
@@ -16,7 +15,7 @@
         List<AppServer> struck = world.struckBy(told, random);
         long untilUs = world.time().nowUs() + told.lengthUs();
         strike(world, struck, Math.round(told.size() * 1e6), untilUs);
-        return Struck.servers(struck, () -> { });
+        return Struck.servers(struck, () -> {});
     }
 
     private static void strike(World world, List<AppServer> struck, long everyUs, long untilUs) {
--- a/rig/src/main/java/kitemux/rig/trouble/Slow.java
+++ b/rig/src/main/java/kitemux/rig/trouble/Slow.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.world.AppServer;
 import kitemux.rig.world.World;
--- a/rig/src/main/java/kitemux/rig/trouble/Struck.java
+++ b/rig/src/main/java/kitemux/rig/trouble/Struck.java
@@ -1,7 +1,6 @@
 package kitemux.rig.trouble;
 
 import java.util.List;
-
 import kitemux.rig.world.AppServer;
 import kitemux.rig.world.NodePort;
 
@@ -18,6 +17,6 @@
     }
 
     static Struck nodes(List<NodePort> struck) {
-        return new Struck(struck.stream().map(NodePort::name).toList(), () -> { });
+        return new Struck(struck.stream().map(NodePort::name).toList(), () -> {});
     }
 }
--- a/rig/src/main/java/kitemux/rig/trouble/Trouble.java
+++ b/rig/src/main/java/kitemux/rig/trouble/Trouble.java
@@ -1,7 +1,6 @@
 package kitemux.rig.trouble;
 
 import java.util.SplittableRandom;
-
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.world.World;
 
--- a/rig/src/main/java/kitemux/rig/trouble/Troubles.java
+++ b/rig/src/main/java/kitemux/rig/trouble/Troubles.java
@@ -24,7 +24,7 @@
             Map.entry("vanish", new Vanish()),
             Map.entry("zone_lost", new ZoneLost())));
 
-    private Troubles() { }
+    private Troubles() {}
 
     public static List<String> names() {
         return List.copyOf(BY_NAME.keySet());
--- a/rig/src/main/java/kitemux/rig/trouble/Vanish.java
+++ b/rig/src/main/java/kitemux/rig/trouble/Vanish.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.world.AppServer;
 import kitemux.rig.world.World;
@@ -19,7 +18,7 @@
             server.fallSilent();
             world.list().gone(server.id(), false, true);
         }
-        return Struck.servers(struck,
-                () -> struck.stream().filter(AppServer::isSilent).forEach(world::startServer));
+        return Struck.servers(
+                struck, () -> struck.stream().filter(AppServer::isSilent).forEach(world::startServer));
     }
 }
--- a/rig/src/main/java/kitemux/rig/trouble/ZoneLost.java
+++ b/rig/src/main/java/kitemux/rig/trouble/ZoneLost.java
@@ -1,7 +1,6 @@
 package kitemux.rig.trouble;
 
 import java.util.SplittableRandom;
-
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.world.World;
 
@@ -10,7 +9,8 @@
     @Override
     public Struck strike(World world, Scenario.Trouble told, SplittableRandom random) {
         int zone = random.nextInt(world.zones());
-        return Vanish.silence(world,
+        return Vanish.silence(
+                world,
                 world.servers().values().stream().filter(s -> s.zone() == zone).toList());
     }
 }
--- a/rig/src/main/java/kitemux/rig/world/AppServer.java
+++ b/rig/src/main/java/kitemux/rig/world/AppServer.java
@@ -10,7 +10,6 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
-
 import kitemux.Balancer.Result;
 import kitemux.rig.history.Event.Kind;
 import kitemux.rig.history.History;
@@ -52,6 +51,7 @@
     private boolean cold;
     /** Given back by now, per job in the slots, and when that was reckoned. */
     private double given;
+
     private long givenAtUs;
     private boolean paused;
     private final PriorityQueue<Job> inWork = new PriorityQueue<>(
@@ -61,6 +61,7 @@
     private Timer next;
     /** Which life this is: what was planned in an earlier one comes to nothing. */
     private int life;
+
     private final LinkedHashMap<String, Long> keys = new LinkedHashMap<>(16, 0.75f, true);
     private final ArrayDeque<Arrival> pressure = new ArrayDeque<>();
     private double pressureUs;
@@ -72,9 +73,9 @@
     private double workWastedUs;
 
     /** How an attempt at it ends; called on the timeline. */
-    public interface Reply extends BiConsumer<Result, double[]> { }
+    public interface Reply extends BiConsumer<Result, double[]> {}
 
-    private record Arrival(long atUs, double workUs) { }
+    private record Arrival(long atUs, double workUs) {}
 
     /** Something that it has taken. */
     public static final class Job {
@@ -298,8 +299,7 @@
             time.after(0, () -> reply.accept(Result.FULL, report()));
             return null;
         }
-        Job job = new Job(jobs++, work, work.workUs() * (remembers(work.key()) ? 1 - kind.keyGain() : 1),
-                reply);
+        Job job = new Job(jobs++, work, work.workUs() * (remembers(work.key()) ? 1 - kind.keyGain() : 1), reply);
         reckon();
         if (inWork.size() < kind.slots() * kind.cores()) {
             begin(job);
@@ -355,8 +355,12 @@
     }
 
     private double warmth() {
-        return !cold ? 1 : Math.min(1, kind.coldFrom() + (1 - kind.coldFrom())
-                * (time.nowUs() - startedUs) / Math.max(1, kind.coldUs()));
+        return !cold
+                ? 1
+                : Math.min(
+                        1,
+                        kind.coldFrom()
+                                + (1 - kind.coldFrom()) * (time.nowUs() - startedUs) / Math.max(1, kind.coldUs()));
     }
 
     /** Work that each job in the slots is given in a microsecond. */
@@ -364,8 +368,8 @@
         if (paused || inWork.isEmpty()) {
             return 0;
         }
-        double efficiency = 1 / (1 + kind.thrash() * Math.max(0, held() - kind.thrashAt() * kind.cores())
-                / kind.cores());
+        double efficiency =
+                1 / (1 + kind.thrash() * Math.max(0, held() - kind.thrashAt() * kind.cores()) / kind.cores());
         return speed * warmth() * efficiency / slowBy * Math.min(1, (double) kind.cores() / inWork.size());
     }
 
@@ -403,8 +407,15 @@
             if (done.unwanted) {
                 workWastedUs += done.workUs;
             } else {
-                history.add(id, Kind.SERVED, "node", done.work.node(), "request", done.work.request(),
-                        "attempt", done.work.attempt());
+                history.add(
+                        id,
+                        Kind.SERVED,
+                        "node",
+                        done.work.node(),
+                        "request",
+                        done.work.request(),
+                        "attempt",
+                        done.work.attempt());
             }
             end(done, Result.OK);
         }
--- a/rig/src/main/java/kitemux/rig/world/Chance.java
+++ b/rig/src/main/java/kitemux/rig/world/Chance.java
@@ -4,7 +4,7 @@
 
 /** Draws from the distributions that a world is made of. */
 final class Chance {
-    private Chance() { }
+    private Chance() {}
 
     /** Waits between events that come by chance at this mean distance. */
     static long exponential(SplittableRandom from, double mean) {
--- a/rig/src/main/java/kitemux/rig/world/Clients.java
+++ b/rig/src/main/java/kitemux/rig/world/Clients.java
@@ -3,7 +3,6 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-
 import kitemux.Balancer.Repeat;
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.time.Timeline;
@@ -102,8 +101,10 @@
             this.classIndex = classIndex;
             this.zone = zone;
             random = time.stream("clients " + classIndex + " " + zone);
-            perUs = scenario.load().perSecond() * scenario.classes().get(classIndex)
-                    .share() * zoneShare(zone) / 1e6;
+            perUs = scenario.load().perSecond()
+                    * scenario.classes().get(classIndex).share()
+                    * zoneShare(zone)
+                    / 1e6;
         }
 
         void next() {
@@ -151,8 +152,7 @@
             this.from = from;
             cls = scenario.classes().get(from.classIndex);
             key = from.key();
-            double heavier = from.classIndex == heavyClass && from.random.nextDouble() < heavyShare ? heavyBy
-                    : 1;
+            double heavier = from.classIndex == heavyClass && from.random.nextDouble() < heavyShare ? heavyBy : 1;
             workUs = cls.workUs() * Chance.spread(from.random, cls.cv()) * heavier;
             deadlineUs = askedAtUs + cls.deadlineUs();
             leaves = from.random.nextDouble() < scenario.clients().leaving();
@@ -162,7 +162,8 @@
         void ask() {
             long leftUs = deadlineUs - time.nowUs();
             boolean last = ++tries >= scenario.clients().tries();
-            long patienceUs = last ? leftUs : (long) (leftUs * scenario.clients().tryShare());
+            long patienceUs =
+                    last ? leftUs : (long) (leftUs * scenario.clients().tryShare());
             if (patienceUs < 1_000) {
                 over(Answer.FAILED);
                 return;
@@ -174,7 +175,8 @@
             boolean leavesNow = leaves && tries == 1;
             // A client waits for what is late by no more than the rules bear, so that the referee sees it
             // come.
-            long waitsUs = leavesNow ? (long) (patienceUs * from.random.nextDouble())
+            long waitsUs = leavesNow
+                    ? (long) (patienceUs * from.random.nextDouble())
                     : patienceUs + 2 * scenario.rules().answerGraceUs();
             giveUp = time.after(waitsUs, () -> {
                 current++;
@@ -196,8 +198,12 @@
             }
             NodePort asked = node;
             Try made = new Try(id, from.classIndex, key, workUs, patienceUs, tries > 1);
-            time.after(world.links().clientDelay(from.random), () -> asked.ask(made, answer ->
-                    time.after(world.links().clientDelay(from.random), () -> answered(attempt, answer))));
+            time.after(
+                    world.links().clientDelay(from.random),
+                    () -> asked.ask(
+                            made,
+                            answer -> time.after(
+                                    world.links().clientDelay(from.random), () -> answered(attempt, answer))));
         }
 
         private void answered(int attempt, Answer answer) {
@@ -217,8 +223,7 @@
         }
 
         private void tryAgain(Answer answer) {
-            boolean harmless = cls.repeat() == Repeat.SAFE || answer == Answer.REFUSED
-                    || answer == Answer.UNREACHABLE;
+            boolean harmless = cls.repeat() == Repeat.SAFE || answer == Answer.REFUSED || answer == Answer.UNREACHABLE;
             long backoffUs = scenario.clients().backoffUs();
             if (harmless && tries < scenario.clients().tries() && time.nowUs() + backoffUs < deadlineUs) {
                 time.after(backoffUs, this::ask);
--- a/rig/src/main/java/kitemux/rig/world/Front.java
+++ b/rig/src/main/java/kitemux/rig/world/Front.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-
 import kitemux.rig.time.Timeline;
 
 /** The front of each zone: it deals requests among the nodes that it holds for alive. */
@@ -19,7 +18,9 @@
 
     /** A node of this zone, or of any where none of it is held for alive; null if none at all is. */
     NodePort choose(int zone, SplittableRandom random) {
-        List<NodePort> alive = nodes.stream().filter(n -> n.zone() == zone && isHeldForAlive(n)).toList();
+        List<NodePort> alive = nodes.stream()
+                .filter(n -> n.zone() == zone && isHeldForAlive(n))
+                .toList();
         if (alive.isEmpty()) {
             alive = nodes.stream().filter(this::isHeldForAlive).toList();
         }
--- a/rig/src/main/java/kitemux/rig/world/Links.java
+++ b/rig/src/main/java/kitemux/rig/world/Links.java
@@ -5,7 +5,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-
 import kitemux.rig.scenario.Scenario;
 
 /** The network between zones: how long a message takes, and what does not come through. */
--- a/rig/src/main/java/kitemux/rig/world/ListModel.java
+++ b/rig/src/main/java/kitemux/rig/world/ListModel.java
@@ -5,7 +5,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
@@ -71,12 +70,21 @@
         }
 
         private void told(ServerEntry entry) {
-            history.add(node, Kind.TOLD, "server", entry.id(), "state", entry.state().name(),
-                    "started", entry.startedAtUs(), "version", version);
+            history.add(
+                    node,
+                    Kind.TOLD,
+                    "server",
+                    entry.id(),
+                    "state",
+                    entry.state().name(),
+                    "started",
+                    entry.startedAtUs(),
+                    "version",
+                    version);
         }
     }
 
-    private record Change(long version, ServerEntry entry) { }
+    private record Change(long version, ServerEntry entry) {}
 
     public ListModel(Timeline time, History history, Scenario.ServerList delays) {
         this.time = time;
@@ -123,14 +131,14 @@
     public void gone(String id, boolean planned, boolean silently) {
         ServerEntry entry = known.get(id);
         if (entry != null) {
-            change(inState(entry, ServerState.GONE),
+            change(
+                    inState(entry, ServerState.GONE),
                     planned ? delays.changeUs() : silently ? delays.silenceUs() : delays.deathUs());
         }
     }
 
     private static ServerEntry inState(ServerEntry entry, ServerState state) {
-        return new ServerEntry(entry.id(), entry.zone(), entry.cell(), state, entry.weight(),
-                entry.startedAtUs());
+        return new ServerEntry(entry.id(), entry.zone(), entry.cell(), state, entry.weight(), entry.startedAtUs());
     }
 
     private void change(ServerEntry entry, long delayUs) {
--- a/rig/src/main/java/kitemux/rig/world/NodePort.java
+++ b/rig/src/main/java/kitemux/rig/world/NodePort.java
@@ -9,7 +9,9 @@
 
     /** How a request came back to its client. */
     enum Answer {
-        OK, REFUSED, FAILED,
+        OK,
+        REFUSED,
+        FAILED,
         /** The node had taken it, and the connection broke. */
         BROKEN,
         /** The node never had it. */
@@ -22,7 +24,7 @@
      * @param workUs what it takes on a standard core; nodes are not told
      * @param leftUs how long the client will wait
      */
-    record Try(long id, int classIndex, String key, double workUs, long leftUs, boolean repeat) { }
+    record Try(long id, int classIndex, String key, double workUs, long leftUs, boolean repeat) {}
 
     /** Whom to tell of the answer, once. */
     interface Asker {
--- a/rig/src/main/java/kitemux/rig/world/Policy.java
+++ b/rig/src/main/java/kitemux/rig/world/Policy.java
@@ -1,7 +1,6 @@
 package kitemux.rig.world;
 
 import java.util.Map;
-
 import kitemux.Balancer;
 import kitemux.Balancer.Actions;
 import kitemux.Balancer.Settings;
--- a/rig/src/main/java/kitemux/rig/world/Score.java
+++ b/rig/src/main/java/kitemux/rig/world/Score.java
@@ -3,10 +3,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-
-import org.HdrHistogram.Histogram;
-
 import kitemux.rig.scenario.Scenario;
+import org.HdrHistogram.Histogram;
 
 /**
  * What a run earned: the worth answered within its aim over the worth asked for, in three views, less prices.
@@ -92,15 +90,20 @@
     }
 
     double whole() {
-        return share(Arrays.stream(earnedBySecond).sum(), Arrays.stream(askedBySecond).sum());
+        return share(
+                Arrays.stream(earnedBySecond).sum(),
+                Arrays.stream(askedBySecond).sum());
     }
 
     double worstWindow() {
         double worst = 1;
         for (int from = 0; from + WINDOW_S <= Math.max(WINDOW_S, askedBySecond.length - 1); from++) {
             int to = Math.min(from + WINDOW_S, askedBySecond.length);
-            worst = Math.min(worst, share(Arrays.stream(earnedBySecond, from, to).sum(),
-                    Arrays.stream(askedBySecond, from, to).sum()));
+            worst = Math.min(
+                    worst,
+                    share(
+                            Arrays.stream(earnedBySecond, from, to).sum(),
+                            Arrays.stream(askedBySecond, from, to).sum()));
         }
         return worst;
     }
@@ -119,12 +122,29 @@
         double wastedUs = servers.stream().mapToDouble(AppServer::workWastedUs).sum();
         double off = prices.crossZone() * share(crossing, Math.max(1, firstTries))
                 + prices.waste() * share(wastedUs, Math.max(1, offeredUs))
-                + prices.lateFail() * share(lateWorth, Math.max(1e-9, Arrays.stream(askedBySecond).sum()));
-        double g = prices.whole() * whole() + prices.worstWindow() * worstWindow()
-                + prices.worstClass() * worstClass() - off;
-        return new Result(g, whole(), worstWindow(), worstClass(), firstTries, tries, attempts, crossing,
+                + prices.lateFail()
+                        * share(
+                                lateWorth,
+                                Math.max(1e-9, Arrays.stream(askedBySecond).sum()));
+        double g = prices.whole() * whole()
+                + prices.worstWindow() * worstWindow()
+                + prices.worstClass() * worstClass()
+                - off;
+        return new Result(
+                g,
+                whole(),
+                worstWindow(),
+                worstClass(),
+                firstTries,
+                tries,
+                attempts,
+                crossing,
                 inTime,
-                refused, failed, left, latency.getValueAtPercentile(50), latency.getValueAtPercentile(99));
+                refused,
+                failed,
+                left,
+                latency.getValueAtPercentile(50),
+                latency.getValueAtPercentile(99));
     }
 
     /**
@@ -134,19 +154,41 @@
      * @param inTime first tries that were served within their aim, by whichever try
      * @param left first tries whose client left early; they count for nothing else
      */
-    public record Result(double g, double whole, double worstWindow, double worstClass, long firstTries,
+    public record Result(
+            double g,
+            double whole,
+            double worstWindow,
+            double worstClass,
+            long firstTries,
             long tries,
-            long attempts, long crossing, long inTime, long refused, long failed, long left, long medianUs,
+            long attempts,
+            long crossing,
+            long inTime,
+            long refused,
+            long failed,
+            long left,
+            long medianUs,
             long p99Us) {
 
         @Override
         public String toString() {
-            return String.format(Locale.ROOT,
+            return String.format(
+                    Locale.ROOT,
                     "G %.4f  whole %.4f  worst 10 s %.4f  worst class %.4f  first tries %d"
-                    + "  attempts %d (%d crossing)  in time %d  refused %d  failed %d"
-                    + "  p50 %.1f ms  p99 %.1f ms", g,
-                    whole, worstWindow, worstClass, firstTries, attempts, crossing, inTime, refused, failed,
-                    medianUs / 1e3, p99Us / 1e3);
+                            + "  attempts %d (%d crossing)  in time %d  refused %d  failed %d"
+                            + "  p50 %.1f ms  p99 %.1f ms",
+                    g,
+                    whole,
+                    worstWindow,
+                    worstClass,
+                    firstTries,
+                    attempts,
+                    crossing,
+                    inTime,
+                    refused,
+                    failed,
+                    medianUs / 1e3,
+                    p99Us / 1e3);
         }
     }
 }
--- a/rig/src/main/java/kitemux/rig/world/SimNode.java
+++ b/rig/src/main/java/kitemux/rig/world/SimNode.java
@@ -8,7 +8,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-
 import kitemux.Balancer;
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Outcome;
@@ -97,7 +96,8 @@
             });
             long tripUs = world.links().delay(random, zone, server);
             Connections to = connections.computeIfAbsent(server.id(), id -> new Connections());
-            if (to.of != server.startedUs() || time.nowUs() - to.usedAtUs > world.links().net().idleUs()) {
+            if (to.of != server.startedUs()
+                    || time.nowUs() - to.usedAtUs > world.links().net().idleUs()) {
                 to.of = server.startedUs();
                 to.idle = 0;
             }
@@ -110,7 +110,8 @@
         }
 
         private boolean isCutOff() {
-            return server.isSilent() || world.links().isCut(zone, server.zone())
+            return server.isSilent()
+                    || world.links().isCut(zone, server.zone())
                     || world.links().isCut(server.zone(), zone);
         }
 
@@ -137,9 +138,16 @@
             double workUs = world.attemptWork(of.asked, random);
             later(tripUs, () -> {
                 if (!over) {
-                    job = server.take(new Work(name, of.asked.id(), number, of.asked.classIndex(),
-                            of.asked.key(),
-                            workUs, untilUs), this::replied);
+                    job = server.take(
+                            new Work(
+                                    name,
+                                    of.asked.id(),
+                                    number,
+                                    of.asked.classIndex(),
+                                    of.asked.key(),
+                                    workUs,
+                                    untilUs),
+                            this::replied);
                 }
             });
         }
@@ -186,16 +194,25 @@
             if (result == Result.TIMEOUT) {
                 server.disconnect(name);
             }
-            history.add(name, Kind.OUTCOME, "request", of.asked.id(), "attempt", number, "server",
+            history.add(
+                    name,
+                    Kind.OUTCOME,
+                    "request",
+                    of.asked.id(),
+                    "attempt",
+                    number,
+                    "server",
                     server.id(),
-                    "result", result.name());
+                    "result",
+                    result.name());
             if (result == Result.OK && !of.ended) {
                 answer(of, Answer.OK);
             }
             // The module may be in the middle of an event: what it cancelled is told afterwards.
             later(0, () -> {
-                module.onOutcome(time.nowUs(), new Outcome(of.asked.id(), number, result,
-                        time.nowUs() - sentAtUs, of.ended, report));
+                module.onOutcome(
+                        time.nowUs(),
+                        new Outcome(of.asked.id(), number, result, time.nowUs() - sentAtUs, of.ended, report));
                 forgetIfOver(of);
             });
         }
@@ -320,10 +337,25 @@
         }
         Held taken = new Held(asked, asker, time.nowUs() + asked.leftUs());
         held.put(asked.id(), taken);
-        history.add(name, Kind.ASK, "request", asked.id(), "class",
-                settings.classes.get(asked.classIndex()).name(), "left", asked.leftUs());
-        module.onRequest(time.nowUs(), new Request(asked.id(), asked.classIndex(), -1, asked.leftUs(), 0,
-                asked.repeat() && world.scenario().clients().marksRepeats(), asked.key()));
+        history.add(
+                name,
+                Kind.ASK,
+                "request",
+                asked.id(),
+                "class",
+                settings.classes.get(asked.classIndex()).name(),
+                "left",
+                asked.leftUs());
+        module.onRequest(
+                time.nowUs(),
+                new Request(
+                        asked.id(),
+                        asked.classIndex(),
+                        -1,
+                        asked.leftUs(),
+                        0,
+                        asked.repeat() && world.scenario().clients().marksRepeats(),
+                        asked.key()));
     }
 
     @Override
@@ -373,8 +405,17 @@
         AppServer server = world.servers().get(serverId);
         Attempt attempt = new Attempt(request, server);
         request.attempts.add(attempt);
-        history.add(name, Kind.SEND, "request", requestId, "attempt", attempt.number, "server", serverId,
-                "crosses", server.zone() != zone);
+        history.add(
+                name,
+                Kind.SEND,
+                "request",
+                requestId,
+                "attempt",
+                attempt.number,
+                "server",
+                serverId,
+                "crosses",
+                server.zone() != zone);
         world.score().sent(server.zone() != zone);
         attempt.begin(untilUs == 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs));
     }
--- a/rig/src/main/java/kitemux/rig/world/Work.java
+++ b/rig/src/main/java/kitemux/rig/world/Work.java
@@ -8,5 +8,4 @@
  * @param workUs on a standard core, were its key not known
  * @param untilUs when whoever asked stops waiting
  */
-public record Work(String node, long request, int attempt, int classIndex, String key, double workUs,
-        long untilUs) { }
+public record Work(String node, long request, int attempt, int classIndex, String key, double workUs, long untilUs) {}
--- a/rig/src/main/java/kitemux/rig/world/World.java
+++ b/rig/src/main/java/kitemux/rig/world/World.java
@@ -5,7 +5,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-
 import kitemux.Balancer;
 import kitemux.Balancer.Group;
 import kitemux.Balancer.ReportField;
@@ -82,7 +81,9 @@
 
     /** How long after the first was asked all that was asked has had its time. */
     public long settledUs() {
-        long longest = scenario.classes().stream().mapToLong(Scenario.RequestClass::deadlineUs).max()
+        long longest = scenario.classes().stream()
+                .mapToLong(Scenario.RequestClass::deadlineUs)
+                .max()
                 .orElse(0);
         return scenario.lengthUs() + longest + 4 * scenario.rules().answerGraceUs() + 1_000_000;
     }
@@ -138,8 +139,9 @@
 
     /** What an attempt takes; it differs from attempt to attempt of the same request. */
     public double attemptWork(NodePort.Try asked, SplittableRandom random) {
-        return asked.workUs() * Chance.spread(random,
-                scenario.classes().get(asked.classIndex()).attemptNoise());
+        return asked.workUs()
+                * Chance.spread(
+                        random, scenario.classes().get(asked.classIndex()).attemptNoise());
     }
 
     // ---------------------------------------------------------------- what troubles do
@@ -159,8 +161,12 @@
     /** The servers that a trouble is to strike. */
     public List<AppServer> struckBy(Scenario.Trouble trouble, SplittableRandom random) {
         List<AppServer> all = List.copyOf(servers.values());
-        return trouble.on().isEmpty() ? some(all, trouble.part(), random)
-                : trouble.on().stream().filter(number -> number < all.size()).map(all::get).toList();
+        return trouble.on().isEmpty()
+                ? some(all, trouble.part(), random)
+                : trouble.on().stream()
+                        .filter(number -> number < all.size())
+                        .map(all::get)
+                        .toList();
     }
 
     /** Starts an app server that had ended; it is cold. */
@@ -197,8 +203,7 @@
 
     private ServerEntry entry(AppServer server) {
         int number = Integer.parseInt(server.id().substring(1));
-        return new ServerEntry(server.id(), server.zone(), number / CELL, ServerState.READY, 1,
-                server.startedUs());
+        return new ServerEntry(server.id(), server.zone(), number / CELL, ServerState.READY, 1, server.startedUs());
     }
 
     /** What a node is told at its start. */
@@ -209,18 +214,21 @@
         settings.myZone = scenario.fleet().zoneOfNode(me);
         settings.zones.addAll(scenario.fleet().zones());
         for (Scenario.RequestClass c : scenario.classes()) {
-            settings.classes.add(new Balancer.RequestClass(c.name(), c.aimUs(), 0, c.deadlineUs(), c.worth(),
-                    0,
-                    c.repeat(), Group.ALL, 0, false));
+            settings.classes.add(new Balancer.RequestClass(
+                    c.name(), c.aimUs(), 0, c.deadlineUs(), c.worth(), 0, c.repeat(), Group.ALL, 0, false));
         }
         settings.maxAttempts = scenario.rules().maxAttempts();
         settings.secondCopies = scenario.rules().secondCopies();
         settings.cancel = scenario.rules().cancel();
         settings.connectTimeoutUs = scenario.net().connectTimeoutUs();
         settings.drainGraceUs = scenario.rules().drainGraceUs();
-        settings.coldFrom = scenario.servers().stream().mapToDouble(Scenario.ServerKind::coldFrom).min()
+        settings.coldFrom = scenario.servers().stream()
+                .mapToDouble(Scenario.ServerKind::coldFrom)
+                .min()
                 .orElseThrow();
-        settings.coldUs = scenario.servers().stream().mapToLong(Scenario.ServerKind::coldUs).max()
+        settings.coldUs = scenario.servers().stream()
+                .mapToLong(Scenario.ServerKind::coldUs)
+                .max()
                 .orElseThrow();
         settings.fallMultiple = scenario.rules().fallMultiple();
         settings.fallUs = scenario.rules().fallUs();
--- a/rig/src/test/java/kitemux/rig/check/LinearizableTest.java
+++ b/rig/src/test/java/kitemux/rig/check/LinearizableTest.java
@@ -7,12 +7,10 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.SplittableRandom;
-
+import kitemux.rig.history.Event.Kind;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import kitemux.rig.history.Event.Kind;
-
 /**
  * The search against registers that are known to be right, as each call happens at one moment, and with one
  * lie.
@@ -21,7 +19,7 @@
     private static final int CALLS = 60;
     private static final int CLIENTS = 5;
 
-    private record Step(long atUs, Kind kind, Object[] fields) { }
+    private record Step(long atUs, Kind kind, Object[] fields) {}
 
     /**
      * A true history; in one read of it, chosen by {@code lie}, a value comes back that was never written.
@@ -47,8 +45,8 @@
             switch (random.nextInt(3)) {
                 case 0 -> {
                     value = "v" + i;
-                    steps.add(step(calls.get(i)[0], Kind.INVOKE, "call", id, "op", "write", "key", "k",
-                            "value", value));
+                    steps.add(
+                            step(calls.get(i)[0], Kind.INVOKE, "call", id, "op", "write", "key", "k", "value", value));
                     // One in four never comes back, though it happened.
                     if (random.nextInt(4) > 0) {
                         steps.add(step(calls.get(i)[2], Kind.RETURN, "call", id, "ok", true));
@@ -57,16 +55,28 @@
                 case 1 -> {
                     boolean expects = before != null && random.nextBoolean();
                     value = expects ? "v" + i : before;
-                    steps.add(step(calls.get(i)[0], Kind.INVOKE, "call", id, "op", "cas", "key", "k",
+                    steps.add(step(
+                            calls.get(i)[0],
+                            Kind.INVOKE,
+                            "call",
+                            id,
+                            "op",
+                            "cas",
+                            "key",
+                            "k",
                             "expect",
-                            expects ? before : "none", "value", "v" + i));
+                            expects ? before : "none",
+                            "value",
+                            "v" + i));
                     steps.add(step(calls.get(i)[2], Kind.RETURN, "call", id, "ok", expects));
                 }
                 default -> {
                     String read = reads++ == lie ? "never" : before;
                     steps.add(step(calls.get(i)[0], Kind.INVOKE, "call", id, "op", "read", "key", "k"));
-                    steps.add(read == null ? step(calls.get(i)[2], Kind.RETURN, "call", id, "ok", true)
-                            : step(calls.get(i)[2], Kind.RETURN, "call", id, "ok", true, "value", read));
+                    steps.add(
+                            read == null
+                                    ? step(calls.get(i)[2], Kind.RETURN, "call", id, "ok", true)
+                                    : step(calls.get(i)[2], Kind.RETURN, "call", id, "ok", true, "value", read));
                 }
             }
         }
--- a/rig/src/test/java/kitemux/rig/check/Told.java
+++ b/rig/src/test/java/kitemux/rig/check/Told.java
@@ -3,7 +3,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-
 import kitemux.rig.history.Event;
 import kitemux.rig.history.Event.Kind;
 
--- a/rig/src/test/java/kitemux/rig/members/ModelCheckTest.java
+++ b/rig/src/test/java/kitemux/rig/members/ModelCheckTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-
 import org.junit.jupiter.api.Test;
 
 class ModelCheckTest {
@@ -14,8 +13,8 @@
     @Test
     void noOrderOfEventsBreaksWhatThreeProcessesMayRelyOn() {
         ModelCheck.Result result = ModelCheck.check(3, DEPTH, MOST_STATES);
-        System.out.println("three processes, depth " + DEPTH + ": " + result.states() + " states, "
-                + result.ends() + " played to their end");
+        System.out.println("three processes, depth " + DEPTH + ": " + result.states() + " states, " + result.ends()
+                + " played to their end");
         assertEquals(List.of(), result.broken());
         assertTrue(result.whole() && result.states() > 1_000, result.toString());
     }
--- a/rig/src/test/java/kitemux/rig/play/Planted.java
+++ b/rig/src/test/java/kitemux/rig/play/Planted.java
@@ -7,7 +7,6 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-
 import kitemux.Balancer;
 import kitemux.ServiceQBalancer;
 import kitemux.rig.world.Policy;
@@ -20,6 +19,7 @@
     long now;
     /** Requests that the node holds, and the newest server of each. */
     final Map<Long, Request> held = new HashMap<>();
+
     final Map<Long, String> sentTo = new HashMap<>();
     final Map<String, ServerEntry> listed = new TreeMap<>();
 
@@ -39,8 +39,11 @@
 
     /** Any ready server but this one. */
     String another(String server) {
-        return listed.values().stream().filter(e -> e.state() == ServerState.READY && !e.id().equals(server))
-                .map(ServerEntry::id).findFirst().orElseThrow();
+        return listed.values().stream()
+                .filter(e -> e.state() == ServerState.READY && !e.id().equals(server))
+                .map(ServerEntry::id)
+                .findFirst()
+                .orElseThrow();
     }
 
     @Override
--- a/rig/src/test/java/kitemux/rig/play/PlantedFaultsTest.java
+++ b/rig/src/test/java/kitemux/rig/play/PlantedFaultsTest.java
@@ -12,11 +12,6 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 import java.util.stream.Stream;
-
-import org.junit.jupiter.api.DynamicTest;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.TestFactory;
-
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Outcome;
 import kitemux.Balancer.Repeat;
@@ -29,11 +24,14 @@
 import kitemux.rig.scenario.ScenarioFile;
 import kitemux.rig.trouble.Troubles;
 import kitemux.rig.world.Policy;
+import org.junit.jupiter.api.DynamicTest;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.TestFactory;
 
 /** Faults planted in the module, each of which the referee has to catch on a scenario that meets it. */
 class PlantedFaultsTest {
 
-    private record Fault(String what, String rule, String scenario, Supplier<Planted> planted) { }
+    private record Fault(String what, String rule, String scenario, Supplier<Planted> planted) {}
 
     /** One of the project's, with the overrides that follow its name: {@code jam load.per_second=9}. */
     static Scenario scenario(String name) throws Exception {
@@ -54,9 +52,12 @@
                 new Fault("a drain taken for ready", "Drains", "herd", () -> new Planted() {
                     @Override
                     public void onServers(long nowUs, ListKind kind, List<ServerEntry> entries) {
-                        super.onServers(nowUs, kind,
-                                entries.stream().filter(e -> e.state() == ServerState.READY
-                                || kind != ListKind.CHANGES).toList());
+                        super.onServers(
+                                nowUs,
+                                kind,
+                                entries.stream()
+                                        .filter(e -> e.state() == ServerState.READY || kind != ListKind.CHANGES)
+                                        .toList());
                     }
                 }),
                 new Fault("changes of the list never heeded", "Drains", "hands", () -> new Planted() {
@@ -110,7 +111,8 @@
                 new Fault("a repeat too many", "Repeats", "jam", () -> new Planted() {
                     @Override
                     public void onOutcome(long nowUs, Outcome outcome) {
-                        if (outcome.result() == Result.ERROR && isUnsafe(this, outcome.requestId())
+                        if (outcome.result() == Result.ERROR
+                                && isUnsafe(this, outcome.requestId())
                                 && !outcome.requestEnded()) {
                             out.send(outcome.requestId(), another(sentTo.get(outcome.requestId())), 0, 0);
                         }
@@ -126,8 +128,7 @@
                         }
                     }
                 }),
-                new Fault("more attempts than allowed", "Repeats", "jam rules.max_attempts=1",
-                () -> new Planted() {
+                new Fault("more attempts than allowed", "Repeats", "jam rules.max_attempts=1", () -> new Planted() {
                     @Override
                     Settings given(Settings told) {
                         Settings more = new Settings();
@@ -145,7 +146,8 @@
                         String coldest = listed.values().stream()
                                 .filter(e -> e.state() == ServerState.READY && e.startedAtUs() > 0)
                                 .max((a, b) -> Long.compare(a.startedAtUs(), b.startedAtUs()))
-                                .map(ServerEntry::id).orElse(serverId);
+                                .map(ServerEntry::id)
+                                .orElse(serverId);
                         super.send(requestId, coldest, beginByUs, untilUs);
                     }
                 }));
@@ -155,9 +157,12 @@
     Stream<DynamicTest> theRefereeCatchesEach() {
         return faults().map(fault -> DynamicTest.dynamicTest(fault.what, () -> {
             Scenario scenario = scenario(fault.scenario);
-            List<Violation> found = SimPlay.play(scenario, 1, Planted.policy(fault.planted)).violations();
-            assertTrue(found.stream().anyMatch(v -> v.rule().equals(fault.rule)),
-                    fault.rule + " not among " + found.stream().map(Violation::rule).toList());
+            List<Violation> found =
+                    SimPlay.play(scenario, 1, Planted.policy(fault.planted)).violations();
+            assertTrue(
+                    found.stream().anyMatch(v -> v.rule().equals(fault.rule)),
+                    fault.rule + " not among "
+                            + found.stream().map(Violation::rule).toList());
             assertFalse(found.get(0).events().isEmpty());
         }));
     }
@@ -166,7 +171,9 @@
     void theModuleItselfKeepsTheRulesOnTheSameScenarios() throws Exception {
         for (String name : List.of("calm", "jam", "herd", "hands", "links", "zone")) {
             for (long seed = 1; seed <= 4; seed++) {
-                assertEquals(List.of(), SimPlay.play(scenario(name), seed, Policy.MODULE).violations(),
+                assertEquals(
+                        List.of(),
+                        SimPlay.play(scenario(name), seed, Policy.MODULE).violations(),
                         name + seed);
             }
         }
@@ -182,9 +189,12 @@
             }
         });
         Violation found = SimPlay.play(scenario, 3, faulty).violations().stream()
-                .filter(v -> v.rule().equals("Cordons")).findFirst().orElseThrow();
+                .filter(v -> v.rule().equals("Cordons"))
+                .findFirst()
+                .orElseThrow();
         Shrink.Smallest least = Shrink.shrink(scenario, found, lesser -> SimPlay.play(lesser, 3, faulty));
-        assertEquals(List.of("cordoned"),
+        assertEquals(
+                List.of("cordoned"),
                 least.scenario().troubles().stream().map(Scenario.Trouble::kind).toList());
         assertEquals(1, least.scenario().fleet().nodes());
         assertTrue(least.scenario().lengthUs() < scenario.lengthUs() / 2);
--- a/rig/src/test/java/kitemux/rig/play/SimPlayTest.java
+++ b/rig/src/test/java/kitemux/rig/play/SimPlayTest.java
@@ -6,18 +6,21 @@
 
 import java.util.List;
 import java.util.Set;
-
-import org.junit.jupiter.api.Test;
-
 import kitemux.rig.baseline.Baselines;
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.world.Policy;
+import org.junit.jupiter.api.Test;
 
 class SimPlayTest {
 
     private static List<String> digests(Scenario scenario, int cores) throws InterruptedException {
-        return Seeds.play(1, 8, cores, seed -> SimPlay.play(scenario, seed, Policy.MODULE, null, true,
-                (nowUs, world) -> { }).digest(), digest -> { });
+        return Seeds.play(
+                1,
+                8,
+                cores,
+                seed -> SimPlay.play(scenario, seed, Policy.MODULE, null, true, (nowUs, world) -> {})
+                        .digest(),
+                digest -> {});
     }
 
     @Test
@@ -43,8 +46,12 @@
         Scenario scenario = PlantedFaultsTest.scenario("jam");
         double[][] g = new double[2][6];
         for (int seed = 0; seed < 6; seed++) {
-            g[0][seed] = SimPlay.play(scenario, seed, Baselines.named("oracle")).score().g();
-            g[1][seed] = SimPlay.play(scenario, seed, Baselines.named("random")).score().g();
+            g[0][seed] = SimPlay.play(scenario, seed, Baselines.named("oracle"))
+                    .score()
+                    .g();
+            g[1][seed] = SimPlay.play(scenario, seed, Baselines.named("random"))
+                    .score()
+                    .g();
         }
         Comparison compared = Comparison.of(g[0], g[1]);
         assertTrue(compared.from() > 0, compared.toString());
--- a/rig/src/test/java/kitemux/rig/real/ChildTest.java
+++ b/rig/src/test/java/kitemux/rig/real/ChildTest.java
@@ -12,18 +12,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 class ChildTest {
     @TempDir
     private Path folder;
+
     private final BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
 
     private Child start(String command) throws IOException {
-        return new Child("child", command, Map.of("GREETING", "hello"), folder, folder.resolve("log"),
-                codes::add);
+        return new Child("child", command, Map.of("GREETING", "hello"), folder, folder.resolve("log"), codes::add);
     }
 
     private static void await(BooleanSupplier holds) {
@@ -67,13 +66,18 @@
         // The guard's pipe closes with the process that holds its other end: here a shell that stands in for
         // the rig.
         Path id = folder.resolve("id");
-        Process rig = new ProcessBuilder("sh", "-c", "sleep 1000 | sh -c \"$0\" 'exec sleep 999' >" + id
-                + " & exec sleep 1000", Child.GUARD).start();
+        Process rig = new ProcessBuilder(
+                        "sh",
+                        "-c",
+                        "sleep 1000 | sh -c \"$0\" 'exec sleep 999' >" + id + " & exec sleep 1000",
+                        Child.GUARD)
+                .start();
         await(() -> Files.exists(id) && id.toFile().length() > 1);
         long pid = Long.parseLong(Files.readString(id).strip());
         assertTrue(ProcessHandle.of(pid).orElseThrow().isAlive());
         // The writer's end goes as the rig's does when it is killed.
-        rig.descendants().filter(p -> p.info().commandLine().orElse("").endsWith("sleep 1000"))
+        rig.descendants()
+                .filter(p -> p.info().commandLine().orElse("").endsWith("sleep 1000"))
                 .forEach(ProcessHandle::destroyForcibly);
         rig.destroyForcibly();
         await(() -> ProcessHandle.of(pid).map(p -> !p.isAlive()).orElse(true));
--- a/rig/src/test/java/kitemux/rig/real/FaultLinkTest.java
+++ b/rig/src/test/java/kitemux/rig/real/FaultLinkTest.java
@@ -5,6 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -15,23 +18,16 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-
+import kitemux.rig.real.FaultLink.Faults;
+import kitemux.rig.real.FaultLink.Way;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-import io.netty.channel.EventLoop;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
-
-import kitemux.rig.real.FaultLink.Faults;
-import kitemux.rig.real.FaultLink.Way;
-
 class FaultLinkTest {
     private static final int MEGABYTE = 1 << 20;
 
-    private final EventLoop loop =
-            (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+    private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private ServerSocket target;
     private FaultLink link;
     private Socket near;
@@ -40,8 +36,8 @@
     @BeforeEach
     void connect() throws IOException {
         target = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        link = new FaultLink(loop, "127.0.0.78", (InetSocketAddress) target.getLocalSocketAddress(),
-                new SplittableRandom(1));
+        link = new FaultLink(
+                loop, "127.0.0.78", (InetSocketAddress) target.getLocalSocketAddress(), new SplittableRandom(1));
         near = new Socket(link.address().getAddress(), link.address().getPort());
         far = target.accept();
         near.setSoTimeout(20_000);
@@ -60,7 +56,7 @@
     /** What is set holds once this returns: the loop has run it. */
     private void set(Way way, Faults faults) {
         link.set(way, faults);
-        loop.submit(() -> { }).awaitUninterruptibly();
+        loop.submit(() -> {}).awaitUninterruptibly();
     }
 
     private static byte[] bytes(int count) {
--- a/rig/src/test/java/kitemux/rig/real/MemberFleetTest.java
+++ b/rig/src/test/java/kitemux/rig/real/MemberFleetTest.java
@@ -12,12 +12,10 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-
 import kitemux.members.Look;
 import kitemux.rig.real.MemberFleet.Process;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** Membership among processes of the program, with what is between them hurt. */
 class MemberFleetTest {
@@ -40,7 +38,10 @@
     /** How often a process has logged this change of that member. */
     private static long told(Process process, String change, String member) throws IOException {
         String line = "members: " + change + " " + member + " at ";
-        return process.printed().lines().filter(printed -> printed.contains(line)).count();
+        return process.printed()
+                .lines()
+                .filter(printed -> printed.contains(line))
+                .count();
     }
 
     @Test
@@ -73,9 +74,14 @@
             fleet.await("all five to agree", AWAITED_MS, fleet::agree);
             fleet.cut((from, to) -> to.name().equals("m3"));
             List<String> others = List.of("m0", "m1", "m2", "m4");
-            fleet.await("the others to give it up", AWAITED_MS,
-                    () -> fleet.process(1).live().equals(others) && fleet.process(4).live().equals(others));
-            fleet.await("it to hold itself for alone", AWAITED_MS,
+            fleet.await(
+                    "the others to give it up",
+                    AWAITED_MS,
+                    () -> fleet.process(1).live().equals(others)
+                            && fleet.process(4).live().equals(others));
+            fleet.await(
+                    "it to hold itself for alone",
+                    AWAITED_MS,
                     () -> fleet.process(3).live().equals(List.of("m3")));
             fleet.heal();
             fleet.await("all five to agree again", AWAITED_MS, fleet::agree);
@@ -89,8 +95,11 @@
             Process still = fleet.process(2);
             still.pause(true);
             List<String> others = List.of("m0", "m1", "m3", "m4");
-            fleet.await("the others to give it up", AWAITED_MS,
-                    () -> fleet.process(0).live().equals(others) && fleet.process(4).live().equals(others));
+            fleet.await(
+                    "the others to give it up",
+                    AWAITED_MS,
+                    () -> fleet.process(0).live().equals(others)
+                            && fleet.process(4).live().equals(others));
             still.pause(false);
             fleet.await("all five to agree again", AWAITED_MS, fleet::agree);
             assertEquals(0, count(still, "changes_died"));
@@ -115,8 +124,9 @@
                 try (Stream<String> lines = Files.lines(classes)) {
                     loaded.add(lines.flatMap(line -> Stream.of(line.split(" ")))
                             .filter(word -> word.startsWith("kitemux.core.")
-                            || word.startsWith("kitemux.members.")
-                                    || word.contains(".cbor.") || word.contains("NioDatagramChannel"))
+                                    || word.startsWith("kitemux.members.")
+                                    || word.contains(".cbor.")
+                                    || word.contains("NioDatagramChannel"))
                             .collect(Collectors.toSet()));
                 }
             }
@@ -131,16 +141,24 @@
             fleet.await("all four to agree", AWAITED_MS, fleet::agree);
             Process later = fleet.add("m3");
             later.start();
-            fleet.await("the earlier one to give way", AWAITED_MS, () -> fleet.process(3).view() == null
-                    && later.view() != null);
-            assertTrue(fleet.process(3).printed().contains("members: gave_way m3"),
+            fleet.await(
+                    "the earlier one to give way",
+                    AWAITED_MS,
+                    () -> fleet.process(3).view() == null && later.view() != null);
+            assertTrue(
+                    fleet.process(3).printed().contains("members: gave_way m3"),
                     fleet.process(3).printed());
             fleet.await("it to serve", AWAITED_MS, fleet.process(3)::serves);
             fleet.process(3).end();
             fleet.await("it to end", AWAITED_MS, () -> !fleet.process(3).isUp());
-            assertTrue(fleet.process(3).printed().contains("draining"), fleet.process(3).printed());
-            fleet.await("the others to hold the later one for it", AWAITED_MS, () -> fleet.process(0).view()
-                    .digest() == later.view().digest() && fleet.process(0).live().contains("m3"));
+            assertTrue(
+                    fleet.process(3).printed().contains("draining"),
+                    fleet.process(3).printed());
+            fleet.await(
+                    "the others to hold the later one for it",
+                    AWAITED_MS,
+                    () -> fleet.process(0).view().digest() == later.view().digest()
+                            && fleet.process(0).live().contains("m3"));
         }
     }
 
@@ -152,12 +170,14 @@
             for (Process process : fleet.processes().subList(3, 6)) {
                 process.start();
             }
-            fleet.await("three to be up, each alone", AWAITED_MS,
+            fleet.await(
+                    "three to be up, each alone",
+                    AWAITED_MS,
                     () -> fleet.processes().subList(3, 6).stream()
-                    .allMatch(p -> p.live().equals(List.of(p.name()))));
+                            .allMatch(p -> p.live().equals(List.of(p.name()))));
             fleet.process(0).start();
-            fleet.await("four to agree", AWAITED_MS, () -> fleet.process(0).live().size() == 4
-                    && fleet.agree());
+            fleet.await(
+                    "four to agree", AWAITED_MS, () -> fleet.process(0).live().size() == 4 && fleet.agree());
         }
     }
 }
--- a/rig/src/test/java/kitemux/rig/real/RealPlayTest.java
+++ b/rig/src/test/java/kitemux/rig/real/RealPlayTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -13,18 +15,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
-
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-
 import kitemux.rig.history.Event;
 import kitemux.rig.history.Event.Kind;
 import kitemux.rig.play.Outcome;
 import kitemux.rig.scenario.Scenario;
 import kitemux.rig.scenario.ScenarioFile;
 import kitemux.rig.trouble.Troubles;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** Small fleets of processes; the node's jar has been packaged by then. */
 class RealPlayTest {
@@ -44,18 +42,18 @@
 
     @TempDir
     private Path folder;
+
     private final Map<Kind, Integer> counts = new ConcurrentHashMap<>();
     private final Set<String> outcomes = ConcurrentHashMap.newKeySet();
     private final List<Long> processes = new ArrayList<>();
 
     private Outcome play(String more) throws Exception {
-        return play(more, begun -> { });
+        return play(more, begun -> {});
     }
 
     private Outcome play(String more, Consumer<RealPlay> prepare) throws Exception {
         Scenario scenario = ScenarioFile.parse(FLEET + more, Map.of(), Troubles.names());
-        try (RealPlay play = new RealPlay(scenario, 1, DeployFile.find(Path.of("")), folder, null,
-                this::count)) {
+        try (RealPlay play = new RealPlay(scenario, 1, DeployFile.find(Path.of("")), folder, null, this::count)) {
             prepare.accept(play);
             return play.play((nowUs, world) -> {
                 if (processes.isEmpty()) {
@@ -156,16 +154,23 @@
     /** Faults planted in what stands in: a referee that believed its own side would be none. */
     @Test
     void anAnswerThatWasMadeForAnotherRequestIsCaught() throws Exception {
-        Outcome outcome = play("", play -> play.link(0, "s0").tamper(FaultLink.Way.FROM_TARGET,
-                changing(text -> text.startsWith("HTTP/1.1 200")
-                        ? text.substring(0, text.length() - 1) + "x" : text)));
-        assertTrue(outcome.violations().stream().anyMatch(v -> v.rule().equals("OneAnswer")),
+        Outcome outcome = play(
+                "",
+                play -> play.link(0, "s0")
+                        .tamper(
+                                FaultLink.Way.FROM_TARGET,
+                                changing(text -> text.startsWith("HTTP/1.1 200")
+                                        ? text.substring(0, text.length() - 1) + "x"
+                                        : text)));
+        assertTrue(
+                outcome.violations().stream().anyMatch(v -> v.rule().equals("OneAnswer")),
                 outcome.violations().toString());
     }
 
     @Test
     void aListThatTellsNoDrainIsCaught() throws Exception {
-        Outcome outcome = play("""
+        Outcome outcome = play(
+                """
                 [rules]
                 drain_grace_ms = 50
                 [[trouble]]
@@ -173,9 +178,13 @@
                 at_s = 0.5
                 length_s = 4
                 part = 0.5
-                """, play -> play.listLink(0).tamper(FaultLink.Way.FROM_TARGET,
-                changing(text -> text.replace("\"Terminating\"", "\"Ready\"      "))));
-        assertTrue(outcome.violations().stream().anyMatch(v -> v.rule().equals("Drains")),
+                """,
+                play -> play.listLink(0)
+                        .tamper(
+                                FaultLink.Way.FROM_TARGET,
+                                changing(text -> text.replace("\"Terminating\"", "\"Ready\"      "))));
+        assertTrue(
+                outcome.violations().stream().anyMatch(v -> v.rule().equals("Drains")),
                 outcome.violations().toString());
     }
 
--- a/rig/src/test/java/kitemux/rig/time/SimulatorTest.java
+++ b/rig/src/test/java/kitemux/rig/time/SimulatorTest.java
@@ -5,7 +5,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-
 import org.junit.jupiter.api.Test;
 
 class SimulatorTest {
