--- a/cli/src/main/java/kitemux/cli/Main.java
+++ b/cli/src/main/java/kitemux/cli/Main.java
@@ -14,6 +14,7 @@
         description = "Keeps fleets of kitemux nodes running, and proves that it does.",
         subcommands = {Fleet.class, CommandLine.HelpCommand.class})
 public final class Main {
+    private Main() {}
 
     /** Runs one command; the exit code is documented with each. */
     public static void main(String[] args) {
--- /dev/null
+++ b/cli/src/main/java/kitemux/cli/package-info.java
@@ -0,0 +1,2 @@
+/** The command line for operators and developers. */
+package kitemux.cli;
--- a/node/src/main/java/kitemux/core/membership/Membership.java
+++ b/node/src/main/java/kitemux/core/membership/Membership.java
@@ -213,6 +213,7 @@
         return over;
     }
 
+    /** Handles the timer that was set by {@code wakeAt}. */
     public void onWake(long now) {
         begin(now);
         if (over) {
@@ -373,6 +374,7 @@
         return Math.max(1, 32 - Integer.numberOfLeadingZeros(members));
     }
 
+    /** Handles a message from another member. */
     public void onMessage(long now, Message message) {
         begin(now);
         if (over) {
--- /dev/null
+++ b/node/src/main/java/kitemux/net/package-info.java
@@ -0,0 +1,2 @@
+/** Parsing and printing of network addresses. */
+package kitemux.net;
--- /dev/null
+++ b/rig/src/main/java/kitemux/rig/baseline/package-info.java
@@ -0,0 +1,2 @@
+/** Policies that the decision module is compared with. */
+package kitemux.rig.baseline;
--- a/rig/src/main/java/kitemux/rig/members/SimMember.java
+++ b/rig/src/main/java/kitemux/rig/members/SimMember.java
@@ -82,6 +82,7 @@
 
     // ---------------------------------------------------------------- its life
 
+    /** Starts a new process of this member, with a new incarnation. */
     public void start() {
         life++;
         up = true;
--- /dev/null
+++ b/rig/src/main/java/kitemux/rig/scenario/package-info.java
@@ -0,0 +1,2 @@
+/** Scenario files: their model, their reader and its errors. */
+package kitemux.rig.scenario;
--- a/rig/src/main/java/kitemux/rig/world/AppServer.java
+++ b/rig/src/main/java/kitemux/rig/world/AppServer.java
@@ -213,6 +213,7 @@
         silent = true;
     }
 
+    /** Makes all work from now on take this many times as long. */
     public void slowBy(double factor) {
         reckon();
         slowBy = factor;
--- a/rig/src/main/java/kitemux/rig/world/ListModel.java
+++ b/rig/src/main/java/kitemux/rig/world/ListModel.java
@@ -86,6 +86,7 @@
 
     private record Change(long version, ServerEntry entry) {}
 
+    /** A list service that delivers changes after the delays of the scenario. */
     public ListModel(Timeline time, History history, Scenario.ServerList delays) {
         this.time = time;
         this.history = history;
--- a/rig/src/main/java/kitemux/rig/world/World.java
+++ b/rig/src/main/java/kitemux/rig/world/World.java
@@ -34,6 +34,7 @@
     private final Clients clients;
     private final Score score;
 
+    /** A world as the scenario describes it, which writes all events to the history. */
     public World(Scenario scenario, Timeline time, History history) {
         this.scenario = scenario;
         this.time = time;
