--- /dev/null
+++ b/node/src/test/java/kitemux/DecisionStream.java
@@ -0,0 +1,568 @@
+package kitemux;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.EnumMap;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeSet;
+import kitemux.Balancer.Group;
+import kitemux.Balancer.ListKind;
+import kitemux.Balancer.Outcome;
+import kitemux.Balancer.Repeat;
+import kitemux.Balancer.ReportField;
+import kitemux.Balancer.Request;
+import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.Result;
+import kitemux.Balancer.ServerEntry;
+import kitemux.Balancer.ServerState;
+import kitemux.Balancer.Settings;
+import kitemux.Balancer.Tenant;
+
+/**
+ * A seeded stream of events for one balancer, as a node with servers that restart, fail, hang, drain and fill up
+ * would cause them. Every action is written out as a line of text; {@link #digest} is the SHA-256 of all lines.
+ *
+ * <p>The lines use words of this class only, so that renaming the balancer's own types does not change a digest.
+ */
+final class DecisionStream implements Balancer.Actions {
+
+    /** What a stream has shown of the balancer; each stream asserts the ones that it is made for. */
+    enum Covered {
+        RETRY,
+        HEDGE,
+        DEFERRED_THEN_SENT,
+        REJECTED,
+        REJECTED_FOR_ROOM,
+        FAILED,
+        CANCELLED,
+        CLOSED_IDLE,
+        POLLED,
+        EJECTED,
+        EJECTED_FOR_CLASS,
+        RESTORED,
+        RESTORED_FOR_CLASS,
+        TRIAL_REQUEST,
+        SENT_TO_WARMING,
+        OTHER_ZONE,
+        DEDUPLICATION_BOUND,
+        FIRST_BYTE,
+        CLIENT_LEFT,
+        CORDONED,
+        SETTINGS_CHANGED,
+        STALLED,
+        SHED_ON_ARRIVAL
+    }
+
+    /** How a simulated server behaves. */
+    private enum Fault {
+        NONE,
+        ERRORS,
+        CLASS_ERRORS,
+        HANG,
+        UNREACHABLE,
+        RESETS,
+        OVERLOADED
+    }
+
+    /** What differs between streams. */
+    record Shape(
+            int nodes,
+            int servers,
+            int zones,
+            double crossZonePrice,
+            boolean keys,
+            boolean reports,
+            boolean cancel,
+            boolean hedges,
+            boolean poll,
+            int maxAttempts,
+            int maxOpen,
+            boolean worthByWork) {}
+
+    private static final long START_US = 5_000_000;
+    private static final long PHASE_US = 4_000_000;
+    private static final long ARRIVALS_END_US = START_US + 20 * PHASE_US;
+    private static final long END_US = ARRIVALS_END_US + 5_000_000;
+    private static final long NEVER = Long.MAX_VALUE;
+
+    private static final class SimulatedServer {
+        final String id;
+        final int zone;
+        final int cell;
+        ServerState state = ServerState.READY;
+        long startedAtUs;
+        Fault fault = Fault.NONE;
+        int inFlight;
+        double background;
+
+        SimulatedServer(String id, int zone, int cell) {
+            this.id = id;
+            this.zone = zone;
+            this.cell = cell;
+        }
+
+        ServerEntry entry() {
+            return new ServerEntry(id, zone, cell, state, 1, startedAtUs);
+        }
+    }
+
+    private static final class Attempt {
+        final SimulatedServer server;
+        final long sentAtUs;
+        boolean over;
+
+        Attempt(SimulatedServer server, long sentAtUs) {
+            this.server = server;
+            this.sentAtUs = sentAtUs;
+        }
+    }
+
+    private static final class OpenRequest {
+        final int classIndex;
+        final List<Attempt> attempts = new ArrayList<>();
+        boolean over;
+        boolean streaming;
+
+        OpenRequest(int classIndex) {
+            this.classIndex = classIndex;
+        }
+    }
+
+    private record Event(long atUs, long order, Runnable action) {}
+
+    private final Shape shape;
+    private final SplittableRandom random;
+    private final Settings settings;
+    private final Balancer balancer;
+    private final MessageDigest sha256;
+    private final StringBuilder lines = new StringBuilder();
+    private final Map<Covered, Integer> covered = new EnumMap<>(Covered.class);
+    private final Map<String, SimulatedServer> servers = new LinkedHashMap<>();
+    private final Map<Long, OpenRequest> requests = new LinkedHashMap<>();
+    private final Set<String> ejected = new TreeSet<>();
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(Comparator.comparingLong(Event::atUs).thenComparingLong(Event::order));
+    private long now = START_US;
+    private long order;
+    private long nextId = 1;
+    private long arriving = -1;
+    private double load = 1;
+    private boolean crowdLeaves;
+
+    DecisionStream(Shape shape, long seed) {
+        this.shape = shape;
+        random = new SplittableRandom(seed);
+        settings = settings(false);
+        try {
+            sha256 = MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+        balancer = new ServiceQBalancer(settings, seed, this);
+    }
+
+    private Settings settings(boolean changed) {
+        Settings set = new Settings();
+        set.nodes = shape.nodes;
+        set.me = shape.nodes / 3;
+        for (int zone = 0; zone < shape.zones; zone++) {
+            set.zones.add("zone" + zone);
+        }
+        set.crossZonePrice = shape.crossZonePrice;
+        set.warmKeys = shape.keys;
+        set.cancel = shape.cancel;
+        set.secondCopies = shape.hedges;
+        set.listOnRequest = shape.poll;
+        set.maxAttempts = shape.maxAttempts;
+        set.maxOpen = shape.maxOpen;
+        set.worthByWork = shape.worthByWork;
+        set.maxRetryAfterUs = shape.poll ? 2_000_000 : 0;
+        set.coldUs = 6_000_000;
+        set.tickUs = 2_000;
+        set.tenants.add(new Tenant("tenant"));
+        if (shape.reports) {
+            set.reportFields.addAll(List.of(ReportField.UTILISATION, ReportField.IN_FLIGHT));
+        }
+        set.classes.add(new RequestClass("read", 150_000, 0, 900_000, 1, 0.4, Repeat.SAFE, Group.ALL, 0, false));
+        set.classes.add(new RequestClass(
+                "order", 250_000, 2, 1_500_000, 4, 0.5, Repeat.KEYED, Group.ZONE, changed ? 200_000 : 400_000, false));
+        set.classes.add(new RequestClass("note", 200_000, 0, 700_000, 2, 0, Repeat.KEYED, Group.ALL, 300_000, false));
+        set.classes.add(
+                new RequestClass("cell", 200_000, 0, 700_000, 2, 0.3, Repeat.KEYED, Group.CELL, 300_000, false));
+        set.classes.add(new RequestClass(
+                "pay", 300_000, 0, 2_000_000, changed ? 8 : 6, 0.7, Repeat.UNSAFE, Group.ALL, 0, false));
+        if (changed) {
+            set.classes.add(new RequestClass("read", 100_000, 0, 600_000, 1, 0.2, Repeat.SAFE, Group.ALL, 0, true));
+        }
+        return set;
+    }
+
+    /** Plays all phases and returns the digest of what the balancer did. */
+    String digest() {
+        for (int i = 0; i < shape.servers; i++) {
+            servers.put("s" + i, new SimulatedServer("s" + i, i % shape.zones, i % (2 * shape.zones)));
+        }
+        balancer.onServers(now, ListKind.CACHED, entries());
+        schedulePhases();
+        scheduleArrival();
+        while (!events.isEmpty() && events.peek().atUs < END_US) {
+            Event event = events.poll();
+            now = Math.max(now, event.atUs);
+            event.action.run();
+            line("left out", Integer.toString(balancer.skipped()));
+        }
+        flush();
+        return HexFormat.of().formatHex(sha256.digest());
+    }
+
+    Map<Covered, Integer> covered() {
+        return covered;
+    }
+
+    // ---------------------------------------------------------------- the story of a stream
+
+    private void schedulePhases() {
+        List<Runnable> phases = List.of(
+                () -> faults(Fault.ERRORS, 0.2),
+                () -> load = 4,
+                () -> restart(0.3),
+                () -> faults(Fault.CLASS_ERRORS, 0.2),
+                () -> faults(Fault.HANG, 0.25),
+                () -> cordon(0.2),
+                () -> load = 7,
+                () -> faults(Fault.OVERLOADED, 0.9),
+                this::changeSettings,
+                () -> faults(Fault.UNREACHABLE, 0.45),
+                () -> drain(0.3),
+                () -> load = 2.5,
+                () -> faults(Fault.RESETS, 0.3),
+                () -> restart(0.4),
+                this::fullList,
+                () -> faults(Fault.ERRORS, 0.8),
+                () -> crowdLeaves = true,
+                () -> {
+                    load = 0.4;
+                    faults(Fault.HANG, 0.15);
+                });
+        long at = START_US + PHASE_US;
+        for (Runnable phase : phases) {
+            at(at, phase);
+            at(at + PHASE_US / 2, this::calm);
+            at += PHASE_US;
+        }
+        long end = at;
+        for (long poll = START_US + 700_000; poll < end; poll += 900_000) {
+            at(poll, () -> balancer.onListFailed(now));
+        }
+        for (long walk = START_US; walk < end; walk += 50_000) {
+            at(walk, this::walkBackground);
+        }
+    }
+
+    private void calm() {
+        load = 1;
+        crowdLeaves = false;
+        servers.values().forEach(server -> server.fault = Fault.NONE);
+        balancer.onCordoned(now, Set.of());
+        List<ServerEntry> changes = new ArrayList<>();
+        for (SimulatedServer server : servers.values()) {
+            if (server.state != ServerState.READY) {
+                server.state = ServerState.READY;
+                server.startedAtUs = now;
+                changes.add(server.entry());
+            }
+        }
+        balancer.onServers(now, ListKind.CHANGES, changes);
+    }
+
+    private void faults(Fault fault, double share) {
+        servers.values().forEach(server -> server.fault = random.nextDouble() < share ? fault : Fault.NONE);
+    }
+
+    private void restart(double share) {
+        List<ServerEntry> changes = new ArrayList<>();
+        for (SimulatedServer server : servers.values()) {
+            if (random.nextDouble() < share) {
+                server.startedAtUs = now;
+                changes.add(server.entry());
+            }
+        }
+        balancer.onServers(now, ListKind.CHANGES, changes);
+    }
+
+    private void drain(double share) {
+        List<ServerEntry> changes = new ArrayList<>();
+        for (SimulatedServer server : servers.values()) {
+            if (random.nextDouble() < share) {
+                server.state = random.nextBoolean() ? ServerState.DRAINING : ServerState.GONE;
+                changes.add(server.entry());
+            }
+        }
+        balancer.onServers(now, ListKind.CHANGES, changes);
+    }
+
+    private void fullList() {
+        servers.values().stream().limit(shape.servers / 4).forEach(server -> server.state = ServerState.GONE);
+        balancer.onServers(now, ListKind.FULL, entries());
+    }
+
+    private List<ServerEntry> entries() {
+        return servers.values().stream()
+                .filter(server -> server.state != ServerState.GONE)
+                .map(SimulatedServer::entry)
+                .toList();
+    }
+
+    private void cordon(double share) {
+        Set<String> cordoned = new TreeSet<>();
+        servers.keySet().forEach(id -> {
+            if (random.nextDouble() < share) {
+                cordoned.add(id);
+            }
+        });
+        cover(Covered.CORDONED);
+        balancer.onCordoned(now, cordoned);
+    }
+
+    private void changeSettings() {
+        cover(Covered.SETTINGS_CHANGED);
+        balancer.onSettings(now, settings(true));
+    }
+
+    private void walkBackground() {
+        servers.values()
+                .forEach(server -> server.background = Math.max(
+                        0, server.background + (random.nextDouble() - 0.5) * 3 + (2 * load - server.background) / 8));
+    }
+
+    // ---------------------------------------------------------------- requests and answers
+
+    private void scheduleArrival() {
+        long gap = (long) (1 + random.nextInt(12_000) / load);
+        if (now + gap < ARRIVALS_END_US) {
+            at(now + gap, () -> {
+                arrive();
+                scheduleArrival();
+            });
+        }
+    }
+
+    private void arrive() {
+        long id = nextId++;
+        int draw = random.nextInt(20);
+        int classIndex = draw < 10 ? 0 : draw < 13 ? 1 : draw < 15 ? 2 : draw < 17 ? 3 : 4;
+        boolean second = random.nextInt(10) == 0;
+        long deadlineUs = settings.classes.get(classIndex).deadlineUs();
+        long leftUs = second ? deadlineUs / 2 : deadlineUs * 2 / 3;
+        String key = random.nextInt(5) == 0 ? null : "key" + random.nextInt(80);
+        long waitedUs = random.nextInt(50) == 0 ? random.nextInt(300_000) : 0;
+        requests.put(id, new OpenRequest(classIndex));
+        arriving = id;
+        balancer.onRequest(
+                now,
+                new Request(
+                        id, classIndex, random.nextInt(2) - 1, leftUs, random.nextInt(20_000), second, key, waitedUs));
+        arriving = -1;
+        if (random.nextInt(crowdLeaves ? 2 : 25) == 0) {
+            at(now + random.nextInt(crowdLeaves ? 120_000 : 400_000), () -> clientLeaves(id));
+        }
+    }
+
+    private void clientLeaves(long id) {
+        OpenRequest request = requests.get(id);
+        if (request != null && !request.over) {
+            request.over = true;
+            cover(Covered.CLIENT_LEFT);
+            balancer.onClientGone(now, id);
+        }
+    }
+
+    @Override
+    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+        OpenRequest request = requests.get(requestId);
+        SimulatedServer server = servers.get(serverId);
+        int number = request.attempts.size();
+        line("send", requestId + " " + serverId + " " + beginByUs + " " + untilUs);
+        coverSend(requestId, request, server, beginByUs);
+        Attempt attempt = new Attempt(server, now);
+        request.attempts.add(attempt);
+        server.inFlight++;
+        Result result = result(server, request.classIndex);
+        long tookUs = latencyUs(server, result);
+        if (result == Result.TIMEOUT || now + tookUs >= untilUs) {
+            at(untilUs, () -> finish(requestId, request, number, Result.TIMEOUT));
+            return;
+        }
+        if (result == Result.OK && random.nextInt(15) == 0) {
+            at(now + tookUs / 2, () -> firstByte(requestId, request, number));
+        }
+        at(now + tookUs, () -> finish(requestId, request, number, result));
+    }
+
+    private void coverSend(long requestId, OpenRequest request, SimulatedServer server, long beginByUs) {
+        if (!request.attempts.isEmpty()) {
+            cover(request.attempts.stream().allMatch(attempt -> attempt.over) ? Covered.RETRY : Covered.HEDGE);
+        } else if (arriving != requestId) {
+            cover(Covered.DEFERRED_THEN_SENT);
+        }
+        if (ejected.contains(server.id)) {
+            cover(Covered.TRIAL_REQUEST);
+        }
+        if (server.startedAtUs > 0 && now < server.startedAtUs + settings.coldUs) {
+            cover(Covered.SENT_TO_WARMING);
+        }
+        if (server.zone != settings.myZone) {
+            cover(Covered.OTHER_ZONE);
+        }
+        if (beginByUs != NEVER) {
+            cover(Covered.DEDUPLICATION_BOUND);
+        }
+    }
+
+    private Result result(SimulatedServer server, int classIndex) {
+        boolean unlucky = random.nextInt(10) < 7;
+        if (random.nextInt(150) == 0) {
+            return Result.MOOT;
+        }
+        return switch (server.fault) {
+            case ERRORS -> unlucky ? Result.ERROR : Result.OK;
+            case CLASS_ERRORS -> unlucky && classIndex == 1 ? Result.ERROR : Result.OK;
+            case HANG -> unlucky ? Result.TIMEOUT : Result.OK;
+            case UNREACHABLE -> Result.CONNECT_FAILED;
+            case RESETS -> unlucky ? Result.RESET : Result.OK;
+            case OVERLOADED -> unlucky ? Result.FULL : Result.OK;
+            case NONE -> server.inFlight > 20 ? Result.FULL : Result.OK;
+        };
+    }
+
+    private long latencyUs(SimulatedServer server, Result result) {
+        if (result != Result.OK) {
+            return 500 + random.nextInt(3_000);
+        }
+        double held = 1 + server.inFlight + server.background;
+        return (long) (4_000 + 9_000 * held * (0.3 + 1.4 * random.nextDouble()));
+    }
+
+    private void firstByte(long requestId, OpenRequest request, int number) {
+        if (!request.over && !request.attempts.get(number).over && !request.streaming) {
+            request.streaming = true;
+            cover(Covered.FIRST_BYTE);
+            balancer.onFirstByte(now, requestId, number);
+        }
+    }
+
+    private void finish(long requestId, OpenRequest request, int number, Result result) {
+        Attempt attempt = request.attempts.get(number);
+        if (attempt.over) {
+            return;
+        }
+        attempt.over = true;
+        attempt.server.inFlight--;
+        if (result == Result.OK || request.streaming && result != Result.CANCELLED) {
+            request.over = true;
+        }
+        double[] report = shape.reports && (result == Result.OK || result == Result.ERROR)
+                ? new double[] {0.5, attempt.server.inFlight + Math.floor(attempt.server.background * 2)}
+                : null;
+        balancer.onOutcome(now, new Outcome(requestId, number, result, now - attempt.sentAtUs, request.over, report));
+    }
+
+    @Override
+    public void cancel(long requestId, int attempt) {
+        line("cancel", requestId + " " + attempt);
+        cover(Covered.CANCELLED);
+        OpenRequest request = requests.get(requestId);
+        at(now + 1 + random.nextInt(200), () -> finish(requestId, request, attempt, Result.CANCELLED));
+    }
+
+    @Override
+    public void refuse(long requestId, long retryAfterUs) {
+        line("reject", requestId + " " + retryAfterUs);
+        cover(Covered.REJECTED);
+        if (arriving == requestId) {
+            cover(Covered.SHED_ON_ARRIVAL);
+        } else if (arriving >= 0) {
+            cover(Covered.REJECTED_FOR_ROOM);
+        }
+        requests.get(requestId).over = true;
+    }
+
+    @Override
+    public void fail(long requestId) {
+        line("fail", Long.toString(requestId));
+        cover(Covered.FAILED);
+        requests.get(requestId).over = true;
+    }
+
+    @Override
+    public void wakeAt(long atUs) {
+        line("wake", Long.toString(atUs));
+        boolean stalls = random.nextInt(400) == 0;
+        if (stalls) {
+            cover(Covered.STALLED);
+        }
+        at(atUs + (stalls ? 80_000 : random.nextInt(300)), () -> balancer.onWake(now));
+    }
+
+    @Override
+    public void probe(String serverId) {
+        throw new AssertionError("no probes are allowed");
+    }
+
+    @Override
+    public void closeIdle(String serverId) {
+        line("close idle", serverId);
+        cover(Covered.CLOSED_IDLE);
+    }
+
+    @Override
+    public void subscribe() {
+        line("poll", "");
+        cover(Covered.POLLED);
+    }
+
+    @Override
+    public void log(String line) {
+        line("log", line);
+        String[] words = line.split(" ");
+        boolean ofClass = line.contains("class");
+        if (words[0].equals("ejected")) {
+            cover(ofClass ? Covered.EJECTED_FOR_CLASS : Covered.EJECTED);
+            ejected.add(words[2]);
+        } else {
+            cover(ofClass ? Covered.RESTORED_FOR_CLASS : Covered.RESTORED);
+            ejected.remove(words[2]);
+        }
+    }
+
+    // ---------------------------------------------------------------- time and lines
+
+    private void at(long atUs, Runnable action) {
+        events.add(new Event(atUs, order++, action));
+    }
+
+    private void cover(Covered what) {
+        covered.merge(what, 1, Integer::sum);
+    }
+
+    private void line(String action, String detail) {
+        lines.append(now).append(' ').append(action).append(' ').append(detail).append('\n');
+        if (lines.length() > 1 << 16) {
+            flush();
+        }
+    }
+
+    private void flush() {
+        sha256.update(lines.toString().getBytes(StandardCharsets.UTF_8));
+        lines.setLength(0);
+    }
+}
--- /dev/null
+++ b/node/src/test/java/kitemux/members/CodecBytesTest.java
@@ -0,0 +1,108 @@
+package kitemux.members;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import kitemux.core.membership.Incarnation;
+import kitemux.core.membership.Member;
+import kitemux.core.membership.Message;
+import kitemux.core.membership.Rumor;
+import kitemux.core.membership.State;
+import org.junit.jupiter.api.Test;
+
+/** Frames as they go between processes, byte for byte: processes of two versions run side by side. */
+class CodecBytesTest {
+    private final Codec codec = new Codec("fleet");
+    private final Member self =
+            new Member("n1", "127.0.0.1:7001", "z1", "node", new Incarnation(5, 1), State.values()[0]);
+    private final List<Rumor> updates = List.of(
+            new Rumor(
+                    new Member("n2", "127.0.0.1:7002", "z2", "node", new Incarnation(6, 300), State.values()[1]), "n1"),
+            new Rumor(
+                    new Member("n3", "127.0.0.1:7003", "z1", "node", new Incarnation(7, 0), State.values()[2]), "n3"));
+
+    private static void assertBytes(String hex, byte[] frame) {
+        assertEquals(hex, HexFormat.of().formatHex(frame));
+    }
+
+    @Test
+    void ping() {
+        assertBytes(
+                "4b4d01000b1951ad9f65666c65657411626e32626e316e3132372e302e302e313a3730303162"
+                        + "7a31646e6f64650501009f626e326e3132372e302e302e313a37303032627a32646e6f646506"
+                        + "19012c01626e31626e336e3132372e302e302e313a37303033627a31646e6f6465070002626e" + "33ffff",
+                codec.encode(new Message.Ping(17, "n2", self, updates)));
+    }
+
+    @Test
+    void acknowledgement() {
+        assertBytes(
+                "4b4d0101797cae169f65666c65657411626e316e3132372e302e302e313a37303031627a3164"
+                        + "6e6f64650501009f626e326e3132372e302e302e313a37303032627a32646e6f64650619012c"
+                        + "01626e31626e336e3132372e302e302e313a37303033627a31646e6f6465070002626e33ffff",
+                codec.encode(new Message.Ack(17, self, updates)));
+    }
+
+    @Test
+    void pingRequest() {
+        assertBytes(
+                "4b4d0102e1cba3cb9f65666c65657412626e326e3132372e302e302e313a37303032626e316e"
+                        + "3132372e302e302e313a37303031627a31646e6f64650501009f626e326e3132372e302e302e"
+                        + "313a37303032627a32646e6f64650619012c01626e31626e336e3132372e302e302e313a3730"
+                        + "3033627a31646e6f6465070002626e33ffff",
+                codec.encode(new Message.PingRequest(18, "n2", "127.0.0.1:7002", self, updates)));
+    }
+
+    @Test
+    void gossip() {
+        assertBytes(
+                "4b4d0103c2c6d4fa9f65666c656574626e316e3132372e302e302e313a37303031627a31646e"
+                        + "6f64650501009f626e326e3132372e302e302e313a37303032627a32646e6f64650619012c01"
+                        + "626e31626e336e3132372e302e302e313a37303033627a31646e6f6465070002626e33ffff",
+                codec.encode(new Message.Gossip(self, updates)));
+    }
+
+    @Test
+    void negativeAcknowledgement() {
+        assertBytes(
+                "4b4d0104622a604f9f65666c65657412626e316e3132372e302e302e313a37303031627a3164" + "6e6f64650501009fffff",
+                codec.encode(new Message.Nack(18, self, List.of())));
+    }
+
+    @Test
+    void wholeState() {
+        assertBytes(
+                "4b4d0105f2a1e3bc9f65666c6565749f626e326e3132372e302e302e313a37303032627a3264"
+                        + "6e6f64650619012c01626e31626e336e3132372e302e302e313a37303033627a31646e6f6465"
+                        + "070002626e33ffff",
+                codec.encodeState(updates));
+    }
+
+    @Test
+    void requestForAView() {
+        assertBytes("4b4d010623e32dd99f60ff", Codec.ofAnyFleet().encodeLook());
+    }
+
+    @Test
+    void view() {
+        Map<String, Long> metrics = new LinkedHashMap<>();
+        metrics.put("members_alive", 2L);
+        metrics.put("members_dead", 0L);
+        assertBytes(
+                "4b4d0107d84a72379f65666c6565740328019f6d6d656d626572735f616c697665026c6d656d"
+                        + "626572735f6465616400ff626e316e3132372e302e302e313a37303031627a31646e6f646505"
+                        + "01009f626e326e3132372e302e302e313a37303032627a32646e6f64650619012c01626e3262"
+                        + "6e336e3132372e302e302e313a37303033627a31646e6f6465070002626e33ffff",
+                codec.encodeView(new Look.View(
+                        3, -9, 1, self, updates.stream().map(Rumor::member).toList(), metrics)));
+    }
+
+    /** The order of the states is the number on the wire. */
+    @Test
+    void statesByTheirNumbers() {
+        assertEquals("[ALIVE, SUSPECT, DEAD, LEFT]", List.of(State.values()).toString());
+    }
+}
