--- a/cli/src/main/java/kitemux/cli/ExitCode.java
+++ b/cli/src/main/java/loadbalancer/cli/ExitCode.java
@@ -1,4 +1,4 @@
-package kitemux.cli;
+package loadbalancer.cli;
 
 /** How a command ended. */
 final class ExitCode {
--- a/cli/src/main/java/kitemux/cli/Fleet.java
+++ b/cli/src/main/java/loadbalancer/cli/Fleet.java
@@ -1,4 +1,4 @@
-package kitemux.cli;
+package loadbalancer.cli;
 
 import java.io.BufferedOutputStream;
 import java.io.IOException;
@@ -14,21 +14,21 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import kitemux.rig.baseline.Baselines;
-import kitemux.rig.baseline.JarPolicy;
-import kitemux.rig.check.Violation;
-import kitemux.rig.play.Comparison;
-import kitemux.rig.play.Outcome;
-import kitemux.rig.play.Seeds;
-import kitemux.rig.play.Shrink;
-import kitemux.rig.play.SimPlay;
-import kitemux.rig.scenario.BadScenarioException;
-import kitemux.rig.scenario.DayFile;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.scenario.ScenarioFile;
-import kitemux.rig.trouble.Troubles;
-import kitemux.rig.world.Policy;
-import kitemux.rig.world.World;
+import loadbalancer.rig.baseline.Baselines;
+import loadbalancer.rig.baseline.JarPolicy;
+import loadbalancer.rig.check.Violation;
+import loadbalancer.rig.fault.Faults;
+import loadbalancer.rig.play.Comparison;
+import loadbalancer.rig.play.Outcome;
+import loadbalancer.rig.play.Seeds;
+import loadbalancer.rig.play.Shrink;
+import loadbalancer.rig.play.SimPlay;
+import loadbalancer.rig.scenario.BadScenarioException;
+import loadbalancer.rig.scenario.DayFile;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.scenario.ScenarioFile;
+import loadbalancer.rig.world.Policy;
+import loadbalancer.rig.world.World;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
@@ -80,9 +80,9 @@
             Map<String, String> all = new LinkedHashMap<>(overrides);
             all.putAll(more);
             try {
-                return ScenarioFile.read(file, all, Troubles.names());
+                return ScenarioFile.read(file, all, Faults.names());
             } catch (BadScenarioException e) {
-                throw new ToldException(file + ":\n  " + String.join("\n  ", e.faults()));
+                throw new UsageException(file + ":\n  " + String.join("\n  ", e.faults()));
             }
         }
 
@@ -91,7 +91,7 @@
             String set = overrides.entrySet().stream()
                     .map(e -> " --set " + e.getKey() + "=" + e.getValue())
                     .collect(Collectors.joining());
-            return "kitemux fleet " + command + " " + file + " --seed " + seed + set;
+            return "lb fleet " + command + " " + file + " --seed " + seed + set;
         }
     }
 
@@ -100,12 +100,12 @@
             try {
                 return JarPolicy.of(Path.of(name.substring(JAR.length())));
             } catch (IOException e) {
-                throw new ToldException("policy " + e.getMessage());
+                throw new UsageException("policy " + e.getMessage());
             }
         }
         Policy policy = Baselines.named(name);
         if (policy == null) {
-            throw new ToldException("policy " + name + ": must be " + JAR + "FILE, a node's jar, or one of "
+            throw new UsageException("policy " + name + ": must be " + JAR + "FILE, a node's jar, or one of "
                     + String.join(", ", Baselines.names()));
         }
         return policy;
@@ -115,7 +115,7 @@
             name = "run",
             mixinStandardHelpOptions = true,
             description = "Plays a scenario once.",
-            footer = {"%nExample: kitemux fleet run scenarios/jam.toml --seed 7 --history jam.jsonl", ExitCode.HELP})
+            footer = {"%nExample: lb fleet run scenarios/jam.toml --seed 7 --history jam.jsonl", ExitCode.HELP})
     int run(
             @Mixin Played played,
             @Option(names = "--seed", defaultValue = "1", description = "Seed of all chance; default 1.") long seed,
@@ -131,7 +131,7 @@
         Scenario scenario = played.read();
         Policy policy = policy(policyName);
         if (real && policy != Policy.MODULE) {
-            throw new ToldException("--policy " + policyName + ": must be module with --real");
+            throw new UsageException("--policy " + policyName + ": must be module with --real");
         }
         SimPlay.Progress progress = onTerminal() && !json ? this::showSecond : (nowUs, world) -> {};
         Outcome outcome;
@@ -170,7 +170,7 @@
             mixinStandardHelpOptions = true,
             description = "Plays a scenario with many seeds, looks"
                     + " for broken rules, and makes the first that it finds as small as it can.",
-            footer = {"%nExample: kitemux fleet hunt scenarios/herd.toml --seeds 1000", ExitCode.HELP})
+            footer = {"%nExample: lb fleet hunt scenarios/herd.toml --seeds 1000", ExitCode.HELP})
     int hunt(
             @Mixin Played played,
             @Option(names = "--seeds", defaultValue = "100", description = "How many; default 100.") int seeds,
@@ -238,7 +238,7 @@
             mixinStandardHelpOptions = true,
             description = "Plays a scenario with two policies on" + " the same seeds.",
             footer = {
-                "%nExample: kitemux fleet compare scenarios/jam.toml --a module --b two-choices" + " --seeds 30",
+                "%nExample: lb fleet compare scenarios/jam.toml --a module --b two-choices" + " --seeds 30",
                 ExitCode.HELP
             })
     int compare(
@@ -282,14 +282,14 @@
             name = "import",
             mixinStandardHelpOptions = true,
             description = "Makes a scenario of a day that the" + " platform's simulator has drawn, and prints it.",
-            footer = "%nExample: kitemux fleet import day.json > scenarios/day.toml")
+            footer = "%nExample: lb fleet import day.json > scenarios/day.toml")
     int importDay(@Parameters(paramLabel = "DAY", description = "The day, as JSON.") Path day) {
         try {
             out().print(DayFile.toToml(day, day.getFileName().toString().replaceFirst("\\.json$", "")));
             out().flush();
             return ExitCode.OK;
         } catch (IOException e) {
-            throw new ToldException(e.getMessage());
+            throw new UsageException(e.getMessage());
         }
     }
 
@@ -297,7 +297,7 @@
             name = "report",
             mixinStandardHelpOptions = true,
             description = "Draws what histories in a folder tell," + " as one page that needs nothing else.",
-            footer = "%nExample: kitemux fleet report runs/ --out report.html")
+            footer = "%nExample: lb fleet report runs/ --out report.html")
     int report(
             @Parameters(paramLabel = "DIR", description = "Where *.jsonl are, as --history writes them.") Path folder,
             @Option(names = "--out", defaultValue = "report.html", description = "Default: report.html.") Path to)
@@ -308,10 +308,10 @@
                     .sorted()
                     .toList();
         } catch (NoSuchFileException | NotDirectoryException e) {
-            throw new ToldException(folder + ": is no folder");
+            throw new UsageException(folder + ": is no folder");
         }
         if (files.isEmpty()) {
-            throw new ToldException(folder + ": holds no *.jsonl");
+            throw new UsageException(folder + ": holds no *.jsonl");
         }
         Files.writeString(to, Report.of(files));
         out().println("wrote " + to);
@@ -320,13 +320,13 @@
 
     @Command(name = "troubles", mixinStandardHelpOptions = true, description = "Lists what can go wrong.")
     int troubles() {
-        Troubles.names().forEach(out()::println);
+        Faults.names().forEach(out()::println);
         return ExitCode.OK;
     }
 
     private static int atLeastOne(String option, int value) {
         if (value < 1) {
-            throw new ToldException(option + " " + value + ": must be at least 1");
+            throw new UsageException(option + " " + value + ": must be at least 1");
         }
         return value;
     }
--- a/cli/src/main/java/kitemux/cli/FleetDemo.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetDemo.java
@@ -1,4 +1,4 @@
-package kitemux.cli;
+package loadbalancer.cli;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -12,19 +12,19 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import kitemux.rig.history.Event;
-import kitemux.rig.history.History;
-import kitemux.rig.play.Outcome;
-import kitemux.rig.play.SimPlay;
-import kitemux.rig.real.DeployFile;
-import kitemux.rig.real.RealPlay;
-import kitemux.rig.scenario.BadScenarioException;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.scenario.ScenarioFile;
-import kitemux.rig.trouble.Troubles;
-import kitemux.rig.world.AppServer;
-import kitemux.rig.world.NodePort;
-import kitemux.rig.world.World;
+import loadbalancer.rig.fault.Faults;
+import loadbalancer.rig.history.Event;
+import loadbalancer.rig.history.History;
+import loadbalancer.rig.play.Outcome;
+import loadbalancer.rig.play.SimPlay;
+import loadbalancer.rig.real.DeployFile;
+import loadbalancer.rig.real.RealPlay;
+import loadbalancer.rig.scenario.BadScenarioException;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.scenario.ScenarioFile;
+import loadbalancer.rig.world.AppServer;
+import loadbalancer.rig.world.NodePort;
+import loadbalancer.rig.world.World;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
@@ -36,7 +36,7 @@
         description = "Starts 3 nodes, and stands in for 12 app servers"
                 + " in 3 zones, their list and clients of four classes; then a server turns slow, one fails, one is"
                 + " killed.",
-        footer = {"%nExample: kitemux fleet demo", ExitCode.HELP})
+        footer = {"%nExample: lb fleet demo", ExitCode.HELP})
 final class FleetDemo implements Callable<Integer> {
     private static final String SCENARIO = """
             name = "demo"
@@ -77,7 +77,7 @@
         PrintWriter out = spec.commandLine().getOut();
         Scenario scenario;
         try {
-            scenario = ScenarioFile.parse(SCENARIO, Map.of(), Troubles.names());
+            scenario = ScenarioFile.parse(SCENARIO, Map.of(), Faults.names());
         } catch (BadScenarioException e) {
             throw new IllegalStateException("the demo's own scenario", e);
         }
@@ -96,7 +96,7 @@
             Scenario scenario, long seed, OutputStream history, History.Reader reader, SimPlay.Progress progress)
             throws IOException, InterruptedException {
         DeployFile deploy = DeployFile.find(Path.of(""));
-        Path folder = Files.createTempDirectory("kitemux-fleet");
+        Path folder = Files.createTempDirectory("lb-fleet");
         RealPlay play = new RealPlay(scenario, seed, deploy, folder, history, reader);
         Thread onEnd = new Thread(play::close, "end of the fleet");
         Runtime.getRuntime().addShutdownHook(onEnd);
--- a/cli/src/main/java/kitemux/cli/FleetMembers.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetMembers.java
@@ -1,4 +1,4 @@
-package kitemux.cli;
+package loadbalancer.cli;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -12,9 +12,9 @@
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.concurrent.Callable;
-import kitemux.core.membership.Member;
-import kitemux.members.Look;
-import kitemux.net.Addresses;
+import loadbalancer.membership.MembershipClient;
+import loadbalancer.membership.core.Member;
+import loadbalancer.net.SocketAddresses;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -27,8 +27,8 @@
         mixinStandardHelpOptions = true,
         description = "Asks processes how they see their fleet: who is alive, suspected, dead or has left.",
         footer = {
-            "%nExample: kitemux fleet members 127.0.0.1:7946",
-            "Example: kitemux fleet members --diff 127.0.0.1:7946 127.0.0.2:7946",
+            "%nExample: lb fleet members 127.0.0.1:7946",
+            "Example: lb fleet members --diff 127.0.0.1:7946 127.0.0.2:7946",
             "%nExit codes: 0 answered, and with --diff all alike; 1 with --diff: views differ; 2 a bad"
                     + " command line; 3 one does not answer.%n"
         })
@@ -56,17 +56,17 @@
 
     @Override
     public Integer call() throws IOException {
-        Map<String, Look.View> views = new LinkedHashMap<>();
+        Map<String, MembershipClient.View> views = new LinkedHashMap<>();
         for (String address : addresses) {
-            InetSocketAddress at = Addresses.parse(address);
+            InetSocketAddress at = SocketAddresses.parse(address);
             if (at == null || timeoutMs <= 0) {
-                throw new ToldException(
+                throw new UsageException(
                         at == null
                                 ? "ADDRESS = " + address + ": must be address:port"
                                 : "--timeout-ms = " + timeoutMs + ": must be above 0");
             }
             try {
-                views.put(address, Look.at(at, timeoutMs));
+                views.put(address, MembershipClient.at(at, timeoutMs));
             } catch (IOException e) {
                 throw new IOException(address + " does not answer: " + e.getMessage(), e);
             }
@@ -81,7 +81,7 @@
     }
 
     /** All that a view holds, its own process first. */
-    private static List<Member> all(Look.View view) {
+    private static List<Member> all(MembershipClient.View view) {
         List<Member> all = new ArrayList<>(List.of(view.self()));
         all.addAll(view.others());
         return all;
@@ -92,7 +92,7 @@
                 + member.incarnation().birth() + "." + member.incarnation().count();
     }
 
-    private static void print(PrintWriter out, String address, Look.View view) {
+    private static void print(PrintWriter out, String address, MembershipClient.View view) {
         long live = all(view).stream().filter(m -> m.state().isLive()).count();
         out.printf(
                 "%s at %s: %d live, view version %d, digest %016x, doubts itself by %d%n",
@@ -103,7 +103,7 @@
         view.figures().forEach((name, value) -> out.printf("  %s %d%n", name, value));
     }
 
-    private static String tree(String address, Look.View view) {
+    private static String tree(String address, MembershipClient.View view) {
         ObjectNode tree = JSON.createObjectNode()
                 .put("address", address)
                 .put("version", view.version())
@@ -126,7 +126,7 @@
     }
 
     /** A line for each member that is not held for the same by all. */
-    private static int compare(PrintWriter out, Map<String, Look.View> views) {
+    private static int compare(PrintWriter out, Map<String, MembershipClient.View> views) {
         TreeSet<String> names = new TreeSet<>();
         views.values().forEach(view -> all(view).forEach(m -> names.add(m.name())));
         int differing = 0;
--- a/cli/src/main/java/kitemux/cli/FleetScale.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetScale.java
@@ -1,4 +1,4 @@
-package kitemux.cli;
+package loadbalancer.cli;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.function.ToDoubleFunction;
-import kitemux.rig.scale.ModuleScale;
-import kitemux.rig.scale.ModuleScale.Cost;
+import loadbalancer.rig.scale.ModuleScale;
+import loadbalancer.rig.scale.ModuleScale.Cost;
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -25,7 +25,7 @@
         mixinStandardHelpOptions = true,
         description = "Measures what the decision module of one node costs before lists of several sizes:"
                 + " memory, processor time for a list, a change and a decision, and how each grows.",
-        footer = {"%nExample: kitemux fleet scale --nodes 1200 --servers 200,1000,5000,19000" + " --json scale.json%n"})
+        footer = {"%nExample: lb fleet scale --nodes 1200 --servers 200,1000,5000,19000" + " --json scale.json%n"})
 final class FleetScale implements Callable<Integer> {
     /** A line through fewer points tells nothing of a bend. */
     private static final int LEAST_SIZES = 2;
@@ -111,7 +111,7 @@
 
     private static void check(boolean allowed, String message) {
         if (!allowed) {
-            throw new ToldException(message);
+            throw new UsageException(message);
         }
     }
 
--- a/cli/src/main/java/kitemux/cli/FleetStudy.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetStudy.java
@@ -1,4 +1,4 @@
-package kitemux.cli;
+package loadbalancer.cli;
 
 import java.io.PrintWriter;
 import java.util.ArrayList;
@@ -8,11 +8,11 @@
 import java.util.function.LongFunction;
 import java.util.function.ToDoubleFunction;
 import java.util.function.UnaryOperator;
-import kitemux.core.membership.Settings;
-import kitemux.rig.members.MembersStudy;
-import kitemux.rig.members.MembersStudy.Falsely;
-import kitemux.rig.members.MembersStudy.Figures;
-import kitemux.rig.play.Seeds;
+import loadbalancer.membership.core.MembershipSettings;
+import loadbalancer.rig.members.MembersStudy;
+import loadbalancer.rig.members.MembersStudy.Falsely;
+import loadbalancer.rig.members.MembersStudy.Figures;
+import loadbalancer.rig.play.Seeds;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -24,7 +24,7 @@
         mixinStandardHelpOptions = true,
         description = "Measures membership in simulated time: its load, how quickly a crash is known, how quickly"
                 + " halves find each other, and how often it errs.",
-        footer = {"%nExample: kitemux fleet study --sizes 3,30,100 --seeds 20%n"})
+        footer = {"%nExample: lb fleet study --sizes 3,30,100 --seeds 20%n"})
 final class FleetStudy implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -53,7 +53,7 @@
     @Override
     public Integer call() throws InterruptedException {
         if (seeds < 1 || sizes.stream().anyMatch(n -> n < 3)) {
-            throw new ToldException(
+            throw new UsageException(
                     seeds < 1
                             ? "--seeds = " + seeds + ": must be at least 1"
                             : "--sizes = " + sizes + ": each must be at least 3");
@@ -87,8 +87,8 @@
     }
 
     /** Never stretches its times, and waits for nobody's confirmation. */
-    private static Settings sure(Settings set) {
-        return new Settings(
+    private static MembershipSettings sure(MembershipSettings set) {
+        return new MembershipSettings(
                 set.name(),
                 set.address(),
                 set.zone(),
@@ -108,7 +108,7 @@
                 set.seeds());
     }
 
-    private void falsely(PrintWriter out, int n, String how, UnaryOperator<Settings> tuned)
+    private void falsely(PrintWriter out, int n, String how, UnaryOperator<MembershipSettings> tuned)
             throws InterruptedException {
         List<Falsely> played = each(seed -> MembersStudy.falsely(n, seed, 0.05, falseSeconds, tuned));
         out.printf(
--- a/cli/src/main/java/kitemux/cli/Main.java
+++ b/cli/src/main/java/loadbalancer/cli/Main.java
@@ -1,4 +1,4 @@
-package kitemux.cli;
+package loadbalancer.cli;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -8,10 +8,10 @@
  * this.
  */
 @Command(
-        name = "kitemux",
+        name = "lb",
         mixinStandardHelpOptions = true,
-        version = "kitemux 0.1.0",
-        description = "Keeps fleets of kitemux nodes running, and proves that it does.",
+        version = "lb 0.1.0",
+        description = "Keeps fleets of load balancer nodes running, and proves that it does.",
         subcommands = {Fleet.class, CommandLine.HelpCommand.class})
 public final class Main {
     private Main() {}
@@ -23,11 +23,11 @@
 
     static CommandLine commandLine() {
         return new CommandLine(new Main()).setExecutionExceptionHandler((e, command, parsed) -> {
-            if (e instanceof ToldException) {
-                command.getErr().println("kitemux: " + e.getMessage());
+            if (e instanceof UsageException) {
+                command.getErr().println("lb: " + e.getMessage());
                 return ExitCode.USAGE;
             }
-            command.getErr().println("kitemux: " + e);
+            command.getErr().println("lb: " + e);
             for (Throwable cause = e; cause != null; cause = cause.getCause()) {
                 for (StackTraceElement at : cause.getStackTrace()) {
                     command.getErr().println("    at " + at);
--- a/cli/src/main/java/kitemux/cli/Outcomes.java
+++ b/cli/src/main/java/loadbalancer/cli/Outcomes.java
@@ -1,13 +1,13 @@
-package kitemux.cli;
+package loadbalancer.cli;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import kitemux.rig.check.Violation;
-import kitemux.rig.play.Outcome;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.world.Score;
+import loadbalancer.rig.check.Violation;
+import loadbalancer.rig.play.Outcome;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.world.Score;
 
 /** Outcomes for other programs. */
 final class Outcomes {
--- a/cli/src/main/java/kitemux/cli/Report.java
+++ b/cli/src/main/java/loadbalancer/cli/Report.java
@@ -1,4 +1,4 @@
-package kitemux.cli;
+package loadbalancer.cli;
 
 import java.awt.BasicStroke;
 import java.awt.Color;
@@ -14,8 +14,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import kitemux.rig.history.Event;
-import kitemux.rig.history.History;
+import loadbalancer.rig.history.Event;
+import loadbalancer.rig.history.History;
 import org.HdrHistogram.Histogram;
 import org.jfree.chart.ChartFactory;
 import org.jfree.chart.ChartUtils;
@@ -89,12 +89,11 @@
     static String of(List<Path> files) throws IOException {
         // Charts are drawn to memory: there is no screen to ask for.
         System.setProperty("java.awt.headless", "true");
-        StringBuilder page =
-                new StringBuilder("<!doctype html>\n<meta charset=\"utf-8\">\n<title>kitemux fleet</title>\n"
-                        + "<style>body{font:14px sans-serif;max-width:" + WIDTH + "px;margin:2em auto}"
-                        + "table{border-collapse:collapse}"
-                        + "td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ddd}"
-                        + "img{width:100%}</style>\n<h1>Fleet runs</h1>\n");
+        StringBuilder page = new StringBuilder("<!doctype html>\n<meta charset=\"utf-8\">\n<title>lb fleet</title>\n"
+                + "<style>body{font:14px sans-serif;max-width:" + WIDTH + "px;margin:2em auto}"
+                + "table{border-collapse:collapse}"
+                + "td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ddd}"
+                + "img{width:100%}</style>\n<h1>Fleet runs</h1>\n");
         for (Path file : files) {
             Told told = new Told();
             try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
--- a/cli/src/main/java/kitemux/cli/ToldException.java
+++ b/cli/src/main/java/loadbalancer/cli/UsageException.java
@@ -1,10 +1,10 @@
-package kitemux.cli;
+package loadbalancer.cli;
 
 /** Something that the caller can mend, told in one line or a few. */
-final class ToldException extends RuntimeException {
+final class UsageException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    ToldException(String message) {
+    UsageException(String message) {
         super(message);
     }
 }
--- a/cli/src/main/java/kitemux/cli/package-info.java
+++ b/cli/src/main/java/loadbalancer/cli/package-info.java
@@ -1,2 +1,2 @@
 /** The command line for operators and developers. */
-package kitemux.cli;
+package loadbalancer.cli;
--- a/cli/src/test/java/kitemux/cli/FleetTest.java
+++ b/cli/src/test/java/loadbalancer/cli/FleetTest.java
@@ -1,4 +1,4 @@
-package kitemux.cli;
+package loadbalancer.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,8 +17,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import kitemux.members.Members;
-import kitemux.members.MembersConfig;
+import loadbalancer.membership.MembersConfig;
+import loadbalancer.membership.MembershipService;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
@@ -123,8 +123,8 @@
         assertTrue(out.toString().contains("BROKEN ColdServers"), out.toString());
         assertTrue(
                 out.toString()
-                        .contains("again: kitemux fleet run scenarios/herd.toml --seed 1 --set"
-                                + " rules.fall_multiple=0.3"),
+                        .contains(
+                                "again: lb fleet run scenarios/herd.toml --seed 1 --set" + " rules.fall_multiple=0.3"),
                 out.toString());
         assertTrue(out.toString().contains("smallest found in"), out.toString());
     }
@@ -138,7 +138,7 @@
                         "compare",
                         "scenarios/calm.toml",
                         "--b",
-                        "jar:node/target/kitemux.jar",
+                        "jar:node/target/load-balancer.jar",
                         "--seeds",
                         "3",
                         "--set",
@@ -172,8 +172,9 @@
         }
     }
 
-    private static Members member(String name, String at, String seed, Consumer<String> log) throws Exception {
-        return Members.join(
+    private static MembershipService member(String name, String at, String seed, Consumer<String> log)
+            throws Exception {
+        return MembershipService.join(
                 MembersConfig.read(
                         new ObjectMapper()
                                 .createObjectNode()
@@ -192,8 +193,8 @@
         String first = freeAddress();
         String second = freeAddress();
         BlockingQueue<String> log = new LinkedBlockingQueue<>();
-        Members one = member("one", first, second, log::add);
-        Members two = member("two", second, first, log::add);
+        MembershipService one = member("one", first, second, log::add);
+        MembershipService two = member("two", second, first, log::add);
         try {
             for (int joined = 0; joined < 2; ) {
                 String line = log.poll(30, TimeUnit.SECONDS);
--- a/node/src/main/java/kitemux/Main.java
+++ b/node/src/main/java/loadbalancer/Main.java
@@ -1,6 +1,6 @@
-package kitemux;
+package loadbalancer;
 
-import kitemux.node.ProcessLife;
+import loadbalancer.process.ProcessLifecycle;
 
 /** One program in two modes: a real node, or the adapter that hosts instances for the bench. */
 public final class Main {
@@ -9,10 +9,10 @@
     /** Starts the mode that the one argument names. */
     public static void main(String[] args) {
         switch (args.length == 1 ? args[0] : "") {
-            case "adapter" -> kitemux.adapter.Main.run();
-            case "node" -> ProcessLife.run(System.getenv());
+            case "adapter" -> loadbalancer.simulator.SimulatorAdapter.run();
+            case "node" -> ProcessLifecycle.run(System.getenv());
             default -> {
-                System.err.println("usage: java -jar kitemux.jar adapter | node");
+                System.err.println("usage: java -jar load-balancer.jar adapter | node");
                 System.exit(2);
             }
         }
--- a/node/src/main/java/kitemux/node/ControlServer.java
+++ b/node/src/main/java/loadbalancer/admin/ControlServer.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.admin;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -20,11 +20,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.common.Log;
+import loadbalancer.transfer.FlowControl;
 
 /** The address for operators: one call, a line, to a connection. */
-final class ControlServer {
+public final class ControlServer {
     /** What the node does for operators. */
-    interface Operated {
+    public interface Operated {
         /** Whether this process can serve clients. */
         boolean serves();
 
@@ -36,11 +38,11 @@
          *
          * @return after how many milliseconds all processes of the node do so
          */
-        long cordon(String serverId, boolean out) throws RefusedException;
+        long cordon(String serverId, boolean out) throws RejectedCallException;
     }
 
     /** Descriptors that callers may hold, and the listener. */
-    static final int SOCKETS = 17;
+    public static final int SOCKETS = 17;
 
     private static final int MOST_CALLERS = SOCKETS - 1;
     private static final int MOST_LINE = 1 << 10;
@@ -54,17 +56,18 @@
 
     private Channel listening;
 
-    ControlServer(EventLoop loop, Operated node) {
+    public ControlServer(EventLoop loop, Operated node) {
         this.loop = loop;
         this.node = node;
     }
 
-    ChannelFuture listen(InetSocketAddress address) {
+    /** Listens on this address; the future is done once operators can connect. */
+    public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture opening = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.ALLOCATOR, Flow.ALLOCATOR)
+                .childOption(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
@@ -82,7 +85,7 @@
         return opening;
     }
 
-    void close() {
+    public void close() {
         listening.close();
         callers.forEach(caller -> caller.channel.close());
     }
@@ -97,7 +100,7 @@
             switch (call) {
                 case "health", "counters" -> takes(words, 1);
                 case "cordon", "uncordon" -> takes(words, 2);
-                default -> throw new RefusedException("unknown call");
+                default -> throw new RejectedCallException("unknown call");
             }
             if (call.equals("counters")) {
                 return new Answer(node.figures() + "END", 0);
@@ -106,10 +109,10 @@
                 return new Answer("YES", node.cordon(words[1], call.equals("cordon")));
             }
             if (!node.serves()) {
-                throw new RefusedException("not serving");
+                throw new RejectedCallException("not serving");
             }
             return new Answer("YES", 0);
-        } catch (RefusedException e) {
+        } catch (RejectedCallException e) {
             return new Answer("NO " + e.getMessage(), 0);
         } catch (RuntimeException e) {
             Log.error("call " + call, e);
@@ -117,9 +120,9 @@
         }
     }
 
-    private static void takes(String[] words, int number) throws RefusedException {
+    private static void takes(String[] words, int number) throws RejectedCallException {
         if (words.length != number) {
-            throw new RefusedException(words[0] + (number == 1 ? " takes no word more" : " takes one id"));
+            throw new RejectedCallException(words[0] + (number == 1 ? " takes no word more" : " takes one id"));
         }
     }
 
--- a/node/src/main/java/kitemux/node/Cordons.java
+++ b/node/src/main/java/loadbalancer/admin/CordonStore.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.admin;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -14,12 +14,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import loadbalancer.common.Log;
+import loadbalancer.discovery.EndpointList;
 
 /**
  * The servers that operators keep out by hand. They stand in a file that all processes of this node share: a
  * call to either of two counts for both, and a new process begins with them.
  */
-final class Cordons {
+public final class CordonStore {
     /** Ids that are remembered as once listed: many times what any fleet holds, but bounded. */
     private static final int MOST_REMEMBERED = 50_000;
 
@@ -40,26 +42,26 @@
     };
 
     /** Kept in this folder, or only in memory where it is null. */
-    Cordons(Path folder) {
+    public CordonStore(Path folder) {
         file = folder == null ? null : folder.resolve("kitemux.cordons");
         lock = folder == null ? null : folder.resolve("kitemux.cordons.lock");
     }
 
-    Set<String> out() {
+    public Set<String> out() {
         return out;
     }
 
     /** Whether other processes of this node may go by them too. */
-    boolean areShared() {
+    public boolean areShared() {
         return file != null;
     }
 
-    void listed(HostList list) {
+    public void listed(EndpointList list) {
         list.hosts().forEach(host -> listed.put(host.entry().id(), true));
     }
 
     /** Reads what any process of this node has written; true if that changed what is out. */
-    boolean refresh() {
+    public boolean refresh() {
         if (file == null) {
             return false;
         }
@@ -89,9 +91,9 @@
     }
 
     /** Changes one server's cordon, in the file first: what is answered with yes outlives this process. */
-    void change(String serverId, boolean keepOut) throws RefusedException {
+    public void change(String serverId, boolean keepOut) throws RejectedCallException {
         if (!listed.containsKey(serverId) && !out.contains(serverId)) {
-            throw new RefusedException("never listed: " + serverId);
+            throw new RejectedCallException("never listed: " + serverId);
         }
         if (file == null) {
             set(List.copyOf(changed(serverId, keepOut)));
@@ -100,7 +102,7 @@
         try (FileChannel guard = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock held = guard.tryLock()) {
             if (held == null) {
-                throw new RefusedException("another process is changing cordons, call again");
+                throw new RejectedCallException("another process is changing cordons, call again");
             }
             refresh();
             List<String> ids = List.copyOf(changed(serverId, keepOut));
@@ -109,7 +111,7 @@
             lines = ids;
             set(ids);
         } catch (IOException | OverlappingFileLockException e) {
-            throw new RefusedException("cordons cannot be kept: " + e);
+            throw new RejectedCallException("cordons cannot be kept: " + e);
         }
     }
 
--- a/node/src/main/java/kitemux/node/Counters.java
+++ b/node/src/main/java/loadbalancer/admin/Metrics.java
@@ -1,25 +1,25 @@
-package kitemux.node;
+package loadbalancer.admin;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import kitemux.Balancer.RequestClass;
+import loadbalancer.policy.RequestClass;
 
 /**
  * What this process has done since it started, for operators. Each thing is counted once, where it happens,
  * and on the loop; what stands now is read from its owner when it is asked for.
  */
-final class Counters {
+public final class Metrics {
     /** How a request ended; written in small letters. */
-    enum Ending {
+    public enum Ending {
         PASSED,
         DROPPED,
         BAD_GATEWAY
     }
 
     /** Figures that stand now, each told by its owner. */
-    record Gauges(int inProgress, int knownServers, int skippedServers) {}
+    public record Gauges(int inProgress, int knownServers, int skippedServers) {}
 
     private static final String PREFIX = "node_";
 
@@ -31,32 +31,32 @@
     private long loadErrors;
 
     /** These classes are reported from now on, from 0. */
-    void report(List<RequestClass> classes) {
+    public void report(List<RequestClass> classes) {
         classes.forEach(c -> handled.computeIfAbsent(c.name(), name -> new long[Ending.values().length]));
     }
 
     /** A request has got the end of its final answer. */
-    void handled(String className, Ending ending) {
+    public void handled(String className, Ending ending) {
         handled.get(className)[ending.ordinal()]++;
     }
 
     /** An attempt has been written whole to a server. */
-    void tried() {
+    public void tried() {
         tries++;
     }
 
     /** A configuration file has been taken. */
-    void loaded() {
+    public void loaded() {
         loads++;
     }
 
     /** A configuration file has been turned down. */
-    void loadFailed() {
+    public void loadFailed() {
         loadErrors++;
     }
 
     /** All figures, a line each. */
-    String text(Gauges now) {
+    public String text(Gauges now) {
         StringBuilder text = new StringBuilder();
         handled.forEach((name, counts) -> {
             for (Ending ending : Ending.values()) {
--- a/node/src/main/java/kitemux/node/RefusedException.java
+++ b/node/src/main/java/loadbalancer/admin/RejectedCallException.java
@@ -1,10 +1,10 @@
-package kitemux.node;
+package loadbalancer.admin;
 
 /** An operator's call that is not carried out; the message says why. */
-final class RefusedException extends Exception {
+public final class RejectedCallException extends Exception {
     private static final long serialVersionUID = 1;
 
-    RefusedException(String message) {
+    RejectedCallException(String message) {
         super(message);
     }
 }
--- a/node/src/main/java/kitemux/node/BadRequestException.java
+++ b/node/src/main/java/loadbalancer/client/BadRequestException.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.client;
 
 /** A request that cannot be used; the message says why. */
 final class BadRequestException extends Exception {
--- a/node/src/main/java/kitemux/node/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -26,15 +26,18 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import kitemux.loop.LoopLag;
+import loadbalancer.common.Log;
+import loadbalancer.eventloop.LoopLag;
+import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.RequestBody;
 
 /**
  * A client's connection: one request at a time, further ones wait their turn. It is long because reading,
  * answering and closing share one state, which would otherwise only be passed about.
  */
-final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements Flow {
+public final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements FlowControl {
     /** What becomes of a request; told once. */
-    interface OpenRequest {
+    public interface OpenRequest {
         /** The client has closed before it had its answer, or lost the right to one. */
         void left();
     }
@@ -84,7 +87,7 @@
     private final SocketChannel channel;
     private final StrictServerCodec codec;
     /** What was sent ahead of the answer that is due. */
-    private final SentAhead waiting = new SentAhead();
+    private final PipelinedMessages waiting = new PipelinedMessages();
 
     private final long connectedAtNanos = System.nanoTime();
     private long activeAtNanos = connectedAtNanos;
@@ -114,7 +117,7 @@
     private ByteBuf gathered;
     private long length;
     private long came;
-    private Upload upload;
+    private RequestBody upload;
     private boolean heldBack;
     /** The end of the time in which what still comes is dropped; null until the node ends its side. */
     private Future<?> lingering;
@@ -122,7 +125,7 @@
     private OpenRequest held;
 
     /** A server's answer that flows to the client, and since when the client takes no more of it. */
-    private Flow answering;
+    private FlowControl answering;
 
     private long stalledSinceNanos;
 
@@ -182,7 +185,7 @@
     }
 
     /** Tells that the client has left, once, if its end has been read; else that is told a little later. */
-    void tellIfLeft() {
+    public void tellIfLeft() {
         OpenRequest open = held;
         if (!channel.isActive() && open != null) {
             held = null;
@@ -191,7 +194,7 @@
     }
 
     /** What is told if the client leaves. */
-    void hold(OpenRequest request) {
+    public void hold(OpenRequest request) {
         held = request;
     }
 
@@ -311,7 +314,7 @@
             goOn();
             end();
         } else if (came > MOST_GATHERED && upload == null) {
-            upload = new Upload(this, length, gathered);
+            upload = new RequestBody(this, length, gathered);
             gathered = null;
             ask(NO_BODY);
         }
@@ -395,7 +398,7 @@
     // ---------------------------------------------------------------- what it is answered
 
     /** The one answer to the request that is open; {@code retryAfterUs} of 0 gives no advice. */
-    void answer(HttpResponseStatus status, byte[] body, long retryAfterUs) {
+    public void answer(HttpResponseStatus status, byte[] body, long retryAfterUs) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
@@ -408,7 +411,7 @@
     }
 
     /** The beginning of a server's answer of this length, or of -1 where it is not known. */
-    void beginAnswer(long answerLength, Flow from) {
+    public void beginAnswer(long answerLength, FlowControl from) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (answerLength >= 0) {
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answerLength);
@@ -423,7 +426,7 @@
     }
 
     /** The answer's next part, which is taken over. */
-    void continueAnswer(ByteBuf part) {
+    public void continueAnswer(ByteBuf part) {
         channel.write(new DefaultHttpContent(part));
         if (!channel.isWritable() && stalledSinceNanos == 0) {
             stalledSinceNanos = System.nanoTime();
@@ -431,11 +434,12 @@
         }
     }
 
-    void flushAnswer() {
+    public void flushAnswer() {
         channel.flush();
     }
 
-    void endAnswer() {
+    /** Writes the end of an answer that was sent in parts, and goes on to the next request. */
+    public void endAnswer() {
         held = null;
         answering = null;
         stalledSinceNanos = 0;
@@ -443,7 +447,7 @@
     }
 
     /** The rest will not come; by the connection's end the client can tell. */
-    void breakOffAnswer() {
+    public void breakOffAnswer() {
         held = null;
         answering = null;
         // Where nothing but the end tells that an answer is whole, it must be no orderly one.
@@ -496,7 +500,7 @@
 
     private void serveNext() {
         while (!waiting.isEmpty() && !(busy && whole)) {
-            SentAhead.Part next = waiting.poll();
+            PipelinedMessages.Part next = waiting.poll();
             partArrivedAtNanos = next.arrivedAtNanos();
             try {
                 take(next.part());
--- a/node/src/main/java/kitemux/node/ClientRequest.java
+++ b/node/src/main/java/loadbalancer/client/ClientRequest.java
@@ -1,6 +1,7 @@
-package kitemux.node;
+package loadbalancer.client;
 
 import io.netty.handler.codec.http.HttpMethod;
+import loadbalancer.transfer.RequestBody;
 
 /**
  * A client's request as it came.
@@ -10,7 +11,7 @@
  * @param upload the body where it is too large to be gathered, else null
  * @param arrivedAtNanos when, at the earliest, its last byte that is known here came
  */
-record ClientRequest(Head head, byte[] body, Upload upload, long arrivedAtNanos) {
+public record ClientRequest(Head head, byte[] body, RequestBody upload, long arrivedAtNanos) {
     /**
      * What stands before the body.
      *
@@ -26,14 +27,14 @@
      * @param key what it is about, or null
      * @param knowsChunks whether its answer may come in chunks
      */
-    record Head(
+    public record Head(
             HttpMethod method,
             String uri,
             String txn,
             String idempotencyKey,
             int classIndex,
             int tenant,
-            long leftUs,
+            long remainingUs,
             long workUs,
             boolean retry,
             String key,
--- a/node/src/main/java/kitemux/node/ClientServer.java
+++ b/node/src/main/java/loadbalancer/client/ClientServer.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.client;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -14,13 +14,15 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import kitemux.loop.LoopLag;
-import kitemux.loop.MeasuredEventLoop;
+import loadbalancer.common.SocketBudget;
+import loadbalancer.eventloop.LoopLag;
+import loadbalancer.eventloop.MeasuredEventLoop;
+import loadbalancer.transfer.FlowControl;
 
 /** The side that clients see: connections, what they ask, and the answers they get. */
-final class ClientServer implements ClientConnection.Owner {
+public final class ClientServer implements ClientConnection.Owner {
     /** What becomes of requests. */
-    interface Handler {
+    public interface Handler {
         /** A whole request that can be read; it is owed one {@link ClientConnection#answer}. */
         void asked(ClientConnection client, ClientRequest request);
     }
@@ -30,7 +32,7 @@
 
     private final MeasuredEventLoop loop;
     private RequestReader reader;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final Handler handler;
     /** All connections, the longest unused first. */
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
@@ -43,7 +45,8 @@
     private boolean closed;
     private Runnable whenEmpty = () -> {};
 
-    ClientServer(MeasuredEventLoop loop, RequestReader reader, Sockets sockets, Handler handler) {
+    /** The client side of a node; it accepts nothing until told to listen. */
+    public ClientServer(MeasuredEventLoop loop, RequestReader reader, SocketBudget sockets, Handler handler) {
         this.loop = loop;
         this.reader = reader;
         this.sockets = sockets;
@@ -51,19 +54,20 @@
     }
 
     /** Listens at this address, or on the socket that is inherited where there is one. */
-    ChannelFuture listen(InetSocketAddress address, ServerSocketChannel inherited) {
+    public ChannelFuture listen(InetSocketAddress address, ServerSocketChannel inherited) {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loop)
                 .channelFactory(
                         () -> inherited == null ? new NioServerSocketChannel() : new NioServerSocketChannel(inherited))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, 1024)
-                .childOption(ChannelOption.ALLOCATOR, Flow.ALLOCATOR)
+                .childOption(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.SO_SNDBUF, Flow.SYSTEM_BUFFER)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Flow.WATER_MARK)
+                .childOption(ChannelOption.SO_SNDBUF, FlowControl.SYSTEM_BUFFER)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, FlowControl.WATER_MARK)
                 // Until nothing is left to read: a client's end may stand right behind its request.
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Flow.parts().respectMaybeMoreData(false))
+                .childOption(
+                        ChannelOption.RECVBUF_ALLOCATOR, FlowControl.parts().respectMaybeMoreData(false))
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
@@ -77,7 +81,7 @@
     }
 
     /** Requests that come from now on are read by this. */
-    void readBy(RequestReader next) {
+    public void readBy(RequestReader next) {
         reader = next;
     }
 
@@ -106,7 +110,7 @@
     }
 
     /** Closes connections that have been idle, or amid a request or an unread answer, for too long. */
-    void closeOld() {
+    public void closeOld() {
         long now = System.nanoTime();
         for (ClientConnection client : new ArrayList<>(clients)) {
             if (client.isOverdue(now)) {
@@ -122,7 +126,7 @@
      *
      * @param idleMs how long idle connections may stay
      */
-    void handOver(long idleMs, Runnable whenDone) {
+    public void handOver(long idleMs, Runnable whenDone) {
         draining = true;
         closed = true;
         whenEmpty = whenDone;
@@ -143,7 +147,7 @@
      *
      * @param whenDone called once no connection is left and none can come
      */
-    void drain(Runnable whenDone) {
+    public void drain(Runnable whenDone) {
         draining = true;
         whenEmpty = whenDone;
         loop.schedule(
@@ -156,7 +160,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    void close() {
+    public void close() {
         listening.close();
         new ArrayList<>(clients).forEach(ClientConnection::close);
     }
--- a/node/src/main/java/kitemux/node/SentAhead.java
+++ b/node/src/main/java/loadbalancer/client/PipelinedMessages.java
@@ -1,12 +1,13 @@
-package kitemux.node;
+package loadbalancer.client;
 
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
+import loadbalancer.transfer.FlowControl;
 
 /** What a client has sent ahead of the answer that it is due, in order; bounded, as it may never stop. */
-final class SentAhead {
+public final class PipelinedMessages {
     /** What a part weighs beside its content: its head's fields, or the objects that hold it. */
     private static final int PART_BYTES = 512;
 
@@ -17,13 +18,13 @@
     private int bytes;
 
     /** Keeps a part, beside whoever has it now. */
-    void add(HttpObject part, long arrivedAtNanos) {
+    public void add(HttpObject part, long arrivedAtNanos) {
         parts.add(new Part(ReferenceCountUtil.retain(part), arrivedAtNanos));
         bytes += weight(part);
     }
 
     /** The next part, to be released; null if there is none. */
-    Part poll() {
+    public Part poll() {
         Part next = parts.poll();
         bytes -= next == null ? 0 : weight(next.part());
         return next;
@@ -34,8 +35,8 @@
     }
 
     /** Whether nothing more should be read until some of it is gone. */
-    boolean isFull() {
-        return bytes >= Flow.MOST_GATHERED;
+    public boolean isFull() {
+        return bytes >= FlowControl.MOST_GATHERED;
     }
 
     void release() {
--- a/node/src/main/java/kitemux/node/RequestReader.java
+++ b/node/src/main/java/loadbalancer/client/RequestReader.java
@@ -1,14 +1,15 @@
-package kitemux.node;
+package loadbalancer.client;
 
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
 import java.util.Set;
-import kitemux.Balancer.Repeat;
+import loadbalancer.config.ClassRegistry;
+import loadbalancer.policy.Idempotency;
 
 /** Reads a client's request by the protocol; what does not keep to it is turned down here. */
-final class RequestReader {
+public final class RequestReader {
     private static final String PREFIX = "/api/";
     private static final String SCHEME = "http://";
     /** The way from the client, by which its time is shorter than it says. */
@@ -16,9 +17,9 @@
 
     private static final double MOST_LEFT_US = 3.6e9;
 
-    private final Tuning tuning;
+    private final ClassRegistry tuning;
 
-    RequestReader(Tuning tuning) {
+    public RequestReader(ClassRegistry tuning) {
         this.tuning = tuning;
     }
 
@@ -73,9 +74,9 @@
     private int classIndex(String name, HttpMethod method, boolean keyed) throws BadRequestException {
         boolean methodFits = false;
         for (int place : tuning.asked().getOrDefault(name, Set.of())) {
-            Repeat repeat = tuning.known().get(place).repeat();
-            boolean fits = method.equals(repeat == Repeat.SAFE ? HttpMethod.GET : HttpMethod.POST);
-            if (fits && repeat == Repeat.KEYED == keyed) {
+            Idempotency repeat = tuning.known().get(place).idempotency();
+            boolean fits = method.equals(repeat == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST);
+            if (fits && repeat == Idempotency.IDEMPOTENT_WITH_KEY == keyed) {
                 return place;
             }
             methodFits |= fits;
@@ -105,7 +106,7 @@
     }
 
     /** Time left by X-Remaining, a number and a unit. */
-    static long left(String text) throws BadRequestException {
+    public static long left(String text) throws BadRequestException {
         double unit = text.endsWith("m") ? 1_000 : text.endsWith("u") ? 1 : 0;
         double us = unit * number(text.substring(0, text.length() - 1), "X-Remaining");
         if (unit == 0 || us > MOST_LEFT_US) {
--- a/node/src/main/java/kitemux/node/StrictServerCodec.java
+++ b/node/src/main/java/loadbalancer/client/StrictServerCodec.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -11,12 +11,13 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
+import loadbalancer.transfer.FlowControl;
 
 /**
  * HTTP as a node speaks it to clients. A request whose end could be read in two ways is none: Netty drops the
  * length where there are chunks too, and another on the way may have gone by it.
  */
-final class StrictServerCodec extends CombinedChannelDuplexHandler<HttpRequestDecoder, HttpResponseEncoder> {
+public final class StrictServerCodec extends CombinedChannelDuplexHandler<HttpRequestDecoder, HttpResponseEncoder> {
     /** HTTP wants at least 8,000 bytes of a request's first line to be understood. */
     private static final int MOST_LINE = 8 << 10;
 
@@ -30,7 +31,7 @@
     }
 
     /** Whether a body in chunks is coded in that one way only, which is all that a node can pass on. */
-    static boolean isPlain(HttpMessage message) {
+    public static boolean isPlain(HttpMessage message) {
         return message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING).stream()
                 .allMatch(HttpHeaderValues.CHUNKED::contentEqualsIgnoreCase);
     }
@@ -39,7 +40,7 @@
         private boolean begun;
 
         Decoder() {
-            super(new HttpDecoderConfig().setMaxChunkSize(Flow.MOST_PART).setMaxInitialLineLength(MOST_LINE));
+            super(new HttpDecoderConfig().setMaxChunkSize(FlowControl.MOST_PART).setMaxInitialLineLength(MOST_LINE));
         }
 
         @Override
--- /dev/null
+++ b/node/src/main/java/loadbalancer/client/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Accepted client connections: HTTP decoding, pipelining, answers. Owns the listening socket and its connections.
+ */
+package loadbalancer.client;
--- a/node/src/main/java/kitemux/node/Clock.java
+++ b/node/src/main/java/loadbalancer/common/Clock.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.common;
 
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
@@ -7,16 +7,16 @@
  * Unix time in microseconds that never goes back: wall time is read once, what follows is measured. A wall
  * clock that is set while requests are held would move their deadlines.
  */
-final class Clock {
+public final class Clock {
     private final long originUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
     private final long originNanos = System.nanoTime();
 
-    long nowUs() {
+    public long nowUs() {
         return atUs(System.nanoTime());
     }
 
     /** The same for a time of {@link System#nanoTime}. */
-    long atUs(long nanoTime) {
+    public long atUs(long nanoTime) {
         return originUs + (nanoTime - originNanos) / 1_000;
     }
 }
--- a/node/src/main/java/kitemux/node/Log.java
+++ b/node/src/main/java/loadbalancer/common/Log.java
@@ -1,7 +1,7 @@
-package kitemux.node;
+package loadbalancer.common;
 
 /** Lines for the operators on standard error: few, so that a flood of failures cannot stall the loop. */
-final class Log {
+public final class Log {
     private static final int MOST_PER_S = 20;
 
     private static long second;
@@ -9,13 +9,15 @@
 
     private Log() {}
 
-    static void line(String text) {
+    /** Writes one line. */
+    public static void line(String text) {
         if (hasRoom()) {
             System.err.println(text.replace('\n', ' ').replace('\r', ' '));
         }
     }
 
-    static void error(String what, Throwable cause) {
+    /** Writes one line for an exception that nobody expects. */
+    public static void error(String what, Throwable cause) {
         if (hasRoom()) {
             System.err.println(what + ": " + cause);
             for (StackTraceElement frame : cause.getStackTrace()) {
--- a/node/src/main/java/kitemux/node/Sockets.java
+++ b/node/src/main/java/loadbalancer/common/SocketBudget.java
@@ -1,7 +1,7 @@
-package kitemux.node;
+package loadbalancer.common;
 
 /** Counts open sockets against the process's limit, so that no side takes what the other needs. */
-final class Sockets {
+public final class SocketBudget {
     /** Descriptors that the JVM, the jar, the listener and discovery hold, with room. */
     private static final int RESERVED = 48;
     /** The part that clients may hold at most; a request in work needs a connection to a server too. */
@@ -12,33 +12,33 @@
     private int clients;
 
     /** With this limit, of which others hold so many besides what is always reserved. */
-    Sockets(int limit, int others) {
+    public SocketBudget(int limit, int others) {
         most = Math.max(8, limit - RESERVED - others);
     }
 
-    void opened() {
+    public void opened() {
         open++;
     }
 
-    void closed() {
+    public void closed() {
         open--;
     }
 
-    void clientOpened() {
+    public void clientOpened() {
         open++;
         clients++;
     }
 
-    void clientClosed() {
+    public void clientClosed() {
         open--;
         clients--;
     }
 
-    boolean hasRoomForServer() {
+    public boolean hasRoomForServer() {
         return open < most;
     }
 
-    boolean hasRoomForClient() {
+    public boolean hasRoomForClient() {
         return open < most && clients < CLIENT_PART * most;
     }
 }
--- a/node/src/main/java/kitemux/node/Tuning.java
+++ b/node/src/main/java/loadbalancer/config/ClassRegistry.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.config;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.Settings;
-import kitemux.Balancer.Tenant;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.Tenant;
 
 /**
  * Settings as the module has them, and the names by which clients ask for what is in them. Open requests know
@@ -22,31 +22,31 @@
  *     current until lately, as requests by the rules before are still under way and clients repeat theirs
  * @param tenants places by name
  */
-record Tuning(
-        Settings settings,
+public record ClassRegistry(
+        BalancerSettings settings,
         List<RequestClass> known,
         Map<String, Integer> current,
         Map<String, Set<Integer>> asked,
         Map<String, Integer> tenants) {
 
-    static Tuning first(Settings settings) {
-        return new Tuning(new Settings(), List.of(), Map.of(), Map.of(), Map.of()).with(settings);
+    public static ClassRegistry first(BalancerSettings settings) {
+        return new ClassRegistry(new BalancerSettings(), List.of(), Map.of(), Map.of(), Map.of()).with(settings);
     }
 
     /** These settings from now on, but for what only a restart takes: the node's place and reports' form. */
-    Tuning then(Settings read) {
+    public ClassRegistry then(BalancerSettings read) {
         read.nodes = settings.nodes;
-        read.me = settings.me;
-        read.myZone = settings.myZone;
+        read.nodeIndex = settings.nodeIndex;
+        read.localZone = settings.localZone;
         read.zones.clear();
         read.zones.addAll(settings.zones);
         read.reportFields.clear();
         read.reportFields.addAll(settings.reportFields);
-        read.listOnRequest = settings.listOnRequest;
+        read.pollsEndpointList = settings.pollsEndpointList;
         return with(read);
     }
 
-    private Tuning with(Settings read) {
+    private ClassRegistry with(BalancerSettings read) {
         List<RequestClass> all = new ArrayList<>(known);
         Map<String, Integer> inFile = new HashMap<>();
         for (RequestClass c : read.classes) {
@@ -62,7 +62,7 @@
         Map<String, Set<Integer>> names = alone(inFile);
         asked.forEach((name, places) ->
                 names.computeIfAbsent(name, n -> new LinkedHashSet<>()).addAll(places));
-        return new Tuning(read, all, inFile, names, allTenants(read.tenants));
+        return new ClassRegistry(read, all, inFile, names, allTenants(read.tenants));
     }
 
     private static Map<String, Set<Integer>> alone(Map<String, Integer> places) {
@@ -74,15 +74,15 @@
     private static RequestClass worthless(RequestClass c) {
         return new RequestClass(
                 c.name(),
-                c.aimUs(),
-                c.aimStretch(),
+                c.latencyObjectiveUs(),
+                c.objectiveStretch(),
                 c.deadlineUs(),
                 0,
                 0,
-                c.repeat(),
-                c.group(),
-                c.windowUs(),
-                c.stream());
+                c.idempotency(),
+                c.deduplicationScope(),
+                c.deduplicationWindowUs(),
+                c.streaming());
     }
 
     private Map<String, Integer> allTenants(List<Tenant> read) {
@@ -102,7 +102,7 @@
     }
 
     /** What the platform reckons with at a planned end: it knows the file as it is, not those before. */
-    long longestDeadlineUs() {
+    public long longestDeadlineUs() {
         return current.values().stream()
                 .mapToLong(place -> known.get(place).deadlineUs())
                 .max()
@@ -110,7 +110,7 @@
     }
 
     /** How long clients may still ask by rules that are no longer in the file. */
-    long settlesAfterUs() {
+    public long settlesAfterUs() {
         return asked.values().stream()
                 .flatMap(Set::stream)
                 .filter(place -> !current.containsValue(place))
@@ -120,7 +120,7 @@
     }
 
     /** The same once nobody can be asking by those. */
-    Tuning settled() {
-        return new Tuning(settings, known, current, alone(current), tenants);
+    public ClassRegistry settled() {
+        return new ClassRegistry(settings, known, current, alone(current), tenants);
     }
 }
--- a/node/src/main/java/kitemux/node/ConfigException.java
+++ b/node/src/main/java/loadbalancer/config/ConfigException.java
@@ -1,10 +1,10 @@
-package kitemux.node;
+package loadbalancer.config;
 
 /** The configuration is missing or bad; the message is one line that names the field. */
-final class ConfigException extends Exception {
+public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
-    ConfigException(String field, String reason) {
+    public ConfigException(String field, String reason) {
         super(field + " " + reason);
     }
 }
--- a/node/src/main/java/kitemux/node/NodeConfig.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfig.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.config;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -15,10 +15,11 @@
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.Settings;
-import kitemux.adapter.BootInfo;
-import kitemux.members.MembersConfig;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.membership.MembersConfig;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * What a node is told at its start, by the environment and the configuration file.
@@ -34,14 +35,14 @@
  * @param operators what is only there for operators
  * @param fleet the fleet of processes that it takes part in; null for none
  */
-record NodeConfig(
+public record NodeConfig(
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
         int sockets,
         long connIdleUs,
-        HostList known,
-        Settings settings,
+        EndpointList known,
+        BalancerSettings settings,
         Set<String> keys,
         Operators operators,
         MembersConfig fleet) {
@@ -58,7 +59,7 @@
      * @param folder what processes of this node hand on to each other; null if nothing is
      * @param inherits whether the platform holds the clients' listening socket
      */
-    record Operators(InetSocketAddress control, Path folder, boolean inherits) {
+    public record Operators(InetSocketAddress control, Path folder, boolean inherits) {
         static final Operators NONE = new Operators(null, null, false);
 
         private static Operators read(Map<String, String> env, JsonNode json) throws ConfigException {
@@ -70,7 +71,7 @@
                 throw new ConfigException("PROXY_SOCKET_FD", "is not 0, the only one: " + descriptor);
             }
             return new Operators(
-                    control.isEmpty() ? null : Addresses.parse("control", control),
+                    control.isEmpty() ? null : ConfigAddresses.parse("control", control),
                     folder.isEmpty() ? null : Path.of(folder),
                     !descriptor.isEmpty());
         }
@@ -83,14 +84,14 @@
     private static final long DEFAULT_CONN_IDLE_US = 15_000_000;
 
     /** The environment's addresses hold where they are set; all else is in the file that it names. */
-    static NodeConfig read(Map<String, String> env) throws ConfigException {
+    public static NodeConfig read(Map<String, String> env) throws ConfigException {
         JsonNode json = file(env);
         if (!json.isObject() || !json.path("settings").isObject()) {
             throw new ConfigException("settings", "is missing or not an object");
         }
         Map<String, String> flat = new HashMap<>();
         flatten("", json.get("settings"), flat);
-        Settings settings = settings(flat);
+        BalancerSettings settings = settings(flat);
         JsonNode sockets = json.path("limits").path("sockets");
         if (!sockets.canConvertToInt() || sockets.asInt() < LEAST_SOCKETS) {
             throw new ConfigException("limits.sockets", "is missing or under " + LEAST_SOCKETS);
@@ -107,8 +108,8 @@
         String discovery =
                 env.getOrDefault("PROXY_DISCOVERY", json.path("discovery").asText());
         return new NodeConfig(
-                Addresses.parse("listen", listen),
-                Addresses.parse("discovery", discovery),
+                ConfigAddresses.parse("listen", listen),
+                ConfigAddresses.parse("discovery", discovery),
                 seed(json.path("seed").asText()),
                 sockets.asInt(),
                 idle,
@@ -125,7 +126,7 @@
      * never had: a key that is gone from the file was lost on the way, and the rest of that file is not to be
      * trusted either.
      */
-    NodeConfig again(Map<String, String> env) throws ConfigException {
+    public NodeConfig again(Map<String, String> env) throws ConfigException {
         Map<String, String> now = new HashMap<>(env);
         now.remove("PROXY_DISCOVERY");
         NodeConfig read = read(now);
@@ -183,7 +184,7 @@
     }
 
     /** The same once the file can be taken: the signal that calls for it may have come ahead of its end. */
-    NodeConfig againSettled(Map<String, String> env) throws ConfigException {
+    public NodeConfig againSettled(Map<String, String> env) throws ConfigException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLES_MS);
         while (true) {
             try {
@@ -197,9 +198,9 @@
         }
     }
 
-    private static Settings settings(Map<String, String> flat) throws ConfigException {
+    private static BalancerSettings settings(Map<String, String> flat) throws ConfigException {
         try {
-            Settings settings = BootInfo.read(flat);
+            BalancerSettings settings = SettingsReader.read(flat);
             settings.validate();
             Set<String> names = new HashSet<>();
             for (RequestClass c : settings.classes) {
@@ -208,7 +209,7 @@
                 }
             }
             return settings;
-        } catch (BootInfo.BadSettingException e) {
+        } catch (SettingsReader.BadSettingException e) {
             throw new ConfigException("settings." + e.field, e.reason);
         } catch (IllegalArgumentException e) {
             throw new ConfigException("settings:", e.getMessage());
@@ -235,13 +236,13 @@
     }
 
     /** The same for a node that keeps to itself: on any port, with these servers and no discovery. */
-    NodeConfig apart(HostList servers) {
-        Settings apart = new Settings();
+    public NodeConfig apart(EndpointList servers) {
+        BalancerSettings apart = new BalancerSettings();
         apart.zones.addAll(settings.zones);
         apart.classes.addAll(settings.classes);
         apart.tenants.addAll(settings.tenants);
         apart.maxAttempts = settings.maxAttempts;
-        apart.cancel = settings.cancel;
+        apart.cancellation = settings.cancellation;
         return new NodeConfig(
                 new InetSocketAddress(listen.getAddress(), 0),
                 null,
@@ -255,11 +256,11 @@
                 null);
     }
 
-    private static HostList known(JsonNode json, List<String> zones) throws ConfigException {
+    private static EndpointList known(JsonNode json, List<String> zones) throws ConfigException {
         if (!json.hasNonNull("known")) {
-            return new HostList(0, true, List.of());
+            return new EndpointList(0, true, List.of());
         }
-        return HostList.decode(json.get("known"), zones, "known.");
+        return EndpointList.decode(json.get("known"), zones, "known.");
     }
 
     private static MembersConfig fleet(JsonNode json) throws ConfigException {
--- a/node/src/main/java/kitemux/node/HostList.java
+++ b/node/src/main/java/loadbalancer/discovery/EndpointList.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.discovery;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -8,8 +8,10 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
+import loadbalancer.config.ConfigAddresses;
+import loadbalancer.config.ConfigException;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.policy.ServerState;
 
 /**
  * A server list in discovery's form.
@@ -18,10 +20,10 @@
  * @param all whether it holds all servers or only those that changed
  * @param hosts its entries, in order
  */
-record HostList(long rev, boolean all, List<Host> hosts) {
+public record EndpointList(long rev, boolean all, List<Host> hosts) {
 
     /** One entry: what the module is told, and the address, which it is not. */
-    record Host(ServerEntry entry, InetSocketAddress endpoint) {}
+    public record Host(ServerEntry entry, InetSocketAddress endpoint) {}
 
     /**
      * Decodes a list; zones are named as in the settings.
@@ -29,7 +31,7 @@
      * @param at where it stands, for the message: empty, or a name and a dot
      * @throws ConfigException if it is not in discovery's form; the message names the field
      */
-    static HostList decode(JsonNode list, List<String> zones, String at) throws ConfigException {
+    public static EndpointList decode(JsonNode list, List<String> zones, String at) throws ConfigException {
         JsonNode targets = list.path("targets");
         if (!list.path("rev").isIntegralNumber()) {
             throw new ConfigException(at + "rev", "is missing or not a whole number");
@@ -41,14 +43,14 @@
         for (JsonNode target : targets) {
             hosts.add(host(target, zones, at + "targets[" + hosts.size() + "]."));
         }
-        return new HostList(list.path("rev").asLong(), list.path("all").asBoolean(), hosts);
+        return new EndpointList(list.path("rev").asLong(), list.path("all").asBoolean(), hosts);
     }
 
     /**
      * The same from discovery's bytes, one entry after the other: the whole of a long list as a tree takes
      * several times the memory of what is kept of it.
      */
-    static HostList decode(JsonParser parser, List<String> zones) throws IOException, ConfigException {
+    public static EndpointList decode(JsonParser parser, List<String> zones) throws IOException, ConfigException {
         JsonNode rev = MissingNode.getInstance();
         JsonNode all = MissingNode.getInstance();
         List<Host> hosts = null;
@@ -72,7 +74,7 @@
         if (hosts == null) {
             throw new ConfigException("targets", "is missing or not a list");
         }
-        return new HostList(rev.asLong(), all.asBoolean(), hosts);
+        return new EndpointList(rev.asLong(), all.asBoolean(), hosts);
     }
 
     private static List<Host> hosts(JsonParser parser, List<String> zones) throws IOException, ConfigException {
@@ -109,7 +111,7 @@
         // A server that has gone needs no address; word of it must not be lost for want of one.
         InetSocketAddress endpoint = state == ServerState.GONE
                 ? null
-                : Addresses.parse(at + "endpoint", target.path("endpoint").asText());
+                : ConfigAddresses.parse(at + "endpoint", target.path("endpoint").asText());
         // Boot times may lie some milliseconds off ours; the module's clock is Unix time too.
         ServerEntry entry = new ServerEntry(
                 id,
--- a/node/src/main/java/kitemux/node/Discovery.java
+++ b/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.discovery;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -29,6 +29,11 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.common.Log;
+import loadbalancer.config.ConfigException;
+import loadbalancer.config.NodeConfig;
+import loadbalancer.transfer.FlowControl;
+import loadbalancer.upstream.StrictClientCodec;
 
 /**
  * The watch on discovery's list. When it breaks it says so. Asking again is the module's word where the list
@@ -39,10 +44,10 @@
  * until that has caught up, and an agent that lags behind what is known is heard only once it is past it:
  * else a server that the node was told to leave alone would be used again.
  */
-final class Discovery {
+public final class EndpointWatcher {
     /** What the watch tells. */
-    interface Listener {
-        void listed(HostList list);
+    public interface Listener {
+        void listed(EndpointList list);
 
         void failed(String reason);
     }
@@ -54,12 +59,12 @@
      * @param silenceUs its silence from then on
      * @param lagUs that it tells of less than is known; from then on what it has is all that is to be had
      */
-    record Patience(long firstWordUs, long silenceUs, long lagUs) {
+    public record Patience(long firstWordUs, long silenceUs, long lagUs) {
         /**
          * Discovery answers at once and writes every 2 s. What it has to tell counts as told 6 s later, 4 s
          * after a move: by then a watch has to be found silent, and another one opened and heard.
          */
-        static final Patience USUAL = new Patience(1_500_000, 4_500_000, 6_000_000);
+        public static final Patience USUAL = new Patience(1_500_000, 4_500_000, 6_000_000);
     }
 
     private static final int CONNECT_TIMEOUT_MS = 2_000;
@@ -94,7 +99,8 @@
     private long backoffMs = BACKOFF_MS;
     private Future<?> again;
 
-    Discovery(EventLoop loop, NodeConfig config, Patience patience, Listener listener) {
+    /** A watch that is not open yet. */
+    public EndpointWatcher(EventLoop loop, NodeConfig config, Patience patience, Listener listener) {
         this.loop = loop;
         this.patience = patience;
         this.listener = listener;
@@ -106,7 +112,7 @@
         dialer = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, Flow.ALLOCATOR)
+                .option(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -117,13 +123,13 @@
     }
 
     /** Keeps a watch open from now on. */
-    void keepSubscribed() {
+    public void keepSubscribed() {
         kept = true;
         subscribe();
     }
 
     /** Discovery has moved: a watch that is open, or about to be opened again, goes on there at once. */
-    void moveTo(InetSocketAddress to) {
+    public void moveTo(InetSocketAddress to) {
         boolean moved = !to.equals(address);
         address = to;
         if (moved && (kept || current != null)) {
@@ -139,7 +145,7 @@
     }
 
     /** Ends the watch and opens no other. */
-    void close() {
+    public void close() {
         kept = false;
         endCurrent();
         endFormer();
@@ -178,7 +184,7 @@
     }
 
     /** Opens a watch for all that changed since the last list; it takes the place of an earlier one. */
-    void subscribe() {
+    public void subscribe() {
         endCurrent();
         Watch watch = new Watch();
         current = watch;
@@ -201,7 +207,7 @@
 
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-        private final Brackets brackets = new Brackets();
+        private final JsonDocumentFramer brackets = new JsonDocumentFramer();
         private Channel channel;
         private Future<?> silence;
         private boolean over;
@@ -284,7 +290,7 @@
                     heed(decode(whole));
                 } else if (!told) {
                     // A beat. As the first word it says that nothing has changed: the call has its answer.
-                    heed(new HostList(rev, false, List.of()));
+                    heed(new EndpointList(rev, false, List.of()));
                 } else {
                     endLag();
                 }
@@ -302,13 +308,13 @@
             return true;
         }
 
-        private HostList decode(byte[] whole) throws IOException, ConfigException {
+        private EndpointList decode(byte[] whole) throws IOException, ConfigException {
             try (JsonParser parser = json.createParser(whole)) {
-                return HostList.decode(parser, zones);
+                return EndpointList.decode(parser, zones);
             }
         }
 
-        private void heed(HostList list) {
+        private void heed(EndpointList list) {
             if (!told || !list.hosts().isEmpty()) {
                 Log.line("discovery: " + (told ? "" : "first word, ") + list.summary());
             }
--- a/node/src/main/java/kitemux/node/Brackets.java
+++ b/node/src/main/java/loadbalancer/discovery/JsonDocumentFramer.java
@@ -1,10 +1,10 @@
-package kitemux.node;
+package loadbalancer.discovery;
 
 /**
  * Tells where a list in JSON ends that may be indented, over several lines: where every bracket is closed. A
  * blank line ends it too, as it is a beat, and what was open before one will never be whole.
  */
-final class Brackets {
+final class JsonDocumentFramer {
     private int open;
     private boolean quoted;
     private boolean escaped;
--- a/node/src/main/java/kitemux/loop/LoopLag.java
+++ b/node/src/main/java/loadbalancer/eventloop/LoopLag.java
@@ -1,4 +1,4 @@
-package kitemux.loop;
+package loadbalancer.eventloop;
 
 import io.netty.channel.IoEvent;
 import io.netty.channel.IoHandle;
--- a/node/src/main/java/kitemux/loop/MeasuredEventLoop.java
+++ b/node/src/main/java/loadbalancer/eventloop/MeasuredEventLoop.java
@@ -1,4 +1,4 @@
-package kitemux.loop;
+package loadbalancer.eventloop;
 
 import io.netty.channel.IoHandler;
 import io.netty.channel.SingleThreadIoEventLoop;
--- a/node/src/main/java/kitemux/loop/package-info.java
+++ b/node/src/main/java/loadbalancer/eventloop/package-info.java
@@ -1,2 +1,2 @@
 /** The event loop, and the measurement of how far it lags behind its sockets. */
-package kitemux.loop;
+package loadbalancer.eventloop;
--- a/node/src/main/java/kitemux/members/BadFrameException.java
+++ b/node/src/main/java/loadbalancer/membership/BadFrameException.java
@@ -1,4 +1,4 @@
-package kitemux.members;
+package loadbalancer.membership;
 
 /** Bytes that are no message of this fleet; they are counted and dropped. */
 final class BadFrameException extends Exception {
--- a/node/src/main/java/kitemux/members/Codec.java
+++ b/node/src/main/java/loadbalancer/membership/Codec.java
@@ -1,4 +1,4 @@
-package kitemux.members;
+package loadbalancer.membership;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -13,12 +13,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.zip.CRC32C;
-import kitemux.core.membership.Incarnation;
-import kitemux.core.membership.Member;
-import kitemux.core.membership.Message;
-import kitemux.core.membership.Rumor;
-import kitemux.core.membership.State;
-import kitemux.members.BadFrameException.Reason;
+import loadbalancer.membership.BadFrameException.Reason;
+import loadbalancer.membership.core.GossipUpdate;
+import loadbalancer.membership.core.Incarnation;
+import loadbalancer.membership.core.Member;
+import loadbalancer.membership.core.MemberState;
+import loadbalancer.membership.core.Message;
 
 /**
  * Messages as bytes: "KM", the version of the format, the kind, CRC32C over version, kind and what follows,
@@ -36,7 +36,7 @@
     /** A time or count beyond it would run over when it is raised. */
     private static final long MOST_NUMBER = 1L << 62;
 
-    private static final State[] STATES = State.values();
+    private static final MemberState[] STATES = MemberState.values();
     private static final CBORFactory CBOR = new CBORFactory();
 
     /** What a frame is. */
@@ -129,7 +129,7 @@
     }
 
     /** All that a member knows, for an exchange. */
-    byte[] encodeState(List<Rumor> all) {
+    byte[] encodeState(List<GossipUpdate> all) {
         return frame(Kind.STATE, to -> write(to, all));
     }
 
@@ -137,7 +137,7 @@
         return frame(Kind.LOOK, to -> {});
     }
 
-    byte[] encodeView(Look.View view) {
+    byte[] encodeView(MembershipClient.View view) {
         return frame(Kind.VIEW, to -> {
             to.writeNumber(view.version());
             to.writeNumber(view.digest());
@@ -151,18 +151,20 @@
             write(
                     to,
                     view.self(),
-                    view.others().stream().map(m -> new Rumor(m, m.name())).toList());
+                    view.others().stream()
+                            .map(m -> new GossipUpdate(m, m.name()))
+                            .toList());
         });
     }
 
-    private static void write(CBORGenerator to, Member from, List<Rumor> rumors) throws IOException {
+    private static void write(CBORGenerator to, Member from, List<GossipUpdate> rumors) throws IOException {
         write(to, from);
         write(to, rumors);
     }
 
-    private static void write(CBORGenerator to, List<Rumor> rumors) throws IOException {
+    private static void write(CBORGenerator to, List<GossipUpdate> rumors) throws IOException {
         to.writeStartArray();
-        for (Rumor rumor : rumors) {
+        for (GossipUpdate rumor : rumors) {
             write(to, rumor.member());
             to.writeString(rumor.by());
         }
@@ -235,12 +237,12 @@
         });
     }
 
-    List<Rumor> decodeState(byte[] frame) throws BadFrameException {
+    List<GossipUpdate> decodeState(byte[] frame) throws BadFrameException {
         require(kind(frame) == Kind.STATE);
         return read(frame, false, Codec::rumors);
     }
 
-    Look.View decodeView(byte[] frame) throws BadFrameException {
+    MembershipClient.View decodeView(byte[] frame) throws BadFrameException {
         require(kind(frame) == Kind.VIEW);
         return read(frame, true, from -> {
             long version = number(from);
@@ -253,22 +255,22 @@
                 figures.put(from.getText(), number(from));
             }
             require(from.currentToken() == JsonToken.END_ARRAY);
-            return new Look.View(
+            return new MembershipClient.View(
                     version,
                     digest,
                     health,
                     member(from),
-                    rumors(from).stream().map(Rumor::member).toList(),
+                    rumors(from).stream().map(GossipUpdate::member).toList(),
                     figures);
         });
     }
 
-    private static List<Rumor> rumors(JsonParser from) throws IOException, BadFrameException {
+    private static List<GossipUpdate> rumors(JsonParser from) throws IOException, BadFrameException {
         require(from.nextToken() == JsonToken.START_ARRAY);
-        List<Rumor> rumors = new ArrayList<>();
+        List<GossipUpdate> rumors = new ArrayList<>();
         while (from.nextToken() == JsonToken.VALUE_STRING) {
             Member member = member(from, checked(from.getText()));
-            rumors.add(new Rumor(member, name(from)));
+            rumors.add(new GossipUpdate(member, name(from)));
         }
         require(from.currentToken() == JsonToken.END_ARRAY);
         return rumors;
--- a/node/src/main/java/kitemux/members/MembersConfig.java
+++ b/node/src/main/java/loadbalancer/membership/MembersConfig.java
@@ -1,4 +1,4 @@
-package kitemux.members;
+package loadbalancer.membership;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.net.InetSocketAddress;
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import kitemux.core.membership.Settings;
-import kitemux.net.Addresses;
+import loadbalancer.membership.core.MembershipSettings;
+import loadbalancer.net.SocketAddresses;
 
 /**
  * The object {@code fleet} of a configuration file. {@code docs/membership.md} has its keys.
@@ -16,7 +16,7 @@
  * @param fleet its name: datagrams of another are dropped
  * @param bind where this process is spoken to
  */
-public record MembersConfig(String fleet, InetSocketAddress bind, Settings settings) {
+public record MembersConfig(String fleet, InetSocketAddress bind, MembershipSettings settings) {
     private static final long US_PER_MS = 1_000;
 
     /**
@@ -31,14 +31,18 @@
         InetSocketAddress bind = fields.address("bind", null);
         boolean beyond = fields.yes("beyondLoopback");
         if (!beyond && !bind.getAddress().isLoopbackAddress()) {
-            throw bad("bind", Addresses.text(bind), "a loopback address, or \"beyondLoopback\": true beside it");
+            throw bad("bind", SocketAddresses.text(bind), "a loopback address, or \"beyondLoopback\": true beside it");
         }
-        InetSocketAddress advertised = fields.address("advertise", Addresses.text(bind));
+        InetSocketAddress advertised = fields.address("advertise", SocketAddresses.text(bind));
         List<String> seeds = fields.addresses("seeds");
-        Settings usual = Settings.of(
-                name, Addresses.text(advertised), fields.name("zone", "none"), fields.name("role", "node"), seeds);
+        MembershipSettings usual = MembershipSettings.of(
+                name,
+                SocketAddresses.text(advertised),
+                fields.name("zone", "none"),
+                fields.name("role", "node"),
+                seeds);
         long periodUs = fields.millis("periodMs", usual.periodUs());
-        Settings settings = new Settings(
+        MembershipSettings settings = new MembershipSettings(
                 name,
                 usual.address(),
                 usual.zone(),
@@ -108,14 +112,14 @@
 
         String name(String key, String usual) {
             String name = text(key, usual);
-            if (!kitemux.core.membership.Member.isName(name)) {
-                throw bad(key, name, kitemux.core.membership.Member.NAMES);
+            if (!loadbalancer.membership.core.Member.isName(name)) {
+                throw bad(key, name, loadbalancer.membership.core.Member.NAMES);
             }
             return name;
         }
 
         private static InetSocketAddress address(String key, String text, boolean inList) {
-            InetSocketAddress address = Addresses.parse(text);
+            InetSocketAddress address = SocketAddresses.parse(text);
             if (address == null || address.getPort() == 0) {
                 throw bad(key, text, (inList ? "a list of " : "") + "address:port, with a port above 0");
             }
@@ -133,7 +137,7 @@
                 throw bad(key, value, "a list of address:port");
             }
             if (value != null) {
-                value.forEach(entry -> addresses.add(Addresses.text(address(key, entry.asText(), true))));
+                value.forEach(entry -> addresses.add(SocketAddresses.text(address(key, entry.asText(), true))));
             }
             return addresses;
         }
--- a/node/src/main/java/kitemux/members/Look.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipClient.java
@@ -1,4 +1,4 @@
-package kitemux.members;
+package loadbalancer.membership;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -7,11 +7,11 @@
 import java.net.Socket;
 import java.util.List;
 import java.util.Map;
-import kitemux.core.membership.Member;
+import loadbalancer.membership.core.Member;
 
 /** Asks a process how it sees its fleet, from outside. */
-public final class Look {
-    private Look() {}
+public final class MembershipClient {
+    private MembershipClient() {}
 
     /**
      * How a process sees its fleet.
--- a/node/src/main/java/kitemux/members/Figures.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipMetrics.java
@@ -1,13 +1,13 @@
-package kitemux.members;
+package loadbalancer.membership;
 
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import kitemux.core.membership.Change;
-import kitemux.members.BadFrameException.Reason;
+import loadbalancer.membership.BadFrameException.Reason;
+import loadbalancer.membership.core.MembershipChange;
 
 /** What a process has counted of its membership since its start. On the driver's loop. */
-final class Figures {
+final class MembershipMetrics {
     /** Round trips are counted by powers of two microseconds; the last place takes all that took longer. */
     private static final int BUCKETS = 32;
 
@@ -18,7 +18,7 @@
     private long exchanges;
     private long exchangesFailed;
     private final long[] bad = new long[Reason.values().length];
-    private final long[] changes = new long[Change.Kind.values().length];
+    private final long[] changes = new long[MembershipChange.Kind.values().length];
     private final long[] roundTrips = new long[BUCKETS];
 
     void sent(int bytes) {
@@ -41,7 +41,7 @@
         return ++bad[reason.ordinal()];
     }
 
-    void changed(Change.Kind kind) {
+    void changed(MembershipChange.Kind kind) {
         changes[kind.ordinal()]++;
     }
 
@@ -77,7 +77,7 @@
         for (Reason reason : Reason.values()) {
             all.put("dropped_" + lower(reason), bad[reason.ordinal()]);
         }
-        for (Change.Kind kind : Change.Kind.values()) {
+        for (MembershipChange.Kind kind : MembershipChange.Kind.values()) {
             all.put("changes_" + lower(kind), changes[kind.ordinal()]);
         }
         all.put("round_trip_p50_us", roundTripUs(0.5));
--- a/node/src/main/java/kitemux/members/Members.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipService.java
@@ -1,4 +1,4 @@
-package kitemux.members;
+package loadbalancer.membership;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -23,29 +23,29 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import kitemux.core.membership.Change;
-import kitemux.core.membership.Member;
-import kitemux.core.membership.Membership;
-import kitemux.core.membership.Message;
-import kitemux.core.membership.Rumor;
-import kitemux.core.membership.State;
-import kitemux.loop.MeasuredEventLoop;
-import kitemux.members.BadFrameException.Reason;
-import kitemux.net.Addresses;
+import loadbalancer.eventloop.MeasuredEventLoop;
+import loadbalancer.membership.BadFrameException.Reason;
+import loadbalancer.membership.core.GossipUpdate;
+import loadbalancer.membership.core.Member;
+import loadbalancer.membership.core.MemberState;
+import loadbalancer.membership.core.Membership;
+import loadbalancer.membership.core.MembershipChange;
+import loadbalancer.membership.core.Message;
+import loadbalancer.net.SocketAddresses;
 
 /**
  * This process's part in its fleet: the membership core on sockets, on a loop of its own, so that a node that
  * works hard is not held for dead, nor this for its work.
  */
-public final class Members {
+public final class MembershipService {
     private static final long LEAVING_MS = 1_000;
 
     private final MembersConfig config;
     private final Consumer<String> log;
     private final MeasuredEventLoop loop = new MeasuredEventLoop("members", true);
     private final Codec codec;
-    private final Figures figures = new Figures();
-    private Exchanges exchanges;
+    private final MembershipMetrics figures = new MembershipMetrics();
+    private StateSync exchanges;
     private Channel datagrams;
     private Membership core;
     private Future<?> wake;
@@ -53,7 +53,7 @@
     /** What {@link #figures} says; written by the loop. */
     private volatile String text = "";
 
-    private Members(MembersConfig config, Consumer<String> log) {
+    private MembershipService(MembersConfig config, Consumer<String> log) {
         this.config = config;
         this.log = log;
         codec = new Codec(config.fleet());
@@ -65,8 +65,8 @@
      *
      * @param log told of what changes, a line each
      */
-    public static Members join(MembersConfig config, Consumer<String> log) {
-        Members members = new Members(config, log);
+    public static MembershipService join(MembersConfig config, Consumer<String> log) {
+        MembershipService members = new MembershipService(config, log);
         members.loop.execute(members::open);
         return members;
     }
@@ -78,7 +78,7 @@
      * @return what leaves
      */
     public static Runnable join(MembersConfig config, Consumer<String> log, Consumer<Supplier<String>> figures) {
-        Members members = join(config, log);
+        MembershipService members = join(config, log);
         figures.accept(members::figures);
         return members::leave;
     }
@@ -102,7 +102,7 @@
                 .handler(new Datagrams())
                 .bind(config.bind());
         datagrams = binding.channel();
-        exchanges = new Exchanges(loop, codec, config.bind(), new Peers());
+        exchanges = new StateSync(loop, codec, config.bind(), new Peers());
         binding.addListener(bound -> {
             if (!bound.isSuccess()) {
                 openLater(bound.cause());
@@ -123,7 +123,7 @@
         exchanges.close();
         if (!toldBusy) {
             toldBusy = true;
-            say(Addresses.text(config.bind()) + " cannot be had yet: " + cause.getMessage()
+            say(SocketAddresses.text(config.bind()) + " cannot be had yet: " + cause.getMessage()
                     + (cause instanceof BindException
                             ? ""
                             : " (" + cause.getClass().getName() + ")"));
@@ -202,7 +202,7 @@
     private final class Actions implements Membership.Actions {
         @Override
         public void send(String address, Message message) {
-            InetSocketAddress to = Addresses.parse(address);
+            InetSocketAddress to = SocketAddresses.parse(address);
             if (to == null || to.getPort() == 0) {
                 // Another's word, for which nobody listens.
                 return;
@@ -215,14 +215,14 @@
 
         @Override
         public void exchange(String address) {
-            InetSocketAddress to = Addresses.parse(address);
+            InetSocketAddress to = SocketAddresses.parse(address);
             if (to != null && to.getPort() != 0) {
                 exchanges.begin(to);
             }
         }
 
         @Override
-        public void changed(Change change) {
+        public void changed(MembershipChange change) {
             figures.changed(change.kind());
             Member member = change.member();
             say(change.kind().name().toLowerCase(Locale.ROOT) + " " + member.name() + " at "
@@ -241,7 +241,7 @@
             if (wake != null) {
                 wake.cancel(false);
             }
-            wake = loop.schedule(Members.this::onWake, Math.max(0, atUs - nowUs()), TimeUnit.MICROSECONDS);
+            wake = loop.schedule(MembershipService.this::onWake, Math.max(0, atUs - nowUs()), TimeUnit.MICROSECONDS);
         }
     }
 
@@ -273,7 +273,7 @@
         }
     }
 
-    private final class Peers implements Exchanges.Owner {
+    private final class Peers implements StateSync.Owner {
         @Override
         public byte[] state() {
             return codec.encodeState(core == null ? List.of() : core.state());
@@ -281,24 +281,24 @@
 
         @Override
         public byte[] view() {
-            List<Rumor> all = core.state();
-            return codec.encodeView(new Look.View(
+            List<GossipUpdate> all = core.state();
+            return codec.encodeView(new MembershipClient.View(
                     core.version(),
                     core.digest(),
                     core.health(),
-                    core.isOver() ? core.self().in(State.LEFT) : core.self(),
-                    all.stream().skip(1).map(Rumor::member).toList(),
+                    core.isOver() ? core.self().in(MemberState.LEFT) : core.self(),
+                    all.stream().skip(1).map(GossipUpdate::member).toList(),
                     figures.all()));
         }
 
         @Override
-        public void heard(List<Rumor> all) {
+        public void heard(List<GossipUpdate> all) {
             tell(told -> told.onState(nowUs(), all));
         }
 
         @Override
         public void bad(Reason reason) {
-            Members.this.bad(reason);
+            MembershipService.this.bad(reason);
         }
 
         @Override
--- a/node/src/main/java/kitemux/members/Exchanges.java
+++ b/node/src/main/java/loadbalancer/membership/StateSync.java
@@ -1,4 +1,4 @@
-package kitemux.members;
+package loadbalancer.membership;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -26,14 +26,14 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import kitemux.core.membership.Rumor;
-import kitemux.members.BadFrameException.Reason;
+import loadbalancer.membership.BadFrameException.Reason;
+import loadbalancer.membership.core.GossipUpdate;
 
 /**
  * Connections on which members tell each other all that they know: one frame there, one back, each behind its
  * length in four bytes.
  */
-final class Exchanges {
+final class StateSync {
     /** Connections at a time, both ways; what comes beyond is closed, and repair comes again by itself. */
     private static final int MOST_OPEN = 64;
 
@@ -49,7 +49,7 @@
         byte[] view();
 
         /** Another has told all that it knows. */
-        void heard(List<Rumor> all);
+        void heard(List<GossipUpdate> all);
 
         /** What came was no message of this fleet. */
         void bad(Reason reason);
@@ -68,7 +68,7 @@
     private final Set<Channel> open = new HashSet<>();
     private Channel listening;
 
-    Exchanges(EventLoop loop, Codec codec, InetSocketAddress bind, Owner owner) {
+    StateSync(EventLoop loop, Codec codec, InetSocketAddress bind, Owner owner) {
         this.loop = loop;
         this.codec = codec;
         this.bind = bind;
@@ -170,7 +170,7 @@
         @Override
         void came(ChannelHandlerContext context, byte[] frame) throws BadFrameException {
             boolean looks = Codec.kind(frame) == Codec.Kind.LOOK;
-            List<Rumor> told = looks ? List.of() : codec.decodeState(frame);
+            List<GossipUpdate> told = looks ? List.of() : codec.decodeState(frame);
             context.writeAndFlush(Unpooled.wrappedBuffer(looks ? owner.view() : owner.state()))
                     .addListener(ChannelFutureListener.CLOSE);
             if (!looks) {
@@ -189,7 +189,7 @@
 
         @Override
         void came(ChannelHandlerContext context, byte[] frame) throws BadFrameException {
-            List<Rumor> told = codec.decodeState(frame);
+            List<GossipUpdate> told = codec.decodeState(frame);
             whole = true;
             context.close();
             owner.heard(told);
--- a/node/src/main/java/kitemux/core/membership/Rumors.java
+++ b/node/src/main/java/loadbalancer/membership/core/BroadcastQueue.java
@@ -1,4 +1,4 @@
-package kitemux.core.membership;
+package loadbalancer.membership.core;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -11,7 +11,7 @@
  * What is still to be passed on: of each name the newest only, each a bounded number of times, the freshest
  * first.
  */
-final class Rumors {
+final class BroadcastQueue {
     /** A member in a datagram beside its texts: numbers, lengths and the state. */
     private static final int OVERHEAD = 48;
 
@@ -23,18 +23,18 @@
     private long added;
 
     private static final class Queued {
-        private final Rumor rumor;
+        private final GossipUpdate rumor;
         private final long number;
         private int sent;
 
-        Queued(Rumor rumor, long number) {
+        Queued(GossipUpdate rumor, long number) {
             this.rumor = rumor;
             this.number = number;
         }
     }
 
     /** Passes this on from now on, and nothing older of that name. */
-    void add(Rumor rumor) {
+    void add(GossipUpdate rumor) {
         forget(rumor.member().name());
         Queued queued = new Queued(rumor, added++);
         byName.put(rumor.member().name(), queued);
@@ -53,8 +53,8 @@
     }
 
     /** What fits into so many bytes; each that has been taken so often goes. */
-    List<Rumor> take(int room, int times) {
-        List<Rumor> taken = new ArrayList<>();
+    List<GossipUpdate> take(int room, int times) {
+        List<GossipUpdate> taken = new ArrayList<>();
         List<Queued> again = new ArrayList<>();
         int left = room;
         while (!inTurn.isEmpty() && size(inTurn.first().rumor) <= left) {
@@ -75,7 +75,7 @@
     }
 
     /** At least as many bytes as a codec needs. */
-    static int size(Rumor rumor) {
+    static int size(GossipUpdate rumor) {
         Member m = rumor.member();
         return OVERHEAD
                 + m.name().length()
--- a/node/src/main/java/kitemux/core/membership/Prober.java
+++ b/node/src/main/java/loadbalancer/membership/core/FailureDetector.java
@@ -1,4 +1,4 @@
-package kitemux.core.membership;
+package loadbalancer.membership.core;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -10,7 +10,7 @@
  * Asks one member after the other whether it is there, in an order that gives each its turn, and doubts
  * itself before others: the fewer answers and promised words come back, the more time it gives.
  */
-final class Prober {
+final class FailureDetector {
     /** Requests of others that are under way; beyond it the oldest is forgotten, as if no answer had come. */
     private static final int MOST_RELAYS = 1_000;
 
@@ -35,7 +35,7 @@
 
     private record Relay(String address, long number, long untilUs) {}
 
-    private final Settings set;
+    private final MembershipSettings set;
     private final SplittableRandom random;
     private final Outside outside;
     private final List<String> turns = new ArrayList<>();
@@ -54,7 +54,7 @@
     private long passOnAtUs = Long.MAX_VALUE;
     private long endsAtUs = Long.MAX_VALUE;
 
-    Prober(Settings set, SplittableRandom random, Outside outside) {
+    FailureDetector(MembershipSettings set, SplittableRandom random, Outside outside) {
         this.set = set;
         this.random = random;
         this.outside = outside;
--- a/node/src/main/java/kitemux/core/membership/Incarnation.java
+++ b/node/src/main/java/loadbalancer/membership/core/Incarnation.java
@@ -1,4 +1,4 @@
-package kitemux.core.membership;
+package loadbalancer.membership.core;
 
 /**
  * Which life of a member, and how often it has contradicted in it what others said. Grows over restarts even
--- a/node/src/main/java/kitemux/core/membership/Identity.java
+++ b/node/src/main/java/loadbalancer/membership/core/LocalMember.java
@@ -1,9 +1,9 @@
-package kitemux.core.membership;
+package loadbalancer.membership.core;
 
 import java.util.List;
 
 /** This process as a member: which life it says it is in, and who else says that he has its name. */
-final class Identity {
+final class LocalMember {
     /** Somebody with this process's name, who is asked whether he lives. */
     private record Rival(Member member, long number, long untilUs) {}
 
@@ -27,16 +27,17 @@
         void tookOver(Member from);
     }
 
-    private final Settings set;
+    private final MembershipSettings set;
     private final Outside outside;
     private Member self;
     private Rival rival;
     private String takenOverFrom;
 
-    Identity(Settings set, long birthUs, Outside outside) {
+    LocalMember(MembershipSettings set, long birthUs, Outside outside) {
         this.set = set;
         this.outside = outside;
-        self = new Member(set.name(), set.address(), set.zone(), set.role(), new Incarnation(birthUs, 0), State.ALIVE);
+        self = new Member(
+                set.name(), set.address(), set.zone(), set.role(), new Incarnation(birthUs, 0), MemberState.ALIVE);
     }
 
     Member self() {
@@ -44,7 +45,7 @@
     }
 
     void left() {
-        self = self.in(State.LEFT);
+        self = self.in(MemberState.LEFT);
     }
 
     /** Until when whoever has its name may answer. */
@@ -78,11 +79,11 @@
             if (told.incarnation().birth() > self.incarnation().birth()) {
                 // An earlier life at this address, by a clock that was ahead of this one's.
                 raiseAbove(told.incarnation());
-            } else if (told.state() != State.ALIVE && told.incarnation().compareTo(self.incarnation()) >= 0) {
+            } else if (told.state() != MemberState.ALIVE && told.incarnation().compareTo(self.incarnation()) >= 0) {
                 outside.wasSuspected();
                 announce(told.incarnation().refuted());
             }
-        } else if (self.in(State.ALIVE).overrides(told.in(State.ALIVE))) {
+        } else if (self.in(MemberState.ALIVE).overrides(told.in(MemberState.ALIVE))) {
             // This process began later, and keeps the name. Whoever has it elsewhere is told so, once.
             if (told.state().isLive() && !told.address().equals(takenOverFrom)) {
                 takenOverFrom = told.address();
@@ -107,7 +108,7 @@
     }
 
     private void announce(Incarnation next) {
-        self = self.with(next, State.ALIVE);
+        self = self.with(next, MemberState.ALIVE);
         outside.announced(self);
     }
 }
--- a/node/src/main/java/kitemux/core/membership/Member.java
+++ b/node/src/main/java/loadbalancer/membership/core/Member.java
@@ -1,4 +1,4 @@
-package kitemux.core.membership;
+package loadbalancer.membership.core;
 
 /**
  * A member as somebody holds it.
@@ -8,7 +8,8 @@
  * @param zone where it is
  * @param role what it does
  */
-public record Member(String name, String address, String zone, String role, Incarnation incarnation, State state) {
+public record Member(
+        String name, String address, String zone, String role, Incarnation incarnation, MemberState state) {
     /** Longest name, address, zone or role: a datagram has to hold several members. */
     private static final int MOST_NAME = 64;
     /** What {@link #isName} allows, in words. */
@@ -23,11 +24,11 @@
     }
 
     /** The same in another state. */
-    public Member in(State other) {
+    public Member in(MemberState other) {
         return new Member(name, address, zone, role, incarnation, other);
     }
 
-    Member with(Incarnation other, State otherState) {
+    Member with(Incarnation other, MemberState otherState) {
         return new Member(name, address, zone, role, other, otherState);
     }
 
--- a/node/src/main/java/kitemux/core/membership/State.java
+++ b/node/src/main/java/loadbalancer/membership/core/MemberState.java
@@ -1,7 +1,7 @@
-package kitemux.core.membership;
+package loadbalancer.membership.core;
 
 /** What is held of a member. At the same incarnation a later one here goes before an earlier one. */
-public enum State {
+public enum MemberState {
     /** It answers, or somebody whom it answered says so. */
     ALIVE,
     /** It has not answered, and has time to contradict. */
--- a/node/src/main/java/kitemux/core/membership/Membership.java
+++ b/node/src/main/java/loadbalancer/membership/core/Membership.java
@@ -1,10 +1,10 @@
-package kitemux.core.membership;
+package loadbalancer.membership.core;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import kitemux.core.membership.View.Entry;
+import loadbalancer.membership.core.View.Entry;
 
 /**
  * One process's part in its fleet's membership, and its view of it. A SWIM-family protocol: members are asked
@@ -41,7 +41,7 @@
         void exchange(String address);
 
         /** Tells the listener. */
-        void changed(Change change);
+        void changed(MembershipChange change);
 
         /** A member that was asked answered after so long. */
         void roundTrip(long us);
@@ -50,13 +50,13 @@
         void wakeAt(long atUs);
     }
 
-    private final Settings set;
+    private final MembershipSettings set;
     private final Actions out;
     private final SplittableRandom random;
-    private final Prober prober;
-    private final Rumors rumors = new Rumors();
+    private final FailureDetector prober;
+    private final BroadcastQueue rumors = new BroadcastQueue();
     private final View others = new View();
-    private final Identity identity;
+    private final LocalMember identity;
     private boolean over;
     private long version;
     private long nowUs;
@@ -68,12 +68,12 @@
     private long wakeAtUs = Long.MAX_VALUE;
 
     /** @param birthUs when this process began, in microseconds of Unix time */
-    public Membership(Settings settings, long seed, long birthUs, Actions actions) {
+    public Membership(MembershipSettings settings, long seed, long birthUs, Actions actions) {
         settings.validate();
         set = settings;
         out = actions;
         random = new SplittableRandom(seed);
-        identity = new Identity(set, birthUs, new Identity.Outside() {
+        identity = new LocalMember(set, birthUs, new LocalMember.Outside() {
             @Override
             public long number() {
                 return prober.number();
@@ -91,22 +91,22 @@
 
             @Override
             public void announced(Member self) {
-                rumors.add(new Rumor(self, self.name()));
+                rumors.add(new GossipUpdate(self, self.name()));
                 version++;
             }
 
             @Override
             public void gaveWay(Member to) {
                 end();
-                tell(Change.Kind.GAVE_WAY, to);
+                tell(MembershipChange.Kind.GAVE_WAY, to);
             }
 
             @Override
             public void tookOver(Member from) {
-                tell(Change.Kind.TAKEN_OVER, from);
+                tell(MembershipChange.Kind.TAKEN_OVER, from);
             }
         });
-        prober = new Prober(set, random, new Prober.Outside() {
+        prober = new FailureDetector(set, random, new FailureDetector.Outside() {
             @Override
             public Member self() {
                 return identity.self();
@@ -134,7 +134,7 @@
 
             @Override
             public void silent(String name) {
-                hear(new Rumor(others.get(name).member().in(State.SUSPECT), self().name()), false);
+                hear(new GossipUpdate(others.get(name).member().in(MemberState.SUSPECT), self().name()), false);
             }
         });
     }
@@ -181,7 +181,7 @@
     public void start(long now) {
         nowUs = now;
         prober.start(now);
-        rumors.add(new Rumor(self(), self().name()));
+        rumors.add(new GossipUpdate(self(), self().name()));
         exchangeAtUs = now;
         lostAtUs = now + set.periodUs();
         schedule();
@@ -222,7 +222,7 @@
         prober.onTime(now);
         for (Entry entry : others.nextSuspicionUs() > now ? List.<Entry>of() : others.suspected()) {
             if (entry.suspicion().endsUs() <= now) {
-                hear(new Rumor(entry.member().in(State.DEAD), self().name()), false);
+                hear(new GossipUpdate(entry.member().in(MemberState.DEAD), self().name()), false);
             }
         }
         identity.onTime(now);
@@ -299,7 +299,7 @@
     private void lookForLost() {
         lostAtUs = nowUs + set.periodUs() / 2 + random.nextLong(set.periodUs());
         List<Member> dead =
-                others.members().filter(m -> m.state() == State.DEAD).toList();
+                others.members().filter(m -> m.state() == MemberState.DEAD).toList();
         List<String> seeds = set.seeds().stream()
                 .filter(seed -> !seed.equals(set.address())
                         && others.members().noneMatch(m -> m.address().equals(seed)))
@@ -332,19 +332,19 @@
     private void drop(Entry entry) {
         others.drop(entry);
         rumors.forget(entry.member().name());
-        tell(Change.Kind.FORGOTTEN, entry.member());
+        tell(MembershipChange.Kind.FORGOTTEN, entry.member());
     }
 
     /** All that is known, for an exchange. */
-    public List<Rumor> state() {
-        List<Rumor> all = new ArrayList<>(others.size() + 1);
-        all.add(new Rumor(self(), self().name()));
-        others.members().forEach(member -> all.add(new Rumor(member, self().name())));
+    public List<GossipUpdate> state() {
+        List<GossipUpdate> all = new ArrayList<>(others.size() + 1);
+        all.add(new GossipUpdate(self(), self().name()));
+        others.members().forEach(member -> all.add(new GossipUpdate(member, self().name())));
         return all;
     }
 
     /** What another has told of all that it knows. */
-    public void onState(long now, List<Rumor> all) {
+    public void onState(long now, List<GossipUpdate> all) {
         begin(now);
         if (over) {
             return;
@@ -357,15 +357,16 @@
 
     private void send(String address, Message message) {
         int times = set.spread() * logOf(others.live() + 1);
-        List<Rumor> riding = new ArrayList<>();
+        List<GossipUpdate> riding = new ArrayList<>();
         if (message instanceof Message.Ping ping) {
             // Whoever is suspected or held for dead is to hear of it first, so that it can contradict.
             Entry target = others.get(ping.to());
-            if (target != null && target.member().state() != State.ALIVE) {
-                riding.add(new Rumor(target.member(), self().name()));
+            if (target != null && target.member().state() != MemberState.ALIVE) {
+                riding.add(new GossipUpdate(target.member(), self().name()));
             }
         }
-        int left = set.roomBytes() - riding.stream().mapToInt(Rumors::size).sum();
+        int left =
+                set.roomBytes() - riding.stream().mapToInt(BroadcastQueue::size).sum();
         riding.addAll(rumors.take(left, times));
         out.send(address, message.with(riding));
     }
@@ -385,12 +386,12 @@
         } else if (message instanceof Message.Ack ack) {
             onAck(ack);
         } else if (message instanceof Message.Nack nack) {
-            hear(new Rumor(nack.from(), nack.from().name()), false);
+            hear(new GossipUpdate(nack.from(), nack.from().name()), false);
             prober.onNack(nack);
         } else if (message instanceof Message.Gossip gossip) {
-            hear(new Rumor(gossip.from(), gossip.from().name()), false);
+            hear(new GossipUpdate(gossip.from(), gossip.from().name()), false);
         } else if (message instanceof Message.PingRequest request) {
-            hear(new Rumor(request.from(), request.from().name()), false);
+            hear(new GossipUpdate(request.from(), request.from().name()), false);
             prober.onRequest(now, request);
         }
         if (!over) {
@@ -401,20 +402,21 @@
 
     private void onPing(Message.Ping ping) {
         Entry before = others.get(ping.from().name());
-        boolean returns = before != null && before.member().state() == State.DEAD;
-        hear(new Rumor(ping.from(), ping.from().name()), false);
+        boolean returns = before != null && before.member().state() == MemberState.DEAD;
+        hear(new GossipUpdate(ping.from(), ping.from().name()), false);
         // Whoever has taken the address of the one that is meant is not him.
         if (over || !ping.to().equals(self().name())) {
             return;
         }
-        List<Rumor> told = new ArrayList<>();
-        if (returns && before.member().state() == State.DEAD) {
+        List<GossipUpdate> told = new ArrayList<>();
+        if (returns && before.member().state() == MemberState.DEAD) {
             // It does not know yet that it was given up: let it contradict, and learn what else it missed.
-            told.add(new Rumor(before.member(), self().name()));
+            told.add(new GossipUpdate(before.member(), self().name()));
             out.exchange(ping.from().address());
         }
         told.addAll(rumors.take(
-                set.roomBytes() - told.stream().mapToInt(Rumors::size).sum(), set.spread() * logOf(others.live() + 1)));
+                set.roomBytes() - told.stream().mapToInt(BroadcastQueue::size).sum(),
+                set.spread() * logOf(others.live() + 1)));
         out.send(ping.from().address(), new Message.Ack(ping.number(), self(), told));
     }
 
@@ -422,7 +424,7 @@
         if (identity.isRivalsAnswer(ack)) {
             return;
         }
-        hear(new Rumor(ack.from(), ack.from().name()), false);
+        hear(new GossipUpdate(ack.from(), ack.from().name()), false);
         prober.onAck(nowUs, ack);
     }
 
@@ -432,7 +434,7 @@
      * @param old whether it may be long past: a death that was settled elsewhere is put to the one that it is
      * about
      */
-    private void hear(Rumor rumor, boolean old) {
+    private void hear(GossipUpdate rumor, boolean old) {
         Member told = rumor.member();
         if (told.name().equals(self().name())) {
             identity.heard(nowUs, told);
@@ -443,35 +445,35 @@
             begin(rumor);
         } else if (told.overrides(entry.member())) {
             boolean settledElsewhere = old
-                    && told.state() == State.DEAD
+                    && told.state() == MemberState.DEAD
                     && entry.member().state().isLive()
                     && told.incarnation().equals(entry.member().incarnation());
             if (!settledElsewhere) {
                 apply(entry, rumor);
-            } else if (entry.member().state() == State.ALIVE) {
-                apply(entry, new Rumor(told.in(State.SUSPECT), rumor.by()));
+            } else if (entry.member().state() == MemberState.ALIVE) {
+                apply(entry, new GossipUpdate(told.in(MemberState.SUSPECT), rumor.by()));
                 // At once, as many at a time are held for dead by the other side of what was cut.
                 send(told.address(), new Message.Ping(prober.number(), told.name(), self(), List.of()));
             }
         } else if (entry.suspicion() != null
-                && told.state() == State.SUSPECT
+                && told.state() == MemberState.SUSPECT
                 && told.incarnation().equals(entry.member().incarnation())
                 && entry.suspicion().confirm(rumor.by())) {
             rumors.add(rumor);
         }
     }
 
-    private void begin(Rumor rumor) {
+    private void begin(GossipUpdate rumor) {
         Member told = rumor.member();
         if (others.size() + 1 >= set.mostMembers() && !makeRoom(told)) {
-            tell(Change.Kind.TURNED_AWAY, told);
+            tell(MembershipChange.Kind.TURNED_AWAY, told);
             return;
         }
         Entry entry = others.add(told, nowUs);
         rumors.add(rumor);
         if (told.state().isLive()) {
             prober.joined(told.name());
-            tell(Change.Kind.JOINED, told);
+            tell(MembershipChange.Kind.JOINED, told);
             suspectIfTold(entry, rumor);
         } else {
             forgetInTime();
@@ -488,7 +490,7 @@
         return true;
     }
 
-    private void apply(Entry entry, Rumor rumor) {
+    private void apply(Entry entry, GossipUpdate rumor) {
         Member before = entry.member();
         boolean wasSuspected = entry.suspicion() != null;
         Member now = rumor.member();
@@ -496,28 +498,28 @@
         rumors.add(rumor);
         if (!now.state().isLive()) {
             if (before.state().isLive()) {
-                tell(now.state() == State.LEFT ? Change.Kind.LEFT : Change.Kind.DIED, now);
+                tell(now.state() == MemberState.LEFT ? MembershipChange.Kind.LEFT : MembershipChange.Kind.DIED, now);
             }
             forgetInTime();
             return;
         }
         if (!before.state().isLive()) {
             prober.joined(now.name());
-            tell(Change.Kind.JOINED, now);
-        } else if (now.state() == State.ALIVE) {
+            tell(MembershipChange.Kind.JOINED, now);
+        } else if (now.state() == MemberState.ALIVE) {
             if (wasSuspected) {
-                tell(Change.Kind.CLEARED, now);
+                tell(MembershipChange.Kind.CLEARED, now);
             }
-            if (!now.with(before.incarnation(), State.ALIVE).equals(before.in(State.ALIVE))
+            if (!now.with(before.incarnation(), MemberState.ALIVE).equals(before.in(MemberState.ALIVE))
                     || now.incarnation().birth() != before.incarnation().birth()) {
-                tell(Change.Kind.UPDATED, now);
+                tell(MembershipChange.Kind.UPDATED, now);
             }
         }
         suspectIfTold(entry, rumor);
     }
 
-    private void suspectIfTold(Entry entry, Rumor rumor) {
-        if (entry.member().state() != State.SUSPECT) {
+    private void suspectIfTold(Entry entry, GossipUpdate rumor) {
+        if (entry.member().state() != MemberState.SUSPECT) {
             return;
         }
         long least = (long) (set.suspicionPeriods() * Math.max(1, Math.log10(others.live() + 1)) * set.periodUs());
@@ -526,15 +528,15 @@
         others.suspect(
                 entry,
                 new Suspicion(nowUs, least, wanted == 0 ? least : set.suspicionMost() * least, wanted, rumor.by()));
-        tell(Change.Kind.SUSPECTED, entry.member());
+        tell(MembershipChange.Kind.SUSPECTED, entry.member());
     }
 
     private void forgetInTime() {
         forgetAtUs = Math.min(forgetAtUs, nowUs + set.forgetUs());
     }
 
-    private void tell(Change.Kind kind, Member member) {
+    private void tell(MembershipChange.Kind kind, Member member) {
         version++;
-        out.changed(new Change(kind, member, version));
+        out.changed(new MembershipChange(kind, member, version));
     }
 }
--- a/node/src/main/java/kitemux/core/membership/Change.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipChange.java
@@ -1,4 +1,4 @@
-package kitemux.core.membership;
+package loadbalancer.membership.core;
 
 /**
  * Something that a listener hears, in order.
@@ -6,7 +6,7 @@
  * @param member as it is held from now on
  * @param version of this process's view, which grows with each change
  */
-public record Change(Kind kind, Member member, long version) {
+public record MembershipChange(Kind kind, Member member, long version) {
 
     /** What has happened. */
     public enum Kind {
--- a/node/src/main/java/kitemux/core/membership/Settings.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipSettings.java
@@ -1,4 +1,4 @@
-package kitemux.core.membership;
+package loadbalancer.membership.core;
 
 import java.util.List;
 
@@ -19,7 +19,7 @@
  * @param roomBytes of rumors in a datagram
  * @param seeds addresses that are tried at the start, and for ever while nobody there is known alive
  */
-public record Settings(
+public record MembershipSettings(
         String name,
         String address,
         String zone,
@@ -44,8 +44,8 @@
      * The defaults; {@code docs/membership.md} tells how each follows from the period and the number of
      * members.
      */
-    public static Settings of(String name, String address, String zone, String role, List<String> seeds) {
-        return new Settings(
+    public static MembershipSettings of(String name, String address, String zone, String role, List<String> seeds) {
+        return new MembershipSettings(
                 name,
                 address,
                 zone,
--- a/node/src/main/java/kitemux/core/membership/Suspicion.java
+++ b/node/src/main/java/loadbalancer/membership/core/Suspicion.java
@@ -1,4 +1,4 @@
-package kitemux.core.membership;
+package loadbalancer.membership.core;
 
 import java.util.HashSet;
 import java.util.Set;
--- a/node/src/main/java/kitemux/core/membership/package-info.java
+++ b/node/src/main/java/loadbalancer/membership/core/package-info.java
@@ -3,4 +3,4 @@
  * clock, file or randomness of its own: events come with the time, a seed comes with the start, and what it
  * wants done it says.
  */
-package kitemux.core.membership;
+package loadbalancer.membership.core;
--- a/node/src/main/java/kitemux/net/Addresses.java
+++ b/node/src/main/java/loadbalancer/net/SocketAddresses.java
@@ -1,4 +1,4 @@
-package kitemux.net;
+package loadbalancer.net;
 
 import io.netty.util.NetUtil;
 import java.io.IOException;
@@ -6,8 +6,8 @@
 import java.net.InetSocketAddress;
 
 /** Addresses as files and peers write them. */
-public final class Addresses {
-    private Addresses() {}
+public final class SocketAddresses {
+    private SocketAddresses() {}
 
     /**
      * An IP address with a port, or null where it is none. There are no host names: looking one up would
--- a/node/src/main/java/kitemux/net/package-info.java
+++ b/node/src/main/java/loadbalancer/net/package-info.java
@@ -1,2 +1,2 @@
 /** Parsing and printing of network addresses. */
-package kitemux.net;
+package loadbalancer.net;
--- /dev/null
+++ b/node/src/main/java/loadbalancer/package-info.java
@@ -0,0 +1,2 @@
+/** The program: starts a node, or the simulator adapter. */
+package loadbalancer;
--- /dev/null
+++ b/node/src/main/java/loadbalancer/policy/Idempotency.java
@@ -0,0 +1,11 @@
+package loadbalancer.policy;
+
+/** Whether a request may run more than once. */
+public enum Idempotency {
+    /** Any number of times. */
+    IDEMPOTENT,
+    /** Only among servers that recognize duplicates by a key, and within their deduplication window. */
+    IDEMPOTENT_WITH_KEY,
+    /** Never. */
+    NON_IDEMPOTENT
+}
--- a/node/src/main/java/kitemux/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -1,4 +1,4 @@
-package kitemux;
+package loadbalancer.policy;
 
 import java.math.BigInteger;
 import java.util.ArrayDeque;
@@ -132,8 +132,8 @@
 
     private static final int KEYS_SWEPT = 64;
 
-    private Settings set;
-    private final Actions out;
+    private BalancerSettings set;
+    private final BalancerActions out;
     private final SplittableRandom random;
     private long sweepUs;
     private double limitStep;
@@ -256,15 +256,15 @@
     }
 
     private static final class Call {
-        final Request request;
+        final BalancerRequest request;
         final RequestClass cls;
         final long arrivedAt;
-        final long aimUs;
+        final long latencyObjectiveUs;
         final long aimAt;
         final long deadlineAt;
         final Server[] servers;
         final long[] sentAt;
-        final Result[] results;
+        final AttemptResult[] results;
         /** Attempts that were counted as failures before they ended. */
         final boolean[] silent;
         /** Fixes the draws by the request's key; 0 without one. */
@@ -281,31 +281,35 @@
 
         boolean ended;
 
-        Call(Request request, Settings set, long now, Usual known) {
+        Call(BalancerRequest request, BalancerSettings set, long now, Usual known) {
             this.request = request;
             cls = set.classes.get(request.classIndex());
-            aimUs = Math.min(cls.deadlineUs(), cls.aimUs() + (long) (cls.aimStretch() * request.workUs()));
+            latencyObjectiveUs = Math.min(
+                    cls.deadlineUs(), cls.latencyObjectiveUs() + (long) (cls.objectiveStretch() * request.workUs()));
             arrivedAt = now - request.waitedUs();
-            deadlineAt = arrivedAt + Math.max(0, request.leftUs());
+            deadlineAt = arrivedAt + Math.max(0, request.remainingUs());
             // The aim runs from the client's first try. A repeat with other than a first try's time left has
             // the rest of the client's whole time, which tells when that was; else it is taken for new.
             known.firstLeftUs = request.retry() && known.firstLeftUs > 0
                     ? known.firstLeftUs
-                    : Math.max(request.leftUs(), known.firstLeftUs / LEAST_DRIFT);
+                    : Math.max(request.remainingUs(), known.firstLeftUs / LEAST_DRIFT);
             boolean tells = request.retry()
-                    && Math.abs(request.leftUs() - known.firstLeftUs) > FIRST_LEFT_SLACK * cls.deadlineUs();
-            long sinceUs = tells ? Math.max(0, cls.deadlineUs() - request.leftUs()) : 0;
-            aimAt = Math.min(deadlineAt, arrivedAt + aimUs - sinceUs);
+                    && Math.abs(request.remainingUs() - known.firstLeftUs) > FIRST_LEFT_SLACK * cls.deadlineUs();
+            long sinceUs = tells ? Math.max(0, cls.deadlineUs() - request.remainingUs()) : 0;
+            aimAt = Math.min(deadlineAt, arrivedAt + latencyObjectiveUs - sinceUs);
             servers = new Server[set.maxAttempts];
             sentAt = new long[set.maxAttempts];
-            results = new Result[set.maxAttempts];
+            results = new AttemptResult[set.maxAttempts];
             silent = new boolean[set.maxAttempts];
-            keySeed = set.warmKeys && request.key() != null ? mix(request.key().hashCode()) | 1 : 0;
+            keySeed =
+                    set.keyAffinity && request.key() != null ? mix(request.key().hashCode()) | 1 : 0;
         }
 
         /** Rule 2: by when a further attempt has to begin, where this one may have run (-1: none has). */
         long mayBeginUntil(int binding) {
-            return cls.repeat() == Repeat.KEYED && binding >= 0 ? sentAt[binding] + cls.windowUs() : Long.MAX_VALUE;
+            return cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && binding >= 0
+                    ? sentAt[binding] + cls.deduplicationWindowUs()
+                    : Long.MAX_VALUE;
         }
 
         /** The earliest attempt not known never to have run, or -1: it binds repeats and refusals. */
@@ -320,21 +324,21 @@
     }
 
     /** A node that has just started and knows nothing; throws IllegalArgumentException on bad settings. */
-    public ServiceQBalancer(Settings settings, long seed, Actions actions) {
+    public ServiceQBalancer(BalancerSettings settings, long seed, BalancerActions actions) {
         out = actions;
         random = new SplittableRandom(seed);
-        heldField = settings.reportFields.indexOf(ReportField.IN_FLIGHT);
+        heldField = settings.reportFields.indexOf(LoadReportField.IN_FLIGHT);
         follow(settings);
         shareAmong(set.nodes);
     }
 
-    private void follow(Settings settings) {
+    private void follow(BalancerSettings settings) {
         settings.validate();
         set = settings;
         sweepUs = Math.max(MIN_SWEEP_US, 2 * set.tickUs);
         leastAimUs = set.classes.stream()
-                .filter(c -> c.worth() > 0)
-                .mapToLong(RequestClass::aimUs)
+                .filter(c -> c.priorityWeight() > 0)
+                .mapToLong(RequestClass::latencyObjectiveUs)
                 .min()
                 .orElse(0);
         int before = usual.size();
@@ -354,7 +358,7 @@
     }
 
     @Override
-    public void onSettings(long nowUs, Settings settings) {
+    public void onSettings(long nowUs, BalancerSettings settings) {
         now = nowUs;
         follow(settings);
         chooseServers();
@@ -401,7 +405,7 @@
         if (kind != ListKind.CACHED) {
             askListAt = Long.MAX_VALUE;
             listBackoffUs = LIST_BACKOFF_US;
-        } else if (set.listOnRequest) {
+        } else if (set.pollsEndpointList) {
             askForList();
         }
         carryOn();
@@ -422,7 +426,7 @@
     }
 
     @Override
-    public int skipped() {
+    public int excludedServers() {
         return ejected.size()
                 + (int) listed.stream().filter(s -> cordons.containsKey(s.id)).count();
     }
@@ -443,17 +447,17 @@
             // to be cut before it is warm, and then all nodes fill it.
             ready[i].limit = ready[i].limit != 0
                     ? ready[i].limit
-                    : (set.warmKeys && !isCold(ready[i]) ? FIRST_WARM_LIMIT : FIRST_LIMIT) / sharers;
+                    : (set.keyAffinity && !isCold(ready[i]) ? FIRST_WARM_LIMIT : FIRST_LIMIT) / sharers;
             if (isCold(ready[i]) && ready[i].coldSentAt == 0) {
                 // All nodes hear of a start at once: their first sends together would be a burst.
                 ready[i].coldSentAt = now - (long) (random.nextDouble() * coldGap(ready[i]));
             }
         }
         Arrays.stream(before).forEach(this::closeIfUnused);
-        everywhere = new Pool(ready, set.warmKeys);
-        nearby = set.crossZonePrice == 0
+        everywhere = new Pool(ready, set.keyAffinity);
+        nearby = set.crossZoneCost == 0
                 ? everywhere
-                : new Pool(Arrays.stream(ready).filter(this::isNear).toArray(Server[]::new), set.warmKeys);
+                : new Pool(Arrays.stream(ready).filter(this::isNear).toArray(Server[]::new), set.keyAffinity);
         countReady();
     }
 
@@ -480,7 +484,7 @@
     }
 
     private List<Server> part(Server[] all) {
-        int zones = set.crossZonePrice == 0 ? 1 : Math.max(1, set.zones.size());
+        int zones = set.crossZoneCost == 0 ? 1 : Math.max(1, set.zones.size());
         Server[] near = Arrays.stream(all).filter(s -> zones == 1 || isNear(s)).toArray(Server[]::new);
         Server[] far = Arrays.stream(all).filter(s -> zones > 1 && !isNear(s)).toArray(Server[]::new);
         int nearUsed = partOf(near.length, (double) set.nodes / zones, zones == 1 ? 2 : 1);
@@ -496,7 +500,7 @@
     }
 
     private boolean isNear(Server server) {
-        return server.zone == set.myZone;
+        return server.zone == set.localZone;
     }
 
     private static int partOf(int servers, double nodes, int atLeast) {
@@ -517,7 +521,7 @@
             rows *= 2;
         }
         Server[] table = table(from, nextPrime(rows * size), size);
-        int first = set.me % rows * size;
+        int first = set.nodeIndex % rows * size;
         return Arrays.stream(table, first, first + size)
                 .filter(Objects::nonNull)
                 .toList();
@@ -570,23 +574,23 @@
     @Override
     public void onListFailed(long nowUs) {
         now = nowUs;
-        if (set.listOnRequest) {
+        if (set.pollsEndpointList) {
             // Jittered backoff: nodes that failed together must not ask together again.
             askListAt = now + listBackoffUs / 2 + random.nextLong(listBackoffUs);
-            listBackoffUs = Math.min(2 * listBackoffUs, Math.max(1, set.askWithinUs / 4));
+            listBackoffUs = Math.min(2 * listBackoffUs, Math.max(1, set.pollIntervalUs / 4));
             scheduleWake();
         }
     }
 
     private void askForList() {
         out.subscribe();
-        askListAt = now + Math.max(1, set.askWithinUs / 2);
+        askListAt = now + Math.max(1, set.pollIntervalUs / 2);
     }
 
     // ---------------------------------------------------------------- requests and outcomes
 
     @Override
-    public void onRequest(long nowUs, Request request) {
+    public void onRequest(long nowUs, BalancerRequest request) {
         now = nowUs;
         if (request.classIndex() < 0
                 || request.classIndex() >= set.classes.size()
@@ -596,7 +600,7 @@
         }
         Call call = new Call(request, set, now, usual.get(request.classIndex()));
         calls.put(request.id(), call);
-        call.value = forItsWork(call.cls.worth(), request.classIndex());
+        call.value = forItsWork(call.cls.priorityWeight(), request.classIndex());
         boolean turnedDown = sparse && random.nextDouble() >= admitted(call);
         // Nobody waits for the same server, or those who do are tried with each answer.
         boolean first = !turnedDown && (waiting.isEmpty() || call.keySeed != 0 && !isLate(call));
@@ -613,7 +617,7 @@
     }
 
     @Override
-    public void onOutcome(long nowUs, Outcome outcome) {
+    public void onOutcome(long nowUs, AttemptOutcome outcome) {
         now = nowUs;
         Call call = calls.get(outcome.requestId());
         int attempt = outcome.attempt();
@@ -621,7 +625,7 @@
             return;
         }
         Server server = call.servers[attempt];
-        Result result = outcome.result();
+        AttemptResult result = outcome.result();
         call.results[attempt] = result;
         call.outstanding--;
         if (attempt != call.bound) {
@@ -629,19 +633,20 @@
         }
         heed(server, outcome);
         Health ofClass = server.byClass.get(call.request.classIndex());
-        if (result == Result.OK) {
+        if (result == AttemptResult.OK) {
             succeeded(
                     server,
                     ofClass,
                     sparse && outcome.latencyUs() > SLOW_BY * usual.get(call.request.classIndex()).latencyUs);
-        } else if (result != Result.CANCELLED && result != Result.MOOT && !call.silent[attempt]) {
+        } else if (result != AttemptResult.CANCELLED && result != AttemptResult.MOOT && !call.silent[attempt]) {
             // A time-out of a server that has answered since tells of crowding, as being full does.
             failed(
                     server,
                     ofClass,
-                    result != Result.FULL && (result != Result.TIMEOUT || ofClass.answeredAt < call.sentAt[attempt]));
+                    result != AttemptResult.FULL
+                            && (result != AttemptResult.TIMEOUT || ofClass.answeredAt < call.sentAt[attempt]));
         }
-        boolean answered = result == Result.OK || result == Result.ERROR;
+        boolean answered = result == AttemptResult.OK || result == AttemptResult.ERROR;
         ofClass.answeredAt = answered ? now : ofClass.answeredAt;
         server.overall.answeredAt = answered ? now : server.overall.answeredAt;
         server.answers |= answered;
@@ -837,9 +842,9 @@
                                                                     - RESTS_AFTER)
                                                     * usual.get(call.request.classIndex()).latencyUs
                                                     / REMEMBERED
-                            && call.cls.repeat() == Repeat.SAFE
+                            && call.cls.idempotency() == Idempotency.IDEMPOTENT
                             && call.attempts < call.servers.length - 1
-                    : call.cls.repeat() == Repeat.UNSAFE
+                    : call.cls.idempotency() == Idempotency.NON_IDEMPOTENT
                             ? !server.overall.ejected
                                     && ofClass.ejected
                                     && now >= ofClass.trialAt + UNSAFE_TRIALS * ofClass.ejectedForUs
@@ -1045,7 +1050,7 @@
             call.silent[attempt] = true;
             failed(server, ofClass, true);
         }
-        if (set.secondCopies && !call.waiting && hedgesLeft >= 1 && mayTryAgain(call) && call.outstanding == 1) {
+        if (set.hedging && !call.waiting && hedgesLeft >= 1 && mayTryAgain(call) && call.outstanding == 1) {
             Server next = nextInTurn(call, server);
             if (next != null) {
                 hedgesLeft--;
@@ -1073,7 +1078,9 @@
 
     private boolean isLate(Call call) {
         return call.aimAt - now
-                < Math.min(MOST_LATE_AT * call.aimUs, TOO_LATE_AT * usual.get(call.request.classIndex()).latencyUs);
+                < Math.min(
+                        MOST_LATE_AT * call.latencyObjectiveUs,
+                        TOO_LATE_AT * usual.get(call.request.classIndex()).latencyUs);
     }
 
     /** Sends what waits as far as servers allow and ends what has run out of time. */
@@ -1089,19 +1096,19 @@
             }
             boolean late = isLate(call);
             if (call.deadlineAt - now <= sweepUs + set.tickUs
-                    || late && call.cls.lateWorth() == 0
+                    || late && call.cls.lateWeight() == 0
                     || !mayTryAgain(call)) {
                 giveUp(call);
                 continue;
             }
             if (late && !call.late) {
                 call.late = true;
-                call.value *= call.cls.lateWorth();
+                call.value *= call.cls.lateWeight();
                 unsorted = true;
                 waiting.set(kept++, call);
                 continue;
             }
-            boolean unsafe = call.cls.repeat() == Repeat.UNSAFE;
+            boolean unsafe = call.cls.idempotency() == Idempotency.NON_IDEMPOTENT;
             boolean barred = full || unsafe && fullForUnsafe;
             Server server = barred ? null : drawForFirstTry(call);
             if (server != null) {
@@ -1124,7 +1131,7 @@
 
     /** What a request earns for its work, by which the queue is ordered: worth over usual latency. */
     private double forItsWork(double worth, int classIndex) {
-        return set.worthByWork ? worth : worth / Math.max(1, usual.get(classIndex).latencyUs);
+        return set.weightByWork ? worth : worth / Math.max(1, usual.get(classIndex).latencyUs);
     }
 
     // ---------------------------------------------------------------- concurrency limits
@@ -1132,19 +1139,20 @@
     /** Exception, concurrency limits: a server's limit grows when it was met while a request was out that was
      * answered well inside the aim, and falls when answers are slow or requests are turned away. Acts when a
      * draw would exceed it, or the node the sum of all (with many nodes a server's part is under one). */
-    private void adaptLimit(Call call, int attempt, Outcome outcome) {
+    private void adaptLimit(Call call, int attempt, AttemptOutcome outcome) {
         Server server = call.servers[attempt];
         double before = server.limit;
         int c = call.request.classIndex();
         Usual known = usual.get(c);
-        Result result = outcome.result();
-        boolean ok = result == Result.OK;
+        AttemptResult result = outcome.result();
+        boolean ok = result == AttemptResult.OK;
         // A client that leaves hides how long its answer would have taken, so that only quick ones stay in
         // sight: after more than the usual time, what it has waited counts like an answer no quicker.
-        boolean left = result == Result.CANCELLED && call.left && outcome.latencyUs() > SLOW_BY * known.latencyUs;
-        boolean late = result == Result.TIMEOUT || result == Result.FULL;
+        boolean left =
+                result == AttemptResult.CANCELLED && call.left && outcome.latencyUs() > SLOW_BY * known.latencyUs;
+        boolean late = result == AttemptResult.TIMEOUT || result == AttemptResult.FULL;
         if (ok || late || left) {
-            timely += TIMELY_GAIN * ((ok && now <= call.arrivedAt + call.aimUs ? 1 : 0) - timely);
+            timely += TIMELY_GAIN * ((ok && now <= call.arrivedAt + call.latencyObjectiveUs ? 1 : 0) - timely);
         }
         if (ok) {
             known.latencyUs += Math.max(MEAN_GAIN, 1.0 / ++known.answers) * (outcome.latencyUs() - known.latencyUs);
@@ -1153,10 +1161,10 @@
                     !isUsualKnown(c) ? Double.MAX_VALUE : Math.min(known.leastLatencyUs * LEAST_DRIFT, known.latencyUs);
         }
         if (ok || left) {
-            boolean patient = set.warmKeys || sparse && known.leastLatencyUs < Double.MAX_VALUE;
+            boolean patient = set.keyAffinity || sparse && known.leastLatencyUs < Double.MAX_VALUE;
             double crowded = Math.min(
-                    (patient ? SPARSE_CROWDED_AT : CROWDED_AT) * call.aimUs,
-                    set.warmKeys ? Double.MAX_VALUE : (sparse ? 2 : 1) * CROWDED_BY * known.leastLatencyUs);
+                    (patient ? SPARSE_CROWDED_AT : CROWDED_AT) * call.latencyObjectiveUs,
+                    set.keyAffinity ? Double.MAX_VALUE : (sparse ? 2 : 1) * CROWDED_BY * known.leastLatencyUs);
             double rank = sparse ? rank(call) : 1;
             // Or what it holds says that a request of the class with the shortest aim would be late there.
             if (outcome.latencyUs() > crowded
@@ -1166,7 +1174,7 @@
                 // A cold server gets little and is quick with it: were its limit to pass the others', all
                 // nodes together would choke it as soon as slow start lets go.
                 // While answers come late everywhere, one in time says little: growth would hold the jam.
-                double ease = set.warmKeys ? 1 : Math.max(LEAST_GROWTH, 2 * timely - 1);
+                double ease = set.keyAffinity ? 1 : Math.max(LEAST_GROWTH, 2 * timely - 1);
                 server.limit += server.wantedAt >= call.sentAt[attempt]
                                 && (!isCold(server) || server.limit * ready.length < limits)
                         ? limitStep * rank * ease
@@ -1174,7 +1182,7 @@
             }
         } else if (late) {
             // Where keys are warm a full server is cut to what it held: less would send its keys elsewhere.
-            cutLimit(call, attempt, set.warmKeys && result == Result.FULL ? 0 : LIMIT_HARD_CUT);
+            cutLimit(call, attempt, set.keyAffinity && result == AttemptResult.FULL ? 0 : LIMIT_HARD_CUT);
         }
         if (server.limit < 1) {
             // A part of a place is kept by time: in flight for that part of it only.
@@ -1189,7 +1197,7 @@
         Server server = call.servers[attempt];
         if (call.sentAt[attempt] >= server.limitCutAt) {
             // A limit that was never met says nothing of what the server held.
-            double from = set.warmKeys ? Math.min(server.limit, server.inFlight + 1) : server.limit;
+            double from = set.keyAffinity ? Math.min(server.limit, server.inFlight + 1) : server.limit;
             server.limit = Math.max(1.0 / sharers, from * (1 - cut));
             server.limitCutAt = now;
         }
@@ -1219,7 +1227,7 @@
         double top = call.value;
         for (int c = 0; c < usual.size(); c++) {
             // A class that has not been answered yet has no measure of work; it must not outrank all others.
-            double worth = usual.get(c).answers > 0 ? set.classes.get(c).worth() : 0;
+            double worth = usual.get(c).answers > 0 ? set.classes.get(c).priorityWeight() : 0;
             top = Math.max(top, forItsWork(worth, c));
         }
         return top > 0 ? call.value / top : 0;
@@ -1235,13 +1243,13 @@
         return mean + (server.held - mean) * fresh > LADEN_BY * mean + 1;
     }
 
-    private void heed(Server server, Outcome outcome) {
-        if (heldField >= 0 && outcome.report() != null && outcome.report()[heldField] >= 0) {
-            heldByAll += isCounted(server) ? outcome.report()[heldField] - server.held : 0;
-            server.held = outcome.report()[heldField];
+    private void heed(Server server, AttemptOutcome outcome) {
+        if (heldField >= 0 && outcome.report() != null && outcome.report().value(heldField) >= 0) {
+            heldByAll += isCounted(server) ? outcome.report().value(heldField) - server.held : 0;
+            server.held = outcome.report().value(heldField);
             server.heldAt = now;
             server.heldForUs = Math.max(1, outcome.latencyUs());
-            heldCostUs += outcome.result() != Result.OK
+            heldCostUs += outcome.result() != AttemptResult.OK
                     ? 0
                     : Math.max(MEAN_GAIN, 1.0 / ++heldAnswers) * (outcome.latencyUs() / (server.held + 1) - heldCostUs);
         }
@@ -1273,9 +1281,10 @@
     /** Rule 1: the one final answer, a refusal wherever that is known to be harmless. */
     private void giveUp(Call call) {
         if (call.binding() < 0
-                || call.cls.repeat() == Repeat.SAFE
-                || call.cls.repeat() == Repeat.KEYED && call.cls.group() == Group.ALL) {
-            out.refuse(call.request.id(), set.maxRetryAfterUs);
+                || call.cls.idempotency() == Idempotency.IDEMPOTENT
+                || call.cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && call.cls.deduplicationScope() == DeduplicationScope.ALL) {
+            out.reject(call.request.id(), set.maxRetryAfterUs);
         } else {
             out.fail(call.request.id());
         }
@@ -1290,7 +1299,7 @@
     }
 
     private void cancel(Call call, int except) {
-        for (int i = 0; i < call.attempts && call.outstanding > 0 && set.cancel; i++) {
+        for (int i = 0; i < call.attempts && call.outstanding > 0 && set.cancellation; i++) {
             if (call.results[i] == null && i != except) {
                 out.cancel(call.request.id(), i);
             }
@@ -1309,7 +1318,8 @@
             return false;
         }
         int binding = call.binding();
-        return binding < 0 || call.cls.repeat() != Repeat.UNSAFE && now <= call.mayBeginUntil(binding);
+        return binding < 0
+                || call.cls.idempotency() != Idempotency.NON_IDEMPOTENT && now <= call.mayBeginUntil(binding);
     }
 
     /** Rules 2 to 4 for one server: the keyed group, the list's word, and a cold server's budget. */
@@ -1325,16 +1335,16 @@
         if (server.state != ServerState.READY || isCold(server) && now < server.coldSentAt + coldGap(server)) {
             return false;
         }
-        int binding = call.cls.repeat() == Repeat.KEYED ? call.binding() : -1;
+        int binding = call.cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? call.binding() : -1;
         return binding < 0
-                || call.cls.group() == Group.ALL
-                || (call.cls.group() == Group.ZONE
+                || call.cls.deduplicationScope() == DeduplicationScope.ALL
+                || (call.cls.deduplicationScope() == DeduplicationScope.ZONE
                         ? server.zone == call.servers[binding].zone
                         : server.cell == call.servers[binding].cell);
     }
 
     private boolean isCold(Server server) {
-        return server.startedAt > 0 && now < server.startedAt + set.coldUs;
+        return server.startedAt > 0 && now < server.startedAt + set.warmUpUs;
     }
 
     /** Exception, slow start (rule 4): the unit is an even part of what this node gets answered, times the
@@ -1342,12 +1352,12 @@
      * rule's multiple; each spends half of that, or all while it idles, so spaced that no burst does. Its
      * limit keeps a server slow besides below even that. Arrivals are no measure: jams add to them. */
     private long coldGap(Server server) {
-        double age = Math.max(0, now - server.startedAt) / (double) set.coldUs;
-        double share = set.coldFrom + (1 - set.coldFrom) * Math.min(1, age);
+        double age = Math.max(0, now - server.startedAt) / (double) set.warmUpUs;
+        double share = set.warmUpInitialShare + (1 - set.warmUpInitialShare) * Math.min(1, age);
         // What unknown keys cost shows in its report: with no more than others it bears them.
         double room = server.heldAt > server.startedAt ? heldByAll / ready.length / server.held : 0;
-        double units = Math.max(1, set.fallMultiple / (room < 2 ? 2 : 1));
-        return (long) (evenGap() * (set.warmKeys && room < 1 ? UNKNOWN_KEY_COST : 1) / (share * units));
+        double units = Math.max(1, set.overloadMultiple / (room < 2 ? 2 : 1));
+        return (long) (evenGap() * (set.keyAffinity && room < 1 ? UNKNOWN_KEY_COST : 1) / (share * units));
     }
 
     /** Time between two requests to a server that gets an even part of what this node gets answered. */
--- a/node/src/main/java/kitemux/node/InheritedSocket.java
+++ b/node/src/main/java/loadbalancer/process/InheritedListener.java
@@ -1,16 +1,17 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
+import loadbalancer.config.ConfigException;
 
 /**
  * The clients' listening socket where the platform holds it: every process of the node gets it as descriptor
  * 0 and accepts on it. Once opened it must not be closed before the process ends, as the JDK then points the
  * standard streams, and so the log, at nothing.
  */
-final class InheritedSocket {
-    private InheritedSocket() {}
+final class InheritedListener {
+    private InheritedListener() {}
 
     static ServerSocketChannel open() throws ConfigException {
         try {
--- a/node/src/main/java/kitemux/node/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -9,17 +9,37 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import kitemux.Balancer;
-import kitemux.Balancer.ListKind;
-import kitemux.ServiceQBalancer;
-import kitemux.loop.LoopLag;
-import kitemux.loop.MeasuredEventLoop;
+import loadbalancer.admin.ControlServer;
+import loadbalancer.admin.CordonStore;
+import loadbalancer.admin.Metrics;
+import loadbalancer.admin.RejectedCallException;
+import loadbalancer.client.ClientServer;
+import loadbalancer.client.RequestReader;
+import loadbalancer.common.Clock;
+import loadbalancer.common.Log;
+import loadbalancer.common.SocketBudget;
+import loadbalancer.config.ClassRegistry;
+import loadbalancer.config.ConfigException;
+import loadbalancer.config.NodeConfig;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.EndpointWatcher;
+import loadbalancer.eventloop.LoopLag;
+import loadbalancer.eventloop.MeasuredEventLoop;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.BalancerActions;
+import loadbalancer.policy.ListKind;
+import loadbalancer.policy.ServiceQBalancer;
+import loadbalancer.request.HealthCheck;
+import loadbalancer.request.PolicyEventQueue;
+import loadbalancer.request.RequestServices;
+import loadbalancer.request.RequestTable;
+import loadbalancer.upstream.ServerPool;
 
 /**
  * A real node: it carries what happens on the sockets to the decision module and what the module asks for
  * to the sockets. It decides nothing. All of it runs on one event loop.
  */
-public final class Node implements Balancer.Actions {
+public final class Node implements BalancerActions {
     private static final long HOUSEKEEPING_MS = 250;
     /** The loop that does all of the work came to this so much too late: nothing was answered meanwhile. */
     private static final long HELD_UP_US = 200_000;
@@ -36,20 +56,20 @@
     private static final long LAST_ASKED_US = 800_000;
 
     private final NodeConfig config;
-    private Tuning tuning;
+    private ClassRegistry tuning;
     private final MeasuredEventLoop loop;
     private final Clock clock = new Clock();
-    private final Counters counters = new Counters();
-    private final Cordons cordons;
+    private final Metrics counters = new Metrics();
+    private final CordonStore cordons;
     private final ControlServer control;
     private boolean watching;
     private boolean serves;
     private final ServerPool pool;
     private final ClientServer clients;
-    private final Discovery discovery;
-    private final ModuleEvents module = new ModuleEvents();
-    private final Means means;
-    private final Requests requests;
+    private final EndpointWatcher discovery;
+    private final PolicyEventQueue module = new PolicyEventQueue();
+    private final RequestServices means;
+    private final RequestTable requests;
     private Future<?> housekeeping;
     private long housekeptUs;
     /** Lines beside the node's own; null where it has none. */
@@ -62,22 +82,23 @@
         this(config, loop, actions -> new ServiceQBalancer(config.settings(), config.seed(), actions));
     }
 
-    Node(NodeConfig config, MeasuredEventLoop loop, Function<Balancer.Actions, Balancer> deciding) {
+    Node(NodeConfig config, MeasuredEventLoop loop, Function<BalancerActions, Balancer> deciding) {
         this.config = config;
         this.loop = loop;
         boolean operated = config.operators().control() != null;
-        cordons = new Cordons(operated ? config.operators().folder() : null);
+        cordons = new CordonStore(operated ? config.operators().folder() : null);
         control = operated ? new ControlServer(loop, new Operators()) : null;
         counters.report(config.settings().classes);
-        Sockets sockets = new Sockets(config.sockets(), operated ? ControlServer.SOCKETS : 0);
+        SocketBudget sockets = new SocketBudget(config.sockets(), operated ? ControlServer.SOCKETS : 0);
         pool = new ServerPool(loop, sockets, clock, config.settings().connectTimeoutUs, config.connIdleUs());
-        tuning = Tuning.first(config.settings());
-        means = new Means(loop, clock, pool, counters, config.settings().reportFields, module, new HashSet<>());
-        requests = new Requests(means, () -> tuning);
+        tuning = ClassRegistry.first(config.settings());
+        means = new RequestServices(
+                loop, clock, pool, counters, config.settings().reportFields, module, new HashSet<>());
+        requests = new RequestTable(means, () -> tuning);
         clients = new ClientServer(loop, new RequestReader(tuning), sockets, requests);
-        discovery = new Discovery(loop, config, Discovery.Patience.USUAL, new Discovery.Listener() {
+        discovery = new EndpointWatcher(loop, config, EndpointWatcher.Patience.USUAL, new EndpointWatcher.Listener() {
             @Override
-            public void listed(HostList list) {
+            public void listed(EndpointList list) {
                 list(list, list.all() ? ListKind.FULL : ListKind.CHANGES);
             }
 
@@ -114,7 +135,7 @@
             watching = true;
             heedCordons();
             list(config.known(), ListKind.CACHED);
-            if (config.discovery() != null && !config.settings().listOnRequest) {
+            if (config.discovery() != null && !config.settings().pollsEndpointList) {
                 discovery.keepSubscribed();
             }
         });
@@ -152,11 +173,11 @@
         loop.execute(() -> {
             serves = false;
             Log.line("draining, " + requests.open() + " requests open");
-            long leftUs = Math.min(MOST_DEADLINE_US, tuning.longestDeadlineUs()) + KILL_US - ROOM_US;
-            requests.endAt(clock.nowUs() + leftUs);
-            loop.schedule(requests::cutOff, leftUs, TimeUnit.MICROSECONDS);
+            long remainingUs = Math.min(MOST_DEADLINE_US, tuning.longestDeadlineUs()) + KILL_US - ROOM_US;
+            requests.endAt(clock.nowUs() + remainingUs);
+            loop.schedule(requests::cutOff, remainingUs, TimeUnit.MICROSECONDS);
             if (config.operators().inherits()) {
-                clients.handOver(Math.max(0, leftUs - LAST_ASKED_US) / 1_000, whenEmpty);
+                clients.handOver(Math.max(0, remainingUs - LAST_ASKED_US) / 1_000, whenEmpty);
             } else {
                 clients.drain(whenEmpty);
             }
@@ -164,7 +185,7 @@
     }
 
     /** Lets go of all sockets and timers at once. */
-    void close() {
+    public void close() {
         loop.execute(() -> {
             housekeeping.cancel(false);
             if (wake != null) {
@@ -190,12 +211,12 @@
 
         @Override
         public String figures() {
-            return counters.text(new Counters.Gauges(requests.open(), pool.listed(), module.skipped()))
+            return counters.text(new Metrics.Gauges(requests.open(), pool.listed(), module.excludedServers()))
                     + (moreFigures == null ? "" : moreFigures.get());
         }
 
         @Override
-        public long cordon(String serverId, boolean out) throws RefusedException {
+        public long cordon(String serverId, boolean out) throws RejectedCallException {
             cordons.change(serverId, out);
             Log.line((out ? "cordoned server " : "uncordoned server ") + serverId);
             Node.this.cordon();
@@ -227,7 +248,7 @@
             NodeConfig read = config.againSettled(env);
             loop.execute(() -> retune(read));
         } catch (ConfigException e) {
-            Log.line("kitemux: reload: " + e.getMessage());
+            Log.line("load-balancer: reload: " + e.getMessage());
             loop.execute(counters::loadFailed);
         }
     }
@@ -236,7 +257,7 @@
         Log.line("configuration taken, discovery is at " + read.discovery());
         counters.loaded();
         counters.report(read.settings().classes);
-        Tuning next = tuning.then(read.settings());
+        ClassRegistry next = tuning.then(read.settings());
         tuning = next;
         module.tell(told -> told.onSettings(clock.nowUs(), next.settings()));
         clients.readBy(new RequestReader(next));
@@ -254,7 +275,7 @@
                 TimeUnit.MICROSECONDS);
     }
 
-    private void list(HostList list, ListKind kind) {
+    private void list(EndpointList list, ListKind kind) {
         module.tell(told -> {
             // The pool first, as the module sends to new servers at once. What it frees from a draining
             // server is told after the list: the module would else send it there again.
@@ -263,7 +284,7 @@
             told.onServers(
                     clock.nowUs(),
                     kind,
-                    list.hosts().stream().map(HostList.Host::entry).toList());
+                    list.hosts().stream().map(EndpointList.Host::entry).toList());
         });
     }
 
@@ -280,7 +301,7 @@
     }
 
     @Override
-    public void refuse(long requestId, long retryAfterUs) {
+    public void reject(long requestId, long retryAfterUs) {
         requests.finish(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterUs);
     }
 
@@ -316,7 +337,7 @@
 
     @Override
     public void probe(String serverId) {
-        new Probe(serverId, means).begin();
+        new HealthCheck(serverId, means).begin();
     }
 
     @Override
--- a/node/src/main/java/kitemux/node/ProcessLife.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -1,15 +1,18 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import io.netty.channel.ChannelFuture;
 import java.nio.channels.ServerSocketChannel;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import kitemux.loop.MeasuredEventLoop;
-import kitemux.members.Members;
+import loadbalancer.common.Log;
+import loadbalancer.config.ConfigException;
+import loadbalancer.config.NodeConfig;
+import loadbalancer.eventloop.MeasuredEventLoop;
+import loadbalancer.membership.MembershipService;
 
 /** The life of the process in which a node runs: its start, its signals and its end. */
-public final class ProcessLife {
-    private ProcessLife() {}
+public final class ProcessLifecycle {
+    private ProcessLifecycle() {}
 
     /** Runs a node until SIGTERM; a bad configuration ends it with one line and exit code 2. */
     public static void run(Map<String, String> env) {
@@ -17,17 +20,18 @@
         ServerSocketChannel inherited;
         try {
             config = NodeConfig.read(env);
-            inherited = config.operators().inherits() ? InheritedSocket.open() : null;
+            inherited = config.operators().inherits() ? InheritedListener.open() : null;
         } catch (ConfigException e) {
-            System.err.println("kitemux: " + e.getMessage());
+            System.err.println("load-balancer: " + e.getMessage());
             System.exit(2);
             return;
         }
         MeasuredEventLoop loop = new MeasuredEventLoop("node", false);
         Node node = new Node(config, loop);
-        HangUp.handle(() -> node.reload(env));
+        ReloadSignal.handle(() -> node.reload(env));
         // By an interface of the JDK's, so that a node of no fleet need not load what one is made of.
-        Runnable leave = config.fleet() == null ? null : Members.join(config.fleet(), Log::line, node::alsoReport);
+        Runnable leave =
+                config.fleet() == null ? null : MembershipService.join(config.fleet(), Log::line, node::alsoReport);
         ChannelFuture control = node.startControl();
         if (control != null) {
             awaitListening("control " + config.operators().control(), control);
@@ -35,9 +39,9 @@
         }
         // Ahead of the rehearsal, which takes longer than discovery to answer.
         node.watch();
-        long rehearsed = Rehearsal.play(config, loop);
-        if (rehearsed < Rehearsal.REQUESTS) {
-            Log.line("rehearsal cut short after " + rehearsed + " of " + Rehearsal.REQUESTS + " requests");
+        long rehearsed = WarmUp.play(config, loop);
+        if (rehearsed < WarmUp.REQUESTS) {
+            Log.line("rehearsal cut short after " + rehearsed + " of " + WarmUp.REQUESTS + " requests");
         }
         ChannelFuture listening = node.start(inherited);
         awaitListening("listen " + config.listen(), listening);
@@ -62,7 +66,8 @@
 
     private static void awaitListening(String where, ChannelFuture listening) {
         if (!listening.awaitUninterruptibly().isSuccess()) {
-            System.err.println("kitemux: " + where + ": " + listening.cause().getMessage());
+            System.err.println(
+                    "load-balancer: " + where + ": " + listening.cause().getMessage());
             System.exit(2);
         }
     }
--- a/node/src/main/java/kitemux/node/HangUp.java
+++ b/node/src/main/java/loadbalancer/process/ReloadSignal.java
@@ -1,14 +1,15 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import java.lang.reflect.Proxy;
+import loadbalancer.common.Log;
 
 /**
  * SIGHUP, by which the platform says that the configuration file has been replaced; left alone it would end
  * the process. The JDK tells of it by sun.misc.Signal only, which it exports; called by name, as the compiler
  * warns of that package and lets nobody suppress it.
  */
-final class HangUp {
-    private HangUp() {}
+final class ReloadSignal {
+    private ReloadSignal() {}
 
     /** Runs this, on a thread of its own, each time that the signal comes. */
     static void handle(Runnable reload) {
@@ -16,7 +17,7 @@
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object reloader = Proxy.newProxyInstance(
-                    HangUp.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
+                    ReloadSignal.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
                         reload.run();
                         return null;
                     });
--- a/node/src/main/java/kitemux/node/Rehearsal.java
+++ b/node/src/main/java/loadbalancer/process/WarmUp.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -26,18 +26,22 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.loop.MeasuredEventLoop;
+import loadbalancer.config.NodeConfig;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.eventloop.MeasuredEventLoop;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.policy.ServerState;
+import loadbalancer.transfer.FlowControl;
+import loadbalancer.upstream.StrictClientCodec;
 
 /**
  * Warms a starting process before it listens: a node apart serves requests between a client and a server of
  * its own, on the address that it may listen on. Cold code under full load stood still for up to 90 ms at a
  * time in the first second, and requests ran out of time unanswered.
  */
-final class Rehearsal {
+final class WarmUp {
     /** Enough that what each request calls is compiled; with 600 a restart took over a second longer. */
     static final int REQUESTS = 200;
 
@@ -52,33 +56,33 @@
     private final List<RequestClass> classes;
     private final CountDownLatch left = new CountDownLatch(REQUESTS);
 
-    private Rehearsal(MeasuredEventLoop loop, List<RequestClass> classes) {
+    private WarmUp(MeasuredEventLoop loop, List<RequestClass> classes) {
         this.loop = loop;
         this.classes = classes;
     }
 
     /** Plays until enough has been served or the time is up, and tells how many; it leaves nothing open. */
     static long play(NodeConfig config, MeasuredEventLoop loop) {
-        return new Rehearsal(loop, config.settings().classes).play(config);
+        return new WarmUp(loop, config.settings().classes).play(config);
     }
 
     private long play(NodeConfig config) {
         Channel server = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                .childOption(ChannelOption.ALLOCATOR, Flow.ALLOCATOR)
+                .childOption(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
                 .childHandler(pipeline(true))
                 .bind(new InetSocketAddress(config.listen().getAddress(), 0))
                 .syncUninterruptibly()
                 .channel();
-        HostList.Host host = new HostList.Host(
+        EndpointList.Host host = new EndpointList.Host(
                 new ServerEntry("rehearsal", 0, 0, ServerState.READY, 1, 0), (InetSocketAddress) server.localAddress());
-        Node node = new Node(config.apart(new HostList(0, true, List.of(host))), loop);
+        Node node = new Node(config.apart(new EndpointList(0, true, List.of(host))), loop);
         Channel listening = node.start().syncUninterruptibly().channel();
         Bootstrap client = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, Flow.ALLOCATOR)
+                .option(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
                 .handler(pipeline(false));
         for (int i = 0; i < CLIENTS; i++) {
             client.connect(listening.localAddress());
@@ -101,7 +105,7 @@
                 channel.pipeline()
                         .addLast(
                                 codec,
-                                new HttpObjectAggregator(Flow.MOST_GATHERED),
+                                new HttpObjectAggregator(FlowControl.MOST_GATHERED),
                                 server ? new FarServer() : new FarClient());
             }
         };
@@ -143,7 +147,7 @@
 
         private void ask(ChannelHandlerContext context) {
             RequestClass asked = classes.get((int) (left.getCount() % classes.size()));
-            boolean safe = asked.repeat() == Repeat.SAFE;
+            boolean safe = asked.idempotency() == Idempotency.IDEMPOTENT;
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     safe ? HttpMethod.GET : HttpMethod.POST,
@@ -155,7 +159,7 @@
                     .set("X-Lane", asked.name())
                     .set("X-Remaining", "1000m")
                     .set(HttpHeaderNames.CONTENT_LENGTH, safe ? 0 : 64);
-            if (asked.repeat() == Repeat.KEYED) {
+            if (asked.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
                 request.headers().set("Idempotency-Key", "rehearsal");
             }
             context.writeAndFlush(request);
--- /dev/null
+++ b/node/src/main/java/loadbalancer/process/package-info.java
@@ -0,0 +1,2 @@
+/** The process of a node: start, signals, warm-up, drain, and the wiring of all parts. */
+package loadbalancer.process;
--- a/node/src/main/java/kitemux/node/Probe.java
+++ b/node/src/main/java/loadbalancer/request/HealthCheck.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.request;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -9,31 +9,38 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import kitemux.Balancer.Result;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.RequestBody;
+import loadbalancer.upstream.LoadReportDecoder;
+import loadbalancer.upstream.UpstreamExchange;
 
 /** A check of one server. */
-final class Probe implements Exchange {
+public final class HealthCheck implements UpstreamExchange {
     private static final byte[] NO_BODY = {};
     private static final long MOST_US = 1_000_000;
 
     private final String serverId;
-    private final Means means;
+    private final RequestServices means;
     private final long sentAtUs;
     private Future<?> expiry;
-    private double[] report;
+    private LoadReport report;
 
-    Probe(String serverId, Means means) {
+    /** A probe of this server. */
+    public HealthCheck(String serverId, RequestServices means) {
         this.serverId = serverId;
         this.means = means;
         sentAtUs = means.clock().nowUs();
     }
 
-    void begin() {
+    /** Sends the probe. */
+    public void begin() {
         expiry = means.loop()
                 .schedule(
                         () -> {
                             means.pool().giveUp(serverId, this);
-                            ended(Result.TIMEOUT, NO_BODY);
+                            ended(AttemptResult.TIMEOUT, NO_BODY);
                         },
                         MOST_US,
                         TimeUnit.MICROSECONDS);
@@ -54,7 +61,7 @@
     }
 
     @Override
-    public Upload upload() {
+    public RequestBody upload() {
         return null;
     }
 
@@ -64,7 +71,7 @@
     }
 
     @Override
-    public void begun(long length, Flow from) {
+    public void begun(long length, FlowControl from) {
         // That it answers is all that is asked.
     }
 
@@ -80,11 +87,11 @@
 
     @Override
     public void reported(String load) {
-        report = LoadReport.decode(load, means.reportFields());
+        report = LoadReportDecoder.decode(load, means.reportFields());
     }
 
     @Override
-    public void ended(Result result, byte[] body) {
+    public void ended(AttemptResult result, byte[] body) {
         expiry.cancel(false);
         means.module()
                 .tell(module -> module.onProbe(
--- a/node/src/main/java/kitemux/node/ModuleEvents.java
+++ b/node/src/main/java/loadbalancer/request/PolicyEventQueue.java
@@ -1,16 +1,17 @@
-package kitemux.node;
+package loadbalancer.request;
 
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
-import kitemux.Balancer;
+import loadbalancer.common.Log;
+import loadbalancer.policy.Balancer;
 
 /**
  * What the module is told, one event after the other: nothing is fed back into it from inside one of its
  * events.
  */
-final class ModuleEvents {
+public final class PolicyEventQueue {
     /** What an event is about, where something is owed to it. */
-    interface Owed {
+    public interface Owed {
         /** The module has failed on an event about it. */
         void defect();
     }
@@ -22,17 +23,17 @@
     private boolean telling;
 
     /** Whom to tell; once, before the first event. */
-    void decidedBy(Balancer balancer) {
+    public void decidedBy(Balancer balancer) {
         module = balancer;
     }
 
     /** Tells it now, or once the event is over in which the module is. */
-    void tell(Consumer<Balancer> call) {
+    public void tell(Consumer<Balancer> call) {
         tell(null, call);
     }
 
     /** The same for an event about a request, which is to have its answer even if the module fails on it. */
-    void tell(Owed about, Consumer<Balancer> call) {
+    public void tell(Owed about, Consumer<Balancer> call) {
         events.add(new Event(about, call));
         if (telling) {
             return;
@@ -61,7 +62,7 @@
     }
 
     /** A figure of the module's, for operators. */
-    int skipped() {
-        return module.skipped();
+    public int excludedServers() {
+        return module.excludedServers();
     }
 }
--- a/node/src/main/java/kitemux/node/RequestLife.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -1,27 +1,30 @@
-package kitemux.node;
+package loadbalancer.request;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import kitemux.Balancer.Request;
-import kitemux.Balancer.Result;
-import kitemux.node.Counters.Ending;
+import loadbalancer.admin.Metrics.Ending;
+import loadbalancer.client.ClientConnection;
+import loadbalancer.client.ClientRequest;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.BalancerRequest;
+import loadbalancer.transfer.RequestBody;
 
 /** A client's request from its coming until its last attempt has ended. */
-final class RequestLife implements ClientConnection.OpenRequest, ModuleEvents.Owed {
+final class ProxiedRequest implements ClientConnection.OpenRequest, PolicyEventQueue.Owed {
     private static final byte[] NO_BODY = {};
 
     /** Whoever keeps all requests. */
     interface Keeper {
         /** All of a request has come. */
-        void cameWhole(RequestLife request);
+        void cameWhole(ProxiedRequest request);
 
         /** It has its final answer, or needs none any more. */
-        void ended(RequestLife request);
+        void ended(ProxiedRequest request);
 
         /** Nothing will be heard of it any more. */
-        void over(RequestLife request);
+        void over(ProxiedRequest request);
     }
 
     final long id;
@@ -30,27 +33,27 @@
     private final String className;
     private final int maxAttempts;
     private final Keeper keeper;
-    private final Means means;
+    private final RequestServices means;
     /** By when it wants its answer; not known until all of it has come. */
     private long deadlineUs = Long.MAX_VALUE;
 
-    private final List<AttemptLife> attempts = new ArrayList<>(1);
+    private final List<UpstreamAttempt> attempts = new ArrayList<>(1);
     private int outstanding;
     /** The attempt whose message is on a connection, and the one whose answer flows to the client. */
-    private AttemptLife carried;
+    private UpstreamAttempt carried;
 
-    private AttemptLife answering;
+    private UpstreamAttempt answering;
     private boolean whole;
     private boolean ended;
 
-    RequestLife(
+    ProxiedRequest(
             long id,
             ClientRequest request,
             ClientConnection client,
             String className,
             int maxAttempts,
             Keeper keeper,
-            Means means) {
+            RequestServices means) {
         this.id = id;
         this.request = request;
         this.client = client;
@@ -100,19 +103,19 @@
             keeper.cameWhole(this);
             return;
         }
-        request.upload().follow(new Upload.Listener() {
+        request.upload().follow(new RequestBody.Listener() {
             @Override
             public void bound() {
                 int attempt = carried.number();
                 means.module()
                         .tell(
-                                RequestLife.this,
+                                ProxiedRequest.this,
                                 module -> module.onFirstByte(means.clock().nowUs(), id, attempt));
             }
 
             @Override
             public void whole() {
-                keeper.cameWhole(RequestLife.this);
+                keeper.cameWhole(ProxiedRequest.this);
             }
         });
     }
@@ -125,7 +128,7 @@
             long waitedUs = Math.max(0, nowUs - arrivedAtUs());
             module.onRequest(
                     nowUs,
-                    new Request(
+                    new BalancerRequest(
                             id,
                             head.classIndex(),
                             head.tenant(),
@@ -141,7 +144,7 @@
     void wholeUntil(long atUs) {
         whole = true;
         deadlineUs = atUs;
-        attempts.stream().filter(attempt -> !attempt.isOver()).forEach(AttemptLife::cameWhole);
+        attempts.stream().filter(attempt -> !attempt.isOver()).forEach(UpstreamAttempt::cameWhole);
     }
 
     @Override
@@ -171,7 +174,7 @@
     }
 
     void send(String serverId, long beginByUs, long untilUs) {
-        AttemptLife attempt = new AttemptLife(this, attempts.size(), serverId, beginByUs, untilUs, means);
+        UpstreamAttempt attempt = new UpstreamAttempt(this, attempts.size(), serverId, beginByUs, untilUs, means);
         attempts.add(attempt);
         outstanding++;
         // Behind all that has come by this turn of the loop, and behind all timers that are due: where those
@@ -191,12 +194,12 @@
     }
 
     /** An attempt's message is on a connection. */
-    void carriedBy(AttemptLife attempt) {
+    void carriedBy(UpstreamAttempt attempt) {
         carried = attempt;
     }
 
     /** The answer to an attempt flows; true if it flows to the client, as the first one does. */
-    boolean beginAnswer(long length, AttemptLife by) {
+    boolean beginAnswer(long length, UpstreamAttempt by) {
         if (ended || answering != null) {
             return false;
         }
@@ -206,21 +209,21 @@
     }
 
     /** The client, where this attempt's answer flows to it; null where nobody wants what comes. */
-    ClientConnection takes(AttemptLife by) {
+    ClientConnection takes(UpstreamAttempt by) {
         return answering == by && !ended ? client : null;
     }
 
     /** An attempt has ended; its answer may be the final one. */
-    void attemptEnded(AttemptLife attempt, Result result, byte[] body) {
+    void attemptEnded(UpstreamAttempt attempt, AttemptResult result, byte[] body) {
         if (answering == attempt && !ended) {
-            if (result == Result.OK) {
+            if (result == AttemptResult.OK) {
                 client.endAnswer();
             } else {
                 client.breakOffAnswer();
             }
-            means.counters().handled(className, result == Result.OK ? Ending.PASSED : Ending.BAD_GATEWAY);
+            means.counters().handled(className, result == AttemptResult.OK ? Ending.PASSED : Ending.BAD_GATEWAY);
             end();
-        } else if (result == Result.OK && !ended && answering == null) {
+        } else if (result == AttemptResult.OK && !ended && answering == null) {
             answer(HttpResponseStatus.OK, body, 0);
         }
     }
--- /dev/null
+++ b/node/src/main/java/loadbalancer/request/RequestServices.java
@@ -0,0 +1,23 @@
+package loadbalancer.request;
+
+import io.netty.channel.EventLoop;
+import java.util.List;
+import java.util.Set;
+import loadbalancer.admin.Metrics;
+import loadbalancer.common.Clock;
+import loadbalancer.policy.LoadReportField;
+import loadbalancer.upstream.ServerPool;
+
+/**
+ * What requests and their attempts are carried with, the same for all of a node.
+ *
+ * @param flowing attempts of which something flows that is too large to be gathered
+ */
+public record RequestServices(
+        EventLoop loop,
+        Clock clock,
+        ServerPool pool,
+        Metrics counters,
+        List<LoadReportField> reportFields,
+        PolicyEventQueue module,
+        Set<UpstreamAttempt> flowing) {}
--- a/node/src/main/java/kitemux/node/Requests.java
+++ b/node/src/main/java/loadbalancer/request/RequestTable.java
@@ -1,20 +1,25 @@
-package kitemux.node;
+package loadbalancer.request;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
+import loadbalancer.client.ClientConnection;
+import loadbalancer.client.ClientRequest;
+import loadbalancer.client.ClientServer;
+import loadbalancer.common.Log;
+import loadbalancer.config.ClassRegistry;
 
 /** All requests that a node holds. */
-final class Requests implements ClientServer.Handler, RequestLife.Keeper {
+public final class RequestTable implements ClientServer.Handler, ProxiedRequest.Keeper {
     private static final byte[] NO_BODY = {};
     /** Clients take an answer for lost that comes half a second after its time. */
     private static final long LATE_US = 250_000;
 
-    private final Means means;
-    private final Supplier<Tuning> tuning;
-    private final Map<Long, RequestLife> held = new HashMap<>();
+    private final RequestServices means;
+    private final Supplier<ClassRegistry> tuning;
+    private final Map<Long, ProxiedRequest> held = new HashMap<>();
     /** How many of these have come whole and not had the end of their final answer. */
     private int open;
 
@@ -22,31 +27,31 @@
     private long endsAtUs = Long.MAX_VALUE;
 
     /** @param tuning the classes as they are when a request comes */
-    Requests(Means means, Supplier<Tuning> tuning) {
+    public RequestTable(RequestServices means, Supplier<ClassRegistry> tuning) {
         this.means = means;
         this.tuning = tuning;
     }
 
     /** How many have come whole and wait for the end of their answer. */
-    int open() {
+    public int open() {
         return open;
     }
 
     /** What comes from now on is to have its answer by then, when {@link #cutOff} is due. */
-    void endAt(long atUs) {
+    public void endAt(long atUs) {
         endsAtUs = atUs;
     }
 
     /** Answers whatever has no answer yet: the process will be killed soon. */
-    void cutOff() {
-        List.copyOf(held.values()).forEach(RequestLife::cutOff);
+    public void cutOff() {
+        List.copyOf(held.values()).forEach(ProxiedRequest::cutOff);
     }
 
     @Override
     public void asked(ClientConnection client, ClientRequest request) {
-        Tuning now = tuning.get();
+        ClassRegistry now = tuning.get();
         ClientRequest.Head head = request.head();
-        RequestLife taken = new RequestLife(
+        ProxiedRequest taken = new ProxiedRequest(
                 ++lastId,
                 request,
                 client,
@@ -57,23 +62,23 @@
         client.hold(taken);
         held.put(taken.id, taken);
         taken.begin();
-        taken.ask(Math.min(endsAtUs, taken.arrivedAtUs() + head.leftUs()));
+        taken.ask(Math.min(endsAtUs, taken.arrivedAtUs() + head.remainingUs()));
     }
 
     @Override
-    public void cameWhole(RequestLife request) {
+    public void cameWhole(ProxiedRequest request) {
         if (!request.isEnded()) {
             open++;
             long wholeAtUs = request.request.upload() == null
                     ? request.arrivedAtUs()
                     : means.clock().nowUs();
             request.wholeUntil(
-                    Math.min(endsAtUs, wholeAtUs + request.request.head().leftUs()));
+                    Math.min(endsAtUs, wholeAtUs + request.request.head().remainingUs()));
         }
     }
 
     @Override
-    public void ended(RequestLife request) {
+    public void ended(ProxiedRequest request) {
         open -= request.isWhole() ? 1 : 0;
         long lateUs = means.clock().nowUs() - request.deadlineUs();
         if (lateUs > LATE_US) {
@@ -83,7 +88,7 @@
     }
 
     @Override
-    public void over(RequestLife request) {
+    public void over(ProxiedRequest request) {
         held.remove(request.id);
         if (request.request.upload() != null) {
             request.request.upload().release();
@@ -91,32 +96,34 @@
     }
 
     /** Gives up attempts whose servers neither take nor give anything of what flows. */
-    void expireStalled() {
+    public void expireStalled() {
         long nowUs = means.clock().nowUs();
         List.copyOf(means.flowing()).stream()
                 .filter(attempt -> attempt.isStalled(nowUs))
-                .forEach(AttemptLife::expire);
+                .forEach(UpstreamAttempt::expire);
     }
 
     // ---------------------------------------------------------------- what the module asks for
 
-    void send(long requestId, String serverId, long beginByUs, long untilUs) {
-        RequestLife request = held.get(requestId);
+    /** Starts an attempt of a request. */
+    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+        ProxiedRequest request = held.get(requestId);
         // Where the body flows, the module does not know yet by when the client wants its answer.
         boolean known = untilUs != 0 && request.request.upload() == null;
         request.send(serverId, beginByUs, known ? untilUs : Long.MAX_VALUE);
     }
 
-    void cancel(long requestId, int attempt) {
-        RequestLife request = held.get(requestId);
+    /** Cancels an attempt of a request; unknown ids are ignored. */
+    public void cancel(long requestId, int attempt) {
+        ProxiedRequest request = held.get(requestId);
         if (request != null) {
             request.cancel(attempt);
         }
     }
 
     /** The final answer that no server made: refused or failed. */
-    void finish(long requestId, HttpResponseStatus status, long retryAfterUs) {
-        RequestLife request = held.get(requestId);
+    public void finish(long requestId, HttpResponseStatus status, long retryAfterUs) {
+        ProxiedRequest request = held.get(requestId);
         if (request != null) {
             request.answer(status, NO_BODY, retryAfterUs);
         }
--- a/node/src/main/java/kitemux/node/AttemptLife.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.request;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -10,11 +10,18 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Result;
+import loadbalancer.client.ClientConnection;
+import loadbalancer.client.ClientRequest;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.RequestBody;
+import loadbalancer.upstream.LoadReportDecoder;
+import loadbalancer.upstream.UpstreamExchange;
 
 /** One attempt of a request at one server, gathered or flowing. */
-final class AttemptLife implements Exchange, Flow {
+final class UpstreamAttempt implements UpstreamExchange, FlowControl {
     private static final byte[] NO_BODY = {};
     /** A server that neither takes nor gives anything for so long, amid something that flows, is gone. */
     private static final long MOST_SILENCE_US = 10_000_000;
@@ -24,10 +31,10 @@
      */
     private static final long MOST_LATE_SILENCE_US = 400_000;
 
-    private final RequestLife of;
+    private final ProxiedRequest of;
     private final int number;
     private final String serverId;
-    private final Means means;
+    private final RequestServices means;
     private final long sentAtUs;
     private final long beginByUs;
     private final long untilUs;
@@ -39,16 +46,17 @@
     private long movedAtUs;
 
     private long passed;
-    private Flow answer;
+    private FlowControl answer;
     /** How much of the answer has come. */
     private long given;
 
     private boolean heldBack;
     private Future<?> expiry;
-    private double[] report;
+    private LoadReport report;
     private boolean over;
 
-    AttemptLife(RequestLife of, int number, String serverId, long beginByUs, long untilUs, Means means) {
+    UpstreamAttempt(
+            ProxiedRequest of, int number, String serverId, long beginByUs, long untilUs, RequestServices means) {
         this.of = of;
         this.number = number;
         this.serverId = serverId;
@@ -84,12 +92,12 @@
         byte[] body = of.request.body();
         FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1, head.method(), head.uri(), Unpooled.wrappedBuffer(body));
-        long leftUs = of.isWhole() ? endsUs() - means.clock().nowUs() : head.leftUs();
+        long remainingUs = of.isWhole() ? endsUs() - means.clock().nowUs() : head.remainingUs();
         message.headers()
                 .set(HttpHeaderNames.HOST, "backend.local")
                 .set("X-Txn", head.txn())
                 .set("X-Lane", of.className())
-                .set("X-Remaining", Math.max(1, leftUs) + "u");
+                .set("X-Remaining", Math.max(1, remainingUs) + "u");
         if (head.idempotencyKey() != null) {
             message.headers().set("Idempotency-Key", head.idempotencyKey());
         }
@@ -104,7 +112,7 @@
     }
 
     @Override
-    public Upload upload() {
+    public RequestBody upload() {
         return of.request.upload();
     }
 
@@ -118,7 +126,7 @@
             return;
         }
         if (endsUs() <= sentAtUs || !of.admits(number)) {
-            ended(Result.MOOT, NO_BODY);
+            ended(AttemptResult.MOOT, NO_BODY);
             return;
         }
         if (of.isWhole()) {
@@ -169,7 +177,7 @@
     }
 
     @Override
-    public void begun(long length, Flow from) {
+    public void begun(long length, FlowControl from) {
         answer = from;
         begunAtUs = means.clock().nowUs();
         means.flowing().add(this);
@@ -220,23 +228,23 @@
     /** Its time is up. */
     void expire() {
         // What never left for want of a connection is known not to have run.
-        ended(means.pool().giveUp(serverId, this) ? Result.TIMEOUT : Result.CONNECT_FAILED, NO_BODY);
+        ended(means.pool().giveUp(serverId, this) ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, NO_BODY);
     }
 
     void cancel() {
         if (!over) {
             means.pool().giveUp(serverId, this);
-            ended(Result.CANCELLED, NO_BODY);
+            ended(AttemptResult.CANCELLED, NO_BODY);
         }
     }
 
     @Override
     public void reported(String load) {
-        report = LoadReport.decode(load, means.reportFields());
+        report = LoadReportDecoder.decode(load, means.reportFields());
     }
 
     @Override
-    public void ended(Result result, byte[] body) {
+    public void ended(AttemptResult result, byte[] body) {
         if (over) {
             return;
         }
@@ -252,7 +260,8 @@
             of.attemptTold();
             module.onOutcome(
                     means.clock().nowUs(),
-                    new Outcome(of.id, number, result, Math.max(0, answeredAtUs - wholeAtUs), of.isEnded(), report));
+                    new AttemptOutcome(
+                            of.id, number, result, Math.max(0, answeredAtUs - wholeAtUs), of.isEnded(), report));
         });
     }
 }
