--- a/node/src/main/java/kitemux/adapter/BootInfo.java
+++ b/node/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -1,20 +1,19 @@
-package kitemux.adapter;
+package loadbalancer.settings;
 
-import java.util.HashMap;
 import java.util.Map;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.ReportField;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.Settings;
-import kitemux.Balancer.Tenant;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.LoadReportField;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.Tenant;
 
 /**
  * Turns settings by dotted names into the module's: the wire's, and the node's configuration once it is
  * flattened, so that the two cannot drift apart. Missing settings take the module's documented defaults,
  * but for the classes and their main figures, which are named as missing.
  */
-public final class BootInfo {
+public final class SettingsReader {
     private final Map<String, String> values;
 
     /** A setting that is missing or not as it must be. */
@@ -32,35 +31,23 @@
         }
     }
 
-    private BootInfo(Map<String, String> values) {
+    private SettingsReader(Map<String, String> values) {
         this.values = values;
     }
 
-    static Settings read(Line line) throws WireException {
-        Map<String, String> values = new HashMap<>();
-        for (int i = 0; i < line.fieldCount(); i++) {
-            values.put(line.key(i), line.value(i));
-        }
-        try {
-            return read(values);
-        } catch (BadSettingException e) {
-            throw line.bad(e.field, e.reason);
-        }
-    }
-
     /** Reads settings by dotted names; lists of objects have a {@code count}, lists of values commas. */
-    public static Settings read(Map<String, String> values) throws BadSettingException {
-        return new BootInfo(values).settings();
+    public static BalancerSettings read(Map<String, String> values) throws BadSettingException {
+        return new SettingsReader(values).settings();
     }
 
-    private Settings settings() throws BadSettingException {
-        Settings set = new Settings();
+    private BalancerSettings settings() throws BadSettingException {
+        BalancerSettings set = new BalancerSettings();
         set.nodes = (int) whole("balancers", set.nodes);
-        set.me = (int) whole("me", set.me);
+        set.nodeIndex = (int) whole("me", set.nodeIndex);
         for (String zone : list("zones")) {
             set.zones.add(zone);
         }
-        set.myZone = Math.max(0, set.zones.indexOf(values.getOrDefault("myZone", "")));
+        set.localZone = Math.max(0, set.zones.indexOf(values.getOrDefault("myZone", "")));
         int classes = (int) whole("classes.count", 0);
         for (int i = 0; i < classes; i++) {
             set.classes.add(requestClass("classes." + i + "."));
@@ -70,35 +57,35 @@
             String prefix = "realms." + i + ".";
             set.tenants.add(new Tenant(need(prefix + "name")));
         }
-        set.worthByWork = "work".equals(values.get("countedBy"));
+        set.weightByWork = "work".equals(values.get("countedBy"));
         set.maxAttempts = values.containsKey("limits.attemptsCap")
                 ? (int) Math.min(Integer.MAX_VALUE, positive("limits.attemptsCap"))
                 : set.maxAttempts;
-        set.secondCopies = flag("limits.parallelTries");
-        set.cancel = flag("limits.cancelling");
+        set.hedging = flag("limits.parallelTries");
+        set.cancellation = flag("limits.cancelling");
         set.probes = flag("limits.probes");
         set.maxRetryAfterUs = flag("limits.retryAfter") ? whole("limits.maxRetryAfterUs", 0) : 0;
         set.tickUs = whole("quantumUs", set.tickUs);
         set.connectTimeoutUs = whole("limits.dialTimeoutUs", set.connectTimeoutUs);
-        set.listOnRequest = "on_request".equals(values.get("membershipMode"));
-        set.askWithinUs = whole("rules.askWithinUs", set.askWithinUs);
+        set.pollsEndpointList = "on_request".equals(values.get("membershipMode"));
+        set.pollIntervalUs = whole("rules.askWithinUs", set.pollIntervalUs);
         set.drainGraceUs = whole("rules.drainGraceUs", set.drainGraceUs);
-        set.coldFrom = decimal("rules.coldFrom", set.coldFrom);
-        set.coldUs = whole("rules.coldUs", set.coldUs);
-        set.fallMultiple = decimal("rules.overloadFactor", set.fallMultiple);
-        set.fallUs = whole("rules.fallUs", set.fallUs);
-        set.crossZonePrice = decimal("costs.crossZone", set.crossZonePrice);
-        set.warmKeys = flag("extra.warmKeys");
+        set.warmUpInitialShare = decimal("rules.coldFrom", set.warmUpInitialShare);
+        set.warmUpUs = whole("rules.coldUs", set.warmUpUs);
+        set.overloadMultiple = decimal("rules.overloadFactor", set.overloadMultiple);
+        set.overloadUs = whole("rules.fallUs", set.overloadUs);
+        set.crossZoneCost = decimal("costs.crossZone", set.crossZoneCost);
+        set.keyAffinity = flag("extra.warmKeys");
         for (String field : list("report.fields")) {
             set.reportFields.add(
                     switch (field) {
-                        case "concurrent" -> ReportField.IN_FLIGHT;
-                        case "depth" -> ReportField.QUEUED;
-                        case "load_share" -> ReportField.UTILISATION;
-                        case "mean_ms" -> ReportField.LATENCY_MS;
-                        case "tps" -> ReportField.SERVED_PER_S;
-                        case "err_ps" -> ReportField.ERRORS_PER_S;
-                        default -> ReportField.OTHER;
+                        case "concurrent" -> LoadReportField.IN_FLIGHT;
+                        case "depth" -> LoadReportField.QUEUED;
+                        case "load_share" -> LoadReportField.UTILISATION;
+                        case "mean_ms" -> LoadReportField.LATENCY_MS;
+                        case "tps" -> LoadReportField.SERVED_PER_S;
+                        case "err_ps" -> LoadReportField.ERRORS_PER_S;
+                        default -> LoadReportField.OTHER;
                     });
         }
         return set;
@@ -115,15 +102,15 @@
                 decimal(prefix + "importance", 1),
                 decimal(prefix + "lateWorth", 0),
                 switch (repeat) {
-                    case "safe" -> Repeat.SAFE;
-                    case "keyed" -> Repeat.KEYED;
-                    case "unsafe" -> Repeat.UNSAFE;
+                    case "safe" -> Idempotency.IDEMPOTENT;
+                    case "keyed" -> Idempotency.IDEMPOTENT_WITH_KEY;
+                    case "unsafe" -> Idempotency.NON_IDEMPOTENT;
                     default -> throw new BadSettingException(prefix + "repeat", "is unknown: " + repeat);
                 },
                 switch (group) {
-                    case "all" -> Group.ALL;
-                    case "zone" -> Group.ZONE;
-                    case "cell" -> Group.CELL;
+                    case "all" -> DeduplicationScope.ALL;
+                    case "zone" -> DeduplicationScope.ZONE;
+                    case "cell" -> DeduplicationScope.CELL;
                     default -> throw new BadSettingException(prefix + "group", "is unknown: " + group);
                 },
                 whole(prefix + "windowUs", 0),
--- a/node/src/main/java/kitemux/adapter/Main.java
+++ b/node/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -1,12 +1,12 @@
-package kitemux.adapter;
+package loadbalancer.simulator;
 
 import java.io.FileDescriptor;
 import java.io.FileOutputStream;
 import java.io.IOException;
 
 /** Hosts instances of the module for the bench: the wire on standard input and output. */
-public final class Main {
-    private Main() {}
+public final class SimulatorAdapter {
+    private SimulatorAdapter() {}
 
     /**
      * Runs until the input ends; a malformed input ends it with one line on standard error and exit
@@ -14,9 +14,9 @@
      */
     public static void run() {
         try {
-            new Link(System.in, new FileOutputStream(FileDescriptor.out)).run();
+            new SimulatorConnection(System.in, new FileOutputStream(FileDescriptor.out)).run();
         } catch (WireException | IOException e) {
-            System.err.println("kitemux: " + e.getMessage());
+            System.err.println("load-balancer: " + e.getMessage());
             System.exit(2);
         }
     }
--- a/node/src/main/java/kitemux/adapter/Link.java
+++ b/node/src/main/java/loadbalancer/simulator/SimulatorConnection.java
@@ -1,4 +1,4 @@
-package kitemux.adapter;
+package loadbalancer.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -7,18 +7,20 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import kitemux.Balancer;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Request;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
-import kitemux.ServiceQBalancer;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.BalancerRequest;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.ListKind;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.policy.ServerState;
+import loadbalancer.policy.ServiceQBalancer;
+import loadbalancer.settings.SettingsReader;
 
 /** Carries events from the wire to the instances and their actions back. It decides nothing. */
-final class Link {
+final class SimulatorConnection {
     private static final int MOST_ROSTERS = 16;
 
     /** One node's module with what is needed to translate for it. */
@@ -31,15 +33,15 @@
     /** A roster's line; its zone is still a name, since instances number zones by their own settings. */
     private record RosterLine(String id, String zone, int cell, ServerState state, double weight, long startedAt) {}
 
-    private final Line line;
-    private final Reply reply;
+    private final WireLineReader line;
+    private final WireLineWriter reply;
     private final Map<String, Instance> instances = new HashMap<>();
     private final List<List<RosterLine>> rosters = new ArrayList<>();
     private long now;
 
-    Link(InputStream in, OutputStream out) {
-        line = new Line(in);
-        reply = new Reply(out);
+    SimulatorConnection(InputStream in, OutputStream out) {
+        line = new WireLineReader(in);
+        reply = new WireLineWriter(out);
         for (int i = 0; i < MOST_ROSTERS; i++) {
             rosters.add(null);
         }
@@ -102,19 +104,19 @@
         Balancer balancer = to.balancer;
         long at = now;
         if (line.is("resolved")) {
-            Outcome outcome = new Outcome(
+            AttemptOutcome outcome = new AttemptOutcome(
                     line.id("handle"),
                     (int) line.whole("seqNo"),
                     result(),
                     line.whole("latencyUs", 0),
                     line.flag("ended"),
-                    line.row("metrics"));
+                    report());
             return () -> balancer.onOutcome(at, outcome);
         }
         if (line.is("work_item")) {
             String tenant = line.textOrNull("realm");
             boolean anyTenant = tenant != null && !tenant.equals("0");
-            Request request = new Request(
+            BalancerRequest request = new BalancerRequest(
                     line.id("handle"),
                     index(to.classes, "lane", line.text("lane")),
                     anyTenant ? index(to.tenants, "realm", tenant) : -1,
@@ -141,9 +143,9 @@
         }
         if (line.is("echo")) {
             String server = line.text("server");
-            Result result = result();
+            AttemptResult result = result();
             long latency = line.whole("latencyUs", 0);
-            double[] report = line.row("metrics");
+            LoadReport report = report();
             return () -> balancer.onProbe(at, server, result, latency, report);
         }
         if (line.is("memo")) {
@@ -152,8 +154,20 @@
         throw line.bad("unknown event " + line.name());
     }
 
+    private BalancerSettings settings() throws WireException {
+        Map<String, String> values = new HashMap<>();
+        for (int i = 0; i < line.fieldCount(); i++) {
+            values.put(line.key(i), line.value(i));
+        }
+        try {
+            return SettingsReader.read(values);
+        } catch (SettingsReader.BadSettingException e) {
+            throw line.bad(e.field, e.reason);
+        }
+    }
+
     private void boot(String node) throws WireException {
-        Settings settings = BootInfo.read(line);
+        BalancerSettings settings = settings();
         long seed = line.whole("initSeed");
         Map<String, Integer> classes = new HashMap<>();
         settings.classes.forEach(c -> classes.put(c.name(), classes.size()));
@@ -240,17 +254,22 @@
         return index;
     }
 
-    private Result result() throws WireException {
+    private LoadReport report() throws WireException {
+        double[] values = line.row("metrics");
+        return values == null ? null : LoadReport.of(values);
+    }
+
+    private AttemptResult result() throws WireException {
         long code = line.whole("rc");
         return switch ((int) code) {
-            case 10 -> Result.OK;
-            case 20 -> Result.ERROR;
-            case 30 -> Result.FULL;
-            case 40 -> Result.TIMEOUT;
-            case 50 -> Result.CONNECT_FAILED;
-            case 60 -> Result.RESET;
-            case 70 -> Result.CANCELLED;
-            case 80 -> Result.MOOT;
+            case 10 -> AttemptResult.OK;
+            case 20 -> AttemptResult.ERROR;
+            case 30 -> AttemptResult.FULL;
+            case 40 -> AttemptResult.TIMEOUT;
+            case 50 -> AttemptResult.CONNECT_FAILED;
+            case 60 -> AttemptResult.RESET;
+            case 70 -> AttemptResult.CANCELLED;
+            case 80 -> AttemptResult.MOOT;
             default -> throw line.bad("rc", "is unknown: " + code);
         };
     }
--- a/node/src/main/java/kitemux/adapter/WireException.java
+++ b/node/src/main/java/loadbalancer/simulator/WireException.java
@@ -1,7 +1,7 @@
-package kitemux.adapter;
+package loadbalancer.simulator;
 
 /** The input is not what the wire allows; the message is one plain line for the operator. */
-final class WireException extends Exception {
+public final class WireException extends Exception {
     private static final long serialVersionUID = 1;
 
     WireException(String message) {
--- a/node/src/main/java/kitemux/adapter/Line.java
+++ b/node/src/main/java/loadbalancer/simulator/WireLineReader.java
@@ -1,4 +1,4 @@
-package kitemux.adapter;
+package loadbalancer.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 
 /** Reads the wire line by line: a name, then name=value pairs, parted by single spaces. Keeps no garbage. */
-final class Line {
+public final class WireLineReader {
     private static final int FIRST_BUFFER = 1 << 16;
 
     private final InputStream in;
@@ -22,7 +22,7 @@
     private int[] valueStart = new int[16];
     private int[] valueEnd = new int[16];
 
-    Line(InputStream in) {
+    WireLineReader(InputStream in) {
         this.in = in;
     }
 
--- a/node/src/main/java/kitemux/adapter/Reply.java
+++ b/node/src/main/java/loadbalancer/simulator/WireLineWriter.java
@@ -1,13 +1,13 @@
-package kitemux.adapter;
+package loadbalancer.simulator;
 
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import kitemux.Balancer;
+import loadbalancer.policy.BalancerActions;
 
 /** Writes the actions of the instance whose event is being handled; a reply goes out whole or not at all. */
-final class Reply implements Balancer.Actions {
+final class WireLineWriter implements BalancerActions {
     private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
     private final OutputStream out;
@@ -15,7 +15,7 @@
     private int filled;
     private String node = "";
 
-    Reply(OutputStream out) {
+    WireLineWriter(OutputStream out) {
         this.out = out;
     }
 
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void refuse(long requestId, long retryAfterUs) {
+    public void reject(long requestId, long retryAfterUs) {
         open("decline");
         handle(requestId);
         if (retryAfterUs > 0) {
--- a/node/src/main/java/kitemux/adapter/package-info.java
+++ b/node/src/main/java/loadbalancer/simulator/package-info.java
@@ -1,2 +1,2 @@
 /** The simulator adapter: translates the line protocol of the simulator into calls of the decision module and back. */
-package kitemux.adapter;
+package loadbalancer.simulator;
--- a/node/src/main/java/kitemux/node/Flow.java
+++ b/node/src/main/java/loadbalancer/transfer/FlowControl.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.transfer;
 
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.UnpooledByteBufAllocator;
@@ -9,7 +9,7 @@
  * A side that something large flows from. The other side holds it back while it has more than it can pass on,
  * so that what a node holds of each exchange is bounded, however large it is and however slow a peer.
  */
-interface Flow {
+public interface FlowControl {
     /** Buffers of just the size needed, on the heap: memory is short, and loads are small. */
     ByteBufAllocator ALLOCATOR = new UnpooledByteBufAllocator(false, true);
     /** The largest body that is passed on. */
@@ -32,6 +32,7 @@
     /** Reads on. */
     void goOn();
 
+    /** Sizes of the parts that a large body is read in. */
     static AdaptiveRecvByteBufAllocator parts() {
         AdaptiveRecvByteBufAllocator parts = new AdaptiveRecvByteBufAllocator(512, 2_048, MOST_PART);
         parts.maxMessagesPerRead(4);
--- a/node/src/main/java/kitemux/node/Upload.java
+++ b/node/src/main/java/loadbalancer/transfer/RequestBody.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.transfer;
 
 import io.netty.buffer.ByteBuf;
 import java.util.ArrayDeque;
@@ -7,9 +7,9 @@
  * A request's body that is too large to be gathered, on its way from a client to a server. Its beginning is
  * held until more than that has gone on: up to then another server can have it from the start.
  */
-final class Upload {
+public final class RequestBody {
     /** Where it goes to. */
-    interface Sink {
+    public interface Sink {
         /** Takes a part over. */
         void write(ByteBuf part);
 
@@ -22,7 +22,7 @@
     }
 
     /** Who follows it. */
-    interface Listener {
+    public interface Listener {
         /** More has gone to a server than is still held here: no other can have it from the start. */
         void bound();
 
@@ -30,7 +30,7 @@
         void whole();
     }
 
-    private final Flow client;
+    private final FlowControl client;
     /** What it says of its length, or -1 where it comes in chunks. */
     private final long length;
 
@@ -45,18 +45,18 @@
     private Sink sink;
 
     /** Takes the beginning over; nothing more is read from the client until a server takes it. */
-    Upload(Flow client, long length, ByteBuf beginning) {
+    public RequestBody(FlowControl client, long length, ByteBuf beginning) {
         this.client = client;
         this.length = length;
         this.beginning = beginning;
         client.holdBack();
     }
 
-    void follow(Listener by) {
+    public void follow(Listener by) {
         listener = by;
     }
 
-    long length() {
+    public long length() {
         return length;
     }
 
@@ -65,17 +65,17 @@
     }
 
     /** Whether a server can have it from the start. */
-    boolean isFree() {
+    public boolean isFree() {
         return beginning != null && sink == null;
     }
 
     /** Whether it is the server that keeps it from going on. */
-    boolean awaitsServer() {
+    public boolean awaitsServer() {
         return sink != null && heldBack && !whole;
     }
 
     /** The client's next part, which is taken over. */
-    void add(ByteBuf part) {
+    public void add(ByteBuf part) {
         if (sink == null) {
             behind.add(part);
         } else {
@@ -85,7 +85,7 @@
     }
 
     /** The client has sent all. */
-    void end() {
+    public void end() {
         whole = true;
         if (sink != null) {
             sink.finish();
@@ -93,14 +93,15 @@
         listener.whole();
     }
 
-    void flush() {
+    /** Flushes what has been written to the server. */
+    public void flush() {
         if (sink != null) {
             sink.flush();
         }
     }
 
     /** A server takes it, from the start. */
-    void flowTo(Sink to) {
+    public void flowTo(Sink to) {
         sink = to;
         sink.write(beginning.retainedDuplicate());
         while (!behind.isEmpty()) {
@@ -124,12 +125,12 @@
     }
 
     /** How much has gone to servers. */
-    long passed() {
+    public long passed() {
         return passed;
     }
 
     /** Reads from the client as long as the server takes what is read. */
-    void keepPace() {
+    public void keepPace() {
         if (sink == null || whole) {
             return;
         }
@@ -145,7 +146,7 @@
     }
 
     /** The server takes no more of it. */
-    void stop(Sink from) {
+    public void stop(Sink from) {
         if (sink == from) {
             sink = null;
             heldBack = true;
@@ -156,7 +157,7 @@
     }
 
     /** Nobody wants it any more. */
-    void release() {
+    public void release() {
         sink = null;
         if (beginning != null) {
             beginning.release();
--- a/node/src/main/java/kitemux/node/ServerConnection.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerConnection.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -20,10 +20,15 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
-import kitemux.Balancer.Result;
+import loadbalancer.client.StrictServerCodec;
+import loadbalancer.common.Clock;
+import loadbalancer.common.Log;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.RequestBody;
 
 /** A connection to a server, which carries one exchange at a time. */
-final class ServerConnection extends ChannelInboundHandlerAdapter implements Flow, Upload.Sink {
+final class ServerConnection extends ChannelInboundHandlerAdapter implements FlowControl, RequestBody.Sink {
     /** Where it is kept. */
     interface Home {
         /** Of which server, for the log. */
@@ -39,10 +44,10 @@
         void useless();
 
         /** It carries this from now on. */
-        void carries(ServerConnection connection, Exchange exchange);
+        void carries(ServerConnection connection, UpstreamExchange exchange);
 
         /** This has ended, or was given up. */
-        void carried(Exchange exchange);
+        void carried(UpstreamExchange exchange);
 
         /** It ends. */
         void ends(ServerConnection connection);
@@ -60,7 +65,7 @@
     private final Channel channel;
     private final Clock clock;
     private final long openedAtUs;
-    private Exchange exchange;
+    private UpstreamExchange exchange;
     private boolean written;
     private long idleSinceUs;
     private HttpResponse head;
@@ -106,7 +111,7 @@
         home.free(this);
     }
 
-    void carry(Exchange next) {
+    void carry(UpstreamExchange next) {
         // First, as a message that cannot be made must not cost the connection.
         FullHttpRequest message = next.message();
         home.carries(this, next);
@@ -125,7 +130,7 @@
     }
 
     private void written(ChannelFuture last) {
-        Exchange of = exchange;
+        UpstreamExchange of = exchange;
         last.addListener(done -> {
             if (done.isSuccess()) {
                 written |= exchange == of;
@@ -275,7 +280,7 @@
     }
 
     private void report() {
-        String load = head.headers().get(LoadReport.HEADER);
+        String load = head.headers().get(LoadReportDecoder.HEADER);
         if (load != null) {
             exchange.reported(load);
         }
@@ -284,17 +289,17 @@
     private void answered() {
         byte[] bytes = flows ? NO_BODY : ByteBufUtil.getBytes(body);
         int status = head.status().code();
-        Result result = status == 200
-                ? Result.OK
+        AttemptResult result = status == 200
+                ? AttemptResult.OK
                 : (status == 503 || status == 504) && "1".equals(head.headers().get("X-Turned-Away"))
-                        ? Result.FULL
-                        : Result.ERROR;
+                        ? AttemptResult.FULL
+                        : AttemptResult.ERROR;
         report();
         answered = written && HttpUtil.isKeepAlive(head);
         if (!answered) {
             channel.close();
         }
-        end(result, result == Result.OK ? bytes : NO_BODY);
+        end(result, result == AttemptResult.OK ? bytes : NO_BODY);
     }
 
     @Override
@@ -313,11 +318,11 @@
     private void fail() {
         answered = false;
         close();
-        end(Result.RESET, NO_BODY);
+        end(AttemptResult.RESET, NO_BODY);
     }
 
-    private void end(Result result, byte[] bytes) {
-        Exchange over = exchange;
+    private void end(AttemptResult result, byte[] bytes) {
+        UpstreamExchange over = exchange;
         if (over != null) {
             home.carried(over);
             letGo();
@@ -327,7 +332,7 @@
 
     /** Carries nothing from now on. */
     void letGo() {
-        Upload upload = exchange.upload();
+        RequestBody upload = exchange.upload();
         exchange = null;
         head = null;
         dropBody();
@@ -341,7 +346,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         home.ends(this);
-        end(written ? Result.RESET : Result.CONNECT_FAILED, NO_BODY);
+        end(written ? AttemptResult.RESET : AttemptResult.CONNECT_FAILED, NO_BODY);
     }
 
     @Override
--- a/node/src/main/java/kitemux/node/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.upstream;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -14,36 +14,41 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerState;
+import loadbalancer.common.Clock;
+import loadbalancer.common.SocketBudget;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.ServerState;
+import loadbalancer.transfer.FlowControl;
 
 /** The connections to servers: one exchange at a time on each, the most recently used first. */
-final class ServerPool {
+public final class ServerPool {
     private static final byte[] NO_BODY = {};
 
     private final Bootstrap dialer;
     private final EventLoop loop;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private long connIdleUs;
     private final Clock clock;
     private final Map<String, Upstream> upstreams = new HashMap<>();
     /** The connections that carry an exchange. */
-    private final Map<Exchange, ServerConnection> carriers = new HashMap<>();
+    private final Map<UpstreamExchange, ServerConnection> carriers = new HashMap<>();
     /** Servers that get nothing new, whatever the list says of them. */
     private Set<String> cordoned = Set.of();
 
-    ServerPool(EventLoop loop, Sockets sockets, Clock clock, long connectTimeoutUs, long connIdleUs) {
+    /** A pool without servers. */
+    public ServerPool(EventLoop loop, SocketBudget sockets, Clock clock, long connectTimeoutUs, long connIdleUs) {
         this.loop = loop;
         this.sockets = sockets;
         this.clock = clock;
         dialer = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, Flow.ALLOCATOR)
+                .option(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.SO_SNDBUF, Flow.SYSTEM_BUFFER)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Flow.WATER_MARK)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, Flow.parts())
+                .option(ChannelOption.SO_SNDBUF, FlowControl.SYSTEM_BUFFER)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, FlowControl.WATER_MARK)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, FlowControl.parts())
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
@@ -54,7 +59,7 @@
     }
 
     /** New connections may take this long to open, and idle ones are closed before the servers do it. */
-    void tune(long connectTimeoutUs, long idleUs) {
+    public void tune(long connectTimeoutUs, long idleUs) {
         dialer.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1_000));
         connIdleUs = idleUs;
     }
@@ -64,7 +69,7 @@
         private final String id;
         private final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
         /** Exchanges for which a connection is being opened; they take the first that is free. */
-        private final ArrayDeque<Exchange> awaiting = new ArrayDeque<>();
+        private final ArrayDeque<UpstreamExchange> awaiting = new ArrayDeque<>();
 
         private InetSocketAddress endpoint;
         private long startedAtUs;
@@ -89,9 +94,9 @@
         @Override
         public void free(ServerConnection connection) {
             idle.push(connection);
-            Exchange next;
+            UpstreamExchange next;
             while ((next = awaiting.poll()) != null && !next.mayBegin()) {
-                next.ended(Result.CONNECT_FAILED, NO_BODY);
+                next.ended(AttemptResult.CONNECT_FAILED, NO_BODY);
             }
             if (next != null) {
                 connection.carry(next);
@@ -109,18 +114,18 @@
         /** One dial was made for each that waits; some may have found a connection that came free. */
         private void failIfUndialed() {
             if (awaiting.size() > dialing) {
-                awaiting.poll().ended(Result.CONNECT_FAILED, NO_BODY);
+                awaiting.poll().ended(AttemptResult.CONNECT_FAILED, NO_BODY);
             }
         }
 
         @Override
-        public void carries(ServerConnection connection, Exchange exchange) {
+        public void carries(ServerConnection connection, UpstreamExchange exchange) {
             idle.remove(connection);
             carriers.put(exchange, connection);
         }
 
         @Override
-        public void carried(Exchange exchange) {
+        public void carried(UpstreamExchange exchange) {
             carriers.remove(exchange);
         }
 
@@ -133,9 +138,9 @@
     // ---------------------------------------------------------------- the list
 
     /** Follows the list. Word of a drain takes effect at once, also for what awaits a connection. */
-    void update(HostList list) {
+    public void update(EndpointList list) {
         Map<String, Upstream> missing = list.all() ? new HashMap<>(upstreams) : Map.of();
-        for (HostList.Host host : list.hosts()) {
+        for (EndpointList.Host host : list.hosts()) {
             String id = host.entry().id();
             if (list.all()) {
                 missing.remove(id);
@@ -164,12 +169,12 @@
     }
 
     /** How many servers are listed, whatever their state. */
-    int listed() {
+    public int listed() {
         return upstreams.size();
     }
 
     /** These and no others are kept out by hand: as with a drain, also what awaits a connection is freed. */
-    void cordon(Set<String> ids) {
+    public void cordon(Set<String> ids) {
         cordoned = ids;
         for (Upstream upstream : upstreams.values()) {
             upstream.ready = upstream.listedReady && !ids.contains(upstream.id);
@@ -191,9 +196,9 @@
 
     /** Ends what awaits a connection to a server that wants nothing new: it never ran. */
     private static void turnAway(Upstream upstream) {
-        Exchange exchange;
+        UpstreamExchange exchange;
         while ((exchange = upstream.awaiting.poll()) != null) {
-            exchange.ended(Result.MOOT, NO_BODY);
+            exchange.ended(AttemptResult.MOOT, NO_BODY);
         }
     }
 
@@ -204,10 +209,10 @@
     // ---------------------------------------------------------------- exchanges
 
     /** Starts an exchange; the connection that carries it tells its end. */
-    void start(String serverId, Exchange exchange) {
+    public void start(String serverId, UpstreamExchange exchange) {
         Upstream upstream = upstreams.get(serverId);
         if (upstream == null || !upstream.ready) {
-            exchange.ended(Result.MOOT, NO_BODY);
+            exchange.ended(AttemptResult.MOOT, NO_BODY);
             return;
         }
         ServerConnection free = upstream.idle.peek();
@@ -216,7 +221,7 @@
             return;
         }
         if (!sockets.hasRoomForServer() && !closeOldestIdle()) {
-            exchange.ended(Result.CONNECT_FAILED, NO_BODY);
+            exchange.ended(AttemptResult.CONNECT_FAILED, NO_BODY);
             return;
         }
         upstream.awaiting.add(exchange);
@@ -224,7 +229,7 @@
     }
 
     /** Gives an exchange up without telling its end. True if its request may have been written whole. */
-    boolean giveUp(String serverId, Exchange exchange) {
+    public boolean giveUp(String serverId, UpstreamExchange exchange) {
         Upstream upstream = upstreams.get(serverId);
         if (upstream != null && upstream.awaiting.remove(exchange)) {
             return false;
@@ -261,19 +266,20 @@
 
     // ---------------------------------------------------------------- idle connections
 
-    void closeIdle(String serverId) {
+    /** Closes the idle connections to a server. */
+    public void closeIdle(String serverId) {
         Upstream upstream = upstreams.get(serverId);
         if (upstream != null) {
             closeAll(upstream.idle);
         }
     }
 
-    void close() {
+    public void close() {
         List.copyOf(upstreams.keySet()).forEach(this::remove);
     }
 
     /** Closes what has been idle for half of what servers allow: a request that met their close resets. */
-    void closeOld() {
+    public void closeOld() {
         long before = clock.nowUs() - connIdleUs / 2;
         for (Upstream upstream : upstreams.values()) {
             while (!upstream.idle.isEmpty() && upstream.idle.peekLast().idleSinceUs() < before) {
--- a/node/src/main/java/kitemux/node/StrictClientCodec.java
+++ b/node/src/main/java/loadbalancer/upstream/StrictClientCodec.java
@@ -1,23 +1,24 @@
-package kitemux.node;
+package loadbalancer.upstream;
 
 import io.netty.channel.CombinedChannelDuplexHandler;
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.util.AsciiString;
+import loadbalancer.transfer.FlowControl;
 
 /**
  * HTTP as a node speaks it to servers and discovery: answers are held to the rules that Netty keeps for
  * requests only. It knows no HEAD and no CONNECT, whose answers are framed in another way; none is sent.
  */
-final class StrictClientCodec extends CombinedChannelDuplexHandler<HttpResponseDecoder, HttpRequestEncoder> {
-    StrictClientCodec() {
+public final class StrictClientCodec extends CombinedChannelDuplexHandler<HttpResponseDecoder, HttpRequestEncoder> {
+    public StrictClientCodec() {
         super(new Decoder(), new HttpRequestEncoder());
     }
 
     private static final class Decoder extends HttpResponseDecoder {
         Decoder() {
-            super(new HttpDecoderConfig().setMaxChunkSize(Flow.MOST_PART));
+            super(new HttpDecoderConfig().setMaxChunkSize(FlowControl.MOST_PART));
         }
 
         /**
--- a/node/src/main/java/kitemux/node/Exchange.java
+++ b/node/src/main/java/loadbalancer/upstream/UpstreamExchange.java
@@ -1,11 +1,13 @@
-package kitemux.node;
+package loadbalancer.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.FullHttpRequest;
-import kitemux.Balancer.Result;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.RequestBody;
 
 /** What is sent to a server and waits for its answer. */
-interface Exchange {
+public interface UpstreamExchange {
     /** Whether it may still begin; asked when it has waited for the connection that is to carry it. */
     boolean mayBegin();
 
@@ -13,7 +15,7 @@
     FullHttpRequest message();
 
     /** What flows behind the message's head in place of a body, or null. */
-    Upload upload();
+    RequestBody upload();
 
     /** The message has been written whole. */
     void written();
@@ -22,7 +24,7 @@
     void reported(String load);
 
     /** An answer has begun that is too large to be gathered, of this length or of -1 if none is told. */
-    void begun(long length, Flow from);
+    void begun(long length, FlowControl from);
 
     /** The next part of such an answer, which is taken over. */
     void part(ByteBuf part);
@@ -31,5 +33,5 @@
     void partsRead();
 
     /** Its one end. The body is the server's where the result is OK and nothing flowed, else empty. */
-    void ended(Result result, byte[] body);
+    void ended(AttemptResult result, byte[] body);
 }
--- a/node/src/test/java/kitemux/node/NodeConfigTest.java
+++ b/node/src/test/java/loadbalancer/config/NodeConfigTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,10 +11,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.ServerState;
-import kitemux.Main;
+import loadbalancer.Main;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.ServerState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -54,17 +55,19 @@
         assertEquals(1024, config.sockets());
         assertEquals(60_000_000, config.connIdleUs());
         assertEquals(2, config.settings().nodes);
-        assertEquals(1, config.settings().me);
+        assertEquals(1, config.settings().nodeIndex);
         assertEquals(List.of("a", "b"), config.settings().zones);
-        assertEquals(1, config.settings().myZone);
+        assertEquals(1, config.settings().localZone);
         assertEquals(50_000, config.settings().connectTimeoutUs);
         assertEquals(1_000_000, config.settings().maxRetryAfterUs);
-        assertEquals(0.12, config.settings().coldFrom);
-        assertTrue(config.settings().listOnRequest);
-        assertEquals(Repeat.KEYED, config.settings().classes.get(0).repeat());
-        assertEquals(Group.CELL, config.settings().classes.get(0).group());
+        assertEquals(0.12, config.settings().warmUpInitialShare);
+        assertTrue(config.settings().pollsEndpointList);
+        assertEquals(
+                Idempotency.IDEMPOTENT_WITH_KEY,
+                config.settings().classes.get(0).idempotency());
+        assertEquals(DeduplicationScope.CELL, config.settings().classes.get(0).deduplicationScope());
         assertEquals("school-a", config.settings().tenants.get(0).name());
-        HostList.Host host = config.known().hosts().get(0);
+        EndpointList.Host host = config.known().hosts().get(0);
         assertEquals(
                 "10.1.0.18:8000",
                 host.endpoint().getHostString() + ":" + host.endpoint().getPort());
--- a/node/src/test/java/kitemux/node/DiscoveryMoveTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,6 +10,10 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.config.ConfigAddresses;
+import loadbalancer.process.FarServer;
+import loadbalancer.process.Http;
+import loadbalancer.process.Site;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -18,13 +22,14 @@
  * Discovery moves to another address: no news is missed that either agent has told, in whatever order the two
  * speak and fall silent, and nothing that is known is unlearned.
  */
-class DiscoveryMoveTest {
-    private static final Discovery.Patience PATIENCE = new Discovery.Patience(300_000, 20_000_000, 60_000_000);
+class EndpointWatcherMoveTest {
+    private static final EndpointWatcher.Patience PATIENCE =
+            new EndpointWatcher.Patience(300_000, 20_000_000, 60_000_000);
 
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
     private Site site;
     private FarServer next;
-    private Discovery discovery;
+    private EndpointWatcher discovery;
     private FarServer.Peer before;
 
     /** A watch that is kept open, and has heard of version 42 at the first address. */
@@ -45,18 +50,19 @@
         site.close();
     }
 
-    private void start(Discovery.Patience patience) throws Exception {
-        discovery = new Discovery(site.loop, site.config(Site.list(41, true)), patience, new Discovery.Listener() {
-            @Override
-            public void listed(HostList list) {
-                told.add(Long.toString(list.rev()));
-            }
+    private void start(EndpointWatcher.Patience patience) throws Exception {
+        discovery = new EndpointWatcher(
+                site.loop, site.config(Site.list(41, true)), patience, new EndpointWatcher.Listener() {
+                    @Override
+                    public void listed(EndpointList list) {
+                        told.add(Long.toString(list.rev()));
+                    }
 
-            @Override
-            public void failed(String reason) {
-                // Counted by what is opened next.
-            }
-        });
+                    @Override
+                    public void failed(String reason) {
+                        // Counted by what is opened next.
+                    }
+                });
         site.loop.execute(discovery::keepSubscribed);
     }
 
@@ -70,7 +76,7 @@
     }
 
     private void moveTo(String endpoint) throws Exception {
-        var to = Addresses.parse("discovery", endpoint);
+        var to = ConfigAddresses.parse("discovery", endpoint);
         site.loop.execute(() -> discovery.moveTo(to));
     }
 
@@ -158,7 +164,7 @@
     @Test
     void anAgentThatLagsForGoodIsAskedForAllThatItHas() throws Exception {
         site.loop.execute(discovery::close);
-        start(new Discovery.Patience(20_000_000, 20_000_000, 100_000));
+        start(new EndpointWatcher.Patience(20_000_000, 20_000_000, 100_000));
         FarServer.Peer peer = FarServer.next(site.discovery.peers);
         say(peer, 42, false);
         assertEquals("42", FarServer.next(told));
--- a/node/src/test/java/kitemux/node/DiscoveryTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,34 +7,38 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicInteger;
+import loadbalancer.process.FarServer;
+import loadbalancer.process.Http;
+import loadbalancer.process.Site;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The watch on the list. */
-class DiscoveryTest {
+class EndpointWatcherTest {
     private static final String KNOWN = Site.list(41, true);
     /** As short as a slow machine allows. */
-    private static final Discovery.Patience BRIEF = new Discovery.Patience(100_000, 20_000_000, 100_000);
+    private static final EndpointWatcher.Patience BRIEF = new EndpointWatcher.Patience(100_000, 20_000_000, 100_000);
 
     private static final String ENTRY = "s0=10.0.0.1:80=Ready";
 
     /** A watch alone; what it tells comes as a line. */
-    private static Discovery watch(Site site, Discovery.Patience patience, BlockingQueue<String> told)
+    private static EndpointWatcher watch(Site site, EndpointWatcher.Patience patience, BlockingQueue<String> told)
             throws Exception {
-        Discovery discovery = new Discovery(site.loop, site.config(KNOWN), patience, new Discovery.Listener() {
-            @Override
-            public void listed(HostList list) {
-                told.add(list.rev()
-                        + (list.all() ? " all " : " changes ")
-                        + list.hosts().size());
-            }
-
-            @Override
-            public void failed(String reason) {
-                told.add("failed");
-            }
-        });
+        EndpointWatcher discovery =
+                new EndpointWatcher(site.loop, site.config(KNOWN), patience, new EndpointWatcher.Listener() {
+                    @Override
+                    public void listed(EndpointList list) {
+                        told.add(list.rev()
+                                + (list.all() ? " all " : " changes ")
+                                + list.hosts().size());
+                    }
+
+                    @Override
+                    public void failed(String reason) {
+                        told.add("failed");
+                    }
+                });
         site.loop.execute(discovery::subscribe);
         return discovery;
     }
@@ -43,7 +47,7 @@
     void listsComeInPiecesAndTheNextWatchGoesOnFromTheLast() throws Exception {
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, Discovery.Patience.USUAL, told);
+            EndpointWatcher discovery = watch(site, EndpointWatcher.Patience.USUAL, told);
             assertEquals(
                     "/discovery/hosts?watch=1&after=41",
                     FarServer.next(site.discovery.requests).path());
@@ -66,7 +70,7 @@
     void aWatchThatIsResetAmidALineIsAskedForThatLineAgain() throws Exception {
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, Discovery.Patience.USUAL, told);
+            EndpointWatcher discovery = watch(site, EndpointWatcher.Patience.USUAL, told);
             FarServer.Peer peer = FarServer.next(site.discovery.peers);
             String line = Site.list(42, false, ENTRY) + "\n";
             peer.write(Site.chunk(line.substring(0, 30)));
@@ -86,7 +90,7 @@
     void aBeatAsTheFirstWordSaysThatNothingHasChanged() throws Exception {
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, Discovery.Patience.USUAL, told);
+            watch(site, EndpointWatcher.Patience.USUAL, told);
             FarServer.next(site.discovery.peers)
                     .write(Site.chunk("\n") + Site.chunk("\n") + Site.chunk(Site.list(42, false, ENTRY) + "\n"));
             assertEquals("41 changes 0", FarServer.next(told));
@@ -106,7 +110,7 @@
     void aBadLineBreaksTheWatch(String line) throws Exception {
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, Discovery.Patience.USUAL, told);
+            watch(site, EndpointWatcher.Patience.USUAL, told);
             FarServer.next(site.discovery.peers).write(Site.chunk(line + "\n"));
             assertEquals("failed", FarServer.next(told));
             FarServer.next(site.discovery.ended);
@@ -117,7 +121,7 @@
     void aListMayComeIndentedAndInPieces() throws Exception {
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, Discovery.Patience.USUAL, told);
+            watch(site, EndpointWatcher.Patience.USUAL, told);
             FarServer.Peer peer = FarServer.next(site.discovery.peers);
             String indented = new ObjectMapper()
                             .readTree(Site.list(42, true, "s\\\"]{=10.0.0.1:80=Ready"))
@@ -140,7 +144,7 @@
                         (request, peer) -> peer.write(Site.watchHead().replace("OK\r\n", "OK\r\nno colon here\r\n")
                                 + Site.chunk(Site.list(42, false, ENTRY) + "\n")));
                 Site site = new Site(discovery)) {
-            watch(site, Discovery.Patience.USUAL, told);
+            watch(site, EndpointWatcher.Patience.USUAL, told);
             assertEquals("failed", FarServer.next(told));
         }
     }
@@ -186,7 +190,7 @@
                                     + "\n"));
                 });
                 Site site = new Site(discovery)) {
-            site.settings.listOnRequest = false;
+            site.settings.pollsEndpointList = false;
             site.startKnowing(Site.list(1, true));
             assertEquals(
                     "/discovery/hosts?watch=1&after=1",
@@ -205,7 +209,7 @@
     @Test
     void aClosedNodeLeavesNoWatchOpen() throws Exception {
         try (Site site = Site.quiet()) {
-            site.settings.listOnRequest = false;
+            site.settings.pollsEndpointList = false;
             site.startKnowing(Site.list(1, true));
             FarServer.next(site.discovery.requests);
             site.node.close();
@@ -215,10 +219,10 @@
 
     @Test
     void nodesThatLostDiscoveryTogetherComeBackApartAndNoFasterThanItCanBear() {
-        assertEquals(500, Discovery.jittered(1_000, 0));
-        assertEquals(750, Discovery.jittered(1_000, 0.5));
-        assertEquals(1_000, Discovery.mostBackoffMs(3));
-        assertEquals(1_400, Discovery.mostBackoffMs(14));
-        assertEquals(3_000, Discovery.mostBackoffMs(200));
+        assertEquals(500, EndpointWatcher.jittered(1_000, 0));
+        assertEquals(750, EndpointWatcher.jittered(1_000, 0.5));
+        assertEquals(1_000, EndpointWatcher.mostBackoffMs(3));
+        assertEquals(1_400, EndpointWatcher.mostBackoffMs(14));
+        assertEquals(3_000, EndpointWatcher.mostBackoffMs(200));
     }
 }
--- a/node/src/test/java/kitemux/loop/MeasuredEventLoopTest.java
+++ b/node/src/test/java/loadbalancer/eventloop/MeasuredEventLoopTest.java
@@ -1,4 +1,4 @@
-package kitemux.loop;
+package loadbalancer.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/node/src/test/java/kitemux/members/CodecBytesTest.java
+++ b/node/src/test/java/loadbalancer/membership/CodecBytesTest.java
@@ -1,4 +1,4 @@
-package kitemux.members;
+package loadbalancer.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,23 +6,25 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import kitemux.core.membership.Incarnation;
-import kitemux.core.membership.Member;
-import kitemux.core.membership.Message;
-import kitemux.core.membership.Rumor;
-import kitemux.core.membership.State;
+import loadbalancer.membership.core.GossipUpdate;
+import loadbalancer.membership.core.Incarnation;
+import loadbalancer.membership.core.Member;
+import loadbalancer.membership.core.MemberState;
+import loadbalancer.membership.core.Message;
 import org.junit.jupiter.api.Test;
 
 /** Frames as they go between processes, byte for byte: processes of two versions run side by side. */
 class CodecBytesTest {
     private final Codec codec = new Codec("fleet");
     private final Member self =
-            new Member("n1", "127.0.0.1:7001", "z1", "node", new Incarnation(5, 1), State.values()[0]);
-    private final List<Rumor> updates = List.of(
-            new Rumor(
-                    new Member("n2", "127.0.0.1:7002", "z2", "node", new Incarnation(6, 300), State.values()[1]), "n1"),
-            new Rumor(
-                    new Member("n3", "127.0.0.1:7003", "z1", "node", new Incarnation(7, 0), State.values()[2]), "n3"));
+            new Member("n1", "127.0.0.1:7001", "z1", "node", new Incarnation(5, 1), MemberState.values()[0]);
+    private final List<GossipUpdate> updates = List.of(
+            new GossipUpdate(
+                    new Member("n2", "127.0.0.1:7002", "z2", "node", new Incarnation(6, 300), MemberState.values()[1]),
+                    "n1"),
+            new GossipUpdate(
+                    new Member("n3", "127.0.0.1:7003", "z1", "node", new Incarnation(7, 0), MemberState.values()[2]),
+                    "n3"));
 
     private static void assertBytes(String hex, byte[] frame) {
         assertEquals(hex, HexFormat.of().formatHex(frame));
@@ -96,13 +98,19 @@
                         + "626572735f6465616400ff626e316e3132372e302e302e313a37303031627a31646e6f646505"
                         + "01009f626e326e3132372e302e302e313a37303032627a32646e6f64650619012c01626e3262"
                         + "6e336e3132372e302e302e313a37303033627a31646e6f6465070002626e33ffff",
-                codec.encodeView(new Look.View(
-                        3, -9, 1, self, updates.stream().map(Rumor::member).toList(), metrics)));
+                codec.encodeView(new MembershipClient.View(
+                        3,
+                        -9,
+                        1,
+                        self,
+                        updates.stream().map(GossipUpdate::member).toList(),
+                        metrics)));
     }
 
     /** The order of the states is the number on the wire. */
     @Test
     void statesByTheirNumbers() {
-        assertEquals("[ALIVE, SUSPECT, DEAD, LEFT]", List.of(State.values()).toString());
+        assertEquals(
+                "[ALIVE, SUSPECT, DEAD, LEFT]", List.of(MemberState.values()).toString());
     }
 }
--- a/node/src/test/java/kitemux/members/CodecTest.java
+++ b/node/src/test/java/loadbalancer/membership/CodecTest.java
@@ -1,4 +1,4 @@
-package kitemux.members;
+package loadbalancer.membership;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -13,19 +13,19 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.zip.CRC32C;
-import kitemux.core.membership.Change;
-import kitemux.core.membership.Incarnation;
-import kitemux.core.membership.Member;
-import kitemux.core.membership.Membership;
-import kitemux.core.membership.Message;
-import kitemux.core.membership.Rumor;
-import kitemux.core.membership.Settings;
-import kitemux.core.membership.State;
-import kitemux.members.BadFrameException.Reason;
+import loadbalancer.membership.BadFrameException.Reason;
+import loadbalancer.membership.core.GossipUpdate;
+import loadbalancer.membership.core.Incarnation;
+import loadbalancer.membership.core.Member;
+import loadbalancer.membership.core.MemberState;
+import loadbalancer.membership.core.Membership;
+import loadbalancer.membership.core.MembershipChange;
+import loadbalancer.membership.core.MembershipSettings;
+import loadbalancer.membership.core.Message;
 import org.junit.jupiter.api.Test;
 
 class CodecTest {
-    private static final int FUZZED = Integer.getInteger("kitemux.fuzzed", 1_000_000);
+    private static final int FUZZED = Integer.getInteger("loadbalancer.fuzzed", 1_000_000);
     private static final int MOST_HELD = 50;
 
     private final Codec codec = new Codec("here");
@@ -45,13 +45,13 @@
                 name(random, most),
                 name(random, most),
                 new Incarnation(random.nextLong(1L << 62), random.nextLong(1L << random.nextInt(1, 62))),
-                State.values()[random.nextInt(4)]);
+                MemberState.values()[random.nextInt(4)]);
     }
 
     private static Message message(SplittableRandom random, int most) {
-        List<Rumor> rumors = new ArrayList<>();
+        List<GossipUpdate> rumors = new ArrayList<>();
         for (int i = random.nextInt(6); i > 0; i--) {
-            rumors.add(new Rumor(member(random, most), name(random, most)));
+            rumors.add(new GossipUpdate(member(random, most), name(random, most)));
         }
         Member from = member(random, most);
         long number = random.nextLong(1L << 40);
@@ -72,18 +72,20 @@
             assertEquals(message, codec.decode(codec.encode(message)));
             assertEquals(message.rumors(), codec.decodeState(codec.encodeState(message.rumors())));
         }
-        Look.View view = new Look.View(7, -3, 2, member(random, 64), List.of(member(random, 64)), Map.of("a", 1L));
+        MembershipClient.View view =
+                new MembershipClient.View(7, -3, 2, member(random, 64), List.of(member(random, 64)), Map.of("a", 1L));
         assertEquals(view, Codec.ofAnyFleet().decodeView(codec.encodeView(view)));
     }
 
     @Test
     void theLongestNamesFitIntoADatagram() {
         String longest = "x".repeat(64);
-        Member member = new Member(longest, longest, longest, longest, new Incarnation(1L << 62, 1L << 62), State.LEFT);
-        Rumor rumor = new Rumor(member, longest);
+        Member member =
+                new Member(longest, longest, longest, longest, new Incarnation(1L << 62, 1L << 62), MemberState.LEFT);
+        GossipUpdate rumor = new GossipUpdate(member, longest);
         // What the core reckons a rumor to need, and not less, is what it may fill its room with.
-        List<Rumor> rumors = new ArrayList<>();
-        for (int bytes = 48 + 5 * 64; bytes <= Settings.MOST_ROOM; bytes += 48 + 5 * 64) {
+        List<GossipUpdate> rumors = new ArrayList<>();
+        for (int bytes = 48 + 5 * 64; bytes <= MembershipSettings.MOST_ROOM; bytes += 48 + 5 * 64) {
             rumors.add(rumor);
         }
         int length =
@@ -166,7 +168,7 @@
         }
 
         @Override
-        public void changed(Change change) {
+        public void changed(MembershipChange change) {
             // The view tells.
         }
 
@@ -184,8 +186,8 @@
     @Test
     void noDatagramHarmsWhoeverItComesUpon() throws Exception {
         SplittableRandom random = new SplittableRandom(4);
-        Settings usual = Settings.of("me", "127.0.0.1:1", "z", "node", List.of());
-        Settings small = new Settings(
+        MembershipSettings usual = MembershipSettings.of("me", "127.0.0.1:1", "z", "node", List.of());
+        MembershipSettings small = new MembershipSettings(
                 "me",
                 usual.address(),
                 "z",
@@ -226,7 +228,7 @@
         assertTrue(
                 taken > FUZZED / 100 && dropped.size() == Reason.values().length, taken + " taken, dropped " + dropped);
         assertTrue(core.state().size() <= MOST_HELD, "held: " + core.state().size());
-        Member asking = new Member("asking", "127.0.0.1:2", "z", "node", new Incarnation(1, 0), State.ALIVE);
+        Member asking = new Member("asking", "127.0.0.1:2", "z", "node", new Incarnation(1, 0), MemberState.ALIVE);
         core.onMessage(FUZZED * 1_000L, new Message.Ping(77, "me", asking, List.of()));
         assertTrue(
                 core.isOver() || out.last instanceof Message.Ack ack && ack.number() == 77,
--- a/node/src/test/java/kitemux/members/MembersConfigTest.java
+++ b/node/src/test/java/loadbalancer/membership/MembersConfigTest.java
@@ -1,4 +1,4 @@
-package kitemux.members;
+package loadbalancer.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/node/src/test/java/kitemux/BlackHoleTest.java
+++ b/node/src/test/java/loadbalancer/policy/BlackHoleTest.java
@@ -1,4 +1,4 @@
-package kitemux;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,9 +7,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Result;
-import kitemux.Node.Sent;
+import loadbalancer.policy.FakeNode.Sent;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -26,9 +24,9 @@
     private static final long SECOND = 1_000_000;
 
     /** An attempt that a server will have dealt with, or that its node gives up before. */
-    private record Due(long atUs, Sent sent, Result result) {}
+    private record Due(long atUs, Sent sent, AttemptResult result) {}
 
-    private final Node node = new Node().with(SERVERS);
+    private final FakeNode node = new FakeNode().with(SERVERS);
     private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::atUs));
     private final Map<String, Long> busyUntil = new HashMap<>();
     private SplittableRandom chance = new SplittableRandom(11);
@@ -51,7 +49,7 @@
             if (!due.isEmpty() && due.peek().atUs <= node.now) {
                 end(due.poll());
             } else if (nextAt <= node.now) {
-                node.ask(asked++ % 5 < 3 ? Node.SAFE : Node.UNSAFE);
+                node.ask(asked++ % 5 < 3 ? FakeNode.IDEMPOTENT : FakeNode.NON_IDEMPOTENT);
                 nextAt += gapUs;
             }
             take(failing);
@@ -62,7 +60,7 @@
         for (; seen < node.sent.size(); seen++) {
             Sent sent = node.sent.get(seen);
             if (sent.server().equals("s0") && chance.nextDouble() < failing) {
-                due.add(new Due(sent.atUs() + FAILURE_US, sent, Result.ERROR));
+                due.add(new Due(sent.atUs() + FAILURE_US, sent, AttemptResult.ERROR));
                 continue;
             }
             long from = Math.max(sent.atUs(), busyUntil.getOrDefault(sent.server(), 0L));
@@ -70,8 +68,8 @@
             busyUntil.put(sent.server(), done);
             due.add(
                     done < sent.untilUs()
-                            ? new Due(done, sent, Result.OK)
-                            : new Due(sent.untilUs(), sent, Result.TIMEOUT));
+                            ? new Due(done, sent, AttemptResult.OK)
+                            : new Due(sent.untilUs(), sent, AttemptResult.TIMEOUT));
         }
     }
 
@@ -79,17 +77,17 @@
         long latency = node.now - ended.sent.atUs();
         // Requests are numbered from 1 in the order in which they are asked; see play.
         boolean unsafe = (ended.sent.request() - 1) % 5 >= 3;
-        drawn += ended.result == Result.ERROR ? 1 : 0;
-        lost += ended.result == Result.ERROR && unsafe ? 1 : 0;
-        servedInTime += ended.result == Result.OK && latency < 200_000 ? 1 : 0;
+        drawn += ended.result == AttemptResult.ERROR ? 1 : 0;
+        lost += ended.result == AttemptResult.ERROR && unsafe ? 1 : 0;
+        servedInTime += ended.result == AttemptResult.OK && latency < 200_000 ? 1 : 0;
         node.balancer.onOutcome(
                 node.now,
-                new Outcome(
+                new AttemptOutcome(
                         ended.sent.request(),
                         ended.sent.attempt(),
                         ended.result,
                         latency,
-                        ended.result == Result.OK,
+                        ended.result == AttemptResult.OK,
                         null));
     }
 
--- a/node/src/test/java/kitemux/ColdServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/ColdServerTest.java
@@ -1,4 +1,4 @@
-package kitemux;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,11 +7,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -28,9 +23,9 @@
 
     @Test
     void aColdServerGetsAtMostItsShareOfAnEvenPartEvenWhenClientsAskManyTimesOver() {
-        Node node = new Node().with(4);
+        FakeNode node = new FakeNode().with(4);
         for (int i = 0; i < 400; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
+            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
         // 100 answers a second from five servers: an even part is 20 a second, a fifth of which a cold
@@ -38,7 +33,7 @@
         for (int round = 0; round < 200; round++) {
             List<Long> burst = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                burst.add(node.ask(Node.SAFE));
+                burst.add(node.ask(FakeNode.IDEMPOTENT));
             }
             node.advance(10_000);
             // Only one of ten is answered, so that arrivals are ten times what the fleet gets done.
@@ -46,7 +41,7 @@
                     .map(node::last)
                     .filter(s -> s != null && !s.server().equals("cold"))
                     .findFirst()
-                    .ifPresent(s -> node.answer(s.request(), Result.OK, 0));
+                    .ifPresent(s -> node.answer(s.request(), AttemptResult.OK, 0));
         }
         long toCold = node.sentTo("cold");
         assertTrue(toCold >= 1 && toCold <= 16, "sent to the cold server in two seconds: " + toCold);
@@ -56,25 +51,25 @@
     @ParameterizedTest
     @CsvSource({"20, 0", "30, 0", "30, 30"})
     void whatAllNodesTogetherSendAColdServerStaysInItsBudget(int count, int fresh) {
-        Settings set = Node.settings();
+        BalancerSettings set = FakeNode.settings();
         set.nodes = count;
-        List<Node> nodes = new ArrayList<>();
+        List<FakeNode> nodes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Settings own = Node.settings();
+            BalancerSettings own = FakeNode.settings();
             own.nodes = count;
-            own.me = i;
-            nodes.add(new Node(own, i).with(WARM));
+            own.nodeIndex = i;
+            nodes.add(new FakeNode(own, i).with(WARM));
         }
         SplittableRandom chance = new SplittableRandom(5);
         serve(nodes, 4_000, chance);
         long startedAt = nodes.get(0).now;
         List<ServerEntry> all = new ArrayList<>(List.of(started("cold", startedAt)));
         for (int i = 0; i < WARM; i++) {
-            all.add(Node.server("s" + i));
+            all.add(FakeNode.server("s" + i));
         }
         for (int i = 0; i < count; i++) {
             if (i < fresh) {
-                Node restarted = new Node(nodes.get(i).settings, 100 + i);
+                FakeNode restarted = new FakeNode(nodes.get(i).settings, 100 + i);
                 restarted.now = startedAt;
                 nodes.set(i, restarted);
             }
@@ -84,18 +79,18 @@
         List<Long> sentAt = nodes.stream()
                 .flatMap(n -> n.sent.stream())
                 .filter(s -> s.server().equals("cold"))
-                .map(Node.Sent::atUs)
+                .map(FakeNode.Sent::atUs)
                 .sorted()
                 .toList();
         // Every server can do just what it is asked on average: an even part of what all nodes ask.
         double capacity = ASKED_A_SECOND / 1e6 / (WARM + 1);
         for (int first = 0; first < sentAt.size(); first++) {
             long from = sentAt.get(first);
-            double age = (double) (from - startedAt) / set.coldUs;
-            double share = set.coldFrom + (1 - set.coldFrom) * age;
-            double budget = set.fallMultiple * share * capacity * set.fallUs;
+            double age = (double) (from - startedAt) / set.warmUpUs;
+            double share = set.warmUpInitialShare + (1 - set.warmUpInitialShare) * age;
+            double budget = set.overloadMultiple * share * capacity * set.overloadUs;
             long sent = sentAt.stream()
-                    .filter(at -> at >= from && at < from + set.fallUs)
+                    .filter(at -> at >= from && at < from + set.overloadUs)
                     .count();
             assertTrue(
                     sent <= budget + 2 * Math.sqrt(budget) + 2,
@@ -105,7 +100,7 @@
     }
 
     /** Asks the nodes at random times; each answer comes 20 ms later. */
-    private static void serve(List<Node> nodes, int rounds, SplittableRandom chance) {
+    private static void serve(List<FakeNode> nodes, int rounds, SplittableRandom chance) {
         ArrayDeque<Runnable> due = new ArrayDeque<>();
         for (int round = 0; round < rounds; round++) {
             nodes.forEach(node -> node.advance(1_000));
@@ -113,11 +108,11 @@
                 due.poll().run();
             }
             if (chance.nextInt(1_000) < ASKED_A_SECOND) {
-                Node node = nodes.get(chance.nextInt(nodes.size()));
-                long id = node.ask(Node.SAFE);
+                FakeNode node = nodes.get(chance.nextInt(nodes.size()));
+                long id = node.ask(FakeNode.IDEMPOTENT);
                 due.add(() -> {
                     if (node.last(id) != null && !node.refused.contains(id)) {
-                        node.answer(id, Result.OK, 0);
+                        node.answer(id, AttemptResult.OK, 0);
                     }
                 });
             }
@@ -126,10 +121,10 @@
 
     @Test
     void aNodeThatHasJustStartedDoesNotFloodAColdServer() {
-        Node node = new Node();
-        node.list(ListKind.CACHED, List.of(started("cold", node.now - 100_000), Node.server("warm")));
+        FakeNode node = new FakeNode();
+        node.list(ListKind.CACHED, List.of(started("cold", node.now - 100_000), FakeNode.server("warm")));
         for (int i = 0; i < 200; i++) {
-            node.ask(Node.SAFE);
+            node.ask(FakeNode.IDEMPOTENT);
             node.advance(1_000);
         }
         long toCold = node.sentTo("cold");
@@ -138,11 +133,11 @@
 
     @Test
     void aNodeWhoseServersAreAllColdFromTheFirstListOnSendsToThem() {
-        Node node = new Node();
+        FakeNode node = new FakeNode();
         node.now = 1_700_000_000_000_000L;
         node.list(ListKind.CACHED, List.of(started("c0", node.now - 9_000), started("c1", node.now - 9_000)));
         for (int i = 0; i < 10; i++) {
-            node.ask(Node.SAFE);
+            node.ask(FakeNode.IDEMPOTENT);
             node.advance(100_000);
         }
         assertTrue(node.sent.size() > 0, "nothing was sent in a second");
@@ -153,15 +148,15 @@
         // Guards against a first gap between answers that was counted from the start of the clock.
         List<Long> sentToCold = new ArrayList<>();
         for (long epoch : new long[] {1_000_000, 900_000_000_000L}) {
-            Node node = new Node();
+            FakeNode node = new FakeNode();
             node.now = epoch;
             node.with(3);
             for (int i = 0; i < 100; i++) {
-                node.serve(Node.SAFE, Result.OK, 10_000);
+                node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
             }
             node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
             for (int i = 0; i < 300; i++) {
-                node.serve(Node.SAFE, Result.OK, 10_000);
+                node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
             }
             sentToCold.add(node.sentTo("cold"));
         }
@@ -172,29 +167,29 @@
     @Test
     void aColdServersLimitDoesNotGrowPastTheOthersWhileOnlySlowStartHoldsItBack() {
         // Quick answers to single requests raised limits that choked servers once warm.
-        Balancer.Settings set = Node.settings();
+        BalancerSettings set = FakeNode.settings();
         set.nodes = 8;
-        Node node = new Node(set, 5);
-        node.list(ListKind.CACHED, List.of(started("cold", node.now), Node.server("warm")));
-        long warmAt = node.now + set.coldUs;
+        FakeNode node = new FakeNode(set, 5);
+        node.list(ListKind.CACHED, List.of(started("cold", node.now), FakeNode.server("warm")));
+        long warmAt = node.now + set.warmUpUs;
         int answered = 0;
         while (node.now < warmAt) {
             for (int i = 0; i < 3; i++) {
-                node.ask(Node.SAFE);
+                node.ask(FakeNode.IDEMPOTENT);
             }
             for (; answered < node.sent.size(); answered++) {
-                Node.Sent sent = node.sent.get(answered);
-                node.answer(sent.request(), Result.OK, sent.server().equals("cold") ? 10_000 : 150_000);
+                FakeNode.Sent sent = node.sent.get(answered);
+                node.answer(sent.request(), AttemptResult.OK, sent.server().equals("cold") ? 10_000 : 150_000);
             }
             node.advance(50_000);
         }
         node.advance(3_000_000);
         long before = node.sentTo("cold");
         for (int step = 0; step < 20; step++) {
-            node.ask(Node.SAFE);
+            node.ask(FakeNode.IDEMPOTENT);
             node.advance(50_000);
             while (answered < node.sent.size() && node.sent.get(answered).atUs() <= node.now - 150_000) {
-                node.answer(node.sent.get(answered++).request(), Result.OK, 0);
+                node.answer(node.sent.get(answered++).request(), AttemptResult.OK, 0);
             }
         }
         long toOneJustWarm = node.sentTo("cold") - before;
@@ -206,16 +201,16 @@
     void firstSendsOfManyNodesToAColdServerDoNotComeTogether() {
         int within = 0;
         for (int me = 0; me < 40; me++) {
-            Balancer.Settings set = Node.settings();
+            BalancerSettings set = FakeNode.settings();
             set.nodes = 24;
-            set.me = me % 24;
-            Node node = new Node(set, 300 + me).with(10);
+            set.nodeIndex = me % 24;
+            FakeNode node = new FakeNode(set, 300 + me).with(10);
             for (int i = 0; i < 200; i++) {
-                node.serve(Node.SAFE, Result.OK, 20_000);
+                node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 20_000);
             }
             node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
             for (int i = 0; i < 15; i++) {
-                node.serve(Node.SAFE, Result.OK, 20_000);
+                node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 20_000);
             }
             within += node.sentTo("cold") > 0 ? 1 : 0;
         }
@@ -227,13 +222,13 @@
     void whereKeysAreWarmAColdServerGetsLessSinceItKnowsNone() {
         long[] sent = new long[2];
         for (int warm = 0; warm < 2; warm++) {
-            Balancer.Settings set = Node.settings();
-            set.warmKeys = warm == 1;
-            Node node = new Node(set, 9).with(4);
+            BalancerSettings set = FakeNode.settings();
+            set.keyAffinity = warm == 1;
+            FakeNode node = new FakeNode(set, 9).with(4);
             node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
             for (int i = 0; i < 1_000; i++) {
-                long id = node.askFor("k" + i % 300, Node.UNSAFE);
-                node.answer(id, Result.OK, 10_000);
+                long id = node.askFor("k" + i % 300, FakeNode.NON_IDEMPOTENT);
+                node.answer(id, AttemptResult.OK, 10_000);
             }
             sent[warm] = node.sentTo("cold");
         }
@@ -243,17 +238,17 @@
     /** A limit that slow start kept from being met let all nodes fill a server as soon as it was warm. */
     @Test
     void aServerThatHasJustWarmedUpIsNotFilledAtOnceWhereKeysAreWarm() {
-        Balancer.Settings set = Node.settings();
+        BalancerSettings set = FakeNode.settings();
         set.nodes = 14;
-        set.warmKeys = true;
-        Node node = new Node(set, 11).with(20);
+        set.keyAffinity = true;
+        FakeNode node = new FakeNode(set, 11).with(20);
         for (int i = 0; i < 400; i++) {
-            node.answer(node.askFor("k" + i, Node.UNSAFE), Result.OK, 10_000);
+            node.answer(node.askFor("k" + i, FakeNode.NON_IDEMPOTENT), AttemptResult.OK, 10_000);
         }
         node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
-        node.advance(set.coldUs);
+        node.advance(set.warmUpUs);
         for (int i = 0; i < 400; i++) {
-            node.askFor("k" + i, Node.UNSAFE);
+            node.askFor("k" + i, FakeNode.NON_IDEMPOTENT);
         }
         assertTrue(node.sentTo("cold") <= 1, "sent at once by one of 14 nodes: " + node.sentTo("cold"));
     }
@@ -263,24 +258,24 @@
     void aColdServerThatReportsEaseGetsMoreThanOneThatReportsNothing() {
         long[] sent = new long[2];
         for (int reports = 0; reports < 2; reports++) {
-            Balancer.Settings set = Node.settings();
-            set.warmKeys = true;
-            set.reportFields.add(Balancer.ReportField.IN_FLIGHT);
-            Node node = new Node(set, 12).with(4);
+            BalancerSettings set = FakeNode.settings();
+            set.keyAffinity = true;
+            set.reportFields.add(LoadReportField.IN_FLIGHT);
+            FakeNode node = new FakeNode(set, 12).with(4);
             node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
             for (int i = 0; i < 1_000; i++) {
-                long id = node.askFor("k" + i % 300, Node.UNSAFE);
+                long id = node.askFor("k" + i % 300, FakeNode.NON_IDEMPOTENT);
                 node.advance(10_000);
                 boolean cold = node.last(id).server().equals("cold");
                 node.balancer.onOutcome(
                         node.now,
-                        new Balancer.Outcome(
+                        new AttemptOutcome(
                                 id,
                                 0,
-                                Result.OK,
+                                AttemptResult.OK,
                                 10_000,
                                 true,
-                                cold && reports == 0 ? null : new double[] {cold ? 0.5 : 1}));
+                                cold && reports == 0 ? null : LoadReport.of(cold ? 0.5 : 1)));
             }
             sent[reports] = node.sentTo("cold");
         }
--- a/node/src/test/java/kitemux/CordonTest.java
+++ b/node/src/test/java/loadbalancer/policy/CordonTest.java
@@ -1,51 +1,47 @@
-package kitemux;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.Set;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
 import org.junit.jupiter.api.Test;
 
 /** Servers that operators keep out by hand. */
 class CordonTest {
 
-    private static void cordon(Node node, String... servers) {
+    private static void cordon(FakeNode node, String... servers) {
         node.balancer.onCordoned(node.now, Set.of(servers));
     }
 
     @Test
     void aCordonedServerGetsNeitherFirstTriesNorRepeatsWhateverTheListSays() {
-        Node node = new Node().with(3);
+        FakeNode node = new FakeNode().with(3);
         cordon(node, "s1");
-        assertEquals(1, node.balancer.skipped());
+        assertEquals(1, node.balancer.excludedServers());
         node.list(ListKind.CHANGES, List.of(new ServerEntry("s1", 0, 0, ServerState.GONE, 1, 0)));
-        assertEquals(0, node.balancer.skipped(), "not listed");
-        node.list(ListKind.FULL, List.of(Node.server("s0"), Node.server("s1"), Node.server("s2")));
+        assertEquals(0, node.balancer.excludedServers(), "not listed");
+        node.list(ListKind.FULL, List.of(FakeNode.server("s0"), FakeNode.server("s1"), FakeNode.server("s2")));
         for (int i = 0; i < 200; i++) {
-            long id = node.ask(Node.SAFE);
-            node.answer(id, i % 3 == 0 ? Result.FULL : Result.OK, 1_000);
+            long id = node.ask(FakeNode.IDEMPOTENT);
+            node.answer(id, i % 3 == 0 ? AttemptResult.FULL : AttemptResult.OK, 1_000);
             if (i % 3 == 0) {
-                node.answer(id, Result.OK, 1_000);
+                node.answer(id, AttemptResult.OK, 1_000);
             }
         }
         assertEquals(0, node.sentTo("s1"));
-        assertEquals(1, node.balancer.skipped());
+        assertEquals(1, node.balancer.excludedServers());
     }
 
     @Test
     void anEjectedServerThatIsCordonedGetsNoTrial() {
-        Node node = new Node().with(3);
+        FakeNode node = new FakeNode().with(3);
         node.ejects("s1");
         cordon(node, "s1");
-        assertEquals(1, node.balancer.skipped(), "counted once");
+        assertEquals(1, node.balancer.excludedServers(), "counted once");
         long before = node.sentTo("s1");
         for (int i = 0; i < 500; i++) {
-            node.serve(Node.SAFE, Result.OK, 1_000);
+            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 1_000);
             node.advance(20_000);
         }
         assertEquals(before, node.sentTo("s1"));
@@ -53,23 +49,23 @@
 
     @Test
     void aServerComesBackColdWithItsErrorsForgotten() {
-        Node node = new Node().with(4);
+        FakeNode node = new FakeNode().with(4);
         for (int i = 0; i < 400; i++) {
-            long id = node.ask(Node.SAFE);
+            long id = node.ask(FakeNode.IDEMPOTENT);
             boolean bad = node.last(id).server().equals("s1");
-            node.answer(id, bad ? Result.ERROR : Result.OK, 10_000);
+            node.answer(id, bad ? AttemptResult.ERROR : AttemptResult.OK, 10_000);
             if (bad) {
-                node.answer(id, Result.OK, 0);
+                node.answer(id, AttemptResult.OK, 0);
             }
         }
-        assertEquals(1, node.balancer.skipped(), "ejected");
+        assertEquals(1, node.balancer.excludedServers(), "ejected");
         cordon(node, "s1", "s2");
         node.advance(1_000_000);
         cordon(node, "s2");
-        assertEquals(1, node.balancer.skipped());
+        assertEquals(1, node.balancer.excludedServers());
         long before = node.sentTo("s1");
         for (int i = 0; i < 500; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
+            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         long since = node.sentTo("s1") - before;
         // In five seconds 500 answers from three servers: an even part is 167, of which a cold one can do a
@@ -79,17 +75,17 @@
 
     @Test
     void aServerThatTheListSaysHasStartedMeanwhileIsAsWarmAsItSays() {
-        Node node = new Node().with(4);
+        FakeNode node = new FakeNode().with(4);
         for (int i = 0; i < 400; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
+            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         cordon(node, "s1");
         node.list(ListKind.CHANGES, List.of(new ServerEntry("s1", 0, 0, ServerState.READY, 1, node.now)));
-        node.advance(node.settings.coldUs);
+        node.advance(node.settings.warmUpUs);
         cordon(node);
         long before = node.sentTo("s1");
         for (int i = 0; i < 400; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
+            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         // Warm by now: it gets about a quarter.
         assertTrue(node.sentTo("s1") - before > 70, "sent since: " + (node.sentTo("s1") - before));
@@ -97,9 +93,9 @@
 
     @Test
     void whatWaitsForWantOfAServerIsSentOnceOneIsBack() {
-        Node node = new Node().with(1);
+        FakeNode node = new FakeNode().with(1);
         cordon(node, "s0");
-        long id = node.ask(Node.UNSAFE);
+        long id = node.ask(FakeNode.NON_IDEMPOTENT);
         assertEquals(0, node.sent.size());
         node.advance(20_000);
         cordon(node);
--- a/node/src/test/java/kitemux/DecisionDigestTest.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionDigestTest.java
@@ -1,4 +1,4 @@
-package kitemux;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertAll;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -7,8 +7,8 @@
 import java.util.EnumSet;
 import java.util.Set;
 import java.util.stream.Stream;
-import kitemux.DecisionStream.Covered;
-import kitemux.DecisionStream.Shape;
+import loadbalancer.policy.DecisionStream.Covered;
+import loadbalancer.policy.DecisionStream.Shape;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
--- a/node/src/test/java/kitemux/DecisionStream.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionStream.java
@@ -1,4 +1,4 @@
-package kitemux;
+package loadbalancer.policy;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -14,18 +14,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.ReportField;
-import kitemux.Balancer.Request;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
-import kitemux.Balancer.Tenant;
 
 /**
  * A seeded stream of events for one balancer, as a node with servers that restart, fail, hang, drain and fill up
@@ -33,7 +21,7 @@
  *
  * <p>The lines use words of this class only, so that renaming the balancer's own types does not change a digest.
  */
-final class DecisionStream implements Balancer.Actions {
+final class DecisionStream implements BalancerActions {
 
     /** What a stream has shown of the balancer; each stream asserts the ones that it is made for. */
     enum Covered {
@@ -78,7 +66,7 @@
             int nodes,
             int servers,
             int zones,
-            double crossZonePrice,
+            double crossZoneCost,
             boolean keys,
             boolean reports,
             boolean cancel,
@@ -86,7 +74,7 @@
             boolean poll,
             int maxAttempts,
             int maxOpen,
-            boolean worthByWork) {}
+            boolean weightByWork) {}
 
     private static final long START_US = 5_000_000;
     private static final long PHASE_US = 4_000_000;
@@ -141,7 +129,7 @@
 
     private final Shape shape;
     private final SplittableRandom random;
-    private final Settings settings;
+    private final BalancerSettings settings;
     private final Balancer balancer;
     private final MessageDigest sha256;
     private final StringBuilder lines = new StringBuilder();
@@ -170,38 +158,77 @@
         balancer = new ServiceQBalancer(settings, seed, this);
     }
 
-    private Settings settings(boolean changed) {
-        Settings set = new Settings();
+    private BalancerSettings settings(boolean changed) {
+        BalancerSettings set = new BalancerSettings();
         set.nodes = shape.nodes;
-        set.me = shape.nodes / 3;
+        set.nodeIndex = shape.nodes / 3;
         for (int zone = 0; zone < shape.zones; zone++) {
             set.zones.add("zone" + zone);
         }
-        set.crossZonePrice = shape.crossZonePrice;
-        set.warmKeys = shape.keys;
-        set.cancel = shape.cancel;
-        set.secondCopies = shape.hedges;
-        set.listOnRequest = shape.poll;
+        set.crossZoneCost = shape.crossZoneCost;
+        set.keyAffinity = shape.keys;
+        set.cancellation = shape.cancel;
+        set.hedging = shape.hedges;
+        set.pollsEndpointList = shape.poll;
         set.maxAttempts = shape.maxAttempts;
         set.maxOpen = shape.maxOpen;
-        set.worthByWork = shape.worthByWork;
+        set.weightByWork = shape.weightByWork;
         set.maxRetryAfterUs = shape.poll ? 2_000_000 : 0;
-        set.coldUs = 6_000_000;
+        set.warmUpUs = 6_000_000;
         set.tickUs = 2_000;
         set.tenants.add(new Tenant("tenant"));
         if (shape.reports) {
-            set.reportFields.addAll(List.of(ReportField.UTILISATION, ReportField.IN_FLIGHT));
+            set.reportFields.addAll(List.of(LoadReportField.UTILISATION, LoadReportField.IN_FLIGHT));
         }
-        set.classes.add(new RequestClass("read", 150_000, 0, 900_000, 1, 0.4, Repeat.SAFE, Group.ALL, 0, false));
         set.classes.add(new RequestClass(
-                "order", 250_000, 2, 1_500_000, 4, 0.5, Repeat.KEYED, Group.ZONE, changed ? 200_000 : 400_000, false));
-        set.classes.add(new RequestClass("note", 200_000, 0, 700_000, 2, 0, Repeat.KEYED, Group.ALL, 300_000, false));
-        set.classes.add(
-                new RequestClass("cell", 200_000, 0, 700_000, 2, 0.3, Repeat.KEYED, Group.CELL, 300_000, false));
+                "read", 150_000, 0, 900_000, 1, 0.4, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
         set.classes.add(new RequestClass(
-                "pay", 300_000, 0, 2_000_000, changed ? 8 : 6, 0.7, Repeat.UNSAFE, Group.ALL, 0, false));
+                "order",
+                250_000,
+                2,
+                1_500_000,
+                4,
+                0.5,
+                Idempotency.IDEMPOTENT_WITH_KEY,
+                DeduplicationScope.ZONE,
+                changed ? 200_000 : 400_000,
+                false));
+        set.classes.add(new RequestClass(
+                "note",
+                200_000,
+                0,
+                700_000,
+                2,
+                0,
+                Idempotency.IDEMPOTENT_WITH_KEY,
+                DeduplicationScope.ALL,
+                300_000,
+                false));
+        set.classes.add(new RequestClass(
+                "cell",
+                200_000,
+                0,
+                700_000,
+                2,
+                0.3,
+                Idempotency.IDEMPOTENT_WITH_KEY,
+                DeduplicationScope.CELL,
+                300_000,
+                false));
+        set.classes.add(new RequestClass(
+                "pay",
+                300_000,
+                0,
+                2_000_000,
+                changed ? 8 : 6,
+                0.7,
+                Idempotency.NON_IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                false));
         if (changed) {
-            set.classes.add(new RequestClass("read", 100_000, 0, 600_000, 1, 0.2, Repeat.SAFE, Group.ALL, 0, true));
+            set.classes.add(new RequestClass(
+                    "read", 100_000, 0, 600_000, 1, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, true));
         }
         return set;
     }
@@ -218,7 +245,7 @@
             Event event = events.poll();
             now = Math.max(now, event.atUs);
             event.action.run();
-            line("left out", Integer.toString(balancer.skipped()));
+            line("left out", Integer.toString(balancer.excludedServers()));
         }
         flush();
         return HexFormat.of().formatHex(sha256.digest());
@@ -362,15 +389,22 @@
         int classIndex = draw < 10 ? 0 : draw < 13 ? 1 : draw < 15 ? 2 : draw < 17 ? 3 : 4;
         boolean second = random.nextInt(10) == 0;
         long deadlineUs = settings.classes.get(classIndex).deadlineUs();
-        long leftUs = second ? deadlineUs / 2 : deadlineUs * 2 / 3;
+        long remainingUs = second ? deadlineUs / 2 : deadlineUs * 2 / 3;
         String key = random.nextInt(5) == 0 ? null : "key" + random.nextInt(80);
         long waitedUs = random.nextInt(50) == 0 ? random.nextInt(300_000) : 0;
         requests.put(id, new OpenRequest(classIndex));
         arriving = id;
         balancer.onRequest(
                 now,
-                new Request(
-                        id, classIndex, random.nextInt(2) - 1, leftUs, random.nextInt(20_000), second, key, waitedUs));
+                new BalancerRequest(
+                        id,
+                        classIndex,
+                        random.nextInt(2) - 1,
+                        remainingUs,
+                        random.nextInt(20_000),
+                        second,
+                        key,
+                        waitedUs));
         arriving = -1;
         if (random.nextInt(crowdLeaves ? 2 : 25) == 0) {
             at(now + random.nextInt(crowdLeaves ? 120_000 : 400_000), () -> clientLeaves(id));
@@ -396,13 +430,13 @@
         Attempt attempt = new Attempt(server, now);
         request.attempts.add(attempt);
         server.inFlight++;
-        Result result = result(server, request.classIndex);
+        AttemptResult result = result(server, request.classIndex);
         long tookUs = latencyUs(server, result);
-        if (result == Result.TIMEOUT || now + tookUs >= untilUs) {
-            at(untilUs, () -> finish(requestId, request, number, Result.TIMEOUT));
+        if (result == AttemptResult.TIMEOUT || now + tookUs >= untilUs) {
+            at(untilUs, () -> finish(requestId, request, number, AttemptResult.TIMEOUT));
             return;
         }
-        if (result == Result.OK && random.nextInt(15) == 0) {
+        if (result == AttemptResult.OK && random.nextInt(15) == 0) {
             at(now + tookUs / 2, () -> firstByte(requestId, request, number));
         }
         at(now + tookUs, () -> finish(requestId, request, number, result));
@@ -417,10 +451,10 @@
         if (ejected.contains(server.id)) {
             cover(Covered.TRIAL_REQUEST);
         }
-        if (server.startedAtUs > 0 && now < server.startedAtUs + settings.coldUs) {
+        if (server.startedAtUs > 0 && now < server.startedAtUs + settings.warmUpUs) {
             cover(Covered.SENT_TO_WARMING);
         }
-        if (server.zone != settings.myZone) {
+        if (server.zone != settings.localZone) {
             cover(Covered.OTHER_ZONE);
         }
         if (beginByUs != NEVER) {
@@ -428,24 +462,24 @@
         }
     }
 
-    private Result result(SimulatedServer server, int classIndex) {
+    private AttemptResult result(SimulatedServer server, int classIndex) {
         boolean unlucky = random.nextInt(10) < 7;
         if (random.nextInt(150) == 0) {
-            return Result.MOOT;
+            return AttemptResult.MOOT;
         }
         return switch (server.fault) {
-            case ERRORS -> unlucky ? Result.ERROR : Result.OK;
-            case CLASS_ERRORS -> unlucky && classIndex == 1 ? Result.ERROR : Result.OK;
-            case HANG -> unlucky ? Result.TIMEOUT : Result.OK;
-            case UNREACHABLE -> Result.CONNECT_FAILED;
-            case RESETS -> unlucky ? Result.RESET : Result.OK;
-            case OVERLOADED -> unlucky ? Result.FULL : Result.OK;
-            case NONE -> server.inFlight > 20 ? Result.FULL : Result.OK;
+            case ERRORS -> unlucky ? AttemptResult.ERROR : AttemptResult.OK;
+            case CLASS_ERRORS -> unlucky && classIndex == 1 ? AttemptResult.ERROR : AttemptResult.OK;
+            case HANG -> unlucky ? AttemptResult.TIMEOUT : AttemptResult.OK;
+            case UNREACHABLE -> AttemptResult.CONNECT_FAILED;
+            case RESETS -> unlucky ? AttemptResult.RESET : AttemptResult.OK;
+            case OVERLOADED -> unlucky ? AttemptResult.FULL : AttemptResult.OK;
+            case NONE -> server.inFlight > 20 ? AttemptResult.FULL : AttemptResult.OK;
         };
     }
 
-    private long latencyUs(SimulatedServer server, Result result) {
-        if (result != Result.OK) {
+    private long latencyUs(SimulatedServer server, AttemptResult result) {
+        if (result != AttemptResult.OK) {
             return 500 + random.nextInt(3_000);
         }
         double held = 1 + server.inFlight + server.background;
@@ -460,20 +494,21 @@
         }
     }
 
-    private void finish(long requestId, OpenRequest request, int number, Result result) {
+    private void finish(long requestId, OpenRequest request, int number, AttemptResult result) {
         Attempt attempt = request.attempts.get(number);
         if (attempt.over) {
             return;
         }
         attempt.over = true;
         attempt.server.inFlight--;
-        if (result == Result.OK || request.streaming && result != Result.CANCELLED) {
+        if (result == AttemptResult.OK || request.streaming && result != AttemptResult.CANCELLED) {
             request.over = true;
         }
-        double[] report = shape.reports && (result == Result.OK || result == Result.ERROR)
-                ? new double[] {0.5, attempt.server.inFlight + Math.floor(attempt.server.background * 2)}
+        LoadReport report = shape.reports && (result == AttemptResult.OK || result == AttemptResult.ERROR)
+                ? LoadReport.of(0.5, attempt.server.inFlight + Math.floor(attempt.server.background * 2))
                 : null;
-        balancer.onOutcome(now, new Outcome(requestId, number, result, now - attempt.sentAtUs, request.over, report));
+        balancer.onOutcome(
+                now, new AttemptOutcome(requestId, number, result, now - attempt.sentAtUs, request.over, report));
     }
 
     @Override
@@ -481,11 +516,11 @@
         line("cancel", requestId + " " + attempt);
         cover(Covered.CANCELLED);
         OpenRequest request = requests.get(requestId);
-        at(now + 1 + random.nextInt(200), () -> finish(requestId, request, attempt, Result.CANCELLED));
+        at(now + 1 + random.nextInt(200), () -> finish(requestId, request, attempt, AttemptResult.CANCELLED));
     }
 
     @Override
-    public void refuse(long requestId, long retryAfterUs) {
+    public void reject(long requestId, long retryAfterUs) {
         line("reject", requestId + " " + retryAfterUs);
         cover(Covered.REJECTED);
         if (arriving == requestId) {
--- a/node/src/test/java/kitemux/ExampleTest.java
+++ b/node/src/test/java/loadbalancer/policy/ExampleTest.java
@@ -1,4 +1,4 @@
-package kitemux;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,7 +10,7 @@
 class ExampleTest {
 
     /** A proxy's side of the interface: here it only writes down what it is asked for. */
-    static final class Proxy implements Balancer.Actions {
+    static final class Proxy implements BalancerActions {
         final List<String> asked = new ArrayList<>();
 
         @Override
@@ -24,7 +24,7 @@
         }
 
         @Override
-        public void refuse(long requestId, long retryAfterUs) {
+        public void reject(long requestId, long retryAfterUs) {
             asked.add("refuse " + requestId);
         }
 
@@ -51,20 +51,18 @@
 
     @Test
     void aRequestIsSentAndServed() {
-        Balancer.Settings settings = new Balancer.Settings();
-        settings.classes.add(new Balancer.RequestClass(
-                "page", 200_000, 0, 1_000_000, 1, 0, Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
+        BalancerSettings settings = new BalancerSettings();
+        settings.classes.add(new RequestClass(
+                "page", 200_000, 0, 1_000_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
         Proxy proxy = new Proxy();
         Balancer balancer = new ServiceQBalancer(settings, 42, proxy);
         long now = 0;
         balancer.onServers(
-                now,
-                Balancer.ListKind.CACHED,
-                List.of(new Balancer.ServerEntry("10.0.0.1:80", 0, 0, Balancer.ServerState.READY, 1, 0)));
-        balancer.onRequest(now, new Balancer.Request(1, 0, -1, 1_000_000, 0, false, null));
+                now, ListKind.CACHED, List.of(new ServerEntry("10.0.0.1:80", 0, 0, ServerState.READY, 1, 0)));
+        balancer.onRequest(now, new BalancerRequest(1, 0, -1, 1_000_000, 0, false, null));
         assertEquals(List.of("send 1 to 10.0.0.1:80"), proxy.asked);
         now += 20_000;
-        balancer.onOutcome(now, new Balancer.Outcome(1, 0, Balancer.Result.OK, 20_000, true, null));
+        balancer.onOutcome(now, new AttemptOutcome(1, 0, AttemptResult.OK, 20_000, true, null));
         assertEquals(1, proxy.asked.size());
     }
 }
--- a/node/src/test/java/kitemux/Node.java
+++ b/node/src/test/java/loadbalancer/policy/FakeNode.java
@@ -1,32 +1,20 @@
-package kitemux;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.List;
-import kitemux.Balancer.Actions;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.Request;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
-import kitemux.Balancer.Tenant;
 
 /** A node for tests: a clock, a module and a record of what it asked for. */
-final class Node implements Actions {
-    static final int SAFE = 0;
+final class FakeNode implements BalancerActions {
+    static final int IDEMPOTENT = 0;
     static final int KEYED_ALL = 1;
     static final int KEYED_ZONE = 2;
     static final int KEYED_CELL = 3;
-    static final int UNSAFE = 4;
+    static final int NON_IDEMPOTENT = 4;
 
     /** An attempt as it was asked for. */
     record Sent(long atUs, long request, int attempt, String server, long untilUs) {}
 
-    final Settings settings;
+    final BalancerSettings settings;
     final List<Sent> sent = new ArrayList<>();
     final List<Long> refused = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
@@ -40,32 +28,32 @@
     private long nextId = 1;
     Balancer balancer;
 
-    Node(Settings settings, long seed) {
+    FakeNode(BalancerSettings settings, long seed) {
         this.settings = settings;
         balancer = new ServiceQBalancer(settings, seed, this);
     }
 
-    Node() {
+    FakeNode() {
         this(settings(), 7);
     }
 
-    static Settings settings() {
-        Settings set = new Settings();
+    static BalancerSettings settings() {
+        BalancerSettings set = new BalancerSettings();
         set.zones.add("here");
         set.zones.add("there");
-        set.classes.add(requestClass("safe", Repeat.SAFE, Group.ALL));
-        set.classes.add(requestClass("keyed-all", Repeat.KEYED, Group.ALL));
-        set.classes.add(requestClass("keyed-zone", Repeat.KEYED, Group.ZONE));
-        set.classes.add(requestClass("keyed-cell", Repeat.KEYED, Group.CELL));
-        set.classes.add(requestClass("unsafe", Repeat.UNSAFE, Group.ALL));
+        set.classes.add(requestClass("safe", Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
+        set.classes.add(requestClass("keyed-all", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL));
+        set.classes.add(requestClass("keyed-zone", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE));
+        set.classes.add(requestClass("keyed-cell", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL));
+        set.classes.add(requestClass("unsafe", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL));
         set.tenants.add(new Tenant("tenant"));
         set.maxAttempts = 4;
-        set.secondCopies = true;
-        set.cancel = true;
+        set.hedging = true;
+        set.cancellation = true;
         return set;
     }
 
-    static RequestClass requestClass(String name, Repeat repeat, Group group) {
+    static RequestClass requestClass(String name, Idempotency repeat, DeduplicationScope group) {
         return new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, repeat, group, 400_000, false);
     }
 
@@ -74,7 +62,7 @@
     }
 
     /** Gives the first list: servers s0, s1, ... all warm, in one zone and cell. */
-    Node with(int servers) {
+    FakeNode with(int servers) {
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             entries.add(server("s" + i));
@@ -82,7 +70,7 @@
         return list(ListKind.CACHED, entries);
     }
 
-    Node list(ListKind kind, List<ServerEntry> entries) {
+    FakeNode list(ListKind kind, List<ServerEntry> entries) {
         balancer.onServers(now, kind, entries);
         return this;
     }
@@ -91,9 +79,9 @@
         return ask(classIndex, 1_000_000);
     }
 
-    long ask(int classIndex, long leftUs) {
+    long ask(int classIndex, long remainingUs) {
         long id = nextId++;
-        balancer.onRequest(now, new Request(id, classIndex, 0, leftUs, 0, false, null));
+        balancer.onRequest(now, new BalancerRequest(id, classIndex, 0, remainingUs, 0, false, null));
         return id;
     }
 
@@ -101,9 +89,9 @@
         return askFor(key, classIndex, 1_000_000, false);
     }
 
-    long askFor(String key, int classIndex, long leftUs, boolean repeat) {
+    long askFor(String key, int classIndex, long remainingUs, boolean repeat) {
         long id = nextId++;
-        balancer.onRequest(now, new Request(id, classIndex, 0, leftUs, 0, repeat, key));
+        balancer.onRequest(now, new BalancerRequest(id, classIndex, 0, remainingUs, 0, repeat, key));
         return id;
     }
 
@@ -126,15 +114,17 @@
     }
 
     /** Ends a request's newest attempt after some time. */
-    void answer(long request, Result result, long afterUs) {
+    void answer(long request, AttemptResult result, long afterUs) {
         advance(afterUs);
         Sent attempt = last(request);
         balancer.onOutcome(
-                now, new Outcome(request, attempt.attempt, result, now - attempt.atUs, result == Result.OK, null));
+                now,
+                new AttemptOutcome(
+                        request, attempt.attempt, result, now - attempt.atUs, result == AttemptResult.OK, null));
     }
 
     /** One request sent and ended; its server. */
-    String serve(int classIndex, Result result, long afterUs) {
+    String serve(int classIndex, AttemptResult result, long afterUs) {
         long id = ask(classIndex);
         String server = last(id).server;
         answer(id, result, afterUs);
@@ -143,12 +133,12 @@
 
     /** Serves requests, of which this server fails all that it gets, until it is ejected. */
     void ejects(String server) {
-        while (balancer.skipped() == 0) {
-            long id = ask(SAFE);
+        while (balancer.excludedServers() == 0) {
+            long id = ask(IDEMPOTENT);
             boolean bad = last(id).server.equals(server);
-            answer(id, bad ? Result.ERROR : Result.OK, 1_000);
+            answer(id, bad ? AttemptResult.ERROR : AttemptResult.OK, 1_000);
             if (bad) {
-                answer(id, Result.OK, 1_000);
+                answer(id, AttemptResult.OK, 1_000);
             }
         }
     }
@@ -179,7 +169,7 @@
     }
 
     @Override
-    public void refuse(long requestId, long retryAfterUs) {
+    public void reject(long requestId, long retryAfterUs) {
         refused.add(requestId);
     }
 
--- a/node/src/test/java/kitemux/HealthTest.java
+++ b/node/src/test/java/loadbalancer/policy/HealthTest.java
@@ -1,4 +1,4 @@
-package kitemux;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -6,54 +6,49 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
 /** Exceptions: ejection and trials, silent servers, zones. */
 class HealthTest {
 
     /** Serves one request; {@code s0} fails, all others succeed. */
-    private static boolean hitsBad(Node node, int classIndex) {
+    private static boolean hitsBad(FakeNode node, int classIndex) {
         long id = node.ask(classIndex);
         boolean bad = node.last(id).server().equals("s0");
-        node.answer(id, bad ? Result.ERROR : Result.OK, 5_000);
+        node.answer(id, bad ? AttemptResult.ERROR : AttemptResult.OK, 5_000);
         if (bad && node.attempts(id) > 1) {
-            node.answer(id, Result.OK, 5_000);
+            node.answer(id, AttemptResult.OK, 5_000);
         }
         return bad;
     }
 
     /** Four servers, of which {@code s0} has failed all it was sent among 400 requests. */
-    private static Node withFailingServer() {
-        Node node = new Node().with(4);
+    private static FakeNode withFailingServer() {
+        FakeNode node = new FakeNode().with(4);
         for (int i = 0; i < 400; i++) {
-            hitsBad(node, Node.SAFE);
+            hitsBad(node, FakeNode.IDEMPOTENT);
         }
         return node;
     }
 
-    private static void assertEjected(Node node) {
+    private static void assertEjected(FakeNode node) {
         assertTrue(node.logged.stream().anyMatch(l -> l.startsWith("ejected server s0")), node.logged.toString());
     }
 
     @Test
     void aServerThatKeepsFailingIsEjectedAndTriedEverMoreSparingly() {
-        Node node = withFailingServer();
+        FakeNode node = withFailingServer();
         assertEjected(node);
         int hits = 0;
         long from = node.now;
         while (node.now < from + 20_000_000) {
-            hits += hitsBad(node, Node.SAFE) ? 1 : 0;
+            hits += hitsBad(node, FakeNode.IDEMPOTENT) ? 1 : 0;
         }
         assertTrue(hits >= 2 && hits <= 14, "trials in 20 s: " + hits);
     }
 
     /** Asks for so many at once that the good servers are full; how many went to {@code s0}. */
-    private static long overflow(Node node, int classIndex, Result result) {
+    private static long overflow(FakeNode node, int classIndex, AttemptResult result) {
         List<Long> crowd = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             crowd.add(node.ask(classIndex));
@@ -62,7 +57,7 @@
         for (int round = 0; round < 100; round++) {
             node.advance(1_000);
             for (long id : crowd) {
-                Node.Sent last = node.last(id);
+                FakeNode.Sent last = node.last(id);
                 if (last != null && last.server().equals("s0") && last.atUs() == node.now - 1_000) {
                     node.answer(id, result, 0);
                 }
@@ -73,9 +68,9 @@
 
     @Test
     void whereTheOthersAreFullAServerThatAnswersWithErrorsGetsWhatIsSafeButNotTheLastAttempt() {
-        Node node = withFailingServer();
+        FakeNode node = withFailingServer();
         assertEjected(node);
-        long sent = overflow(node, Node.SAFE, Result.ERROR);
+        long sent = overflow(node, FakeNode.IDEMPOTENT, AttemptResult.ERROR);
         assertTrue(sent >= 10, "sent as a last resort: " + sent);
         for (long id = 401; id <= 460; id++) {
             long request = id;
@@ -84,43 +79,43 @@
                     .count();
             assertTrue(toBad < node.settings.maxAttempts, "attempts of one request: " + toBad);
         }
-        assertEquals(0, overflow(withFailingServer(), Node.UNSAFE, Result.ERROR), "unsafe");
+        assertEquals(0, overflow(withFailingServer(), FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR), "unsafe");
     }
 
     @Test
     void whereTheOthersAreFullAServerThatDoesNotAnswerGetsNothingMore() {
-        long sent = overflow(withFailingServer(), Node.SAFE, Result.RESET);
+        long sent = overflow(withFailingServer(), FakeNode.IDEMPOTENT, AttemptResult.RESET);
         assertTrue(sent <= 2, "sent: " + sent);
     }
 
     @Test
     void unsafeRequestsAreNotUsedForTrials() {
-        Node node = withFailingServer();
+        FakeNode node = withFailingServer();
         node.advance(20_000_000);
         for (int i = 0; i < 200; i++) {
-            assertTrue(!hitsBad(node, Node.UNSAFE));
+            assertTrue(!hitsBad(node, FakeNode.NON_IDEMPOTENT));
         }
     }
 
     @Test
     void oneLuckySuccessDoesNotRestoreAServerButSeveralInARowDo() {
-        Node node = withFailingServer();
+        FakeNode node = withFailingServer();
         node.advance(20_000_000);
-        assertEquals("s0", node.serve(Node.SAFE, Result.OK, 5_000));
+        assertEquals("s0", node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 5_000));
         assertTrue(node.logged.stream().noneMatch(l -> l.startsWith("restored")));
-        assertEquals("s0", node.serve(Node.SAFE, Result.OK, 5_000));
-        assertEquals("s0", node.serve(Node.SAFE, Result.OK, 5_000));
+        assertEquals("s0", node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 5_000));
+        assertEquals("s0", node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 5_000));
         assertTrue(node.logged.stream().anyMatch(l -> l.equals("restored server s0")));
     }
 
     /** Asks for something safe and ends each attempt; counts those at the first {@code lost} servers. */
-    private static int hitsLost(Node node, int lost) {
-        long id = node.ask(Node.SAFE);
+    private static int hitsLost(FakeNode node, int lost) {
+        long id = node.ask(FakeNode.IDEMPOTENT);
         int hits = 0;
         for (int tried = 0; tried < node.attempts(id); tried++) {
             boolean hit = Integer.parseInt(node.last(id).server().substring(1)) < lost;
             hits += hit ? 1 : 0;
-            node.answer(id, hit ? Result.ERROR : Result.OK, 100);
+            node.answer(id, hit ? AttemptResult.ERROR : AttemptResult.OK, 100);
         }
         return hits;
     }
@@ -128,7 +123,7 @@
     /** Trials of a lost zone, from every node of a large fleet, took up most of the safe requests. */
     @Test
     void trialsOfManyEjectedServersTakeUpASmallPartOfRequests() {
-        Node node = new Node().with(40);
+        FakeNode node = new FakeNode().with(40);
         for (int i = 0; i < 2_000; i++) {
             hitsLost(node, 15);
         }
@@ -143,17 +138,17 @@
     /** It may have come back as a new process, of which the list tells only later. */
     @Test
     void aRestoredServerIsNotFilledAtOnceWhereKeysAreWarm() {
-        Settings set = Node.settings();
+        BalancerSettings set = FakeNode.settings();
         set.nodes = 14;
-        set.warmKeys = true;
-        Node node = new Node(set, 5).with(10);
+        set.keyAffinity = true;
+        FakeNode node = new FakeNode(set, 5).with(10);
         boolean back = false;
         for (int i = 0; node.logged.stream().noneMatch(l -> l.equals("restored server s0")); i++) {
             assertTrue(i < 3_000, node.logged.toString());
-            long id = node.askFor("k" + i, Node.SAFE);
+            long id = node.askFor("k" + i, FakeNode.IDEMPOTENT);
             for (int tried = 0; tried < node.attempts(id); tried++) {
                 boolean fails = node.last(id).server().equals("s0") && !back;
-                node.answer(id, fails ? Result.ERROR : Result.OK, 5_000);
+                node.answer(id, fails ? AttemptResult.ERROR : AttemptResult.OK, 5_000);
             }
             if (!back && node.logged.stream().anyMatch(l -> l.startsWith("ejected server s0"))) {
                 back = true;
@@ -163,35 +158,35 @@
         }
         long before = node.sentTo("s0");
         for (int i = 0; i < 200; i++) {
-            node.askFor("k" + i, Node.UNSAFE);
+            node.askFor("k" + i, FakeNode.NON_IDEMPOTENT);
         }
         assertTrue(node.sentTo("s0") - before <= 1, "sent at once: " + (node.sentTo("s0") - before));
     }
 
     @Test
     void neverAreMoreThanHalfOfTheServersEjected() {
-        Node node = new Node().with(4);
+        FakeNode node = new FakeNode().with(4);
         for (int i = 0; i < 300; i++) {
-            node.serve(Node.UNSAFE, Result.ERROR, 5_000);
+            node.serve(FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR, 5_000);
         }
         // All fail: two may be out, and requests must still be tried on the others, not held.
-        long id = node.ask(Node.UNSAFE);
+        long id = node.ask(FakeNode.NON_IDEMPOTENT);
         assertNotEquals(null, node.last(id));
     }
 
     @Test
     void aServerThatAnswersNothingIsLeftAloneBeforeAnyDeadlinePasses() {
-        Node node = new Node().with(4);
+        FakeNode node = new FakeNode().with(4);
         for (int i = 0; i < 100; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
+            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         int toSilent = 0;
         for (int i = 0; i < 80; i++) {
-            long id = node.ask(Node.UNSAFE);
+            long id = node.ask(FakeNode.NON_IDEMPOTENT);
             if (node.last(id).server().equals("s0")) {
                 toSilent++;
             } else {
-                node.answer(id, Result.OK, 10_000);
+                node.answer(id, AttemptResult.OK, 10_000);
             }
         }
         assertTrue(toSilent <= 5, "sent to the silent server: " + toSilent);
@@ -199,48 +194,48 @@
 
     @Test
     void aCrowdedServerThatStillAnswersIsNotEjectedForTimeOuts() {
-        Node node = new Node().with(2);
+        FakeNode node = new FakeNode().with(2);
         for (int round = 0; round < 80; round++) {
             // Ever one more than fits, so that the limits are met and grow.
             List<Long> burst = new ArrayList<>();
             do {
-                burst.add(node.ask(Node.SAFE));
+                burst.add(node.ask(FakeNode.IDEMPOTENT));
             } while (node.last(burst.get(burst.size() - 1)) != null && burst.size() < 40);
-            burst.forEach(id -> node.answer(id, Result.OK, 100));
+            burst.forEach(id -> node.answer(id, AttemptResult.OK, 100));
         }
         List<Long> crowd = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
-            crowd.add(node.ask(Node.SAFE, 30_000));
+            crowd.add(node.ask(FakeNode.IDEMPOTENT, 30_000));
         }
         for (String server : List.of("s0", "s1")) {
             long answered = crowd.stream()
                     .filter(id -> node.last(id).server().equals(server))
                     .findFirst()
                     .get();
-            node.answer(answered, Result.OK, 1_000);
+            node.answer(answered, AttemptResult.OK, 1_000);
             crowd.remove(answered);
         }
         node.advance(28_000);
-        crowd.forEach(id -> node.answer(id, Result.TIMEOUT, 0));
+        crowd.forEach(id -> node.answer(id, AttemptResult.TIMEOUT, 0));
         assertTrue(node.logged.stream().noneMatch(l -> l.startsWith("ejected")), node.logged.toString());
     }
 
     @Test
     void whereCrossingZonesCostsLocalServersComeFirstAndOthersWhenTheyAreBusy() {
-        Settings set = Node.settings();
-        set.crossZonePrice = 0.02;
-        Node node = new Node(set, 5);
+        BalancerSettings set = FakeNode.settings();
+        set.crossZoneCost = 0.02;
+        FakeNode node = new FakeNode(set, 5);
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             entries.add(new ServerEntry("s" + i, i < 2 ? 0 : 1, 0, ServerState.READY, 1, 0));
         }
         node.list(ListKind.CACHED, entries);
         for (int i = 0; i < 50; i++) {
-            assertTrue(List.of("s0", "s1").contains(node.serve(Node.SAFE, Result.OK, 5_000)));
+            assertTrue(List.of("s0", "s1").contains(node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 5_000)));
         }
         long crossed = 0;
         for (int i = 0; i < 12; i++) {
-            long id = node.ask(Node.SAFE);
+            long id = node.ask(FakeNode.IDEMPOTENT);
             crossed += List.of("s0", "s1").contains(node.last(id).server()) ? 0 : 1;
         }
         assertTrue(crossed >= 6, "crossed " + crossed);
@@ -249,13 +244,13 @@
     @Test
     void whatHangsAtAServerThatHasGoneDoesNotHoldBackTheOthers() {
         // Guards against a node whose whole allowance in flight hangs at servers no longer in use.
-        Node node = new Node().with(1);
+        FakeNode node = new FakeNode().with(1);
         for (int i = 0; i < 4; i++) {
-            assertNotEquals(null, node.last(node.ask(Node.UNSAFE)));
+            assertNotEquals(null, node.last(node.ask(FakeNode.NON_IDEMPOTENT)));
         }
-        node.list(ListKind.FULL, List.of(Node.server("other")));
+        node.list(ListKind.FULL, List.of(FakeNode.server("other")));
         for (int i = 0; i < 3; i++) {
-            Node.Sent sent = node.last(node.ask(Node.UNSAFE));
+            FakeNode.Sent sent = node.last(node.ask(FakeNode.NON_IDEMPOTENT));
             assertTrue(sent != null && sent.server().equals("other"), "request " + i + " at " + sent);
         }
     }
--- a/node/src/test/java/kitemux/KeysTest.java
+++ b/node/src/test/java/loadbalancer/policy/KeysTest.java
@@ -1,4 +1,4 @@
-package kitemux;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -10,11 +10,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
 /** Exception, keys: draws fixed by the request's key where servers remember keys. */
@@ -22,26 +17,26 @@
     private static final int SERVERS = 20;
     private static final int KEYS = 400;
 
-    private static Node node(int me, boolean warmKeys) {
-        Settings set = Node.settings();
+    private static FakeNode node(int me, boolean keyAffinity) {
+        BalancerSettings set = FakeNode.settings();
         set.nodes = 4;
-        set.me = me;
-        set.warmKeys = warmKeys;
-        set.crossZonePrice = 0.01;
-        return new Node(set, 50 + me).with(SERVERS);
+        set.nodeIndex = me;
+        set.keyAffinity = keyAffinity;
+        set.crossZoneCost = 0.01;
+        return new FakeNode(set, 50 + me).with(SERVERS);
     }
 
-    private static String serve(Node node, String key, Result result) {
-        long id = node.askFor(key, Node.UNSAFE);
+    private static String serve(FakeNode node, String key, AttemptResult result) {
+        long id = node.askFor(key, FakeNode.NON_IDEMPOTENT);
         String server = node.last(id).server();
         node.answer(id, result, 5_000);
         return server;
     }
 
-    private static Map<String, String> placesOf(Node node) {
+    private static Map<String, String> placesOf(FakeNode node) {
         Map<String, String> places = new HashMap<>();
         for (int k = 0; k < KEYS; k++) {
-            places.put("k" + k, serve(node, "k" + k, Result.OK));
+            places.put("k" + k, serve(node, "k" + k, AttemptResult.OK));
         }
         return places;
     }
@@ -62,46 +57,46 @@
         for (int i = 0; i < SERVERS; i++) {
             entries.add(new ServerEntry("s" + i, i % 4 == 0 ? 0 : 1, 0, ServerState.READY, 1, 0));
         }
-        Node node = node(0, true).list(ListKind.FULL, entries);
-        Node other = node(1, true).list(ListKind.FULL, entries);
+        FakeNode node = node(0, true).list(ListKind.FULL, entries);
+        FakeNode other = node(1, true).list(ListKind.FULL, entries);
         Map<String, String> places = placesOf(node);
         assertEquals(places, placesOf(other), "nodes of a zone send a key to the same server");
         assertEquals(Set.of("s0", "s4", "s8", "s12", "s16"), new HashSet<>(places.values()));
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 16; i++) {
-            used.add(node.last(node.askFor("hot", Node.UNSAFE)).server());
+            used.add(node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server());
         }
         assertTrue(!places.values().containsAll(used), "crowded near servers keep it: " + used);
     }
 
     @Test
     void whereServersForgetKeysTheyDoNotMatter() {
-        Node node = node(0, false);
+        FakeNode node = node(0, false);
         Map<String, Integer> hits = new HashMap<>();
         for (int i = 0; i < 100; i++) {
-            hits.merge(serve(node, "same", Result.OK), 1, Integer::sum);
+            hits.merge(serve(node, "same", AttemptResult.OK), 1, Integer::sum);
         }
         assertTrue(hits.size() > 10, hits.toString());
     }
 
     @Test
     void theSecondDrawOfAKeyTakesOverWhileTheFirstHasMoreInFlight() {
-        Node node = node(0, true);
-        String first = node.last(node.askFor("hot", Node.UNSAFE)).server();
-        String second = node.last(node.askFor("hot", Node.UNSAFE)).server();
+        FakeNode node = node(0, true);
+        String first = node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server();
+        String second = node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server();
         assertTrue(!first.equals(second));
         assertEquals(
                 List.of(first, second, first, second),
                 List.of(
-                        node.last(node.askFor("hot", Node.UNSAFE)).server(),
-                        node.last(node.askFor("hot", Node.UNSAFE)).server(),
-                        node.last(node.askFor("hot", Node.UNSAFE)).server(),
-                        node.last(node.askFor("hot", Node.UNSAFE)).server()));
+                        node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server(),
+                        node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server(),
+                        node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server(),
+                        node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server()));
     }
 
     @Test
     void aLostServerMovesItsOwnKeysAndFewOthers() {
-        Node node = node(0, true);
+        FakeNode node = node(0, true);
         Map<String, String> before = placesOf(node);
         node.list(ListKind.CHANGES, List.of(new ServerEntry("s7", 0, 0, ServerState.GONE, 1, 0)));
         Map<String, String> after = placesOf(node);
@@ -114,7 +109,7 @@
 
     @Test
     void aServerWithErrorsLosesKeysAndTheOthersKeepTheirs() {
-        Node node = node(0, true);
+        FakeNode node = node(0, true);
         Map<String, String> before = placesOf(node);
         String key = before.keySet().stream()
                 .sorted()
@@ -122,20 +117,20 @@
                 .findFirst()
                 .get();
         // Two failures: two in three of its keys are now drawn elsewhere.
-        assertEquals("s3", serve(node, key, Result.ERROR));
-        for (int i = 0; i < KEYS && !serve(node, "x" + i, Result.ERROR).equals("s3"); i++) {
+        assertEquals("s3", serve(node, key, AttemptResult.ERROR));
+        for (int i = 0; i < KEYS && !serve(node, "x" + i, AttemptResult.ERROR).equals("s3"); i++) {
             node.list(ListKind.FULL, List.of());
             node.with(SERVERS);
         }
         long kept = 0;
         long moved = 0;
         for (Map.Entry<String, String> e : before.entrySet()) {
-            long id = node.askFor(e.getKey(), Node.UNSAFE);
+            long id = node.askFor(e.getKey(), FakeNode.NON_IDEMPOTENT);
             String now = node.last(id).server();
             kept += e.getValue().equals("s3") && now.equals("s3") ? 1 : 0;
             moved += !e.getValue().equals("s3") && !now.equals(e.getValue()) ? 1 : 0;
             node.balancer.onClientGone(node.now, id);
-            node.answer(id, Result.CANCELLED, 0);
+            node.answer(id, AttemptResult.CANCELLED, 0);
         }
         long had = before.values().stream().filter("s3"::equals).count();
         assertTrue(kept < had, "keys kept: " + kept + " of " + had);
@@ -144,11 +139,11 @@
 
     @Test
     void whenAKeysServersAreFullItWaitsAndDoesNotGoWhereItIsUnknown() {
-        Node node = node(0, true);
+        FakeNode node = node(0, true);
         Map<String, Integer> used = new HashMap<>();
         long id = 0;
         for (int i = 0; i < 400; i++) {
-            id = node.askFor("hot", Node.UNSAFE);
+            id = node.askFor("hot", FakeNode.NON_IDEMPOTENT);
             if (node.last(id) != null) {
                 used.merge(node.last(id).server(), 1, Integer::sum);
             }
@@ -156,24 +151,24 @@
         assertTrue(used.size() >= 2 && used.size() <= 8, used.toString());
         assertNull(node.last(id));
         // Others are not held back by it for long: it waits in the queue, and they have room.
-        long other = node.askFor("cool", Node.UNSAFE);
+        long other = node.askFor("cool", FakeNode.NON_IDEMPOTENT);
         node.advance(10_000);
         assertTrue(node.last(other) != null || used.size() == SERVERS);
     }
 
     @Test
     void limitsStartHighWhereKeysAreWarmAndAFullAnswerCutsThemToWhatWasHeld() {
-        Node node = node(0, true);
+        FakeNode node = node(0, true);
         long[] ids = new long[24];
         for (int i = 0; i < ids.length; i++) {
-            ids[i] = node.askFor("hot", Node.UNSAFE);
+            ids[i] = node.askFor("hot", FakeNode.NON_IDEMPOTENT);
             assertEquals(1, node.attempts(ids[i]));
         }
-        node.answer(ids[0], Result.FULL, 1_000);
+        node.answer(ids[0], AttemptResult.FULL, 1_000);
         String full = node.sent.get(0).server();
         long more = 0;
         for (int i = 0; i < 24; i++) {
-            Node.Sent sent = node.last(node.askFor("hot", Node.UNSAFE));
+            FakeNode.Sent sent = node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT));
             more += sent != null && sent.server().equals(full) ? 1 : 0;
         }
         assertTrue(more <= 1, "sent to the full server: " + more);
@@ -184,11 +179,11 @@
     void aRequestThatWasTurnedAwayPassesOnToServersThatItsKeyDraws() {
         List<List<String>> paths = new ArrayList<>();
         for (int me = 0; me < 4; me++) {
-            Node node = node(me, true);
-            long id = node.askFor("hot", Node.UNSAFE);
-            node.answer(id, Result.FULL, 1_000);
-            node.answer(id, Result.FULL, 1_000);
-            paths.add(node.sent.stream().map(Node.Sent::server).toList());
+            FakeNode node = node(me, true);
+            long id = node.askFor("hot", FakeNode.NON_IDEMPOTENT);
+            node.answer(id, AttemptResult.FULL, 1_000);
+            node.answer(id, AttemptResult.FULL, 1_000);
+            paths.add(node.sent.stream().map(FakeNode.Sent::server).toList());
         }
         assertEquals(3, new HashSet<>(paths.get(0)).size());
         // All nodes hop alike.
--- a/node/src/test/java/kitemux/LargeFleetTest.java
+++ b/node/src/test/java/loadbalancer/policy/LargeFleetTest.java
@@ -1,4 +1,4 @@
-package kitemux;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,11 +11,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
 /** Exceptions of large fleets: subsets of servers, slow answers as errors, throttling. */
@@ -23,22 +18,22 @@
     private static final int NODES = 240;
     private static final int SERVERS = 40;
 
-    private static Node node(int me) {
-        Settings set = Node.settings();
+    private static FakeNode node(int me) {
+        BalancerSettings set = FakeNode.settings();
         set.nodes = NODES;
-        set.me = me;
-        return new Node(set, 100 + me);
+        set.nodeIndex = me;
+        return new FakeNode(set, 100 + me);
     }
 
     /** The servers that a node sends to when all answer quickly and requests come one at a time. */
-    private static Set<String> inUse(Node node) {
+    private static Set<String> inUse(FakeNode node) {
         return inUse(node, 100);
     }
 
-    private static Set<String> inUse(Node node, int requests) {
+    private static Set<String> inUse(FakeNode node, int requests) {
         Set<String> servers = new HashSet<>();
         for (int i = 0; i < requests; i++) {
-            servers.add(node.serve(Node.SAFE, Result.OK, 5_000));
+            servers.add(node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 5_000));
             node.advance(200_000);
         }
         return servers;
@@ -57,10 +52,10 @@
      */
     @Test
     void subsetsStayTheSameFromVersionToVersion() {
-        Settings set = Node.settings();
+        BalancerSettings set = FakeNode.settings();
         set.nodes = 1_200;
-        set.me = 7;
-        Node node = new Node(set, 7);
+        set.nodeIndex = 7;
+        FakeNode node = new FakeNode(set, 7);
         Set<String> used = inUse(node.with(2_000), 3_000);
         assertEquals(40, used.size(), used.toString());
         assertEquals(-1973667710, new TreeSet<>(used).hashCode(), used.toString());
@@ -89,16 +84,16 @@
 
     @Test
     void aSmallFleetUsesAllServers() {
-        Settings set = Node.settings();
+        BalancerSettings set = FakeNode.settings();
         set.nodes = 5;
-        assertEquals(20, inUse(new Node(set, 3).with(20)).size());
+        assertEquals(20, inUse(new FakeNode(set, 3).with(20)).size());
     }
 
     @Test
     void aLostServerMovesFewPlacesAndItsConnectionsAreClosed() {
         int moved = 0;
         for (int me = 0; me < 60; me++) {
-            Node node = node(me).with(SERVERS);
+            FakeNode node = node(me).with(SERVERS);
             Set<String> before = inUse(node);
             node.closed.clear();
             node.list(ListKind.CHANGES, List.of(new ServerEntry("s7", 0, 0, ServerState.GONE, 1, 0)));
@@ -114,14 +109,14 @@
 
     @Test
     void aSlowServerGetsLessFromANodeThatSharesItWithMany() {
-        Node node = node(1).with(SERVERS);
+        FakeNode node = node(1).with(SERVERS);
         String slow = inUse(node).stream().sorted().findFirst().orElseThrow();
         int hits = 0;
         for (int i = 0; i < 400; i++) {
-            long id = node.ask(Node.SAFE);
+            long id = node.ask(FakeNode.IDEMPOTENT);
             boolean hit = node.last(id).server().equals(slow);
             hits += hit ? 1 : 0;
-            node.answer(id, Result.OK, hit ? 12_000 : 4_000);
+            node.answer(id, AttemptResult.OK, hit ? 12_000 : 4_000);
             node.advance(200_000);
         }
         // An even part would be 100, and two draws leave it no less while nothing is in flight.
@@ -130,24 +125,24 @@
 
     @Test
     void lateAnswersMakeANodeOfManyTakeUpLess() {
-        Node node = node(2).with(SERVERS);
+        FakeNode node = node(2).with(SERVERS);
         inUse(node);
         int refusedAtOnce = 0;
         for (int i = 0; i < 200; i++) {
             int before = node.refused.size();
-            long id = node.ask(Node.UNSAFE);
+            long id = node.ask(FakeNode.NON_IDEMPOTENT);
             refusedAtOnce += node.refused.size() - before;
             if (node.attempts(id) > 0) {
-                node.answer(id, Result.OK, 300_000);
+                node.answer(id, AttemptResult.OK, 300_000);
             }
             node.advance(4_000_000);
         }
         assertTrue(refusedAtOnce > 100 && refusedAtOnce < 200, "refused at once: " + refusedAtOnce);
         // Some are still taken up, so the node learns that answers are timely again.
         for (int i = 0; i < 400; i++) {
-            long id = node.ask(Node.UNSAFE);
+            long id = node.ask(FakeNode.NON_IDEMPOTENT);
             if (node.attempts(id) > 0) {
-                node.answer(id, Result.OK, 5_000);
+                node.answer(id, AttemptResult.OK, 5_000);
             }
             node.advance(4_000_000);
         }
@@ -158,10 +153,10 @@
 
     @Test
     void aNodeOfManyLendsAheadForABunchWhileItsAnswersAreTimely() {
-        Node node = node(3).with(SERVERS);
+        FakeNode node = node(3).with(SERVERS);
         inUse(node);
         for (int i = 0; i < 3; i++) {
-            assertEquals(1, node.attempts(node.ask(Node.SAFE)), "request " + i + " of the bunch");
+            assertEquals(1, node.attempts(node.ask(FakeNode.IDEMPOTENT)), "request " + i + " of the bunch");
         }
     }
 }
--- a/node/src/test/java/kitemux/LoadReportTest.java
+++ b/node/src/test/java/loadbalancer/policy/LoadReportTest.java
@@ -1,20 +1,10 @@
-package kitemux;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.ReportField;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
 /** Exception, load reports: a server that holds well more than the others is passed over for a while. */
@@ -24,31 +14,41 @@
     /** A class with time enough to wait behind many. */
     private static final int LEISURELY = 5;
 
-    private static Node node() {
-        Settings set = Node.settings();
+    private static FakeNode node() {
+        BalancerSettings set = FakeNode.settings();
         set.nodes = 14;
-        set.classes.add(
-                new RequestClass("leisurely", 4_000_000, 0, 8_000_000, 1, 0, Repeat.UNSAFE, Group.ALL, 0, false));
-        set.warmKeys = true;
-        set.reportFields.add(ReportField.QUEUED);
-        set.reportFields.add(ReportField.IN_FLIGHT);
-        return new Node(set, 5).with(SERVERS);
+        set.classes.add(new RequestClass(
+                "leisurely",
+                4_000_000,
+                0,
+                8_000_000,
+                1,
+                0,
+                Idempotency.NON_IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                false));
+        set.keyAffinity = true;
+        set.reportFields.add(LoadReportField.QUEUED);
+        set.reportFields.add(LoadReportField.IN_FLIGHT);
+        return new FakeNode(set, 5).with(SERVERS);
     }
 
     /** One request served; its server says that it holds so many. */
-    private static String serve(Node node, String key, int classIndex, long latencyUs, double held) {
+    private static String serve(FakeNode node, String key, int classIndex, long latencyUs, double held) {
         long id = node.askFor(key, classIndex);
         node.advance(latencyUs);
-        node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.OK, latencyUs, true, new double[] {0, held}));
+        node.balancer.onOutcome(
+                node.now, new AttemptOutcome(id, 0, AttemptResult.OK, latencyUs, true, LoadReport.of(0, held)));
         return node.last(id).server();
     }
 
-    private static String serve(Node node, String key, double held) {
-        return serve(node, key, Node.UNSAFE, LATENCY_US, held);
+    private static String serve(FakeNode node, String key, double held) {
+        return serve(node, key, FakeNode.NON_IDEMPOTENT, LATENCY_US, held);
     }
 
-    private static Node amongServersThatHold(double held) {
-        Node node = node();
+    private static FakeNode amongServersThatHold(double held) {
+        FakeNode node = node();
         for (int k = 0; k < 400; k++) {
             serve(node, "k" + k, held);
         }
@@ -57,21 +57,21 @@
 
     @Test
     void aKeyGoesToItsNextDrawWhileItsServerIsLadenBeyondTheOthers() {
-        Node node = amongServersThatHold(2);
+        FakeNode node = amongServersThatHold(2);
         String home = serve(node, "key", 9);
         assertNotEquals(home, serve(node, "key", 2));
     }
 
     @Test
     void itStaysWhereAllServersAreLadenAlike() {
-        Node node = amongServersThatHold(9);
+        FakeNode node = amongServersThatHold(9);
         String home = serve(node, "key", 9);
         assertEquals(home, serve(node, "key", 9));
     }
 
     @Test
     void itComesBackOnceTheReportHasWornOff() {
-        Node node = amongServersThatHold(2);
+        FakeNode node = amongServersThatHold(2);
         String home = serve(node, "key", 9);
         node.advance(10 * LATENCY_US);
         assertEquals(home, serve(node, "key", 2));
@@ -80,7 +80,7 @@
     /** The class with the shortest aim waits behind all others, of which their own aims say nothing. */
     @Test
     void aServerThatHoldsMoreThanTheShortestAimAllowsGetsFewer() {
-        Node node = amongServersThatHold(1);
+        FakeNode node = amongServersThatHold(1);
         assertTrue(takenAtOnce(amongServersThatHold(1)) > 2 * SERVERS);
         for (int k = 0; k < 200; k++) {
             serve(node, "k" + k, LEISURELY, 400_000, 40);
@@ -90,7 +90,7 @@
 
     @Test
     void theFirstAnswersOfANodeTellThatItsServersHoldTooMuch() {
-        Node node = node();
+        FakeNode node = node();
         for (int k = 0; k < 2 * SERVERS; k++) {
             // Forty held requests take 400 ms; the shortest aim is 200 ms.
             serve(node, "k" + k, LEISURELY, 400_000, 40);
@@ -99,26 +99,32 @@
         assertTrue(taken < takenAtOnce(node()) / 2, "taken at once: " + taken);
     }
 
-    private static int takenAtOnce(Node node) {
+    private static int takenAtOnce(FakeNode node) {
         int before = node.sent.size();
         for (int k = 0; k < 100; k++) {
-            node.askFor("more" + k, Node.UNSAFE);
+            node.askFor("more" + k, FakeNode.NON_IDEMPOTENT);
         }
         return node.sent.size() - before;
     }
 
     /** How many of 4,000 requests go to a cold server that says it holds so many, where others hold four. */
     private static long toColdThatHolds(double held) {
-        Node node = amongServersThatHold(4);
+        FakeNode node = amongServersThatHold(4);
         node.list(ListKind.CHANGES, List.of(new ServerEntry("cold", 0, 0, ServerState.READY, 1, node.now)));
         for (int k = 0; k < 4_000; k++) {
-            long id = node.askFor("k" + k % 400, Node.UNSAFE);
-            Node.Sent sent = node.last(id);
+            long id = node.askFor("k" + k % 400, FakeNode.NON_IDEMPOTENT);
+            FakeNode.Sent sent = node.last(id);
             node.advance(2_000);
             if (sent != null) {
-                node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.OK, 2_000, true, new double[] {
-                    0, sent.server().equals("cold") ? held : 4
-                }));
+                node.balancer.onOutcome(
+                        node.now,
+                        new AttemptOutcome(
+                                id,
+                                0,
+                                AttemptResult.OK,
+                                2_000,
+                                true,
+                                LoadReport.of(0, sent.server().equals("cold") ? held : 4)));
             }
         }
         return node.sentTo("cold");
@@ -134,7 +140,7 @@
 
     @Test
     void aReportWithoutTheFigureSaysNothing() {
-        Node node = amongServersThatHold(2);
+        FakeNode node = amongServersThatHold(2);
         String home = serve(node, "key", Double.NaN);
         assertEquals(home, serve(node, "key", 2));
     }
--- a/node/src/test/java/kitemux/RandomEventsTest.java
+++ b/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -1,4 +1,4 @@
-package kitemux;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,16 +11,6 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.Request;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -31,7 +21,7 @@
     private static final class Attempt {
         ServerEntry server;
         long sentAt;
-        Result result;
+        AttemptResult result;
     }
 
     /** A request as the judge knows it. */
@@ -50,9 +40,9 @@
     }
 
     /** Plays a node's part and fails the test on the first broken rule. */
-    private static final class Judge implements Balancer.Actions {
+    private static final class Judge implements BalancerActions {
         final SplittableRandom random;
-        final Settings set = Node.settings();
+        final BalancerSettings set = FakeNode.settings();
         final Balancer balancer;
         final Map<Long, Held> held = new LinkedHashMap<>();
         final Map<String, ServerEntry> servers = new LinkedHashMap<>();
@@ -69,26 +59,26 @@
             random = new SplittableRandom(seed);
             set.classes.replaceAll(c -> new RequestClass(
                     c.name(),
-                    c.aimUs(),
+                    c.latencyObjectiveUs(),
                     0,
                     c.deadlineUs(),
-                    c.worth(),
+                    c.priorityWeight(),
                     random.nextInt(2) * 0.5,
-                    c.repeat(),
-                    c.group(),
+                    c.idempotency(),
+                    c.deduplicationScope(),
                     80_000,
                     false));
             set.nodes = 1 + random.nextInt(5);
             set.maxAttempts = 1 + random.nextInt(5);
-            set.cancel = random.nextBoolean();
-            set.secondCopies = random.nextBoolean();
-            set.listOnRequest = random.nextBoolean();
-            set.crossZonePrice = random.nextBoolean() ? 0.02 : 0;
+            set.cancellation = random.nextBoolean();
+            set.hedging = random.nextBoolean();
+            set.pollsEndpointList = random.nextBoolean();
+            set.crossZoneCost = random.nextBoolean() ? 0.02 : 0;
             set.tickUs = 1_000 * (1 + random.nextInt(5));
             set.drainGraceUs = 0;
-            set.coldUs = 8_000_000;
-            set.coldFrom = 0.2;
-            set.warmKeys = random.nextBoolean();
+            set.warmUpUs = 8_000_000;
+            set.warmUpInitialShare = 0.2;
+            set.keyAffinity = random.nextBoolean();
             balancer = new ServiceQBalancer(set, seed, this);
         }
 
@@ -108,15 +98,20 @@
             assertTrue(request.attempts.size() < set.maxAttempts);
             Attempt binding = request.binding();
             if (binding != null) {
-                assertTrue(request.cls.repeat() != Repeat.UNSAFE, "rule 2: an unsafe request may have run");
-                if (request.cls.repeat() == Repeat.KEYED) {
-                    assertTrue(now <= binding.sentAt + request.cls.windowUs(), "rule 2: inside the window");
-                    assertTrue(sameGroup(request.cls.group(), binding.server, server), "rule 2: in the group");
+                assertTrue(
+                        request.cls.idempotency() != Idempotency.NON_IDEMPOTENT,
+                        "rule 2: an unsafe request may have run");
+                if (request.cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
+                    assertTrue(
+                            now <= binding.sentAt + request.cls.deduplicationWindowUs(), "rule 2: inside the window");
+                    assertTrue(
+                            sameGroup(request.cls.deduplicationScope(), binding.server, server),
+                            "rule 2: in the group");
                 }
-                assertTrue(set.secondCopies || request.attempts.stream().allMatch(a -> a.result != null));
+                assertTrue(set.hedging || request.attempts.stream().allMatch(a -> a.result != null));
             }
             assertTrue(server.state() == ServerState.READY, "rule 3: nothing to a draining or gone server");
-            if (server.startedAtUs() > 0 && now < server.startedAtUs() + set.coldUs) {
+            if (server.startedAtUs() > 0 && now < server.startedAtUs() + set.warmUpUs) {
                 coldSends.computeIfAbsent(server, k -> new ArrayList<>()).add(new long[] {now, ready()});
             }
             Attempt attempt = new Attempt();
@@ -129,17 +124,24 @@
                 at,
                 requestId,
                 request.attempts.size() - 1,
-                timesOut || at == untilUs ? Result.TIMEOUT.ordinal() : draw()
+                timesOut || at == untilUs ? AttemptResult.TIMEOUT.ordinal() : draw()
             });
         }
 
         private int draw() {
-            Result[] bad = {Result.ERROR, Result.FULL, Result.CONNECT_FAILED, Result.RESET, Result.MOOT};
-            return (random.nextInt(8) > 0 ? Result.OK : bad[random.nextInt(bad.length)]).ordinal();
+            AttemptResult[] bad = {
+                AttemptResult.ERROR,
+                AttemptResult.FULL,
+                AttemptResult.CONNECT_FAILED,
+                AttemptResult.RESET,
+                AttemptResult.MOOT
+            };
+            return (random.nextInt(8) > 0 ? AttemptResult.OK : bad[random.nextInt(bad.length)]).ordinal();
         }
 
-        private static boolean sameGroup(Group group, ServerEntry a, ServerEntry b) {
-            return group == Group.ALL || (group == Group.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
+        private static boolean sameGroup(DeduplicationScope group, ServerEntry a, ServerEntry b) {
+            return group == DeduplicationScope.ALL
+                    || (group == DeduplicationScope.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
         }
 
         private void finish(long id, boolean refusal) {
@@ -150,8 +152,9 @@
             assertTrue(now <= request.deadlineAt + set.tickUs, "rule 1: the answer comes in time");
             if (refusal && request.binding() != null) {
                 assertTrue(
-                        request.cls.repeat() == Repeat.SAFE
-                                || request.cls.repeat() == Repeat.KEYED && request.cls.group() == Group.ALL,
+                        request.cls.idempotency() == Idempotency.IDEMPOTENT
+                                || request.cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                        && request.cls.deduplicationScope() == DeduplicationScope.ALL,
                         "rule 2: a refusal promises that trying again is harmless");
             }
             request.over = true;
@@ -159,7 +162,7 @@
         }
 
         @Override
-        public void refuse(long requestId, long retryAfterUs) {
+        public void reject(long requestId, long retryAfterUs) {
             finish(requestId, true);
         }
 
@@ -170,11 +173,11 @@
 
         @Override
         public void cancel(long requestId, int attempt) {
-            assertTrue(set.cancel);
+            assertTrue(set.cancellation);
             Attempt out = held.get(requestId).attempts.get(attempt);
             if (out.result == null) {
                 answers.removeIf(a -> a[1] == requestId && a[2] == attempt);
-                answers.add(new long[] {now, requestId, attempt, Result.CANCELLED.ordinal()});
+                answers.add(new long[] {now, requestId, attempt, AttemptResult.CANCELLED.ordinal()});
             }
         }
 
@@ -194,7 +197,7 @@
 
         @Override
         public void subscribe() {
-            assertTrue(set.listOnRequest);
+            assertTrue(set.pollsEndpointList);
         }
 
         @Override
@@ -212,7 +215,7 @@
             held.put(id, request);
             balancer.onRequest(
                     now,
-                    new Request(
+                    new BalancerRequest(
                             id,
                             classIndex,
                             random.nextInt(2) - 1,
@@ -253,14 +256,15 @@
         void answer(long[] due) {
             Held request = held.get(due[1]);
             Attempt attempt = request.attempts.get((int) due[2]);
-            attempt.result = Result.values()[(int) due[3]];
-            if (attempt.result == Result.OK && !request.over) {
+            attempt.result = AttemptResult.values()[(int) due[3]];
+            if (attempt.result == AttemptResult.OK && !request.over) {
                 request.over = true;
                 finals++;
                 served++;
             }
             balancer.onOutcome(
-                    now, new Outcome(due[1], (int) due[2], attempt.result, now - attempt.sentAt, request.over, null));
+                    now,
+                    new AttemptOutcome(due[1], (int) due[2], attempt.result, now - attempt.sentAt, request.over, null));
         }
 
         void run(int events) {
@@ -328,18 +332,18 @@
         // do, taking its answers over the servers then ready (three at most: many are always gone) as its
         // part of what a warm one does; two requests more are chance.
         double rate = judge.served / ((judge.now - 5_000_000) / 1e6);
-        Settings set = judge.set;
+        BalancerSettings set = judge.set;
         judge.coldSends.forEach((start, sends) -> {
             for (long[] first : sends) {
                 List<long[]> span = sends.stream()
-                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.fallUs)
+                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.overloadUs)
                         .toList();
                 double ready =
                         Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
-                double age = Math.min(1, (first[0] + set.fallUs - start.startedAtUs()) / (double) set.coldUs);
-                double share = set.coldFrom + (1 - set.coldFrom) * age;
+                double age = Math.min(1, (first[0] + set.overloadUs - start.startedAtUs()) / (double) set.warmUpUs);
+                double share = set.warmUpInitialShare + (1 - set.warmUpInitialShare) * age;
                 assertTrue(
-                        span.size() - 2 <= set.fallMultiple * share * rate / ready * set.fallUs / 1e6,
+                        span.size() - 2 <= set.overloadMultiple * share * rate / ready * set.overloadUs / 1e6,
                         "rule 4: " + span.size() + " sends in one span");
             }
         });
--- a/node/src/test/java/kitemux/RetuningTest.java
+++ b/node/src/test/java/loadbalancer/policy/RetuningTest.java
@@ -1,14 +1,10 @@
-package kitemux;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
 /** Settings that change while requests are open. */
@@ -16,20 +12,20 @@
     private static final int NEW = 5;
 
     /** The usual settings, with one class more at their end. */
-    private static Settings withNew(Repeat repeat) {
-        Settings set = Node.settings();
-        set.classes.add(Node.requestClass("safe", repeat, Group.ALL));
+    private static BalancerSettings withNew(Idempotency repeat) {
+        BalancerSettings set = FakeNode.settings();
+        set.classes.add(FakeNode.requestClass("safe", repeat, DeduplicationScope.ALL));
         return set;
     }
 
     @Test
     void openRequestsKeepTheRulesOfTheirClassAndNewOnesHaveTheNewRules() {
-        Node node = new Node().with(3);
-        long before = node.ask(Node.SAFE);
-        node.balancer.onSettings(node.now, withNew(Repeat.UNSAFE));
+        FakeNode node = new FakeNode().with(3);
+        long before = node.ask(FakeNode.IDEMPOTENT);
+        node.balancer.onSettings(node.now, withNew(Idempotency.NON_IDEMPOTENT));
         long after = node.ask(NEW);
-        node.answer(before, Result.RESET, 1_000);
-        node.answer(after, Result.RESET, 1_000);
+        node.answer(before, AttemptResult.RESET, 1_000);
+        node.answer(after, AttemptResult.RESET, 1_000);
         assertEquals(2, node.attempts(before), "safe when it was asked");
         assertEquals(1, node.attempts(after), "unsafe by now");
         assertEquals(List.of(after), node.failed);
@@ -37,12 +33,12 @@
 
     @Test
     void howLongClientsWaitedByTheOldRulesSaysNothingOfTheNewOnes() {
-        Node node = new Node().with(1);
-        while (node.last(node.ask(Node.UNSAFE)) != null) {
+        FakeNode node = new FakeNode().with(1);
+        while (node.last(node.ask(FakeNode.NON_IDEMPOTENT)) != null) {
             node.advance(1);
         }
-        node.askFor(null, Node.SAFE, 600_000, false);
-        node.balancer.onSettings(node.now, withNew(Repeat.UNSAFE));
+        node.askFor(null, FakeNode.IDEMPOTENT, 600_000, false);
+        node.balancer.onSettings(node.now, withNew(Idempotency.NON_IDEMPOTENT));
         node.askFor(null, NEW, 300_000, false);
         long again = node.askFor(null, NEW, 300_000, true);
         assertTrue(!node.refused.contains(again), "it has what every try has: it is not late");
@@ -50,15 +46,15 @@
 
     @Test
     void openRequestsKeepTheirAttempts() {
-        Node node = new Node().with(6);
-        long before = node.ask(Node.SAFE);
-        Settings fewer = Node.settings();
+        FakeNode node = new FakeNode().with(6);
+        long before = node.ask(FakeNode.IDEMPOTENT);
+        BalancerSettings fewer = FakeNode.settings();
         fewer.maxAttempts = 2;
         node.balancer.onSettings(node.now, fewer);
-        long after = node.ask(Node.SAFE);
+        long after = node.ask(FakeNode.IDEMPOTENT);
         for (long id : new long[] {before, after}) {
             for (int i = 0; i < 4 && !node.refused.contains(id); i++) {
-                node.answer(id, Result.CONNECT_FAILED, 1_000);
+                node.answer(id, AttemptResult.CONNECT_FAILED, 1_000);
             }
         }
         assertEquals(4, node.attempts(before));
@@ -68,57 +64,57 @@
 
     @Test
     void whatWasLearnedOfServersStays() {
-        Node node = new Node().with(3);
+        FakeNode node = new FakeNode().with(3);
         node.ejects("s1");
-        node.balancer.onSettings(node.now, withNew(Repeat.SAFE));
-        assertEquals(1, node.balancer.skipped(), "still ejected");
+        node.balancer.onSettings(node.now, withNew(Idempotency.IDEMPOTENT));
+        assertEquals(1, node.balancer.excludedServers(), "still ejected");
         long before = node.sentTo("s1");
         for (int i = 0; i < 50; i++) {
-            node.serve(NEW, Result.OK, 1_000);
+            node.serve(NEW, AttemptResult.OK, 1_000);
         }
         assertTrue(node.sentTo("s1") - before <= 2, "trials at most");
     }
 
     @Test
     void badSettingsChangeNothing() {
-        Node node = new Node().with(3);
-        Settings bad = Node.settings();
+        FakeNode node = new FakeNode().with(3);
+        BalancerSettings bad = FakeNode.settings();
         bad.maxAttempts = 0;
         assertThrows(IllegalArgumentException.class, () -> node.balancer.onSettings(node.now, bad));
-        long id = node.ask(Node.SAFE);
-        node.answer(id, Result.RESET, 1_000);
+        long id = node.ask(FakeNode.IDEMPOTENT);
+        node.answer(id, AttemptResult.RESET, 1_000);
         assertEquals(2, node.attempts(id));
     }
 
     @Test
     void aRequestWhoseAnswerHasBegunIsNotTriedAgainAndItsOtherAttemptsAreCalledOff() {
-        Node node = new Node().with(3);
+        FakeNode node = new FakeNode().with(3);
         for (int i = 0; i < 100; i++) {
-            node.serve(Node.SAFE, Result.OK, 1_000);
+            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 1_000);
         }
-        long id = node.ask(Node.SAFE);
+        long id = node.ask(FakeNode.IDEMPOTENT);
         node.advance(100_000);
         assertEquals(2, node.attempts(id), "hedged");
         node.balancer.onFirstByte(node.now, id, 1);
         assertEquals(List.of(id + "/0"), node.cancelled);
         node.advance(2_000_000);
-        node.answer(id, Result.RESET, 0);
+        node.answer(id, AttemptResult.RESET, 0);
         assertEquals(2, node.attempts(id));
     }
 
     @Test
     void whatFlowsAtThePaceOfItsTwoEndsTakesNoPlaceAtAServer() {
-        Node node = new Node().with(2);
+        FakeNode node = new FakeNode().with(2);
         for (int i = 0; i < 200; i++) {
-            long id = node.ask(Node.UNSAFE);
+            long id = node.ask(FakeNode.NON_IDEMPOTENT);
             assertEquals(1, node.attempts(id), "request " + i + " waits");
             node.advance(1_000);
             node.balancer.onFirstByte(node.now, id, 0);
         }
         assertEquals(List.of(), node.closed);
         for (long id = 1; id <= 200; id++) {
-            node.answer(id, Result.OK, 1_000);
+            node.answer(id, AttemptResult.OK, 1_000);
         }
-        assertEquals(1, node.attempts(node.ask(Node.UNSAFE)));
+        assertEquals(1, node.attempts(node.ask(FakeNode.NON_IDEMPOTENT)));
     }
 }
--- a/node/src/test/java/kitemux/RulesTest.java
+++ b/node/src/test/java/loadbalancer/policy/RulesTest.java
@@ -1,17 +1,10 @@
-package kitemux;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Request;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -49,8 +42,8 @@
         "4, CANCELLED, failed",
         "4, MOOT, again"
     })
-    void repeatsFollowTheClass(int classIndex, Result result, String then) {
-        Node node = new Node().with(4);
+    void repeatsFollowTheClass(int classIndex, AttemptResult result, String then) {
+        FakeNode node = new FakeNode().with(4);
         long id = node.ask(classIndex);
         node.answer(id, result, 1_000);
         assertEquals(then.equals("again") ? 2 : 1, node.attempts(id));
@@ -60,8 +53,8 @@
 
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsCellAndZone() {
-        for (int classIndex : new int[] {Node.KEYED_CELL, Node.KEYED_ZONE}) {
-            Node node = new Node();
+        for (int classIndex : new int[] {FakeNode.KEYED_CELL, FakeNode.KEYED_ZONE}) {
+            FakeNode node = new FakeNode();
             node.list(
                     ListKind.CACHED,
                     List.of(
@@ -71,7 +64,7 @@
                             in("y", 1, 2, ServerState.READY)));
             long id = node.ask(classIndex);
             String first = node.last(id).server();
-            node.answer(id, Result.RESET, 1_000);
+            node.answer(id, AttemptResult.RESET, 1_000);
             String second = node.last(id).server();
             assertEquals(2, node.attempts(id));
             assertTrue((first + second).matches("ab|ba|xy|yx"), first + second);
@@ -80,43 +73,43 @@
 
     @Test
     void aKeyedRequestThatSurelyNeverRanMayGoAnywhere() {
-        Node node = new Node();
+        FakeNode node = new FakeNode();
         node.list(ListKind.CACHED, List.of(in("a", 0, 1, ServerState.READY), in("x", 1, 2, ServerState.READY)));
-        long id = node.ask(Node.KEYED_CELL);
-        node.answer(id, Result.FULL, 1_000);
+        long id = node.ask(FakeNode.KEYED_CELL);
+        node.answer(id, AttemptResult.FULL, 1_000);
         assertEquals(2, node.attempts(id));
     }
 
     @Test
     void aKeyedRequestIsNotRepeatedAfterItsWindowAndRefusedOnlyIfAllDropRepeats() {
-        for (int classIndex : new int[] {Node.KEYED_ALL, Node.KEYED_CELL}) {
-            Node node = new Node().with(3);
+        for (int classIndex : new int[] {FakeNode.KEYED_ALL, FakeNode.KEYED_CELL}) {
+            FakeNode node = new FakeNode().with(3);
             long id = node.ask(classIndex);
-            node.answer(id, Result.ERROR, 400_001);
+            node.answer(id, AttemptResult.ERROR, 400_001);
             assertEquals(1, node.attempts(id));
-            assertEquals(classIndex == Node.KEYED_ALL ? List.of(id) : List.of(), node.refused);
-            assertEquals(classIndex == Node.KEYED_ALL ? List.of() : List.of(id), node.failed);
+            assertEquals(classIndex == FakeNode.KEYED_ALL ? List.of(id) : List.of(), node.refused);
+            assertEquals(classIndex == FakeNode.KEYED_ALL ? List.of() : List.of(id), node.failed);
         }
     }
 
     @Test
     void theWindowCountsFromTheFirstAttemptThatMayHaveRun() {
-        Node node = new Node().with(4);
-        long id = node.ask(Node.KEYED_ALL);
-        node.answer(id, Result.CONNECT_FAILED, 300_000);
-        node.answer(id, Result.ERROR, 300_000);
+        FakeNode node = new FakeNode().with(4);
+        long id = node.ask(FakeNode.KEYED_ALL);
+        node.answer(id, AttemptResult.CONNECT_FAILED, 300_000);
+        node.answer(id, AttemptResult.ERROR, 300_000);
         assertEquals(3, node.attempts(id));
-        node.answer(id, Result.ERROR, 100_001);
+        node.answer(id, AttemptResult.ERROR, 100_001);
         assertEquals(3, node.attempts(id));
     }
 
     @Test
     void aTimeOutAtTheDeadlineIsAnsweredAtOnceAndNothingFollows() {
-        Node node = new Node().with(3);
-        long safe = node.ask(Node.SAFE, 100_000);
-        long unsafe = node.ask(Node.UNSAFE, 100_000);
-        node.answer(safe, Result.TIMEOUT, 100_000);
-        node.answer(unsafe, Result.TIMEOUT, 0);
+        FakeNode node = new FakeNode().with(3);
+        long safe = node.ask(FakeNode.IDEMPOTENT, 100_000);
+        long unsafe = node.ask(FakeNode.NON_IDEMPOTENT, 100_000);
+        node.answer(safe, AttemptResult.TIMEOUT, 100_000);
+        node.answer(unsafe, AttemptResult.TIMEOUT, 0);
         assertEquals(List.of(safe), node.refused);
         assertEquals(List.of(unsafe), node.failed);
         node.advance(1_000_000);
@@ -125,31 +118,34 @@
 
     @Test
     void noAttemptIsSentToEndAfterTheClientsTime() {
-        Node node = new Node().with(3);
-        long id = node.ask(Node.SAFE, 123_000);
+        FakeNode node = new FakeNode().with(3);
+        long id = node.ask(FakeNode.IDEMPOTENT, 123_000);
         assertEquals(node.now + 123_000, node.last(id).untilUs());
     }
 
     @Test
     void nothingIsOwedToAClientThatHasGone() {
-        Node node = new Node().with(1);
-        long id = node.ask(Node.SAFE);
+        FakeNode node = new FakeNode().with(1);
+        long id = node.ask(FakeNode.IDEMPOTENT);
         node.balancer.onClientGone(node.now, id);
-        node.answer(id, Result.ERROR, 1_000);
+        node.answer(id, AttemptResult.ERROR, 1_000);
         node.advance(2_000_000);
         assertEquals(1, node.attempts(id));
         assertTrue(node.refused.isEmpty() && node.failed.isEmpty());
         node.balancer.onClientGone(node.now, id);
-        node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.OK, 1, true, null));
+        node.balancer.onOutcome(node.now, new AttemptOutcome(id, 0, AttemptResult.OK, 1, true, null));
     }
 
     @Test
     void nothingGoesToADrainingOrGoneServer() {
         for (ServerState state : new ServerState[] {ServerState.DRAINING, ServerState.GONE}) {
-            Node node = new Node().with(2);
+            FakeNode node = new FakeNode().with(2);
             node.list(ListKind.CHANGES, List.of(in("s0", 0, 0, state)));
             for (int i = 0; i < 50; i++) {
-                assertEquals("s1", node.serve(Node.UNSAFE, i % 3 == 0 ? Result.ERROR : Result.OK, 1_000));
+                assertEquals(
+                        "s1",
+                        node.serve(
+                                FakeNode.NON_IDEMPOTENT, i % 3 == 0 ? AttemptResult.ERROR : AttemptResult.OK, 1_000));
                 node.advance(1_100_000);
             }
         }
@@ -157,10 +153,10 @@
 
     @Test
     void serversThatComeAndGoLeaveNothingBehind() throws ReflectiveOperationException {
-        Node node = new Node().with(1);
+        FakeNode node = new FakeNode().with(1);
         for (int i = 0; i < 500; i++) {
-            node.list(ListKind.CHANGES, List.of(Node.server("t" + i)));
-            node.serve(Node.UNSAFE, Result.ERROR, 1_000);
+            node.list(ListKind.CHANGES, List.of(FakeNode.server("t" + i)));
+            node.serve(FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR, 1_000);
             node.list(ListKind.CHANGES, List.of(in("t" + i, 0, 0, ServerState.GONE)));
         }
         var known = ServiceQBalancer.class.getDeclaredField("byId");
@@ -170,57 +166,57 @@
 
     @Test
     void aServerThatAFullListLeavesOutHasGone() {
-        Node node = new Node().with(2);
-        node.list(ListKind.FULL, List.of(Node.server("s1")));
+        FakeNode node = new FakeNode().with(2);
+        node.list(ListKind.FULL, List.of(FakeNode.server("s1")));
         for (int i = 0; i < 20; i++) {
-            assertEquals("s1", node.serve(Node.SAFE, Result.OK, 1_000));
+            assertEquals("s1", node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 1_000));
         }
     }
 
     @Test
     void aListOnRequestIsAskedForAtOnceAndAgainAfterFailuresWithGrowingJitteredWaits() {
-        Settings set = Node.settings();
-        set.listOnRequest = true;
-        Node node = new Node(set, 1).with(1);
+        BalancerSettings set = FakeNode.settings();
+        set.pollsEndpointList = true;
+        FakeNode node = new FakeNode(set, 1).with(1);
         assertEquals(1, node.subscriptions);
         for (int failures = 1; failures <= 6; failures++) {
             node.balancer.onListFailed(node.now);
             assertEquals(failures, node.subscriptions);
-            node.advance(set.askWithinUs / 2);
+            node.advance(set.pollIntervalUs / 2);
             assertEquals(failures + 1, node.subscriptions);
         }
         node.list(ListKind.CHANGES, List.of());
-        node.advance(10 * set.askWithinUs);
+        node.advance(10 * set.pollIntervalUs);
         assertEquals(7, node.subscriptions);
     }
 
     @Test
     void aCallThatIsNeverAnsweredIsMadeAgainInsideTheTimeAllowed() {
-        Settings set = Node.settings();
-        set.listOnRequest = true;
-        Node node = new Node(set, 1).with(1);
-        node.advance(set.askWithinUs - 1);
+        BalancerSettings set = FakeNode.settings();
+        set.pollsEndpointList = true;
+        FakeNode node = new FakeNode(set, 1).with(1);
+        node.advance(set.pollIntervalUs - 1);
         assertTrue(node.subscriptions >= 2);
     }
 
     @Test
     void settingsAndRequestsOutOfRangeAreRejectedByName() {
-        Settings none = new Settings();
-        assertThrows(IllegalArgumentException.class, () -> new Node(none, 1));
-        Settings negative = Node.settings();
-        negative.coldUs = -1;
-        assertThrows(IllegalArgumentException.class, () -> new Node(negative, 1));
-        Settings zone = Node.settings();
-        zone.myZone = 9;
-        assertThrows(IllegalArgumentException.class, () -> new Node(zone, 1));
-        Node node = new Node().with(1);
+        BalancerSettings none = new BalancerSettings();
+        assertThrows(IllegalArgumentException.class, () -> new FakeNode(none, 1));
+        BalancerSettings negative = FakeNode.settings();
+        negative.warmUpUs = -1;
+        assertThrows(IllegalArgumentException.class, () -> new FakeNode(negative, 1));
+        BalancerSettings zone = FakeNode.settings();
+        zone.localZone = 9;
+        assertThrows(IllegalArgumentException.class, () -> new FakeNode(zone, 1));
+        FakeNode node = new FakeNode().with(1);
         assertThrows(IllegalArgumentException.class, () -> node.ask(99));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> node.balancer.onRequest(node.now, new Request(5, 0, 7, 1_000, 0, false, null)));
-        node.balancer.onRequest(node.now, new Request(6, 0, -1, 1_000_000, 0, false, null));
+                () -> node.balancer.onRequest(node.now, new BalancerRequest(5, 0, 7, 1_000, 0, false, null)));
+        node.balancer.onRequest(node.now, new BalancerRequest(6, 0, -1, 1_000_000, 0, false, null));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> node.balancer.onRequest(node.now, new Request(6, 0, -1, 1_000_000, 0, false, null)));
+                () -> node.balancer.onRequest(node.now, new BalancerRequest(6, 0, -1, 1_000_000, 0, false, null)));
     }
 }
--- a/node/src/test/java/kitemux/node/ClassListTest.java
+++ b/node/src/test/java/loadbalancer/process/ClassListTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import kitemux.Main;
+import loadbalancer.Main;
 import org.junit.jupiter.api.Test;
 
 /** The list from which the class-data archive is made: what it lacks makes every start of a node longer. */
@@ -23,7 +23,7 @@
                 Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         Set<String> listed = Set.copyOf(Files.readAllLines(Path.of("deploy/classes.lst")));
         List<String> built = built(classes);
-        assertTrue(built.contains("kitemux/node/Node"), built.toString());
+        assertTrue(built.contains("loadbalancer/process/Node"), built.toString());
         List<String> missing =
                 built.stream().filter(name -> !listed.contains(name)).toList();
         assertEquals(List.of(), missing, "make the list anew, as the README says");
@@ -36,7 +36,7 @@
     @Test
     void everyLambdaThatTheListNamesIsThereStill() throws Exception {
         List<String> lambdas = Files.readAllLines(Path.of("deploy/classes.lst")).stream()
-                .filter(line -> line.startsWith("@lambda-proxy kitemux/") && line.contains(" lambda$"))
+                .filter(line -> line.startsWith("@lambda-proxy loadbalancer/") && line.contains(" lambda$"))
                 .toList();
         assertTrue(lambdas.size() > 50, "lambdas named: " + lambdas.size());
         for (String line : lambdas) {
@@ -59,15 +59,16 @@
     }
 
     private static boolean isOffByDefault(String name) {
-        return name.startsWith("kitemux/core/") || name.startsWith("kitemux/members/");
+        return name.startsWith("loadbalancer/membership/");
     }
 
     /** The adapter's are left out, as no node loads them, and cores that are off by default. */
     private static List<String> built(Path classes) throws IOException {
-        try (Stream<Path> files = Files.walk(classes.resolve("kitemux"))) {
+        try (Stream<Path> files = Files.walk(classes.resolve("loadbalancer"))) {
             return files.map(file -> classes.relativize(file).toString().replace('\\', '/'))
-                    .filter(name ->
-                            name.endsWith(".class") && !name.startsWith("kitemux/adapter/") && !isOffByDefault(name))
+                    .filter(name -> name.endsWith(".class")
+                            && !name.startsWith("loadbalancer/simulator/")
+                            && !isOffByDefault(name))
                     .map(name -> name.substring(0, name.length() - ".class".length()))
                     .sorted()
                     .collect(Collectors.toList());
--- a/node/src/test/java/kitemux/node/ClientServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ClientServerTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,6 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.client.RequestReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/node/src/test/java/kitemux/node/Early.java
+++ b/node/src/test/java/loadbalancer/process/Early.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/node/src/test/java/kitemux/node/EndingTest.java
+++ b/node/src/test/java/loadbalancer/process/EndingTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,6 +9,7 @@
 import java.net.Socket;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.client.PipelinedMessages;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -165,7 +166,7 @@
 
     @Test
     void whatAClientSendsAheadIsBounded() {
-        SentAhead ahead = new SentAhead();
+        PipelinedMessages ahead = new PipelinedMessages();
         int parts = 0;
         while (!ahead.isFull()) {
             ahead.add(LastHttpContent.EMPTY_LAST_CONTENT, 0);
--- a/node/src/test/java/kitemux/node/FarServer.java
+++ b/node/src/test/java/loadbalancer/process/FarServer.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
@@ -15,44 +15,44 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A server, or discovery, that a test plays: it notes what comes, and a script answers. */
-final class FarServer implements AutoCloseable {
+public final class FarServer implements AutoCloseable {
     /** What to do about a request. */
-    interface Script {
+    public interface Script {
         void answer(Http.Message request, Peer peer) throws IOException;
     }
 
     /** One connection that a node has opened. */
-    record Peer(Socket socket) {
-        void write(String text) throws IOException {
+    public record Peer(Socket socket) {
+        public void write(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
         /** Breaks the connection. */
-        void reset() throws IOException {
+        public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
     }
 
-    final BlockingQueue<Http.Message> requests = new LinkedBlockingQueue<>();
-    final BlockingQueue<Peer> peers = new LinkedBlockingQueue<>();
-    final BlockingQueue<Peer> ended = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Http.Message> requests = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Peer> peers = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Peer> ended = new LinkedBlockingQueue<>();
     final AtomicInteger connections = new AtomicInteger();
     private final Queue<Socket> open = new ConcurrentLinkedQueue<>();
     private final ServerSocket listening;
     private final Script script;
 
-    FarServer(Script script) throws IOException {
+    public FarServer(Script script) throws IOException {
         this.script = script;
         listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         daemon(this::accept);
     }
 
-    static FarServer serving(String body) throws IOException {
+    public static FarServer serving(String body) throws IOException {
         return new FarServer((request, peer) -> peer.write(Http.ok(body)));
     }
 
-    String endpoint() {
+    public String endpoint() {
         return "127.0.0.1:" + listening.getLocalPort();
     }
 
@@ -89,14 +89,14 @@
         }
     }
 
-    static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
+    public static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(20, TimeUnit.SECONDS);
         assertNotNull(next, "nothing came");
         return next;
     }
 
     /** The process has ended: connections break and new ones are refused. */
-    void stop() throws IOException {
+    public void stop() throws IOException {
         listening.close();
         for (Socket socket : open) {
             socket.close();
--- a/node/src/test/java/kitemux/node/Http.java
+++ b/node/src/test/java/loadbalancer/process/Http.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import java.io.ByteArrayOutputStream;
 import java.io.EOFException;
@@ -10,22 +10,22 @@
 import java.util.TreeMap;
 
 /** HTTP/1.1 messages as bytes, for the far sides of a node under test. */
-final class Http {
+public final class Http {
     private Http() {}
 
     /** A message; header names are in small letters. */
-    record Message(String start, Map<String, String> headers, String body) {
-        int status() {
+    public record Message(String start, Map<String, String> headers, String body) {
+        public int status() {
             return Integer.parseInt(start.split(" ")[1]);
         }
 
-        String path() {
+        public String path() {
             return start.split(" ")[1];
         }
     }
 
     /** Reads one message whole; an answer that ends with its connection says so. */
-    static Message read(InputStream in) throws IOException {
+    public static Message read(InputStream in) throws IOException {
         Message head = readHead(in);
         return new Message(head.start, head.headers, new String(readBody(in, head), StandardCharsets.ISO_8859_1));
     }
@@ -78,24 +78,24 @@
         return line.toString(StandardCharsets.UTF_8).stripTrailing();
     }
 
-    static String ok(String body) {
+    public static String ok(String body) {
         return answer("200 OK", "", body);
     }
 
-    static String answer(String status, String headers, String body) {
+    public static String answer(String status, String headers, String body) {
         return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static String page(String txn) {
+    public static String page(String txn) {
         return page("/api/page", txn, "400m");
     }
 
-    static String page(String uri, String txn, String remaining) {
+    public static String page(String uri, String txn, String remaining) {
         return "GET " + uri + " HTTP/1.1\r\nHost: backend.local\r\nX-Txn: " + txn
                 + "\r\nX-Lane: page\r\nX-Org: org\r\nX-Remaining: " + remaining + "\r\n\r\n";
     }
 
-    static String order(String txn, String remaining) {
+    public static String order(String txn, String remaining) {
         return "POST /api/order HTTP/1.1\r\nHost: backend.local\r\nX-Txn: " + txn
                 + "\r\nX-Lane: order\r\nX-Org: org\r\nX-Remaining: " + remaining
                 + "\r\nContent-Length: 2\r\n\r\nab";
--- a/node/src/test/java/kitemux/node/LargeBodyTest.java
+++ b/node/src/test/java/loadbalancer/process/LargeBodyTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/node/src/test/java/kitemux/node/LargeListTest.java
+++ b/node/src/test/java/loadbalancer/process/LargeListTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-import kitemux.Main;
+import loadbalancer.Main;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/node/src/test/java/kitemux/node/LateConnectionTest.java
+++ b/node/src/test/java/loadbalancer/process/LateConnectionTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,11 +16,12 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
-import kitemux.Balancer;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.RequestClass;
-import kitemux.ServiceQBalancer;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.BalancerActions;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.ServiceQBalancer;
 import org.junit.jupiter.api.Test;
 
 /** Connections to servers that come up once what they were opened for has changed. */
@@ -83,9 +84,9 @@
     }
 
     /** The module, with a permit for each attempt that it has started. */
-    private static Balancer counting(Site site, Balancer.Actions actions, Semaphore started) {
-        return new ServiceQBalancer(site.settings, 7, (Balancer.Actions) Proxy.newProxyInstance(
-                Balancer.class.getClassLoader(), new Class<?>[] {Balancer.Actions.class}, (proxy, method, args) -> {
+    private static Balancer counting(Site site, BalancerActions actions, Semaphore started) {
+        return new ServiceQBalancer(site.settings, 7, (BalancerActions) Proxy.newProxyInstance(
+                Balancer.class.getClassLoader(), new Class<?>[] {BalancerActions.class}, (proxy, method, args) -> {
                     try {
                         Object result = method.invoke(actions, args);
                         started.release(method.getName().equals("send") ? 1 : 0);
@@ -114,7 +115,16 @@
             site.settings.classes.set(
                     1,
                     new RequestClass(
-                            "photo", 1_000_000, 0, 15_000_000, 1, 0, Repeat.KEYED, Group.CELL, 900_000, false));
+                            "photo",
+                            1_000_000,
+                            0,
+                            15_000_000,
+                            1,
+                            0,
+                            Idempotency.IDEMPOTENT_WITH_KEY,
+                            DeduplicationScope.CELL,
+                            900_000,
+                            false));
             site.module = actions -> counting(site, actions, started);
             site.start(first);
             FarServer.Peer watch = FarServer.next(site.discovery.peers);
--- a/node/src/test/java/kitemux/node/NodeTest.java
+++ b/node/src/test/java/loadbalancer/process/NodeTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -10,9 +10,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-import kitemux.Balancer;
-import kitemux.Main;
-import kitemux.ServiceQBalancer;
+import loadbalancer.Main;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.ServiceQBalancer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -118,7 +118,7 @@
                 FarServer.next(before.requests);
                 Files.writeString(file, "{");
                 hangUp(process);
-                awaitLine(process, "kitemux: reload: PROXY_CONFIG is not JSON");
+                awaitLine(process, "load-balancer: reload: PROXY_CONFIG is not JSON");
                 assertTrue(before.ended.isEmpty(), "a file that cannot be read changes nothing");
                 Files.writeString(file, config(after.endpoint()));
                 hangUp(process);
--- a/node/src/test/java/kitemux/node/ReloadTest.java
+++ b/node/src/test/java/loadbalancer/process/ReloadTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -10,6 +10,8 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
+import loadbalancer.config.ConfigException;
+import loadbalancer.config.NodeConfig;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
--- a/node/src/test/java/kitemux/node/RestartTest.java
+++ b/node/src/test/java/loadbalancer/process/RestartTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -23,7 +23,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
-import kitemux.Main;
+import loadbalancer.Main;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -227,7 +227,7 @@
                 String line = process.inputReader().readLine();
                 assertTrue(process.waitFor(20, TimeUnit.SECONDS));
                 assertEquals(2, process.exitValue());
-                assertTrue(line.startsWith("kitemux: PROXY_SOCKET_FD "), line);
+                assertTrue(line.startsWith("load-balancer: PROXY_SOCKET_FD "), line);
                 assertFalse(line.isBlank());
             }
         }
--- a/node/src/test/java/kitemux/node/Site.java
+++ b/node/src/test/java/loadbalancer/process/Site.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,68 +15,72 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import kitemux.Balancer;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.Settings;
-import kitemux.Balancer.Tenant;
-import kitemux.ServiceQBalancer;
-import kitemux.loop.MeasuredEventLoop;
+import loadbalancer.config.ConfigAddresses;
+import loadbalancer.config.NodeConfig;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.eventloop.MeasuredEventLoop;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.BalancerActions;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.ServiceQBalancer;
+import loadbalancer.policy.Tenant;
 
 /** A node on loopback sockets with the servers that its list names and a discovery that a test plays. */
-final class Site implements AutoCloseable {
-    final Settings settings = new Settings();
-    final FarServer discovery;
-    final MeasuredEventLoop loop = new MeasuredEventLoop("node", false);
+public final class Site implements AutoCloseable {
+    public final BalancerSettings settings = new BalancerSettings();
+    public final FarServer discovery;
+    public final MeasuredEventLoop loop = new MeasuredEventLoop("node", false);
     int sockets = 256;
-    long connIdleUs = 60_000_000;
+    public long connIdleUs = 60_000_000;
     /** The decision module; a test may put a faulty one in its place. */
-    Function<Balancer.Actions, Balancer> module;
+    public Function<BalancerActions, Balancer> module;
     /** Whether the node has an address for operators, and what it shares with other processes of the node. */
     boolean operated;
 
     Path folder;
     Set<String> keys = Set.of();
-    Node node;
+    public Node node;
     InetSocketAddress control;
     private InetSocketAddress address;
     private final List<Socket> clients = new ArrayList<>();
 
-    Site(FarServer discovery) {
+    public Site(FarServer discovery) {
         this.discovery = discovery;
         module = actions -> new ServiceQBalancer(settings, 7, actions);
         settings.zones.add("here");
-        settings.classes.add(requestClass("page", Repeat.SAFE, Group.ALL));
-        settings.classes.add(requestClass("photo", Repeat.KEYED, Group.CELL));
-        settings.classes.add(requestClass("order", Repeat.UNSAFE, Group.ALL));
+        settings.classes.add(requestClass("page", Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
+        settings.classes.add(requestClass("photo", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL));
+        settings.classes.add(requestClass("order", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL));
         settings.tenants.add(new Tenant("org"));
         settings.maxAttempts = 4;
-        settings.cancel = true;
+        settings.cancellation = true;
         settings.maxRetryAfterUs = 250_000;
         settings.connectTimeoutUs = 5_000_000;
-        settings.listOnRequest = true;
+        settings.pollsEndpointList = true;
     }
 
-    private static RequestClass requestClass(String name, Repeat repeat, Group group) {
+    private static RequestClass requestClass(String name, Idempotency repeat, DeduplicationScope group) {
         return new RequestClass(name, 1_000_000, 0, 5_000_000, 1, 0, repeat, group, 1_200_000, false);
     }
 
     /** A site whose discovery opens a watch and says nothing on it. */
-    static Site quiet() throws IOException {
+    public static Site quiet() throws IOException {
         return new Site(new FarServer((request, peer) -> peer.write(watchHead())));
     }
 
-    static String watchHead() {
+    public static String watchHead() {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     }
 
-    static String chunk(String text) {
+    public static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
     /** A list whose entries are id=endpoint=state. */
-    static String list(int rev, boolean all, String... entries) {
+    public static String list(int rev, boolean all, String... entries) {
         StringBuilder targets = new StringBuilder();
         for (String entry : entries) {
             String[] parts = entry.split("=");
@@ -96,14 +100,14 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    NodeConfig config(String known) throws Exception {
+    public NodeConfig config(String known) throws Exception {
         return new NodeConfig(
                 anyPort(),
-                Addresses.parse("discovery", discovery.endpoint()),
+                ConfigAddresses.parse("discovery", discovery.endpoint()),
                 7,
                 sockets,
                 connIdleUs,
-                HostList.decode(new ObjectMapper().readTree(known), settings.zones, ""),
+                EndpointList.decode(new ObjectMapper().readTree(known), settings.zones, ""),
                 settings,
                 keys,
                 new NodeConfig.Operators(operated ? anyPort() : null, folder, false),
@@ -111,7 +115,7 @@
     }
 
     /** Starts the node with the servers s0, s1, ... */
-    Site start(FarServer... servers) throws Exception {
+    public Site start(FarServer... servers) throws Exception {
         String[] entries = new String[servers.length];
         for (int i = 0; i < servers.length; i++) {
             entries[i] = "s" + i + "=" + servers[i].endpoint() + "=Ready";
@@ -119,7 +123,7 @@
         return startKnowing(list(1, true, entries));
     }
 
-    Site startKnowing(String known) throws Exception {
+    public Site startKnowing(String known) throws Exception {
         control(known);
         return begin();
     }
@@ -137,7 +141,7 @@
         return this;
     }
 
-    Socket connect() throws IOException {
+    public Socket connect() throws IOException {
         Socket client = new Socket(address.getAddress(), address.getPort());
         client.setSoTimeout(20_000);
         clients.add(client);
@@ -178,7 +182,7 @@
     }
 
     /** Keeps the node's one loop from running until the latch is down: it meets all that comes at once. */
-    CountDownLatch holdLoop() throws InterruptedException {
+    public CountDownLatch holdLoop() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(() -> {
@@ -198,17 +202,17 @@
         loop.submit(() -> {}).sync();
     }
 
-    static Http.Message ask(Socket client, String request) throws IOException {
+    public static Http.Message ask(Socket client, String request) throws IOException {
         write(client, request);
         return Http.read(client.getInputStream());
     }
 
-    static void write(Socket client, String text) throws IOException {
+    public static void write(Socket client, String text) throws IOException {
         client.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** One request on a connection of its own. */
-    Http.Message ask(String request) throws IOException {
+    public Http.Message ask(String request) throws IOException {
         return ask(connect(), request);
     }
 
--- a/node/src/test/java/kitemux/node/SmallHeapTest.java
+++ b/node/src/test/java/loadbalancer/process/SmallHeapTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -22,7 +22,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import kitemux.Main;
+import loadbalancer.Main;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
