--- a/node/src/test/java/kitemux/node/StalledLoopTest.java
+++ b/node/src/test/java/loadbalancer/process/StalledLoopTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,9 +11,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Function;
-import kitemux.Balancer;
-import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Result;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.BalancerActions;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -46,8 +47,8 @@
             assertEquals(200, Http.read(client.getInputStream()).status());
             FarServer.next(server.requests);
             String left = FarServer.next(server.requests).headers().get("x-remaining");
-            long leftUs = Long.parseLong(left.substring(0, left.length() - 1));
-            assertTrue(leftUs <= 15_000_000 - STALL_MS * 1_000, "told " + left);
+            long remainingUs = Long.parseLong(left.substring(0, left.length() - 1));
+            assertTrue(remainingUs <= 15_000_000 - STALL_MS * 1_000, "told " + left);
         }
     }
 
@@ -85,8 +86,8 @@
             assertEquals(200, Http.read(client.getInputStream()).status());
             FarServer.next(server.requests);
             String left = FarServer.next(server.requests).headers().get("x-remaining");
-            long leftUs = Long.parseLong(left.substring(0, left.length() - 1));
-            assertTrue(leftUs <= 15_000_000 - STALL_MS * 1_000, "told " + left);
+            long remainingUs = Long.parseLong(left.substring(0, left.length() - 1));
+            assertTrue(remainingUs <= 15_000_000 - STALL_MS * 1_000, "told " + left);
         }
     }
 
@@ -101,7 +102,7 @@
                     peer.write(Http.ok("x"));
                 });
                 Site site = Site.quiet()) {
-            Function<Balancer.Actions, Balancer> module = site.module;
+            Function<BalancerActions, Balancer> module = site.module;
             site.module = actions -> onTimeout(module.apply(actions), () -> {
                 // Whatever was written by now has come to the server.
                 stall(new CountDownLatch(1));
@@ -130,7 +131,8 @@
     private static Balancer onTimeout(Balancer module, Runnable then) {
         return (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, arguments) -> {
-                    if (method.getName().equals("onOutcome") && ((Outcome) arguments[1]).result() == Result.TIMEOUT) {
+                    if (method.getName().equals("onOutcome")
+                            && ((AttemptOutcome) arguments[1]).result() == AttemptResult.TIMEOUT) {
                         then.run();
                     }
                     return method.invoke(module, arguments);
--- a/node/src/test/java/kitemux/node/RehearsalTest.java
+++ b/node/src/test/java/loadbalancer/process/WarmUpTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What a starting process does before it listens. */
-class RehearsalTest {
+class WarmUpTest {
 
     @Test
     void requestsAreServedWithNoWordToDiscovery() throws Exception {
         try (Site site = Site.quiet()) {
-            assertTrue(Rehearsal.play(site.config(Site.list(1, true)), site.loop) > 0);
+            assertTrue(WarmUp.play(site.config(Site.list(1, true)), site.loop) > 0);
             assertEquals(0, site.discovery.connections.get());
         }
     }
@@ -24,7 +24,7 @@
         try (Site site = Site.quiet()) {
             // The loop stands still for most of the time, as it does where the process has a part of a core.
             site.loop.scheduleWithFixedDelay(() -> LockSupport.parkNanos(2_000_000), 0, 1, TimeUnit.MICROSECONDS);
-            assertEquals(Rehearsal.REQUESTS, Rehearsal.play(site.config(Site.list(1, true)), site.loop));
+            assertEquals(WarmUp.REQUESTS, WarmUp.play(site.config(Site.list(1, true)), site.loop));
         }
     }
 
--- a/node/src/test/java/kitemux/adapter/LinkTest.java
+++ b/node/src/test/java/loadbalancer/simulator/SimulatorConnectionTest.java
@@ -1,4 +1,4 @@
-package kitemux.adapter;
+package loadbalancer.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The adapter on small pieces of the wire. */
-class LinkTest {
+class SimulatorConnectionTest {
     private static final String BOOT = "boot node=node-3 initSeed=5 balancers=1 classes.count=1"
             + " classes.0.name=view"
             + " classes.0.giveUpUs=500000 classes.0.onTimeUs=100000 classes.0.repeat=safe unknown.key=1"
@@ -27,7 +27,7 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
     private String run(String input) throws Exception {
-        new Link(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorConnection(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
--- a/node/src/test/java/kitemux/adapter/WireBytesTest.java
+++ b/node/src/test/java/loadbalancer/simulator/WireBytesTest.java
@@ -1,4 +1,4 @@
-package kitemux.adapter;
+package loadbalancer.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,12 +7,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.ReportField;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.Settings;
-import kitemux.Balancer.Tenant;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.LoadReportField;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.Tenant;
+import loadbalancer.settings.SettingsReader;
 import org.junit.jupiter.api.Test;
 
 /** The simulator's words as they go over its wire and stand in its settings, byte for byte. */
@@ -21,13 +22,13 @@
     @Test
     void everyActionHasItsLine() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Reply reply = new Reply(out);
+        WireLineWriter reply = new WireLineWriter(out);
         reply.actFor("node-3");
         reply.send(0xb7c6f2075d3a91c4L, "10.0.0.7:8003", 7, 1_240_000);
         reply.send(1, "s\u00e9", Long.MAX_VALUE, 0);
         reply.cancel(2, 10);
-        reply.refuse(3, 0);
-        reply.refuse(3, 250_000);
+        reply.reject(3, 0);
+        reply.reject(3, 250_000);
         reply.fail(4);
         reply.wakeAt(99);
         reply.probe("a:1");
@@ -55,7 +56,7 @@
 
     @Test
     void everySettingHasItsName() throws Exception {
-        Settings set = BootInfo.read(Map.ofEntries(
+        BalancerSettings set = SettingsReader.read(Map.ofEntries(
                 Map.entry("balancers", "9"),
                 Map.entry("me", "4"),
                 Map.entry("zones", "east,west"),
@@ -102,34 +103,45 @@
                 Map.entry("extra.warmKeys", "true"),
                 Map.entry("report.fields", "concurrent,depth,load_share,mean_ms,tps,err_ps,odd")));
         assertEquals(9, set.nodes);
-        assertEquals(4, set.me);
+        assertEquals(4, set.nodeIndex);
         assertEquals(List.of("east", "west"), set.zones);
-        assertEquals(1, set.myZone);
+        assertEquals(1, set.localZone);
         assertEquals(
                 List.of(
-                        new RequestClass("view", 1, 2.5, 3, 4, 0.5, Repeat.KEYED, Group.CELL, 6, true),
-                        new RequestClass("a", 1, 0, 2, 1, 0, Repeat.SAFE, Group.ALL, 0, false),
-                        new RequestClass("b", 1, 0, 2, 1, 0, Repeat.UNSAFE, Group.ZONE, 0, false)),
+                        new RequestClass(
+                                "view",
+                                1,
+                                2.5,
+                                3,
+                                4,
+                                0.5,
+                                Idempotency.IDEMPOTENT_WITH_KEY,
+                                DeduplicationScope.CELL,
+                                6,
+                                true),
+                        new RequestClass("a", 1, 0, 2, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
+                        new RequestClass(
+                                "b", 1, 0, 2, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ZONE, 0, false)),
                 set.classes);
         assertEquals(List.of(new Tenant("t")), set.tenants);
-        assertEquals(true, set.worthByWork);
+        assertEquals(true, set.weightByWork);
         assertEquals(7, set.maxAttempts);
-        assertEquals(true, set.secondCopies);
-        assertEquals(true, set.cancel);
+        assertEquals(true, set.hedging);
+        assertEquals(true, set.cancellation);
         assertEquals(true, set.probes);
         assertEquals(8, set.maxRetryAfterUs);
         assertEquals(10, set.tickUs);
         assertEquals(11, set.connectTimeoutUs);
-        assertEquals(true, set.listOnRequest);
-        assertEquals(12, set.askWithinUs);
+        assertEquals(true, set.pollsEndpointList);
+        assertEquals(12, set.pollIntervalUs);
         assertEquals(13, set.drainGraceUs);
-        assertEquals(0.25, set.coldFrom);
-        assertEquals(14, set.coldUs);
-        assertEquals(3.5, set.fallMultiple);
-        assertEquals(15, set.fallUs);
-        assertEquals(0.125, set.crossZonePrice);
-        assertEquals(true, set.warmKeys);
-        assertEquals(List.of(ReportField.values()), set.reportFields);
+        assertEquals(0.25, set.warmUpInitialShare);
+        assertEquals(14, set.warmUpUs);
+        assertEquals(3.5, set.overloadMultiple);
+        assertEquals(15, set.overloadUs);
+        assertEquals(0.125, set.crossZoneCost);
+        assertEquals(true, set.keyAffinity);
+        assertEquals(List.of(LoadReportField.values()), set.reportFields);
     }
 
     /** One instance through every kind of event; the answer is written out whole. */
@@ -165,7 +177,7 @@
                 eob
                 """;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Link(new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorConnection(new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)), out).run();
         assertEquals("""
                 track node=n want=1
                 remind node=n dueAtUs=6000000 label=w
--- a/node/src/test/java/kitemux/node/LoadReportTest.java
+++ b/node/src/test/java/loadbalancer/upstream/LoadReportDecoderTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -8,39 +8,50 @@
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
-import kitemux.Balancer;
-import kitemux.Balancer.ReportField;
-import kitemux.ServiceQBalancer;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.LoadReportField;
+import loadbalancer.policy.ServiceQBalancer;
+import loadbalancer.process.FarServer;
+import loadbalancer.process.Http;
+import loadbalancer.process.Site;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class LoadReportTest {
-    private static final List<ReportField> FIELDS = List.of(ReportField.QUEUED, ReportField.IN_FLIGHT);
+class LoadReportDecoderTest {
+    private static final List<LoadReportField> FIELDS = List.of(LoadReportField.QUEUED, LoadReportField.IN_FLIGHT);
 
     @Test
     void figuresComeInTheOrderOfTheSettings() {
-        assertArrayEquals(new double[] {2, 7.5}, LoadReport.decode("TEXT concurrent=7.5, depth=2", FIELDS));
-        assertArrayEquals(new double[] {2, 7}, LoadReport.decode("TEXT inflight=7, queue=2, util=0.61, new=1", FIELDS));
-        assertArrayEquals(new double[] {Double.NaN, 7}, LoadReport.decode("TEXT concurrent=7", FIELDS));
+        assertArrayEquals(
+                new double[] {2, 7.5},
+                LoadReportDecoder.decode("TEXT concurrent=7.5, depth=2", FIELDS).values());
+        assertArrayEquals(
+                new double[] {2, 7},
+                LoadReportDecoder.decode("TEXT inflight=7, queue=2, util=0.61, new=1", FIELDS)
+                        .values());
+        assertArrayEquals(
+                new double[] {Double.NaN, 7},
+                LoadReportDecoder.decode("TEXT concurrent=7", FIELDS).values());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "TEXT", "TEXT ", "JSON {}", "TEXT concurrent", "TEXT depth=", "TEXT depth=x"})
     void whatCannotBeReadIsNoReport(String text) {
-        assertNull(LoadReport.decode(text, FIELDS));
+        assertNull(LoadReportDecoder.decode(text, FIELDS));
     }
 
     @Test
     void noneIsReadWhereTheSettingsNameNone() {
-        assertNull(LoadReport.decode("TEXT concurrent=7", List.of()));
-        assertNull(LoadReport.decode(null, FIELDS));
+        assertNull(LoadReportDecoder.decode("TEXT concurrent=7", List.of()));
+        assertNull(LoadReportDecoder.decode(null, FIELDS));
     }
 
     /** Also a report that cannot be read: the answer that it came with counts all the same. */
     @Test
     void theModuleHearsOfTheReportWithTheAnswer() throws Exception {
-        BlockingQueue<Balancer.Outcome> outcomes = new LinkedBlockingQueue<>();
+        BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
         String[] reports = {"TEXT depth=1, concurrent=9", "TEXT depth=?"};
         try (FarServer server = new FarServer((request, peer) -> peer.write(Http.answer(
                         "200 OK", "X-Pressure: " + reports["/api/a".equals(request.path()) ? 0 : 1] + "\r\n", "x")));
@@ -50,7 +61,7 @@
                 Balancer sound = new ServiceQBalancer(site.settings, 7, actions);
                 return (Balancer) Proxy.newProxyInstance(
                         Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
-                            if (args.length == 2 && args[1] instanceof Balancer.Outcome outcome) {
+                            if (args.length == 2 && args[1] instanceof AttemptOutcome outcome) {
                                 outcomes.add(outcome);
                             }
                             return method.invoke(sound, args);
@@ -58,7 +69,8 @@
             };
             site.start(server);
             assertEquals("x", site.ask(Http.page("/api/a", "t", "4000m")).body());
-            assertArrayEquals(new double[] {1, 9}, FarServer.next(outcomes).report());
+            assertArrayEquals(
+                    new double[] {1, 9}, FarServer.next(outcomes).report().values());
             assertEquals("x", site.ask(Http.page("/api/b", "u", "4000m")).body());
             assertNull(FarServer.next(outcomes).report());
         }
--- a/node/src/test/java/kitemux/node/ServerPoolTest.java
+++ b/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
@@ -1,4 +1,4 @@
-package kitemux.node;
+package loadbalancer.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -9,6 +9,9 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.concurrent.CountDownLatch;
+import loadbalancer.process.FarServer;
+import loadbalancer.process.Http;
+import loadbalancer.process.Site;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/rig/src/main/java/kitemux/rig/baseline/Baseline.java
+++ b/rig/src/main/java/loadbalancer/rig/baseline/Baseline.java
@@ -1,4 +1,4 @@
-package kitemux.rig.baseline;
+package loadbalancer.rig.baseline;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,7 +7,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import kitemux.Balancer;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.BalancerActions;
+import loadbalancer.policy.BalancerRequest;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.ListKind;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.policy.ServerState;
 
 /**
  * What all built-in policies have in common: they keep the rules, send each request at once to the server
@@ -15,8 +25,8 @@
  * ejection and slow start.
  */
 abstract class Baseline implements Balancer {
-    private final Actions out;
-    private Settings settings;
+    private final BalancerActions out;
+    private BalancerSettings settings;
     private final Map<String, ServerEntry> listed = new LinkedHashMap<>();
     private Set<String> cordoned = Set.of();
     private final Map<Long, Call> calls = new HashMap<>();
@@ -25,20 +35,20 @@
     private List<String> ready = List.of();
 
     private static final class Call {
-        private final Request request;
+        private final BalancerRequest request;
         private final RequestClass cls;
         private final ArrayDeque<String> servers = new ArrayDeque<>();
         private boolean mayHaveRun;
         private int outstanding;
         private boolean ended;
 
-        Call(Request request, RequestClass cls) {
+        Call(BalancerRequest request, RequestClass cls) {
             this.request = request;
             this.cls = cls;
         }
     }
 
-    Baseline(Settings settings, Actions out) {
+    Baseline(BalancerSettings settings, BalancerActions out) {
         this.settings = settings;
         this.out = out;
     }
@@ -85,7 +95,7 @@
     }
 
     @Override
-    public void onRequest(long nowUs, Request request) {
+    public void onRequest(long nowUs, BalancerRequest request) {
         Call call = new Call(request, settings.classes.get(request.classIndex()));
         calls.put(request.id(), call);
         sendOn(call);
@@ -96,10 +106,10 @@
         among.removeAll(call.servers);
         if (among.isEmpty() || call.servers.size() >= settings.maxAttempts) {
             call.ended = true;
-            if (call.mayHaveRun && call.cls.repeat() != Repeat.SAFE) {
+            if (call.mayHaveRun && call.cls.idempotency() != Idempotency.IDEMPOTENT) {
                 out.fail(call.request.id());
             } else {
-                out.refuse(call.request.id(), 0);
+                out.reject(call.request.id(), 0);
             }
             forgetIfOver(call);
             return;
@@ -112,7 +122,7 @@
     }
 
     @Override
-    public void onOutcome(long nowUs, Outcome outcome) {
+    public void onOutcome(long nowUs, AttemptOutcome outcome) {
         Call call = calls.get(outcome.requestId());
         if (call == null) {
             return;
@@ -120,11 +130,12 @@
         call.outstanding--;
         String server = call.servers.peekLast();
         inFlight.merge(server, -1, Integer::sum);
-        learn(server, outcome.result() == Result.OK);
+        learn(server, outcome.result() == AttemptResult.OK);
         call.mayHaveRun |= !outcome.result().neverRan;
         if (outcome.requestEnded()) {
             call.ended = true;
-        } else if (call.mayHaveRun && call.cls.repeat() != Repeat.SAFE || outcome.result() == Result.TIMEOUT) {
+        } else if (call.mayHaveRun && call.cls.idempotency() != Idempotency.IDEMPOTENT
+                || outcome.result() == AttemptResult.TIMEOUT) {
             call.ended = true;
             out.fail(call.request.id());
         } else if (!call.ended) {
@@ -144,7 +155,7 @@
         Call call = calls.get(requestId);
         if (call != null) {
             call.ended = true;
-            for (int i = 0; i < call.servers.size() && settings.cancel; i++) {
+            for (int i = 0; i < call.servers.size() && settings.cancellation; i++) {
                 out.cancel(requestId, i);
             }
             forgetIfOver(call);
@@ -152,7 +163,7 @@
     }
 
     @Override
-    public void onSettings(long nowUs, Settings other) {
+    public void onSettings(long nowUs, BalancerSettings other) {
         settings = other;
     }
 
@@ -172,7 +183,7 @@
     }
 
     @Override
-    public int skipped() {
+    public int excludedServers() {
         return cordoned.size();
     }
 }
--- a/rig/src/main/java/kitemux/rig/baseline/Baselines.java
+++ b/rig/src/main/java/loadbalancer/rig/baseline/Baselines.java
@@ -1,4 +1,4 @@
-package kitemux.rig.baseline;
+package loadbalancer.rig.baseline;
 
 import java.util.Arrays;
 import java.util.Comparator;
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import kitemux.Balancer.Actions;
-import kitemux.Balancer.Settings;
-import kitemux.rig.world.AppServer;
-import kitemux.rig.world.Policy;
+import loadbalancer.policy.BalancerActions;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.rig.world.AppServer;
+import loadbalancer.rig.world.Policy;
 
 /** The policies that a fleet can be compared with, by name. */
 public final class Baselines {
@@ -38,7 +38,7 @@
     private static class Random extends Baseline {
         final SplittableRandom random;
 
-        Random(Settings settings, long seed, Actions out) {
+        Random(BalancerSettings settings, long seed, BalancerActions out) {
             super(settings, out);
             random = new SplittableRandom(seed);
         }
@@ -53,7 +53,7 @@
     private static final class RoundRobin extends Random {
         private int turn;
 
-        RoundRobin(Settings settings, long seed, Actions out) {
+        RoundRobin(BalancerSettings settings, long seed, BalancerActions out) {
             super(settings, seed, out);
             // Nodes that all began with the first server would go round together.
             turn = random.nextInt(1 << 20);
@@ -67,7 +67,7 @@
 
     /** The one with the fewest own requests in flight; ties at random. */
     private static final class LeastOutstanding extends Random {
-        LeastOutstanding(Settings settings, long seed, Actions out) {
+        LeastOutstanding(BalancerSettings settings, long seed, BalancerActions out) {
             super(settings, seed, out);
         }
 
@@ -81,7 +81,7 @@
 
     /** The one of two drawn at random with fewer own requests in flight. */
     private static class TwoChoices extends Random {
-        TwoChoices(Settings settings, long seed, Actions out) {
+        TwoChoices(BalancerSettings settings, long seed, BalancerActions out) {
             super(settings, seed, out);
         }
 
@@ -101,7 +101,7 @@
     private static final class Plain extends TwoChoices {
         private final Map<String, Integer> errors = new HashMap<>();
 
-        Plain(Settings settings, long seed, Actions out) {
+        Plain(BalancerSettings settings, long seed, BalancerActions out) {
             super(settings, seed, out);
         }
 
@@ -137,7 +137,7 @@
     private static final class Oracle extends Random {
         private final Map<String, AppServer> servers;
 
-        Oracle(Settings settings, long seed, Actions out, Map<String, AppServer> servers) {
+        Oracle(BalancerSettings settings, long seed, BalancerActions out, Map<String, AppServer> servers) {
             super(settings, seed, out);
             this.servers = servers;
         }
--- a/rig/src/main/java/kitemux/rig/baseline/JarPolicy.java
+++ b/rig/src/main/java/loadbalancer/rig/baseline/JarPolicy.java
@@ -1,23 +1,58 @@
-package kitemux.rig.baseline;
+package loadbalancer.rig.baseline;
 
 import java.io.IOException;
 import java.io.InputStream;
 import java.lang.reflect.InvocationTargetException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Set;
 import java.util.jar.JarFile;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import java.util.zip.ZipEntry;
-import kitemux.Balancer;
-import kitemux.Balancer.Actions;
-import kitemux.Balancer.Settings;
-import kitemux.rig.world.Policy;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.BalancerActions;
+import loadbalancer.policy.BalancerRequest;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.ListKind;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.policy.LoadReportField;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.policy.ServerState;
+import loadbalancer.policy.Tenant;
+import loadbalancer.rig.world.Policy;
 
 /**
  * The decision module of another build, which has to know the same {@link Balancer}: its classes come from
  * that jar.
  */
 public final class JarPolicy {
-    private static final String MODULE = "kitemux.ServiceQBalancer";
+    private static final String PACKAGE = Balancer.class.getPackageName() + ".";
+    private static final String MODULE = PACKAGE + "ServiceQBalancer";
+    /** What the interface to the module is made of: shared by both builds, never taken from the jar. */
+    private static final Set<String> INTERFACE = Stream.of(
+                    Balancer.class,
+                    BalancerActions.class,
+                    BalancerSettings.class,
+                    BalancerRequest.class,
+                    AttemptOutcome.class,
+                    AttemptResult.class,
+                    LoadReport.class,
+                    LoadReportField.class,
+                    ListKind.class,
+                    ServerEntry.class,
+                    ServerState.class,
+                    RequestClass.class,
+                    Tenant.class,
+                    Idempotency.class,
+                    DeduplicationScope.class)
+            .map(Class::getName)
+            .collect(Collectors.toUnmodifiableSet());
 
     private JarPolicy() {}
 
@@ -34,7 +69,7 @@
         }
         return (settings, seed, actions, servers) -> {
             try {
-                return (Balancer) module.getConstructor(Settings.class, long.class, Actions.class)
+                return (Balancer) module.getConstructor(BalancerSettings.class, long.class, BalancerActions.class)
                         .newInstance(settings, seed, actions);
             } catch (InvocationTargetException e) {
                 throw new IllegalStateException(jar + ": the module failed as it began", e.getCause());
@@ -55,7 +90,7 @@
 
         @Override
         protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
-            if (!name.equals(MODULE) && !name.startsWith(MODULE + "$")) {
+            if (!name.startsWith(PACKAGE) || INTERFACE.contains(name)) {
                 return super.loadClass(name, resolve);
             }
             synchronized (getClassLoadingLock(name)) {
--- a/rig/src/main/java/kitemux/rig/baseline/package-info.java
+++ b/rig/src/main/java/loadbalancer/rig/baseline/package-info.java
@@ -1,2 +1,2 @@
 /** Policies that the decision module is compared with. */
-package kitemux.rig.baseline;
+package loadbalancer.rig.baseline;
--- a/rig/src/main/java/kitemux/rig/check/AckedWrites.java
+++ b/rig/src/main/java/loadbalancer/rig/check/AckedWrites.java
@@ -1,9 +1,9 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import kitemux.rig.history.Event;
+import loadbalancer.rig.history.Event;
 
 /**
  * What was acknowledged as durable is there after every restart. {@code RETURN} of an op append acknowledges
--- a/rig/src/main/java/kitemux/rig/check/Ages.java
+++ b/rig/src/main/java/loadbalancer/rig/check/Ages.java
@@ -1,7 +1,7 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.List;
-import kitemux.rig.history.Event;
+import loadbalancer.rig.history.Event;
 
 /**
  * No decision used a value that was older than its bound, by the true time at which it was written: {@code
--- a/rig/src/main/java/kitemux/rig/check/Checker.java
+++ b/rig/src/main/java/loadbalancer/rig/check/Checker.java
@@ -1,9 +1,9 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.ArrayList;
 import java.util.List;
-import kitemux.rig.history.Event;
-import kitemux.rig.history.History;
+import loadbalancer.rig.history.Event;
+import loadbalancer.rig.history.History;
 
 /** Reads a history once, forwards, and says what in it must not have happened. */
 public abstract class Checker implements History.Reader {
--- a/rig/src/main/java/kitemux/rig/check/ColdServers.java
+++ b/rig/src/main/java/loadbalancer/rig/check/ColdServers.java
@@ -1,4 +1,4 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import kitemux.rig.history.Event;
+import loadbalancer.rig.history.Event;
 
 /**
  * No cold server is pushed over by nodes that had been told of its start: they made up two thirds of what
@@ -15,13 +15,13 @@
 public final class ColdServers extends Checker {
     private static final double BLAMED_FROM = 2.0 / 3;
 
-    private final long windowUs;
+    private final long deduplicationWindowUs;
     private final Map<String, Long> startedAt = new HashMap<>();
     private final Map<String, Set<String>> told = new HashMap<>();
     private final Map<String, ArrayDeque<Event>> sent = new HashMap<>();
 
-    public ColdServers(long windowUs) {
-        this.windowUs = windowUs;
+    public ColdServers(long deduplicationWindowUs) {
+        this.deduplicationWindowUs = deduplicationWindowUs;
     }
 
     @Override
@@ -44,7 +44,7 @@
                 ArrayDeque<Event> to = sent.get(event.text("server"));
                 if (to != null) {
                     to.add(event);
-                    while (to.peek().atUs() < event.atUs() - windowUs) {
+                    while (to.peek().atUs() < event.atUs() - deduplicationWindowUs) {
                         to.poll();
                     }
                 }
@@ -57,7 +57,7 @@
     private void judge(Event fell) {
         Set<String> knew = told.get(fell.process());
         List<Event> all = sent.get(fell.process()).stream()
-                .filter(e -> e.atUs() >= fell.atUs() - windowUs)
+                .filter(e -> e.atUs() >= fell.atUs() - deduplicationWindowUs)
                 .toList();
         List<Event> byThose =
                 all.stream().filter(e -> knew.contains(e.process())).toList();
--- a/rig/src/main/java/kitemux/rig/check/Drains.java
+++ b/rig/src/main/java/loadbalancer/rig/check/Drains.java
@@ -1,9 +1,9 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import kitemux.rig.history.Event;
+import loadbalancer.rig.history.Event;
 
 /**
  * Nothing goes to an app server that a node was never told of, or was told drains or is gone, beyond the
--- a/rig/src/main/java/kitemux/rig/check/NoCrash.java
+++ b/rig/src/main/java/loadbalancer/rig/check/NoCrash.java
@@ -1,7 +1,7 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.List;
-import kitemux.rig.history.Event;
+import loadbalancer.rig.history.Event;
 
 /** No process ends that was neither killed nor told to end: {@code KILLED} then says crash. */
 public final class NoCrash extends Checker {
--- a/rig/src/main/java/kitemux/rig/check/OneAnswer.java
+++ b/rig/src/main/java/loadbalancer/rig/check/OneAnswer.java
@@ -1,7 +1,7 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
-import kitemux.rig.history.Event;
-import kitemux.rig.history.Event.Kind;
+import loadbalancer.rig.history.Event;
+import loadbalancer.rig.history.Event.Kind;
 
 /**
  * Every request that a node took has one final answer within its time and the grace, unless its client left
--- a/rig/src/main/java/kitemux/rig/check/Repeats.java
+++ b/rig/src/main/java/loadbalancer/rig/check/Repeats.java
@@ -1,13 +1,13 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.Result;
-import kitemux.rig.history.Event;
-import kitemux.rig.history.Event.Kind;
-import kitemux.rig.scenario.Scenario;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.rig.history.Event;
+import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.rig.scenario.Scenario;
 
 /**
  * What may have run is neither sent again nor called harmless to repeat, unless its class is safe; no more
@@ -15,11 +15,11 @@
  */
 public final class Repeats extends OpenRequests {
     private final Scenario.Rules rules;
-    private final Map<String, Repeat> classes = new HashMap<>();
+    private final Map<String, Idempotency> classes = new HashMap<>();
 
     public Repeats(Scenario scenario) {
         rules = scenario.rules();
-        scenario.classes().forEach(c -> classes.put(c.name(), c.repeat()));
+        scenario.classes().forEach(c -> classes.put(c.name(), c.idempotency()));
     }
 
     @Override
@@ -33,12 +33,12 @@
             if (sent > rules.maxAttempts()) {
                 violated(event.atUs(), "attempt " + sent + " of " + rules.maxAttempts(), of.events);
             }
-            if (!rules.secondCopies() && sent - 1 > outcomes(of)) {
+            if (!rules.hedging() && sent - 1 > outcomes(of)) {
                 violated(event.atUs(), "two attempts at once", of.events);
             }
         }
         if ((event.kind() == Kind.SEND || refused)
-                && classes.get(of.cls()) == Repeat.UNSAFE
+                && classes.get(of.cls()) == Idempotency.NON_IDEMPOTENT
                 && mayHaveRun(of.events.subList(0, of.events.size() - 1))) {
             violated(event.atUs(), (refused ? "refused" : "sent again") + " though it may have run", of.events);
         }
@@ -55,6 +55,6 @@
                 .anyMatch(sent -> events.stream()
                         .noneMatch(e -> e.kind() == Kind.OUTCOME
                                 && e.number("attempt") == sent.number("attempt")
-                                && Result.valueOf(e.text("result")).neverRan));
+                                && AttemptResult.valueOf(e.text("result")).neverRan));
     }
 }
--- a/rig/src/main/java/kitemux/rig/check/Rules.java
+++ b/rig/src/main/java/loadbalancer/rig/check/Rules.java
@@ -1,7 +1,7 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.List;
-import kitemux.rig.scenario.Scenario;
+import loadbalancer.rig.scenario.Scenario;
 
 /** The checkers that every run of a fleet is held to. */
 public final class Rules {
@@ -19,6 +19,6 @@
                 new Repeats(scenario),
                 new Drains(rules.drainGraceUs() + rules.answerGraceUs() + slackUs),
                 new Cordons(),
-                new ColdServers(rules.fallUs()));
+                new ColdServers(rules.overloadUs()));
     }
 }
--- a/rig/src/main/java/kitemux/rig/check/OneHolder.java
+++ b/rig/src/main/java/loadbalancer/rig/check/SingleLeaseHolder.java
@@ -1,12 +1,12 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import kitemux.rig.history.Event;
+import loadbalancer.rig.history.Event;
 
 /** No two processes hold a lease at once. {@code LEASED} has lease and until, {@code RELEASED} has lease. */
-public final class OneHolder extends Checker {
+public final class SingleLeaseHolder extends Checker {
     private final Map<String, Event> holders = new HashMap<>();
 
     @Override
--- a/rig/src/main/java/kitemux/rig/check/VersionedList.java
+++ b/rig/src/main/java/loadbalancer/rig/check/VersionedList.java
@@ -1,11 +1,11 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import kitemux.rig.history.Event;
+import loadbalancer.rig.history.Event;
 
 /**
  * A list whose every change has a revision is linearizable: revisions are never used twice, a call that began
--- a/rig/src/main/java/kitemux/rig/check/Versions.java
+++ b/rig/src/main/java/loadbalancer/rig/check/Versions.java
@@ -1,9 +1,9 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import kitemux.rig.history.Event;
+import loadbalancer.rig.history.Event;
 
 /**
  * Each watcher sees versions that only grow, and none left out unless what it is given says that it is whole.
--- a/rig/src/main/java/kitemux/rig/check/Violation.java
+++ b/rig/src/main/java/loadbalancer/rig/check/Violation.java
@@ -1,8 +1,8 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.List;
-import kitemux.rig.history.Event;
-import kitemux.rig.history.History;
+import loadbalancer.rig.history.Event;
+import loadbalancer.rig.history.History;
 
 /**
  * Something that must not have happened.
--- a/rig/src/main/java/kitemux/rig/check/package-info.java
+++ b/rig/src/main/java/loadbalancer/rig/check/package-info.java
@@ -1,2 +1,2 @@
 /** Checkers: each reads the history of a run once, forwards, and reports violations of one rule. */
-package kitemux.rig.check;
+package loadbalancer.rig.check;
--- a/rig/src/main/java/kitemux/rig/trouble/Crash.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Crash.java
@@ -1,18 +1,18 @@
-package kitemux.rig.trouble;
+package loadbalancer.rig.fault;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.world.AppServer;
-import kitemux.rig.world.World;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.world.AppServer;
+import loadbalancer.rig.world.World;
 
 /** A part of the app servers' processes are killed, and come back cold. */
-final class Crash implements Trouble {
+final class Crash implements Fault {
     @Override
-    public Struck strike(World world, Scenario.Trouble told, SplittableRandom random) {
+    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
         List<AppServer> struck = world.struckBy(told, random);
         struck.forEach(world::killServer);
-        return Struck.servers(
+        return ActiveFault.servers(
                 struck, () -> struck.stream().filter(server -> !server.isUp()).forEach(world::startServer));
     }
 }
--- a/rig/src/main/java/kitemux/rig/trouble/Troubles.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Faults.java
@@ -1,12 +1,12 @@
-package kitemux.rig.trouble;
+package loadbalancer.rig.fault;
 
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /** The troubles there are, by the names that scenario files use. */
-public final class Troubles {
-    private static final Map<String, Trouble> BY_NAME = new TreeMap<>(Map.ofEntries(
+public final class Faults {
+    private static final Map<String, Fault> BY_NAME = new TreeMap<>(Map.ofEntries(
             Map.entry("burst", new Burst()),
             Map.entry("cordoned", new Cordoned()),
             Map.entry("crash", new Crash()),
@@ -24,15 +24,15 @@
             Map.entry("vanish", new Vanish()),
             Map.entry("zone_lost", new ZoneLost())));
 
-    private Troubles() {}
+    private Faults() {}
 
     public static List<String> names() {
         return List.copyOf(BY_NAME.keySet());
     }
 
     /** The trouble of a name, which has to be one of {@link #names}. */
-    public static Trouble named(String name) {
-        Trouble trouble = BY_NAME.get(name);
+    public static Fault named(String name) {
+        Fault trouble = BY_NAME.get(name);
         if (trouble == null) {
             throw new IllegalArgumentException("no trouble is named " + name);
         }
--- /dev/null
+++ b/rig/src/main/java/loadbalancer/rig/fault/ListDown.java
@@ -0,0 +1,15 @@
+package loadbalancer.rig.fault;
+
+import java.util.List;
+import java.util.SplittableRandom;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.world.World;
+
+/** Discovery is down: no node hears of any change. */
+final class ListDown implements Fault {
+    @Override
+    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
+        world.list().setDown(true);
+        return new ActiveFault(List.of("list"), () -> world.list().setDown(false));
+    }
+}
--- a/rig/src/main/java/kitemux/rig/trouble/Partition.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Partition.java
@@ -1,19 +1,19 @@
-package kitemux.rig.trouble;
+package loadbalancer.rig.fault;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.world.World;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.world.World;
 
 /**
  * One zone is cut off from the others, both ways, or with {@code size} 2 only outwards; all in it goes on.
  */
-final class Partition implements Trouble {
+final class Partition implements Fault {
     @Override
-    public Struck strike(World world, Scenario.Trouble told, SplittableRandom random) {
+    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
         int zone = random.nextInt(world.zones());
         cut(world, zone, told.size() == 2, true);
-        return new Struck(
+        return new ActiveFault(
                 List.of(world.scenario().fleet().zones().get(zone)), () -> cut(world, zone, told.size() == 2, false));
     }
 
--- a/rig/src/main/java/kitemux/rig/trouble/Release.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Release.java
@@ -1,20 +1,20 @@
-package kitemux.rig.trouble;
+package loadbalancer.rig.fault;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.world.AppServer;
-import kitemux.rig.world.World;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.world.AppServer;
+import loadbalancer.rig.world.World;
 
 /** A part of the app servers are restarted one after the other: asked to drain, ended, started again cold. */
-final class Release implements Trouble {
+final class Release implements Fault {
     /** From the word that one drains to its end, beyond what the list and the rule on drains take. */
     private static final long LINGERS_US = 1_000_000;
 
     private static final long DOWN_US = 500_000;
 
     @Override
-    public Struck strike(World world, Scenario.Trouble told, SplittableRandom random) {
+    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
         List<AppServer> struck = world.struckBy(told, random);
         long gapUs = told.lengthUs() / Math.max(1, struck.size());
         Scenario scenario = world.scenario();
@@ -32,6 +32,6 @@
                 });
             });
         }
-        return Struck.servers(struck, () -> {});
+        return ActiveFault.servers(struck, () -> {});
     }
 }
--- a/rig/src/main/java/kitemux/rig/trouble/RollingRestart.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/RollingRestart.java
@@ -1,15 +1,15 @@
-package kitemux.rig.trouble;
+package loadbalancer.rig.fault;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.world.NodePort;
-import kitemux.rig.world.World;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.world.NodePort;
+import loadbalancer.rig.world.World;
 
 /** A part of the nodes are told to end and started again, one after the other. */
-final class RollingRestart implements Trouble {
+final class RollingRestart implements Fault {
     @Override
-    public Struck strike(World world, Scenario.Trouble told, SplittableRandom random) {
+    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
         List<NodePort> struck = World.some(world.nodes(), told.part(), random);
         long gapUs = told.lengthUs() / struck.size();
         for (int i = 0; i < struck.size(); i++) {
@@ -17,6 +17,6 @@
             world.time().after(i * gapUs, node::end);
             world.time().after(i * gapUs + NodePort.MOST_END_US + 1, node::start);
         }
-        return Struck.nodes(struck);
+        return ActiveFault.nodes(struck);
     }
 }
--- a/rig/src/main/java/kitemux/rig/trouble/Vanish.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Vanish.java
@@ -1,24 +1,24 @@
-package kitemux.rig.trouble;
+package loadbalancer.rig.fault;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.world.AppServer;
-import kitemux.rig.world.World;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.world.AppServer;
+import loadbalancer.rig.world.World;
 
 /** A part of the app servers' machines fall silent, and come back cold. */
-final class Vanish implements Trouble {
+final class Vanish implements Fault {
     @Override
-    public Struck strike(World world, Scenario.Trouble told, SplittableRandom random) {
+    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
         return silence(world, world.struckBy(told, random));
     }
 
-    static Struck silence(World world, List<AppServer> struck) {
+    static ActiveFault silence(World world, List<AppServer> struck) {
         for (AppServer server : struck) {
             server.fallSilent();
             world.list().gone(server.id(), false, true);
         }
-        return Struck.servers(
+        return ActiveFault.servers(
                 struck, () -> struck.stream().filter(AppServer::isSilent).forEach(world::startServer));
     }
 }
--- a/rig/src/main/java/kitemux/rig/trouble/ZoneLost.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/ZoneLost.java
@@ -1,13 +1,13 @@
-package kitemux.rig.trouble;
+package loadbalancer.rig.fault;
 
 import java.util.SplittableRandom;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.world.World;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.world.World;
 
 /** All app servers of one zone fall silent, and come back cold. */
-final class ZoneLost implements Trouble {
+final class ZoneLost implements Fault {
     @Override
-    public Struck strike(World world, Scenario.Trouble told, SplittableRandom random) {
+    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
         int zone = random.nextInt(world.zones());
         return Vanish.silence(
                 world,
--- a/rig/src/main/java/kitemux/rig/trouble/package-info.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/package-info.java
@@ -1,2 +1,2 @@
 /** Faults that a scenario may inject, one small class each. */
-package kitemux.rig.trouble;
+package loadbalancer.rig.fault;
--- a/rig/src/main/java/kitemux/rig/history/Event.java
+++ b/rig/src/main/java/loadbalancer/rig/history/Event.java
@@ -1,4 +1,4 @@
-package kitemux.rig.history;
+package loadbalancer.rig.history;
 
 import java.util.Map;
 
--- a/rig/src/main/java/kitemux/rig/members/DatagramNet.java
+++ b/rig/src/main/java/loadbalancer/rig/members/DatagramNet.java
@@ -1,10 +1,10 @@
-package kitemux.rig.members;
+package loadbalancer.rig.members;
 
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
-import kitemux.core.membership.Message;
-import kitemux.members.Codec;
-import kitemux.rig.time.Timeline;
+import loadbalancer.membership.Codec;
+import loadbalancer.membership.core.Message;
+import loadbalancer.rig.time.Timeline;
 
 /**
  * A network of datagrams in simulated time: what comes through does so late, twice, in another order, or not
--- a/rig/src/main/java/kitemux/rig/members/MembersStudy.java
+++ b/rig/src/main/java/loadbalancer/rig/members/MembersStudy.java
@@ -1,10 +1,10 @@
-package kitemux.rig.members;
+package loadbalancer.rig.members;
 
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
-import kitemux.core.membership.Change;
-import kitemux.core.membership.Settings;
+import loadbalancer.membership.core.MembershipChange;
+import loadbalancer.membership.core.MembershipSettings;
 
 /**
  * What membership costs and how quickly it learns, in simulated time: one fleet, one seed, one figure of
@@ -33,7 +33,7 @@
             int members, long seed, double datagrams, double bytes, double first, double all, double healed) {}
 
     /** Throws IllegalStateException where a fleet in which nothing goes wrong does not settle. */
-    public static Figures play(int members, long seed, UnaryOperator<Settings> tuned) {
+    public static Figures play(int members, long seed, UnaryOperator<MembershipSettings> tuned) {
         MembersWorld world = new MembersWorld(seed, Long.MAX_VALUE / 4).with(members, tuned);
         long period = world.member(0).settings().periodUs();
         SplittableRandom random = world.time().stream("study");
@@ -87,7 +87,8 @@
      * Members that live and were held for dead, or suspected, by somebody: a share of datagrams is lost, and
      * three members stand still now and then, for less than a suspicion lasts.
      */
-    public static Falsely falsely(int members, long seed, double lost, int seconds, UnaryOperator<Settings> tuned) {
+    public static Falsely falsely(
+            int members, long seed, double lost, int seconds, UnaryOperator<MembershipSettings> tuned) {
         MembersWorld world = new MembersWorld(seed, Long.MAX_VALUE / 4).with(members, tuned);
         long period = world.member(0).settings().periodUs();
         SplittableRandom random = world.time().stream("study");
@@ -111,7 +112,7 @@
 
     private static long suspicions(MembersWorld world) {
         return world.members().stream()
-                .mapToLong(m -> m.count(Change.Kind.SUSPECTED))
+                .mapToLong(m -> m.count(MembershipChange.Kind.SUSPECTED))
                 .sum();
     }
 
--- a/rig/src/main/java/kitemux/rig/members/MembersWorld.java
+++ b/rig/src/main/java/loadbalancer/rig/members/MembersWorld.java
@@ -1,4 +1,4 @@
-package kitemux.rig.members;
+package loadbalancer.rig.members;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
-import kitemux.core.membership.Change;
-import kitemux.core.membership.Settings;
-import kitemux.rig.check.Checker;
-import kitemux.rig.check.Converged;
-import kitemux.rig.check.Violation;
-import kitemux.rig.history.Event.Kind;
-import kitemux.rig.history.History;
-import kitemux.rig.time.Simulator;
+import loadbalancer.membership.core.MembershipChange;
+import loadbalancer.membership.core.MembershipSettings;
+import loadbalancer.rig.check.Checker;
+import loadbalancer.rig.check.Converged;
+import loadbalancer.rig.check.Violation;
+import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.rig.history.History;
+import loadbalancer.rig.time.Simulator;
 
 /** A fleet whose members run the membership core over a simulated network. */
 public final class MembersWorld {
@@ -57,16 +57,16 @@
     }
 
     /** So many members, m0 on, the first three of which are seeds; none is started. */
-    public MembersWorld with(int count, UnaryOperator<Settings> tuned) {
+    public MembersWorld with(int count, UnaryOperator<MembershipSettings> tuned) {
         List<String> seeds = List.of("m0:1", "m1:1", "m2:1");
         for (int i = 0; i < count; i++) {
-            add(tuned.apply(Settings.of("m" + i, "m" + i + ":1", "z" + i % 3, "node", seeds)));
+            add(tuned.apply(MembershipSettings.of("m" + i, "m" + i + ":1", "z" + i % 3, "node", seeds)));
         }
         return this;
     }
 
     /** One more process; it takes the place of whoever had its address. */
-    public SimMember add(Settings settings) {
+    public SimMember add(MembershipSettings settings) {
         SimMember member = new SimMember(this, settings);
         members.add(member);
         byAddress.put(settings.address(), member);
@@ -103,8 +103,8 @@
         history.add("rig", Kind.FAULT, "kind", what);
     }
 
-    void changed(SimMember at, Change change) {
-        if (change.kind() == Change.Kind.DIED) {
+    void changed(SimMember at, MembershipChange change) {
+        if (change.kind() == MembershipChange.Kind.DIED) {
             SimMember who = members.stream()
                     .filter(m -> m.name().equals(change.member().name()) && m.isUp())
                     .findFirst()
--- a/rig/src/main/java/kitemux/rig/members/ModelCheck.java
+++ b/rig/src/main/java/loadbalancer/rig/members/ModelCheck.java
@@ -1,4 +1,4 @@
-package kitemux.rig.members;
+package loadbalancer.rig.members;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import kitemux.core.membership.Change;
-import kitemux.core.membership.Incarnation;
-import kitemux.core.membership.Member;
-import kitemux.core.membership.Membership;
-import kitemux.core.membership.Message;
-import kitemux.core.membership.Rumor;
-import kitemux.core.membership.Settings;
-import kitemux.core.membership.State;
+import loadbalancer.membership.core.GossipUpdate;
+import loadbalancer.membership.core.Incarnation;
+import loadbalancer.membership.core.Member;
+import loadbalancer.membership.core.MemberState;
+import loadbalancer.membership.core.Membership;
+import loadbalancer.membership.core.MembershipChange;
+import loadbalancer.membership.core.MembershipSettings;
+import loadbalancer.membership.core.Message;
 
 /**
  * All orders of events of a very small fleet, up to a depth: any message on its way may come next or get
@@ -198,8 +198,8 @@
         private void exchange(Process from, String address) {
             for (Process to : fleet) {
                 if (to.address().equals(address) && to.up && from.up && comesThrough(from.number, to.number)) {
-                    List<Rumor> mine = from.core.state();
-                    List<Rumor> theirs = to.core.state();
+                    List<GossipUpdate> mine = from.core.state();
+                    List<GossipUpdate> theirs = to.core.state();
                     to.event("exchange " + mine, core -> core.onState(to.nowUs, mine));
                     from.event("exchange " + theirs, core -> core.onState(from.nowUs, theirs));
                 }
@@ -265,10 +265,10 @@
         Process(int number, World world) {
             this.number = number;
             this.world = world;
-            Settings usual = Settings.of("p" + number, address(), "z", "node", List.of("p0:1"));
+            MembershipSettings usual = MembershipSettings.of("p" + number, address(), "z", "node", List.of("p0:1"));
             // As little of each as still does all: fewer askers and periods make more of the space fit the
             // depth.
-            Settings small = new Settings(
+            MembershipSettings small = new MembershipSettings(
                     usual.name(),
                     usual.address(),
                     usual.zone(),
@@ -329,7 +329,7 @@
                     .forEach(rumor -> now.put(rumor.member().name(), rumor.member()));
             now.forEach((name, member) -> {
                 Member before = held.get(name);
-                if (member.state() == State.LEFT) {
+                if (member.state() == MemberState.LEFT) {
                     left.put(name, member.incarnation());
                 } else if (member.incarnation().equals(left.get(name))) {
                     world.faults.add("process " + number + " took back that " + name + " has left");
@@ -357,7 +357,7 @@
         }
 
         @Override
-        public void changed(Change change) {
+        public void changed(MembershipChange change) {
             // The views tell.
         }
 
--- a/rig/src/main/java/kitemux/rig/members/SimMember.java
+++ b/rig/src/main/java/loadbalancer/rig/members/SimMember.java
@@ -1,4 +1,4 @@
-package kitemux.rig.members;
+package loadbalancer.rig.members;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import kitemux.core.membership.Change;
-import kitemux.core.membership.Membership;
-import kitemux.core.membership.Message;
-import kitemux.core.membership.Rumor;
-import kitemux.core.membership.Settings;
-import kitemux.rig.history.Event.Kind;
-import kitemux.rig.time.Timeline.Timer;
+import loadbalancer.membership.core.GossipUpdate;
+import loadbalancer.membership.core.Membership;
+import loadbalancer.membership.core.MembershipChange;
+import loadbalancer.membership.core.MembershipSettings;
+import loadbalancer.membership.core.Message;
+import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.rig.time.Timeline.Timer;
 
 /** One process of a simulated fleet: the membership core, driven as the program drives it. */
 public final class SimMember {
@@ -24,7 +24,7 @@
     private final MembersWorld world;
     private final String name;
     private final String address;
-    private final Settings settings;
+    private final MembershipSettings settings;
     private Membership core;
     private boolean up;
     private boolean paused;
@@ -35,9 +35,9 @@
     private int life;
     private long clockOffUs;
     private final Map<String, Long> heard = new HashMap<>();
-    private final Map<Change.Kind, Integer> changes = new EnumMap<>(Change.Kind.class);
+    private final Map<MembershipChange.Kind, Integer> changes = new EnumMap<>(MembershipChange.Kind.class);
 
-    SimMember(MembersWorld world, Settings settings) {
+    SimMember(MembersWorld world, MembershipSettings settings) {
         this.world = world;
         this.settings = settings;
         name = settings.name();
@@ -61,7 +61,7 @@
         return up;
     }
 
-    Settings settings() {
+    MembershipSettings settings() {
         return settings;
     }
 
@@ -71,7 +71,7 @@
     }
 
     /** How often something of this kind was told to its listener. */
-    public int count(Change.Kind kind) {
+    public int count(MembershipChange.Kind kind) {
         return changes.getOrDefault(kind, 0);
     }
 
@@ -171,7 +171,7 @@
 
         @Override
         public void exchange(String to) {
-            List<Rumor> mine = core.state();
+            List<GossipUpdate> mine = core.state();
             world.time().after(world.net().delay(), () -> {
                 SimMember target = world.at(to);
                 if (target == null
@@ -181,7 +181,7 @@
                         || world.net().isCut(target.name, name)) {
                     return;
                 }
-                List<Rumor> theirs = target.core.state();
+                List<GossipUpdate> theirs = target.core.state();
                 target.deliver(target.life, core -> core.onState(world.time().nowUs(), mine));
                 world.time().after(world.net().delay(), () -> {
                     if (!world.net().isCut(target.name, name)) {
@@ -192,7 +192,7 @@
         }
 
         @Override
-        public void changed(Change change) {
+        public void changed(MembershipChange change) {
             changes.merge(change.kind(), 1, Integer::sum);
             switch (change.kind()) {
                 case SUSPECTED, DIED ->
--- a/rig/src/main/java/kitemux/rig/members/package-info.java
+++ b/rig/src/main/java/loadbalancer/rig/members/package-info.java
@@ -1,2 +1,2 @@
 /** Fleets of the membership core in simulated time, their study, and a check of all event orders. */
-package kitemux.rig.members;
+package loadbalancer.rig.members;
--- a/rig/src/main/java/kitemux/rig/play/Comparison.java
+++ b/rig/src/main/java/loadbalancer/rig/play/Comparison.java
@@ -1,4 +1,4 @@
-package kitemux.rig.play;
+package loadbalancer.rig.play;
 
 import java.util.Arrays;
 import java.util.Locale;
--- a/rig/src/main/java/kitemux/rig/play/Outcome.java
+++ b/rig/src/main/java/loadbalancer/rig/play/Outcome.java
@@ -1,12 +1,12 @@
-package kitemux.rig.play;
+package loadbalancer.rig.play;
 
 import java.util.ArrayList;
 import java.util.List;
-import kitemux.rig.check.Checker;
-import kitemux.rig.check.Violation;
-import kitemux.rig.history.History;
-import kitemux.rig.world.Score;
-import kitemux.rig.world.World;
+import loadbalancer.rig.check.Checker;
+import loadbalancer.rig.check.Violation;
+import loadbalancer.rig.history.History;
+import loadbalancer.rig.world.Score;
+import loadbalancer.rig.world.World;
 
 /**
  * What came of one run.
--- a/rig/src/main/java/kitemux/rig/play/Seeds.java
+++ b/rig/src/main/java/loadbalancer/rig/play/Seeds.java
@@ -1,4 +1,4 @@
-package kitemux.rig.play;
+package loadbalancer.rig.play;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/rig/src/main/java/kitemux/rig/play/Shrink.java
+++ b/rig/src/main/java/loadbalancer/rig/play/Shrink.java
@@ -1,11 +1,11 @@
-package kitemux.rig.play;
+package loadbalancer.rig.play;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Function;
-import kitemux.rig.check.Violation;
-import kitemux.rig.scenario.Scenario;
+import loadbalancer.rig.check.Violation;
+import loadbalancer.rig.scenario.Scenario;
 
 /**
  * Makes a scenario that breaks a rule smaller for as long as it still breaks the same one: troubles are left
--- a/rig/src/main/java/kitemux/rig/play/SimPlay.java
+++ b/rig/src/main/java/loadbalancer/rig/play/SimPlay.java
@@ -1,19 +1,19 @@
-package kitemux.rig.play;
+package loadbalancer.rig.play;
 
 import java.io.OutputStream;
 import java.util.List;
 import java.util.SplittableRandom;
-import kitemux.rig.check.Checker;
-import kitemux.rig.check.Rules;
-import kitemux.rig.history.Event.Kind;
-import kitemux.rig.history.History;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.time.Simulator;
-import kitemux.rig.time.Timeline;
-import kitemux.rig.trouble.Struck;
-import kitemux.rig.trouble.Troubles;
-import kitemux.rig.world.Policy;
-import kitemux.rig.world.World;
+import loadbalancer.rig.check.Checker;
+import loadbalancer.rig.check.Rules;
+import loadbalancer.rig.fault.ActiveFault;
+import loadbalancer.rig.fault.Faults;
+import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.rig.history.History;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.time.Simulator;
+import loadbalancer.rig.time.Timeline;
+import loadbalancer.rig.world.Policy;
+import loadbalancer.rig.world.World;
 
 /** Plays a scenario in simulated time. */
 public final class SimPlay {
@@ -59,7 +59,7 @@
         for (Scenario.Trouble trouble : world.scenario().troubles()) {
             SplittableRandom random = time.stream("trouble " + number++ + " " + trouble.kind());
             time.after(trouble.atUs(), () -> {
-                Struck struck = Troubles.named(trouble.kind()).strike(world, trouble, random);
+                ActiveFault struck = Faults.named(trouble.kind()).strike(world, trouble, random);
                 world.history()
                         .add(
                                 "rig",
--- a/rig/src/main/java/kitemux/rig/play/package-info.java
+++ b/rig/src/main/java/loadbalancer/rig/play/package-info.java
@@ -1,2 +1,2 @@
 /** Runs of scenarios: one seed, many seeds, shrinking and comparing. */
-package kitemux.rig.play;
+package loadbalancer.rig.play;
--- a/rig/src/main/java/kitemux/rig/real/Asked.java
+++ b/rig/src/main/java/loadbalancer/rig/real/ClientRequest.java
@@ -1,17 +1,17 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import java.util.HashMap;
 import java.util.Map;
-import kitemux.Balancer.Result;
-import kitemux.rig.history.Event.Kind;
-import kitemux.rig.history.History;
-import kitemux.rig.world.AppServer;
-import kitemux.rig.world.NodePort;
-import kitemux.rig.world.NodePort.Try;
-import kitemux.rig.world.World;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.rig.history.History;
+import loadbalancer.rig.world.AppServer;
+import loadbalancer.rig.world.NodePort;
+import loadbalancer.rig.world.NodePort.Try;
+import loadbalancer.rig.world.World;
 
 /** What clients have asked, so that app servers know what an attempt is about; on the loop. */
-final class Asked {
+final class ClientRequest {
     private final World world;
     private final History history;
     private final Map<String, Request> requests = new HashMap<>();
@@ -30,7 +30,7 @@
     /** One attempt of a node. */
     record Attempt(String txn, long request, int number, Try asked, NodePort node) {}
 
-    Asked(World world, History history) {
+    ClientRequest(World world, History history) {
         this.world = world;
         this.history = history;
     }
@@ -73,7 +73,7 @@
     }
 
     /** How it ended, as the server sees it. */
-    void ended(Attempt attempt, AppServer server, Result result) {
+    void ended(Attempt attempt, AppServer server, AttemptResult result) {
         history.add(
                 attempt.node().name(),
                 Kind.OUTCOME,
--- a/rig/src/main/java/kitemux/rig/real/DatagramLink.java
+++ b/rig/src/main/java/loadbalancer/rig/real/DatagramLink.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
--- a/rig/src/main/java/kitemux/rig/real/DeployFile.java
+++ b/rig/src/main/java/loadbalancer/rig/real/DeployFile.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
--- a/rig/src/main/java/kitemux/rig/real/StandInList.java
+++ b/rig/src/main/java/loadbalancer/rig/real/FakeEndpointList.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -24,13 +24,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.rig.world.ListModel;
+import loadbalancer.policy.ListKind;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.policy.ServerState;
+import loadbalancer.rig.world.ListModel;
 
 /** Discovery's agent on one node's machine: it answers with what it has been sent, in the platform's form. */
-final class StandInList implements ListModel.Follower {
+final class FakeEndpointList implements ListModel.Follower {
     private static final long BEAT_US = 2_000_000;
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -43,7 +43,7 @@
     private long version;
 
     /** @param endpoints addresses of app servers by id */
-    StandInList(String address, RealTimeline time, List<String> zones, Function<String, String> endpoints) {
+    FakeEndpointList(String address, RealTimeline time, List<String> zones, Function<String, String> endpoints) {
         this.time = time;
         this.zones = zones;
         this.endpoints = endpoints;
--- a/rig/src/main/java/kitemux/rig/real/StandInServer.java
+++ b/rig/src/main/java/loadbalancer/rig/real/FakeServer.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
@@ -13,21 +13,22 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.SplittableRandom;
-import kitemux.Balancer.Result;
-import kitemux.rig.world.AppServer;
-import kitemux.rig.world.Work;
-import kitemux.rig.world.World;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.rig.world.AppServer;
+import loadbalancer.rig.world.Work;
+import loadbalancer.rig.world.World;
 
 /** An app server's address: real HTTP in front of the model that says how it does. */
-final class StandInServer {
+final class FakeServer {
     private final AppServer server;
     private final World world;
     private final RealTimeline time;
-    private final Asked asked;
+    private final ClientRequest asked;
     private final SplittableRandom random;
     private final Listener listener;
 
-    StandInServer(AppServer server, String address, World world, RealTimeline time, Asked asked) {
+    FakeServer(AppServer server, String address, World world, RealTimeline time, ClientRequest asked) {
         this.server = server;
         this.world = world;
         this.time = time;
@@ -62,7 +63,7 @@
 
     /** One connection of a node: one request at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private Asked.Attempt attempt;
+        private ClientRequest.Attempt attempt;
         private AppServer.Job job;
         private boolean counted;
 
@@ -77,9 +78,9 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             String txn = request.headers().get("X-Txn");
-            Asked.Attempt sent = asked.sentOn(txn, server);
+            ClientRequest.Attempt sent = asked.sentOn(txn, server);
             if (sent == null) {
-                answer(context, HttpResponseStatus.BAD_REQUEST, "no client asked this", false);
+                answer(context, HttpResponseStatus.BAD_REQUEST, "no client asked this", false, null);
                 return;
             }
             attempt = sent;
@@ -87,8 +88,9 @@
             if (server.isSilent() || world.links().isCut(from, server.zone())) {
                 return;
             }
-            long leftUs = Long.parseLong(request.headers().get("X-Remaining").replace("u", ""));
-            long untilUs = time.nowUs() + leftUs;
+            long remainingUs =
+                    Long.parseLong(request.headers().get("X-Remaining").replace("u", ""));
+            long untilUs = time.nowUs() + remainingUs;
             time.after(world.links().delay(random, from, server.zone()), () -> {
                 if (attempt == sent) {
                     job = server.take(
@@ -105,7 +107,8 @@
             });
         }
 
-        private void replied(ChannelHandlerContext context, Asked.Attempt of, Result result, double[] report) {
+        private void replied(
+                ChannelHandlerContext context, ClientRequest.Attempt of, AttemptResult result, LoadReport report) {
             int to = of.node().zone();
             if (attempt != of || server.isSilent() || world.links().isCut(server.zone(), to)) {
                 return;
@@ -124,14 +127,18 @@
             });
         }
 
-        private void end(Result result) {
+        private void end(AttemptResult result) {
             asked.ended(attempt, server, result);
             attempt = null;
             job = null;
         }
 
         private void answer(
-                ChannelHandlerContext context, HttpResponseStatus status, String body, boolean away, double... report) {
+                ChannelHandlerContext context,
+                HttpResponseStatus status,
+                String body,
+                boolean away,
+                LoadReport report) {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
             response.headers()
@@ -139,11 +146,15 @@
             if (away) {
                 response.headers().set("X-Turned-Away", "1");
             }
-            if (report != null && report.length == 2) {
+            if (report != null) {
                 response.headers()
                         .set(
                                 "X-Pressure",
-                                String.format(Locale.ROOT, "TEXT queue=%.2f, inflight=%.2f", report[0], report[1]));
+                                String.format(
+                                        Locale.ROOT,
+                                        "TEXT queue=%.2f, inflight=%.2f",
+                                        report.value(0),
+                                        report.value(1)));
             }
             context.writeAndFlush(response);
         }
@@ -152,7 +163,7 @@
         public void channelInactive(ChannelHandlerContext context) {
             if (attempt != null) {
                 server.giveUp(job);
-                end(server.isUp() || server.isSilent() ? Result.CANCELLED : Result.RESET);
+                end(server.isUp() || server.isSilent() ? AttemptResult.CANCELLED : AttemptResult.RESET);
             }
             if (counted) {
                 server.disconnect("any");
--- a/rig/src/main/java/kitemux/rig/real/MemberFleet.java
+++ b/rig/src/main/java/loadbalancer/rig/real/MemberFleet.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -22,12 +22,12 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.Settings;
-import kitemux.core.membership.Member;
-import kitemux.members.Look;
+import loadbalancer.membership.MembershipClient;
+import loadbalancer.membership.core.Member;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.RequestClass;
 
 /**
  * Processes of the program that take part in one fleet. Each has an address of its own, and is spoken to by
@@ -55,7 +55,7 @@
         private final InetSocketAddress bind;
         private final FaultLink connections;
         private final DatagramLink datagrams;
-        private Child child;
+        private NodeProcess child;
         private InetSocketAddress listen;
         private int life;
 
@@ -128,7 +128,7 @@
             Map<String, String> all = new HashMap<>(environment);
             all.put("PROXY_NAME", name);
             all.put("PROXY_CONFIG", config.toString());
-            child = new Child(name, deploy.run(), all, deploy.root(), log(), code -> {});
+            child = new NodeProcess(name, deploy.run(), all, deploy.root(), log(), code -> {});
         }
 
         private ObjectNode fleet() {
@@ -169,9 +169,9 @@
         }
 
         /** How it sees its fleet, asked past its link; null where it does not answer. */
-        Look.View view() {
+        MembershipClient.View view() {
             try {
-                return Look.at(bind, LOOK_MS);
+                return MembershipClient.at(bind, LOOK_MS);
             } catch (IOException e) {
                 // It has not begun, has ended, or stands still: the caller looks again.
                 return null;
@@ -180,7 +180,7 @@
 
         /** Names of all that it holds for live, itself included. */
         List<String> live() {
-            Look.View view = view();
+            MembershipClient.View view = view();
             return view == null ? List.of() : MemberFleet.live(view);
         }
     }
@@ -193,20 +193,21 @@
         random = new SplittableRandom(seed);
     }
 
-    private static Settings settings() {
-        Settings settings = new Settings();
+    private static BalancerSettings settings() {
+        BalancerSettings settings = new BalancerSettings();
         settings.zones.add("a");
-        settings.classes.add(new RequestClass("any", 1_000_000, 0, 2_000_000, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
+        settings.classes.add(new RequestClass(
+                "any", 1_000_000, 0, 2_000_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
         settings.maxAttempts = 2;
         settings.connectTimeoutUs = 500_000;
-        settings.coldFrom = 0.5;
-        settings.coldUs = 1_000_000;
-        settings.fallMultiple = 2;
-        settings.fallUs = 1_000_000;
+        settings.warmUpInitialShare = 0.5;
+        settings.warmUpUs = 1_000_000;
+        settings.overloadMultiple = 2;
+        settings.overloadUs = 1_000_000;
         return settings;
     }
 
-    private static List<String> live(Look.View view) {
+    private static List<String> live(MembershipClient.View view) {
         return Stream.concat(
                         Stream.of(view.self()),
                         view.others().stream().filter(m -> m.state().isLive()))
@@ -265,15 +266,19 @@
     boolean agree() {
         List<Process> up = processes.stream().filter(Process::isUp).toList();
         List<String> names = up.stream().map(Process::name).distinct().sorted().toList();
-        List<Look.View> views = new ArrayList<>();
+        List<MembershipClient.View> views = new ArrayList<>();
         for (Process process : up) {
-            Look.View view = process.view();
+            MembershipClient.View view = process.view();
             if (view == null) {
                 return false;
             }
             views.add(view);
         }
-        return views.stream().mapToLong(Look.View::digest).distinct().count() == 1
+        return views.stream()
+                                .mapToLong(MembershipClient.View::digest)
+                                .distinct()
+                                .count()
+                        == 1
                 && live(views.get(0)).equals(names);
     }
 
--- a/rig/src/main/java/kitemux/rig/real/NodeClients.java
+++ b/rig/src/main/java/loadbalancer/rig/real/NodeClients.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -26,10 +26,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import kitemux.Balancer.Repeat;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.world.NodePort.Answer;
-import kitemux.rig.world.NodePort.Try;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.world.NodePort.Answer;
+import loadbalancer.rig.world.NodePort.Try;
 
 /** The connections on which clients ask one node; they keep them, and open more when all are busy. */
 final class NodeClients {
@@ -129,7 +129,7 @@
 
         private FullHttpRequest message(Try next) {
             Scenario.RequestClass cls = classes.get(next.classIndex());
-            boolean safe = cls.repeat() == Repeat.SAFE;
+            boolean safe = cls.idempotency() == Idempotency.IDEMPOTENT;
             FullHttpRequest message = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     safe ? HttpMethod.GET : HttpMethod.POST,
@@ -137,9 +137,9 @@
                     Unpooled.wrappedBuffer(new byte[safe ? 0 : BODY]));
             message.headers()
                     .set(HttpHeaderNames.HOST, "backend.local")
-                    .set("X-Txn", Asked.txn(next.id()))
+                    .set("X-Txn", ClientRequest.txn(next.id()))
                     .set("X-Lane", cls.name())
-                    .set("X-Remaining", next.leftUs() + "u");
+                    .set("X-Remaining", next.remainingUs() + "u");
             if (!safe) {
                 message.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY);
             }
@@ -154,7 +154,7 @@
             int status = response.status().code();
             boolean ok = status == 200;
             boolean alien = ok
-                    && !response.content().toString(StandardCharsets.US_ASCII).equals(Asked.txn(asked.id()));
+                    && !response.content().toString(StandardCharsets.US_ASCII).equals(ClientRequest.txn(asked.id()));
             Heard by = heard;
             busy.remove(asked.id());
             heard = null;
--- a/rig/src/main/java/kitemux/rig/real/NodeConfigFile.java
+++ b/rig/src/main/java/loadbalancer/rig/real/NodeConfigFile.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -7,9 +7,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
-import java.util.Locale;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.Settings;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.RequestClass;
 
 /** What the platform writes for a node. */
 final class NodeConfigFile {
@@ -35,7 +35,7 @@
             String control,
             long seed,
             ObjectNode known,
-            Settings settings,
+            BalancerSettings settings,
             long idleUs,
             ObjectNode fleet)
             throws IOException {
@@ -56,11 +56,11 @@
     }
 
     /** The object that the simulator's first message gives an instance, by its names and units. */
-    private static ObjectNode settings(Settings from, long idleUs) {
+    private static ObjectNode settings(BalancerSettings from, long idleUs) {
         ObjectNode to = JSON.createObjectNode();
         to.put("balancers", from.nodes)
-                .put("me", from.me)
-                .put("myZone", from.zones.get(from.myZone))
+                .put("me", from.nodeIndex)
+                .put("myZone", from.zones.get(from.localZone))
                 .put("countedBy", "request")
                 .put("membershipMode", "pushed")
                 .put("quantumUs", from.tickUs);
@@ -70,20 +70,20 @@
         for (RequestClass c : from.classes) {
             classes.addObject()
                     .put("name", c.name())
-                    .put("onTimeUs", c.aimUs())
+                    .put("onTimeUs", c.latencyObjectiveUs())
                     .put("giveUpUs", c.deadlineUs())
-                    .put("importance", c.worth())
-                    .put("lateWorth", c.lateWorth())
-                    .put("repeat", c.repeat().name().toLowerCase(Locale.ROOT))
+                    .put("importance", c.priorityWeight())
+                    .put("lateWorth", c.lateWeight())
+                    .put("repeat", c.idempotency() == Idempotency.IDEMPOTENT ? "safe" : "unsafe")
                     .put("group", "all")
-                    .put("windowUs", c.windowUs())
-                    .put("stream", c.stream());
+                    .put("windowUs", c.deduplicationWindowUs())
+                    .put("stream", c.streaming());
         }
         to.putObject("callers").put("marksRetry", true);
         to.putObject("limits")
                 .put("attemptsCap", from.maxAttempts)
-                .put("parallelTries", from.secondCopies)
-                .put("cancelling", from.cancel)
+                .put("parallelTries", from.hedging)
+                .put("cancelling", from.cancellation)
                 .put("probes", from.probes)
                 .put("dialTimeoutUs", from.connectTimeoutUs)
                 .put("connIdleUs", idleUs)
@@ -91,12 +91,12 @@
                 .put("maxRetryAfterUs", 0);
         to.putObject("rules")
                 .put("drainGraceUs", from.drainGraceUs)
-                .put("coldFrom", from.coldFrom)
-                .put("coldUs", from.coldUs)
-                .put("overloadFactor", from.fallMultiple)
-                .put("fallUs", from.fallUs);
-        to.putObject("costs").put("crossZone", from.crossZonePrice);
-        to.putObject("extra").put("warmKeys", from.warmKeys);
+                .put("coldFrom", from.warmUpInitialShare)
+                .put("coldUs", from.warmUpUs)
+                .put("overloadFactor", from.overloadMultiple)
+                .put("fallUs", from.overloadUs);
+        to.putObject("costs").put("crossZone", from.crossZoneCost);
+        to.putObject("extra").put("warmKeys", from.keyAffinity);
         to.putObject("report")
                 .put("via", "answers")
                 .putArray("fields")
--- a/rig/src/main/java/kitemux/rig/real/Child.java
+++ b/rig/src/main/java/loadbalancer/rig/real/NodeProcess.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -18,7 +18,7 @@
  * A process that the rig has started and ends by its id. It ends with the rig, however that ends: a shell
  * beside it reads a pipe from the rig, and kills it when that closes.
  */
-final class Child implements AutoCloseable {
+final class NodeProcess implements AutoCloseable {
     /** Of what it prints the newest is kept: twice so much at the most. */
     static final long MOST_OUTPUT = 8L << 20;
 
@@ -44,7 +44,7 @@
      * @param output where what it prints goes
      * @param ended called from a thread of its own, with the exit code
      */
-    Child(String name, String command, Map<String, String> environment, Path folder, Path output, Ended ended)
+    NodeProcess(String name, String command, Map<String, String> environment, Path folder, Path output, Ended ended)
             throws IOException {
         this.name = name;
         this.output = output;
--- a/rig/src/main/java/kitemux/rig/real/RealNode.java
+++ b/rig/src/main/java/loadbalancer/rig/real/RealNode.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -11,11 +11,11 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.concurrent.ExecutorService;
-import kitemux.Balancer.Settings;
-import kitemux.rig.history.Event.Kind;
-import kitemux.rig.history.History;
-import kitemux.rig.world.NodePort;
-import kitemux.rig.world.World;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.rig.history.History;
+import loadbalancer.rig.world.NodePort;
+import loadbalancer.rig.world.World;
 
 /**
  * A node that is a process, started as the deploy file says; all but its start and its calls runs on the
@@ -29,11 +29,11 @@
 
     private final String name;
     private final int zone;
-    private final Settings settings;
+    private final BalancerSettings settings;
     private final World world;
     private final RealTimeline time;
-    private final Asked asked;
-    private final StandInList list;
+    private final ClientRequest asked;
+    private final FakeEndpointList list;
     private final String discovery;
     private final DeployFile deploy;
     private final Path folder;
@@ -43,7 +43,7 @@
     private final InetSocketAddress control;
     private final TreeSet<String> cordoned = new TreeSet<>();
     private NodeClients clients;
-    private Child child;
+    private NodeProcess child;
     private boolean ready;
     private boolean running;
     private boolean meantToEnd;
@@ -60,8 +60,8 @@
             String address,
             World world,
             RealTimeline time,
-            Asked asked,
-            StandInList list,
+            ClientRequest asked,
+            FakeEndpointList list,
             String discovery,
             DeployFile deploy,
             Path folder,
@@ -137,7 +137,7 @@
                         settings,
                         world.scenario().net().idleUs(),
                         null);
-                Child started = new Child(
+                NodeProcess started = new NodeProcess(
                         name,
                         deploy.run(),
                         Map.of(
@@ -163,7 +163,7 @@
         });
     }
 
-    private void begun(int of, Child started) {
+    private void begun(int of, NodeProcess started) {
         if (of != life) {
             started.kill();
             return;
@@ -266,7 +266,7 @@
             return;
         }
         asked.add(made, this);
-        time.after(2 * made.leftUs() + MOST_END_US, () -> asked.forget(made.id()));
+        time.after(2 * made.remainingUs() + MOST_END_US, () -> asked.forget(made.id()));
         int of = life;
         clients.ask(made, new NodeClients.Heard() {
             private boolean taken;
@@ -287,7 +287,7 @@
                                 "class",
                                 settings.classes.get(made.classIndex()).name(),
                                 "left",
-                                made.leftUs());
+                                made.remainingUs());
             }
 
             @Override
--- a/rig/src/main/java/kitemux/rig/real/RealPlay.java
+++ b/rig/src/main/java/loadbalancer/rig/real/RealPlay.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -15,16 +15,16 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-import kitemux.rig.check.Checker;
-import kitemux.rig.check.NoCrash;
-import kitemux.rig.check.Rules;
-import kitemux.rig.history.Event;
-import kitemux.rig.history.History;
-import kitemux.rig.play.Outcome;
-import kitemux.rig.play.SimPlay;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.world.NodePort;
-import kitemux.rig.world.World;
+import loadbalancer.rig.check.Checker;
+import loadbalancer.rig.check.NoCrash;
+import loadbalancer.rig.check.Rules;
+import loadbalancer.rig.history.Event;
+import loadbalancer.rig.history.History;
+import loadbalancer.rig.play.Outcome;
+import loadbalancer.rig.play.SimPlay;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.world.NodePort;
+import loadbalancer.rig.world.World;
 
 /**
  * Plays a scenario with processes: nodes as the deploy file starts them, and app servers, list and clients as
@@ -48,8 +48,8 @@
     private final World world;
     private final EventLoop linkLoop;
     private final ServerLinks links;
-    private final Map<String, StandInServer> servers = new LinkedHashMap<>();
-    private final List<StandInList> lists = new ArrayList<>();
+    private final Map<String, FakeServer> servers = new LinkedHashMap<>();
+    private final List<FakeEndpointList> lists = new ArrayList<>();
     private final List<FaultLink> listLinks = new ArrayList<>();
     private final List<RealNode> nodes = new ArrayList<>();
 
@@ -81,12 +81,12 @@
         history = new History(time, readers, file, false);
         world = new World(scenario, time, history);
         world.links().carriedBy(links);
-        Asked asked = new Asked(world, history);
+        ClientRequest asked = new ClientRequest(world, history);
         int number = 0;
         for (String id : world.servers().keySet()) {
             servers.put(
                     id,
-                    new StandInServer(
+                    new FakeServer(
                             world.servers().get(id),
                             "127.2." + number / 250 + "." + (1 + number % 250),
                             world,
@@ -97,7 +97,7 @@
         for (int i = 0; i < scenario.fleet().nodes(); i++) {
             int of = i;
             servers.forEach((id, server) -> links.add(of, id, server.address()));
-            StandInList list = new StandInList(
+            FakeEndpointList list = new FakeEndpointList(
                     "127.3.0." + (1 + i),
                     time,
                     scenario.fleet().zones(),
@@ -124,7 +124,7 @@
 
     /** An app server's model has come up or gone down: so does its address. */
     private void follow(Event event) {
-        StandInServer server = servers.get(event.process());
+        FakeServer server = servers.get(event.process());
         if (server != null && (event.kind() == Event.Kind.STARTED || event.kind() == Event.Kind.KILLED)) {
             // Later, as a machine that falls silent is killed first.
             time.after(0, () -> {
@@ -218,8 +218,8 @@
         loop.submit(() -> {}).awaitUninterruptibly();
         nodes.parallelStream().forEach(RealNode::close);
         loop.submit(() -> {
-                    servers.values().forEach(StandInServer::close);
-                    lists.forEach(StandInList::close);
+                    servers.values().forEach(FakeServer::close);
+                    lists.forEach(FakeEndpointList::close);
                 })
                 .awaitUninterruptibly();
         links.close();
--- a/rig/src/main/java/kitemux/rig/real/RealTimeline.java
+++ b/rig/src/main/java/loadbalancer/rig/real/RealTimeline.java
@@ -1,12 +1,12 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import kitemux.rig.time.Streams;
-import kitemux.rig.time.Timeline;
+import loadbalancer.rig.time.Streams;
+import loadbalancer.rig.time.Timeline;
 
 /** The system's time, on one event loop: what is scheduled runs there one after the other. */
 final class RealTimeline implements Timeline {
--- a/rig/src/main/java/kitemux/rig/real/ServerLinks.java
+++ b/rig/src/main/java/loadbalancer/rig/real/ServerLinks.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import kitemux.rig.real.FaultLink.Faults;
-import kitemux.rig.real.FaultLink.Way;
-import kitemux.rig.world.Links;
+import loadbalancer.rig.real.FaultLink.Faults;
+import loadbalancer.rig.real.FaultLink.Way;
+import loadbalancer.rig.world.Links;
 
 /** The ways of nodes to app servers, a fault link for each pair, on a loop of their own. */
 final class ServerLinks implements Links.Carrier {
--- a/rig/src/main/java/kitemux/rig/real/package-info.java
+++ b/rig/src/main/java/loadbalancer/rig/real/package-info.java
@@ -1,2 +1,2 @@
 /** Runs with real processes: children, fake servers, links that inject faults, fleets of members. */
-package kitemux.rig.real;
+package loadbalancer.rig.real;
--- a/rig/src/main/java/kitemux/rig/scale/ModuleScale.java
+++ b/rig/src/main/java/loadbalancer/rig/scale/ModuleScale.java
@@ -1,4 +1,4 @@
-package kitemux.rig.scale;
+package loadbalancer.rig.scale;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
@@ -6,18 +6,19 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import kitemux.Balancer;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.Request;
-import kitemux.Balancer.RequestClass;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
-import kitemux.ServiceQBalancer;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.BalancerActions;
+import loadbalancer.policy.BalancerRequest;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.ListKind;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.policy.ServerState;
+import loadbalancer.policy.ServiceQBalancer;
 
 /**
  * Measures what the decision module of one node costs as the fleet grows: one module, without sockets, that
@@ -93,7 +94,7 @@
     }
 
     /** A module with the clock, the servers and the clients that it sees. */
-    private static final class Driver implements Balancer.Actions {
+    private static final class Driver implements BalancerActions {
         private final SplittableRandom random = new SplittableRandom(1);
         private final List<ServerEntry> entries = new ArrayList<>();
         private final Balancer module;
@@ -103,13 +104,22 @@
         private int attempts;
 
         Driver(int nodes, int servers) {
-            Settings settings = new Settings();
+            BalancerSettings settings = new BalancerSettings();
             settings.nodes = nodes;
             for (int zone = 0; zone < ZONES; zone++) {
                 settings.zones.add("zone-" + zone);
             }
-            settings.classes.add(
-                    new RequestClass("page", 1_000_000, 0, 5_000_000, 1, 0, Repeat.SAFE, Group.ALL, 1_000_000, false));
+            settings.classes.add(new RequestClass(
+                    "page",
+                    1_000_000,
+                    0,
+                    5_000_000,
+                    1,
+                    0,
+                    Idempotency.IDEMPOTENT,
+                    DeduplicationScope.ALL,
+                    1_000_000,
+                    false));
             for (int i = 0; i < servers; i++) {
                 entries.add(new ServerEntry("s-" + i, i % ZONES, 0, ServerState.READY, 1, 0));
             }
@@ -138,13 +148,19 @@
                 long id = ++lastRequest;
                 attempts = 0;
                 sent = false;
-                module.onRequest(nowUs, new Request(id, 0, -1, 5_000_000, 0, false, null));
+                module.onRequest(nowUs, new BalancerRequest(id, 0, -1, 5_000_000, 0, false, null));
                 while (sent) {
                     sent = false;
                     boolean fails = random.nextDouble() < failing;
                     module.onOutcome(
                             nowUs,
-                            new Outcome(id, attempts - 1, fails ? Result.ERROR : Result.OK, 1_000, !fails, null));
+                            new AttemptOutcome(
+                                    id,
+                                    attempts - 1,
+                                    fails ? AttemptResult.ERROR : AttemptResult.OK,
+                                    1_000,
+                                    !fails,
+                                    null));
                 }
             }
         }
@@ -159,7 +175,7 @@
         public void cancel(long requestId, int attempt) {}
 
         @Override
-        public void refuse(long requestId, long retryAfterUs) {}
+        public void reject(long requestId, long retryAfterUs) {}
 
         @Override
         public void fail(long requestId) {}
--- a/rig/src/main/java/kitemux/rig/scale/package-info.java
+++ b/rig/src/main/java/loadbalancer/rig/scale/package-info.java
@@ -1,2 +1,2 @@
 /** Measurements of what the decision module costs as endpoint lists grow. */
-package kitemux.rig.scale;
+package loadbalancer.rig.scale;
--- a/rig/src/main/java/kitemux/rig/scenario/BadScenarioException.java
+++ b/rig/src/main/java/loadbalancer/rig/scenario/BadScenarioException.java
@@ -1,4 +1,4 @@
-package kitemux.rig.scenario;
+package loadbalancer.rig.scenario;
 
 import java.util.List;
 
--- a/rig/src/main/java/kitemux/rig/scenario/DayFile.java
+++ b/rig/src/main/java/loadbalancer/rig/scenario/DayFile.java
@@ -1,4 +1,4 @@
-package kitemux.rig.scenario;
+package loadbalancer.rig.scenario;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/rig/src/main/java/kitemux/rig/scenario/Scenario.java
+++ b/rig/src/main/java/loadbalancer/rig/scenario/Scenario.java
@@ -1,7 +1,7 @@
-package kitemux.rig.scenario;
+package loadbalancer.rig.scenario;
 
 import java.util.List;
-import kitemux.Balancer.Repeat;
+import loadbalancer.policy.Idempotency;
 
 /**
  * All that one run is made of, but for its seed. Lengths of time are microseconds; shares lie between 0 and
@@ -96,10 +96,10 @@
             long workUs,
             double cv,
             double attemptNoise,
-            long aimUs,
+            long latencyObjectiveUs,
             long deadlineUs,
-            double worth,
-            Repeat repeat) {}
+            double priorityWeight,
+            Idempotency idempotency) {}
 
     /**
      * @param tries a client makes at most
@@ -133,8 +133,8 @@
             int queue,
             double thrash,
             int thrashAt,
-            double coldFrom,
-            long coldUs,
+            double warmUpInitialShare,
+            long warmUpUs,
             long pauseEveryUs,
             long pauseUs,
             double pauseGrow,
@@ -150,12 +150,12 @@
     /** What the platform forbids, in figures. */
     public record Rules(
             int maxAttempts,
-            boolean secondCopies,
+            boolean hedging,
             boolean cancel,
             long drainGraceUs,
             long answerGraceUs,
-            double fallMultiple,
-            long fallUs,
+            double overloadMultiple,
+            long overloadUs,
             long downUs) {}
 
     /** What G is made of: shares of the whole, the worst window and the worst class, and what comes off. */
--- a/rig/src/main/java/kitemux/rig/scenario/ScenarioFile.java
+++ b/rig/src/main/java/loadbalancer/rig/scenario/ScenarioFile.java
@@ -1,4 +1,4 @@
-package kitemux.rig.scenario;
+package loadbalancer.rig.scenario;
 
 import com.fasterxml.jackson.core.JsonLocation;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -15,13 +15,14 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import kitemux.Balancer.Repeat;
+import loadbalancer.policy.Idempotency;
 
 /** Reads a scenario from TOML. What is left out has the middle of the ranges of the deployment in service. */
 public final class ScenarioFile {
     private static final TomlMapper TOML = new TomlMapper();
     private static final double DAY_S = 86_400;
-    private static final List<String> REPEATS = List.of("safe", "unsafe");
+    private static final String REPEATABLE = "safe";
+    private static final List<String> REPEATS = List.of(REPEATABLE, "unsafe");
 
     private ScenarioFile() {}
 
@@ -143,13 +144,14 @@
     private static List<Scenario.RequestClass> classes(List<Fields> tables) {
         if (tables.isEmpty()) {
             return List.of(
-                    new Scenario.RequestClass("search", 0.37, 55_000, 1, 0.35, 400_000, 2_000_000, 1, Repeat.SAFE),
                     new Scenario.RequestClass(
-                            "book-seat", 0.27, 110_000, 1.2, 0.35, 2_000_000, 6_000_000, 5, Repeat.UNSAFE),
+                            "search", 0.37, 55_000, 1, 0.35, 400_000, 2_000_000, 1, Idempotency.IDEMPOTENT),
                     new Scenario.RequestClass(
-                            "post-trip", 0.19, 145_000, 1.2, 0.35, 2_500_000, 5_000_000, 2, Repeat.UNSAFE),
+                            "book-seat", 0.27, 110_000, 1.2, 0.35, 2_000_000, 6_000_000, 5, Idempotency.NON_IDEMPOTENT),
                     new Scenario.RequestClass(
-                            "settle", 0.17, 150_000, 1.2, 0.35, 2_500_000, 5_000_000, 3, Repeat.UNSAFE));
+                            "post-trip", 0.19, 145_000, 1.2, 0.35, 2_500_000, 5_000_000, 2, Idempotency.NON_IDEMPOTENT),
+                    new Scenario.RequestClass(
+                            "settle", 0.17, 150_000, 1.2, 0.35, 2_500_000, 5_000_000, 3, Idempotency.NON_IDEMPOTENT));
         }
         List<Scenario.RequestClass> classes = new ArrayList<>();
         for (Fields f : tables) {
@@ -162,7 +164,9 @@
                     f.millis("aim_ms", 400, 1, 1e7),
                     f.millis("deadline_ms", 2_000, 1, 1e7),
                     f.number("worth", 1, 0, 1e6),
-                    Repeat.valueOf(f.word("effect", "safe", REPEATS).toUpperCase(Locale.ROOT))));
+                    REPEATABLE.equals(f.word("effect", REPEATABLE, REPEATS))
+                            ? Idempotency.IDEMPOTENT
+                            : Idempotency.NON_IDEMPOTENT));
             f.end();
         }
         return classes;
--- a/rig/src/main/java/kitemux/rig/scenario/package-info.java
+++ b/rig/src/main/java/loadbalancer/rig/scenario/package-info.java
@@ -1,2 +1,2 @@
 /** Scenario files: their model, their reader and its errors. */
-package kitemux.rig.scenario;
+package loadbalancer.rig.scenario;
--- a/rig/src/main/java/kitemux/rig/time/Timeline.java
+++ b/rig/src/main/java/loadbalancer/rig/time/Timeline.java
@@ -1,4 +1,4 @@
-package kitemux.rig.time;
+package loadbalancer.rig.time;
 
 import java.util.SplittableRandom;
 
--- a/rig/src/main/java/kitemux/rig/time/package-info.java
+++ b/rig/src/main/java/loadbalancer/rig/time/package-info.java
@@ -1,2 +1,2 @@
 /** Virtual time and the streams of random numbers. */
-package kitemux.rig.time;
+package loadbalancer.rig.time;
--- a/rig/src/main/java/kitemux/rig/world/AppServer.java
+++ b/rig/src/main/java/loadbalancer/rig/world/AppServer.java
@@ -1,4 +1,4 @@
-package kitemux.rig.world;
+package loadbalancer.rig.world;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,12 +10,13 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
-import kitemux.Balancer.Result;
-import kitemux.rig.history.Event.Kind;
-import kitemux.rig.history.History;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.time.Timeline;
-import kitemux.rig.time.Timeline.Timer;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.rig.history.History;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.time.Timeline;
+import loadbalancer.rig.time.Timeline.Timer;
 
 /**
  * The model of one app server. Its cores are shared evenly by what is in its slots; what comes beyond waits
@@ -73,7 +74,7 @@
     private double workWastedUs;
 
     /** How an attempt at it ends; called on the timeline. */
-    public interface Reply extends BiConsumer<Result, double[]> {}
+    public interface Reply extends BiConsumer<AttemptResult, LoadReport> {}
 
     private record Arrival(long atUs, double workUs) {}
 
@@ -183,10 +184,10 @@
         while (!inWork.isEmpty()) {
             Job broken = inWork.poll();
             workWastedUs += broken.workUs - Math.max(0, broken.doneAt - given);
-            end(broken, Result.RESET);
+            end(broken, AttemptResult.RESET);
         }
         while (!queued.isEmpty()) {
-            end(queued.poll(), Result.RESET);
+            end(queued.poll(), AttemptResult.RESET);
         }
         keys.clear();
         pressure.clear();
@@ -202,7 +203,7 @@
         broken.addAll(queued);
         queued.clear();
         for (Job job : broken) {
-            end(job, Result.RESET);
+            end(job, AttemptResult.RESET);
             job.unwanted = true;
         }
     }
@@ -283,21 +284,21 @@
             return null;
         }
         if (!up) {
-            time.after(0, () -> reply.accept(Result.CONNECT_FAILED, null));
+            time.after(0, () -> reply.accept(AttemptResult.CONNECT_FAILED, null));
             return null;
         }
         press(work.workUs());
         if (!up) {
-            time.after(0, () -> reply.accept(Result.RESET, null));
+            time.after(0, () -> reply.accept(AttemptResult.RESET, null));
             return null;
         }
         if (random.nextDouble() < Math.max(failing, kind.errorRate())) {
             int of = life;
-            time.after(ERROR_US, () -> reply.accept(of == life ? Result.ERROR : Result.RESET, report()));
+            time.after(ERROR_US, () -> reply.accept(of == life ? AttemptResult.ERROR : AttemptResult.RESET, report()));
             return null;
         }
         if (inWork.size() >= kind.slots() * kind.cores() && queued.size() >= kind.queue() * kind.cores()) {
-            time.after(0, () -> reply.accept(Result.FULL, report()));
+            time.after(0, () -> reply.accept(AttemptResult.FULL, report()));
             return null;
         }
         Job job = new Job(jobs++, work, work.workUs() * (remembers(work.key()) ? 1 - kind.keyGain() : 1), reply);
@@ -343,11 +344,11 @@
         long now = time.nowUs();
         pressure.add(new Arrival(now, workUs));
         pressureUs += workUs;
-        while (pressure.peek().atUs < now - rules.fallUs()) {
+        while (pressure.peek().atUs < now - rules.overloadUs()) {
             pressureUs -= pressure.poll().workUs;
         }
         cold = warmth() < 1;
-        double bears = rules.fallMultiple() * capacity() * warmth() * rules.fallUs() / meanWorkUs;
+        double bears = rules.overloadMultiple() * capacity() * warmth() * rules.overloadUs() / meanWorkUs;
         if (cold && pressureUs > (bears + 2 * Math.sqrt(bears) + 2) * meanWorkUs) {
             history.add(id, Kind.FELL, "work", pressureUs);
             kill();
@@ -360,8 +361,10 @@
                 ? 1
                 : Math.min(
                         1,
-                        kind.coldFrom()
-                                + (1 - kind.coldFrom()) * (time.nowUs() - startedUs) / Math.max(1, kind.coldUs()));
+                        kind.warmUpInitialShare()
+                                + (1 - kind.warmUpInitialShare())
+                                        * (time.nowUs() - startedUs)
+                                        / Math.max(1, kind.warmUpUs()));
     }
 
     /** Work that each job in the slots is given in a microsecond. */
@@ -389,8 +392,8 @@
         if (pace == 0) {
             return;
         }
-        double leftUs = Math.max(0, inWork.peek().doneAt - given) / pace;
-        long atUs = time.nowUs() + (long) Math.ceil(Math.min(leftUs, 1e12));
+        double remainingUs = Math.max(0, inWork.peek().doneAt - given) / pace;
+        long atUs = time.nowUs() + (long) Math.ceil(Math.min(remainingUs, 1e12));
         int of = life;
         next = time.at(cold ? Math.min(atUs, time.nowUs() + WARMING_STEP_US) : atUs, () -> {
             if (of == life) {
@@ -418,12 +421,12 @@
                         "attempt",
                         done.work.attempt());
             }
-            end(done, Result.OK);
+            end(done, AttemptResult.OK);
         }
         while (!queued.isEmpty() && inWork.size() < kind.slots() * kind.cores()) {
             Job job = queued.poll();
             if (kind.dropsExpired() && job.work.untilUs() <= time.nowUs()) {
-                end(job, Result.FULL);
+                end(job, AttemptResult.FULL);
             } else {
                 begin(job);
             }
@@ -431,22 +434,22 @@
         plan();
     }
 
-    private void end(Job job, Result result) {
+    private void end(Job job, AttemptResult result) {
         if (!job.unwanted) {
-            double[] report = result == Result.RESET ? null : report();
+            LoadReport report = result == AttemptResult.RESET ? null : report();
             time.after(0, () -> job.reply.accept(result, report));
         }
     }
 
     /** Its load report, requests in its queue and in all: refreshed now and then, late and noisy. */
-    private double[] report() {
+    private LoadReport report() {
         long now = time.nowUs();
         if (now - reportedAtUs >= kind.reportEveryUs()) {
             reportedAtUs = now;
             double[] fresh = {noisy(queued.size()), noisy(held())};
             time.after(kind.reportDelayUs(), () -> reported = fresh);
         }
-        return reported.clone();
+        return LoadReport.of(reported);
     }
 
     private double noisy(int count) {
--- a/rig/src/main/java/kitemux/rig/world/Chance.java
+++ b/rig/src/main/java/loadbalancer/rig/world/Chance.java
@@ -1,4 +1,4 @@
-package kitemux.rig.world;
+package loadbalancer.rig.world;
 
 import java.util.SplittableRandom;
 
--- a/rig/src/main/java/kitemux/rig/world/Clients.java
+++ b/rig/src/main/java/loadbalancer/rig/world/Clients.java
@@ -1,14 +1,14 @@
-package kitemux.rig.world;
+package loadbalancer.rig.world;
 
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import kitemux.Balancer.Repeat;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.time.Timeline;
-import kitemux.rig.time.Timeline.Timer;
-import kitemux.rig.world.NodePort.Answer;
-import kitemux.rig.world.NodePort.Try;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.time.Timeline;
+import loadbalancer.rig.time.Timeline.Timer;
+import loadbalancer.rig.world.NodePort.Answer;
+import loadbalancer.rig.world.NodePort.Try;
 
 /**
  * Clients, open loop: they ask by chance, one stream for each class and zone, whatever becomes of what was
@@ -160,10 +160,11 @@
         }
 
         void ask() {
-            long leftUs = deadlineUs - time.nowUs();
+            long remainingUs = deadlineUs - time.nowUs();
             boolean last = ++tries >= scenario.clients().tries();
-            long patienceUs =
-                    last ? leftUs : (long) (leftUs * scenario.clients().tryShare());
+            long patienceUs = last
+                    ? remainingUs
+                    : (long) (remainingUs * scenario.clients().tryShare());
             if (patienceUs < 1_000) {
                 over(Answer.FAILED);
                 return;
@@ -223,7 +224,9 @@
         }
 
         private void tryAgain(Answer answer) {
-            boolean harmless = cls.repeat() == Repeat.SAFE || answer == Answer.REFUSED || answer == Answer.UNREACHABLE;
+            boolean harmless = cls.idempotency() == Idempotency.IDEMPOTENT
+                    || answer == Answer.REFUSED
+                    || answer == Answer.UNREACHABLE;
             long backoffUs = scenario.clients().backoffUs();
             if (harmless && tries < scenario.clients().tries() && time.nowUs() + backoffUs < deadlineUs) {
                 time.after(backoffUs, this::ask);
--- a/rig/src/main/java/kitemux/rig/world/Front.java
+++ b/rig/src/main/java/loadbalancer/rig/world/Front.java
@@ -1,8 +1,8 @@
-package kitemux.rig.world;
+package loadbalancer.rig.world;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import kitemux.rig.time.Timeline;
+import loadbalancer.rig.time.Timeline;
 
 /** The front of each zone: it deals requests among the nodes that it holds for alive. */
 final class Front {
--- a/rig/src/main/java/kitemux/rig/world/ListModel.java
+++ b/rig/src/main/java/loadbalancer/rig/world/ListModel.java
@@ -1,17 +1,17 @@
-package kitemux.rig.world;
+package loadbalancer.rig.world;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.rig.history.Event.Kind;
-import kitemux.rig.history.History;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.time.Timeline;
+import loadbalancer.policy.ListKind;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.policy.ServerState;
+import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.rig.history.History;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.time.Timeline;
 
 /**
  * The list of app servers as discovery knows it, and what each node's agent has been sent of it: every change
--- a/rig/src/main/java/kitemux/rig/world/NodePort.java
+++ b/rig/src/main/java/loadbalancer/rig/world/NodePort.java
@@ -1,4 +1,4 @@
-package kitemux.rig.world;
+package loadbalancer.rig.world;
 
 /** One node as clients, the front and troubles meet it: a simulated one or a process. */
 public interface NodePort {
@@ -24,7 +24,7 @@
      * @param workUs what it takes on a standard core; nodes are not told
      * @param leftUs how long the client will wait
      */
-    record Try(long id, int classIndex, String key, double workUs, long leftUs, boolean repeat) {}
+    record Try(long id, int classIndex, String key, double workUs, long remainingUs, boolean repeat) {}
 
     /** Whom to tell of the answer, once. */
     interface Asker {
--- a/rig/src/main/java/kitemux/rig/world/Policy.java
+++ b/rig/src/main/java/loadbalancer/rig/world/Policy.java
@@ -1,10 +1,10 @@
-package kitemux.rig.world;
+package loadbalancer.rig.world;
 
 import java.util.Map;
-import kitemux.Balancer;
-import kitemux.Balancer.Actions;
-import kitemux.Balancer.Settings;
-import kitemux.ServiceQBalancer;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.BalancerActions;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.ServiceQBalancer;
 
 /** What makes the decisions of a simulated node. */
 public interface Policy {
@@ -15,5 +15,5 @@
      * A node that has just started; {@code servers} are the true ones, for policies that no real node can
      * have.
      */
-    Balancer make(Settings settings, long seed, Actions actions, Map<String, AppServer> servers);
+    Balancer make(BalancerSettings settings, long seed, BalancerActions actions, Map<String, AppServer> servers);
 }
--- a/rig/src/main/java/kitemux/rig/world/Score.java
+++ b/rig/src/main/java/loadbalancer/rig/world/Score.java
@@ -1,9 +1,9 @@
-package kitemux.rig.world;
+package loadbalancer.rig.world;
 
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import kitemux.rig.scenario.Scenario;
+import loadbalancer.rig.scenario.Scenario;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -22,7 +22,7 @@
     private final double[] earnedByClass;
     private final Histogram latency = new Histogram(MOST_US, 3);
     private long openedUs;
-    private double lateWorth;
+    private double lateWeight;
     private double offeredUs;
     private long firstTries;
     private long tries;
@@ -69,17 +69,17 @@
     void ended(int classIndex, long askedAtUs, long tookUs, NodePort.Answer answer) {
         Scenario.RequestClass cls = scenario.classes().get(classIndex);
         int second = (int) Math.min((askedAtUs - openedUs) / SECOND_US, askedBySecond.length - 1);
-        askedBySecond[second] += cls.worth();
-        askedByClass[classIndex] += cls.worth();
+        askedBySecond[second] += cls.priorityWeight();
+        askedByClass[classIndex] += cls.priorityWeight();
         if (answer == NodePort.Answer.OK) {
             latency.recordValue(Math.min(tookUs, MOST_US));
         }
-        if (answer == NodePort.Answer.OK && tookUs <= cls.aimUs()) {
-            earnedBySecond[second] += cls.worth();
-            earnedByClass[classIndex] += cls.worth();
+        if (answer == NodePort.Answer.OK && tookUs <= cls.latencyObjectiveUs()) {
+            earnedBySecond[second] += cls.priorityWeight();
+            earnedByClass[classIndex] += cls.priorityWeight();
             inTime++;
         } else {
-            lateWorth += tookUs > cls.aimUs() ? cls.worth() : 0;
+            lateWeight += tookUs > cls.latencyObjectiveUs() ? cls.priorityWeight() : 0;
             refused += answer == NodePort.Answer.REFUSED ? 1 : 0;
             failed += answer == NodePort.Answer.OK || answer == NodePort.Answer.REFUSED ? 0 : 1;
         }
@@ -124,7 +124,7 @@
                 + prices.waste() * share(wastedUs, Math.max(1, offeredUs))
                 + prices.lateFail()
                         * share(
-                                lateWorth,
+                                lateWeight,
                                 Math.max(1e-9, Arrays.stream(askedBySecond).sum()));
         double g = prices.whole() * whole()
                 + prices.worstWindow() * worstWindow()
--- a/rig/src/main/java/kitemux/rig/world/SimNode.java
+++ b/rig/src/main/java/loadbalancer/rig/world/SimNode.java
@@ -1,4 +1,4 @@
-package kitemux.rig.world;
+package loadbalancer.rig.world;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,26 +8,28 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import kitemux.Balancer;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Request;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.Settings;
-import kitemux.rig.history.Event.Kind;
-import kitemux.rig.history.History;
-import kitemux.rig.time.Timeline;
-import kitemux.rig.time.Timeline.Timer;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.BalancerActions;
+import loadbalancer.policy.BalancerRequest;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.ListKind;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.rig.history.History;
+import loadbalancer.rig.time.Timeline;
+import loadbalancer.rig.time.Timeline.Timer;
 
 /**
  * A node in simulated time: the decision module, with sockets that are models. It does what the program does
  * around the module, in no time of its own.
  */
-final class SimNode implements NodePort, Balancer.Actions {
+final class SimNode implements NodePort, BalancerActions {
     private final String name;
     private final int zone;
-    private final Settings settings;
+    private final BalancerSettings settings;
     private final World world;
     private final Timeline time;
     private final History history;
@@ -87,12 +89,12 @@
         private void begin(long untilUs) {
             of.outstanding++;
             if (untilUs <= sentAtUs || number >= settings.maxAttempts || of.ended) {
-                later(0, () -> ended(Result.MOOT, null));
+                later(0, () -> ended(AttemptResult.MOOT, null));
                 return;
             }
             expiry = later(untilUs - sentAtUs, () -> {
                 server.giveUp(job);
-                ended(connected ? Result.TIMEOUT : Result.CONNECT_FAILED, null);
+                ended(connected ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, null);
             });
             long tripUs = world.links().delay(random, zone, server);
             Connections to = connections.computeIfAbsent(server.id(), id -> new Connections());
@@ -117,9 +119,9 @@
 
         private void open(long tripUs, long untilUs) {
             if (isCutOff()) {
-                later(world.links().net().connectTimeoutUs(), () -> ended(Result.CONNECT_FAILED, null));
+                later(world.links().net().connectTimeoutUs(), () -> ended(AttemptResult.CONNECT_FAILED, null));
             } else if (!server.connect(name)) {
-                later(2 * tripUs, () -> ended(Result.CONNECT_FAILED, null));
+                later(2 * tripUs, () -> ended(AttemptResult.CONNECT_FAILED, null));
             } else {
                 later(2 * tripUs * world.links().net().handshakeTrips(), () -> carried(tripUs, untilUs));
             }
@@ -152,7 +154,7 @@
             });
         }
 
-        private void replied(Result result, double[] report) {
+        private void replied(AttemptResult result, LoadReport report) {
             if (isCutOff() || world.links().isMute(server)) {
                 return;
             }
@@ -164,8 +166,8 @@
             });
         }
 
-        private void free(Result result) {
-            if (result != Result.RESET && result != Result.CONNECT_FAILED) {
+        private void free(AttemptResult result) {
+            if (result != AttemptResult.RESET && result != AttemptResult.CONNECT_FAILED) {
                 Connections to = connections.get(server.id());
                 to.idle += to.of == server.startedUs() ? 1 : 0;
                 to.usedAtUs = time.nowUs();
@@ -178,11 +180,11 @@
                 if (connected) {
                     server.disconnect(name);
                 }
-                ended(Result.CANCELLED, null);
+                ended(AttemptResult.CANCELLED, null);
             }
         }
 
-        private void ended(Result result, double[] report) {
+        private void ended(AttemptResult result, LoadReport report) {
             if (over) {
                 return;
             }
@@ -191,7 +193,7 @@
                 expiry.cancel();
             }
             of.outstanding--;
-            if (result == Result.TIMEOUT) {
+            if (result == AttemptResult.TIMEOUT) {
                 server.disconnect(name);
             }
             history.add(
@@ -205,20 +207,20 @@
                     server.id(),
                     "result",
                     result.name());
-            if (result == Result.OK && !of.ended) {
+            if (result == AttemptResult.OK && !of.ended) {
                 answer(of, Answer.OK);
             }
             // The module may be in the middle of an event: what it cancelled is told afterwards.
             later(0, () -> {
                 module.onOutcome(
                         time.nowUs(),
-                        new Outcome(of.asked.id(), number, result, time.nowUs() - sentAtUs, of.ended, report));
+                        new AttemptOutcome(of.asked.id(), number, result, time.nowUs() - sentAtUs, of.ended, report));
                 forgetIfOver(of);
             });
         }
     }
 
-    SimNode(String name, int zone, Settings settings, World world, Policy policy) {
+    SimNode(String name, int zone, BalancerSettings settings, World world, Policy policy) {
         this.name = name;
         this.zone = zone;
         this.settings = settings;
@@ -335,7 +337,7 @@
             time.after(0, () -> asker.answered(Answer.UNREACHABLE));
             return;
         }
-        Held taken = new Held(asked, asker, time.nowUs() + asked.leftUs());
+        Held taken = new Held(asked, asker, time.nowUs() + asked.remainingUs());
         held.put(asked.id(), taken);
         history.add(
                 name,
@@ -345,14 +347,14 @@
                 "class",
                 settings.classes.get(asked.classIndex()).name(),
                 "left",
-                asked.leftUs());
+                asked.remainingUs());
         module.onRequest(
                 time.nowUs(),
-                new Request(
+                new BalancerRequest(
                         asked.id(),
                         asked.classIndex(),
                         -1,
-                        asked.leftUs(),
+                        asked.remainingUs(),
                         0,
                         asked.repeat() && world.scenario().clients().marksRepeats(),
                         asked.key()));
@@ -429,7 +431,7 @@
     }
 
     @Override
-    public void refuse(long requestId, long retryAfterUs) {
+    public void reject(long requestId, long retryAfterUs) {
         finish(requestId, Answer.REFUSED);
     }
 
--- a/rig/src/main/java/kitemux/rig/world/Work.java
+++ b/rig/src/main/java/loadbalancer/rig/world/Work.java
@@ -1,4 +1,4 @@
-package kitemux.rig.world;
+package loadbalancer.rig.world;
 
 /**
  * What an app server is asked to do.
--- a/rig/src/main/java/kitemux/rig/world/World.java
+++ b/rig/src/main/java/loadbalancer/rig/world/World.java
@@ -1,19 +1,19 @@
-package kitemux.rig.world;
+package loadbalancer.rig.world;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import kitemux.Balancer;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.ReportField;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
-import kitemux.rig.history.History;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.time.Timeline;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.LoadReportField;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.policy.ServerState;
+import loadbalancer.rig.history.History;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.time.Timeline;
 
 /**
  * All that one run has: app servers, nodes, clients and their front, the list and the network. It lives in
@@ -208,36 +208,45 @@
     }
 
     /** What a node is told at its start. */
-    public Settings settings(int me) {
-        Settings settings = new Settings();
+    public BalancerSettings settings(int me) {
+        BalancerSettings settings = new BalancerSettings();
         settings.nodes = scenario.fleet().nodes();
-        settings.me = me;
-        settings.myZone = scenario.fleet().zoneOfNode(me);
+        settings.nodeIndex = me;
+        settings.localZone = scenario.fleet().zoneOfNode(me);
         settings.zones.addAll(scenario.fleet().zones());
         for (Scenario.RequestClass c : scenario.classes()) {
-            settings.classes.add(new Balancer.RequestClass(
-                    c.name(), c.aimUs(), 0, c.deadlineUs(), c.worth(), 0, c.repeat(), Group.ALL, 0, false));
+            settings.classes.add(new RequestClass(
+                    c.name(),
+                    c.latencyObjectiveUs(),
+                    0,
+                    c.deadlineUs(),
+                    c.priorityWeight(),
+                    0,
+                    c.idempotency(),
+                    DeduplicationScope.ALL,
+                    0,
+                    false));
         }
         settings.maxAttempts = scenario.rules().maxAttempts();
-        settings.secondCopies = scenario.rules().secondCopies();
-        settings.cancel = scenario.rules().cancel();
+        settings.hedging = scenario.rules().hedging();
+        settings.cancellation = scenario.rules().cancel();
         settings.connectTimeoutUs = scenario.net().connectTimeoutUs();
         settings.drainGraceUs = scenario.rules().drainGraceUs();
-        settings.coldFrom = scenario.servers().stream()
-                .mapToDouble(Scenario.ServerKind::coldFrom)
+        settings.warmUpInitialShare = scenario.servers().stream()
+                .mapToDouble(Scenario.ServerKind::warmUpInitialShare)
                 .min()
                 .orElseThrow();
-        settings.coldUs = scenario.servers().stream()
-                .mapToLong(Scenario.ServerKind::coldUs)
+        settings.warmUpUs = scenario.servers().stream()
+                .mapToLong(Scenario.ServerKind::warmUpUs)
                 .max()
                 .orElseThrow();
-        settings.fallMultiple = scenario.rules().fallMultiple();
-        settings.fallUs = scenario.rules().fallUs();
-        settings.crossZonePrice = scenario.prices().crossZone();
-        settings.warmKeys = scenario.servers().stream().anyMatch(kind -> kind.keyGain() > 0)
+        settings.overloadMultiple = scenario.rules().overloadMultiple();
+        settings.overloadUs = scenario.rules().overloadUs();
+        settings.crossZoneCost = scenario.prices().crossZone();
+        settings.keyAffinity = scenario.servers().stream().anyMatch(kind -> kind.keyGain() > 0)
                 && scenario.load().keys() > 0;
-        settings.reportFields.add(ReportField.QUEUED);
-        settings.reportFields.add(ReportField.IN_FLIGHT);
+        settings.reportFields.add(LoadReportField.QUEUED);
+        settings.reportFields.add(LoadReportField.IN_FLIGHT);
         return settings;
     }
 }
--- a/rig/src/main/java/kitemux/rig/world/package-info.java
+++ b/rig/src/main/java/loadbalancer/rig/world/package-info.java
@@ -1,2 +1,2 @@
 /** Models of servers, clients, front, endpoint list and network, in simulated time. */
-package kitemux.rig.world;
+package loadbalancer.rig.world;
--- a/rig/src/test/java/kitemux/rig/ArchitectureTest.java
+++ b/rig/src/test/java/loadbalancer/rig/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig;
+package loadbalancer.rig;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
@@ -11,15 +11,15 @@
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
-import kitemux.rig.trouble.Trouble;
+import loadbalancer.rig.fault.Fault;
 
 /** What may know of what; that a module's jar holds nothing of those above it, the compiler sees to. */
-@AnalyzeClasses(packages = "kitemux", importOptions = DoNotIncludeTests.class)
+@AnalyzeClasses(packages = "loadbalancer", importOptions = DoNotIncludeTests.class)
 class ArchitectureTest {
     private static final DescribedPredicate<JavaClass> CORES = DescribedPredicate.describe(
             "cores",
-            c -> c.getPackageName().startsWith("kitemux.core")
-                    || c.getPackageName().equals("kitemux") && !c.getName().equals("kitemux.Main"));
+            c -> c.getPackageName().startsWith("loadbalancer.membership.core")
+                    || c.getPackageName().equals("loadbalancer.policy"));
 
     /** A core is told the time, its chance and all that happens; what it wants done it says. */
     @ArchTest
@@ -35,8 +35,16 @@
                     "java.util.concurrent..",
                     "java.lang.reflect..",
                     "io.netty..",
-                    "kitemux.node..",
-                    "kitemux.adapter..",
+                    "loadbalancer.process..",
+                    "loadbalancer.client..",
+                    "loadbalancer.upstream..",
+                    "loadbalancer.request..",
+                    "loadbalancer.admin..",
+                    "loadbalancer.config..",
+                    "loadbalancer.discovery..",
+                    "loadbalancer.transfer..",
+                    "loadbalancer.common..",
+                    "loadbalancer.simulator..",
                     "org..",
                     "com..")
             .orShould()
@@ -53,44 +61,47 @@
     static final ArchRule THE_RIG_POINTS_ONE_WAY = layeredArchitecture()
             .consideringOnlyDependenciesInLayers()
             .layer("time")
-            .definedBy("kitemux.rig.time..")
+            .definedBy("loadbalancer.rig.time..")
             .layer("history")
-            .definedBy("kitemux.rig.history..")
+            .definedBy("loadbalancer.rig.history..")
             .layer("scenario")
-            .definedBy("kitemux.rig.scenario..")
+            .definedBy("loadbalancer.rig.scenario..")
             .layer("check")
-            .definedBy("kitemux.rig.check..")
+            .definedBy("loadbalancer.rig.check..")
             .layer("world")
-            .definedBy("kitemux.rig.world..")
-            .layer("trouble")
-            .definedBy("kitemux.rig.trouble..")
+            .definedBy("loadbalancer.rig.world..")
+            .layer("fault")
+            .definedBy("loadbalancer.rig.fault..")
             .layer("baseline")
-            .definedBy("kitemux.rig.baseline..")
+            .definedBy("loadbalancer.rig.baseline..")
             .layer("play")
-            .definedBy("kitemux.rig.play..")
+            .definedBy("loadbalancer.rig.play..")
             .whereLayer("play")
             .mayNotBeAccessedByAnyLayer()
-            .whereLayer("trouble")
+            .whereLayer("fault")
             .mayOnlyBeAccessedByLayers("play")
             .whereLayer("baseline")
             .mayNotBeAccessedByAnyLayer()
             .whereLayer("world")
-            .mayOnlyBeAccessedByLayers("trouble", "baseline", "play")
+            .mayOnlyBeAccessedByLayers("fault", "baseline", "play")
             .whereLayer("check")
             .mayOnlyBeAccessedByLayers("play")
             .whereLayer("history")
-            .mayOnlyBeAccessedByLayers("check", "world", "trouble", "play");
+            .mayOnlyBeAccessedByLayers("check", "world", "fault", "play");
 
     @ArchTest
     static final ArchRule NO_PACKAGES_IN_A_RING =
-            slices().matching("kitemux.rig.(*)..").should().beFreeOfCycles();
+            slices().matching("loadbalancer.rig.(*)..").should().beFreeOfCycles();
 
     /** Virtual time is the only one: a run that looked at the clock could not be played again. */
     @ArchTest
     static final ArchRule THE_WORLD_HAS_NO_CLOCK = noClasses()
             .that()
             .resideInAnyPackage(
-                    "kitemux.rig.world..", "kitemux.rig.trouble..", "kitemux.rig.check..", "kitemux.rig.baseline..")
+                    "loadbalancer.rig.world..",
+                    "loadbalancer.rig.fault..",
+                    "loadbalancer.rig.check..",
+                    "loadbalancer.rig.baseline..")
             .should()
             .callMethod(System.class, "nanoTime")
             .orShould()
@@ -99,6 +110,6 @@
             .callMethod(Math.class, "random");
 
     @ArchTest
-    static final ArchRule TROUBLES_ARE_SMALL_AND_NAMED_IN_ONE_PLACE =
-            classes().that().implement(Trouble.class).should().bePackagePrivate();
+    static final ArchRule FAULTS_ARE_SMALL_AND_NAMED_IN_ONE_PLACE =
+            classes().that().implement(Fault.class).should().bePackagePrivate();
 }
--- a/rig/src/test/java/kitemux/rig/check/CheckersTest.java
+++ b/rig/src/test/java/loadbalancer/rig/check/CheckersTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,10 +9,10 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import java.util.stream.Stream;
-import kitemux.rig.history.Event.Kind;
-import kitemux.rig.scenario.BadScenarioException;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.scenario.ScenarioFile;
+import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.rig.scenario.BadScenarioException;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.scenario.ScenarioFile;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
@@ -35,10 +35,10 @@
         return new Case(name, checker, start, right, wrong);
     }
 
-    private static Scenario scenario(boolean secondCopies) {
+    private static Scenario scenario(boolean hedging) {
         try {
             return ScenarioFile.parse(
-                    "name = \"x\"\n[rules]\nsecond_copies = " + secondCopies + "\nmax_attempts = 2",
+                    "name = \"x\"\n[rules]\nsecond_copies = " + hedging + "\nmax_attempts = 2",
                     Map.of(),
                     List.of("slow"));
         } catch (BadScenarioException e) {
@@ -231,7 +231,7 @@
                         t -> t.add(Kind.USED, "value", "v", "written", 399L, "bound", 500L)),
                 of(
                         "two holders",
-                        OneHolder::new,
+                        SingleLeaseHolder::new,
                         t -> t.add(Kind.LEASED, "lease", "l", "until", 100L),
                         t -> t.at(100).by("q", Kind.LEASED, "lease", "l", "until", 200L),
                         t -> t.at(99).by("q", Kind.LEASED, "lease", "l", "until", 200L)),
--- a/rig/src/test/java/kitemux/rig/check/LinearizableTest.java
+++ b/rig/src/test/java/loadbalancer/rig/check/LinearizableTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.SplittableRandom;
-import kitemux.rig.history.Event.Kind;
+import loadbalancer.rig.history.Event.Kind;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
--- a/rig/src/test/java/kitemux/rig/check/Told.java
+++ b/rig/src/test/java/loadbalancer/rig/check/Told.java
@@ -1,10 +1,10 @@
-package kitemux.rig.check;
+package loadbalancer.rig.check;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import kitemux.rig.history.Event;
-import kitemux.rig.history.Event.Kind;
+import loadbalancer.rig.history.Event;
+import loadbalancer.rig.history.Event.Kind;
 
 /** Histories made by hand, or drawn, told to one checker. */
 final class Told {
--- a/rig/src/test/java/kitemux/rig/members/MembershipTest.java
+++ b/rig/src/test/java/loadbalancer/rig/members/MembershipTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig.members;
+package loadbalancer.rig.members;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
-import kitemux.core.membership.Change;
-import kitemux.core.membership.Settings;
+import loadbalancer.membership.core.MembershipChange;
+import loadbalancer.membership.core.MembershipSettings;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
@@ -22,9 +22,9 @@
 class MembershipTest {
     private static final long PERIOD = 1_000_000;
     /** More of both for a longer hunt. */
-    private static final int SEEDS = Integer.getInteger("kitemux.seeds", 5);
+    private static final int SEEDS = Integer.getInteger("loadbalancer.seeds", 5);
 
-    private static final int JOINING = Integer.getInteger("kitemux.joining", 200);
+    private static final int JOINING = Integer.getInteger("loadbalancer.joining", 200);
 
     /**
      * One situation.
@@ -51,7 +51,7 @@
         trials.put("one leaves", new Trial(30, 10, false, world -> {
             world.member(7).leave();
             pass(world, 10);
-            assertTrue(world.member(3).count(Change.Kind.LEFT) == 1
+            assertTrue(world.member(3).count(MembershipChange.Kind.LEFT) == 1
                     && world.deaths().isEmpty());
         }));
         trials.put("cut in two and healed", new Trial(20, 15, true, world -> {
@@ -144,25 +144,26 @@
         }));
         trials.put("another name at the same address", new Trial(12, 40, false, world -> {
             world.member(5).kill();
-            world.add(Settings.of("m99", "m5:1", "z0", "node", List.of("m0:1"))).start();
+            world.add(MembershipSettings.of("m99", "m5:1", "z0", "node", List.of("m0:1")))
+                    .start();
         }));
         trials.put("the same name at another address after a crash", new Trial(12, 40, false, world -> {
             world.member(5).kill();
             pass(world, 2);
-            world.add(Settings.of("m5", "other:1", "z0", "node", List.of("m0:1")))
+            world.add(MembershipSettings.of("m5", "other:1", "z0", "node", List.of("m0:1")))
                     .start();
         }));
         trials.put("the same name twice", new Trial(12, 20, true, world -> {
-            SimMember twin = world.add(Settings.of("m5", "other:1", "z0", "node", List.of("m0:1")));
+            SimMember twin = world.add(MembershipSettings.of("m5", "other:1", "z0", "node", List.of("m0:1")));
             twin.start();
             pass(world, 15);
             assertTrue(twin.isUp() && !world.member(5).isUp(), "the one that began first gives way");
-            assertEquals(1, world.member(5).count(Change.Kind.GAVE_WAY));
+            assertEquals(1, world.member(5).count(MembershipChange.Kind.GAVE_WAY));
         }));
         return trials;
     }
 
-    private static MembersWorld world(long seed, int members, long withinUs, UnaryOperator<Settings> tuned) {
+    private static MembersWorld world(long seed, int members, long withinUs, UnaryOperator<MembershipSettings> tuned) {
         MembersWorld world =
                 new MembersWorld(seed, withinUs).with(members, tuned).startAll(PERIOD);
         pass(world, 20);
--- a/rig/src/test/java/kitemux/rig/members/ModelCheckTest.java
+++ b/rig/src/test/java/loadbalancer/rig/members/ModelCheckTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig.members;
+package loadbalancer.rig.members;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class ModelCheckTest {
-    private static final int DEPTH = Integer.getInteger("kitemux.depth", 5);
+    private static final int DEPTH = Integer.getInteger("loadbalancer.depth", 5);
     private static final long MOST_STATES = 20_000_000;
 
     @Test
--- a/rig/src/test/java/kitemux/rig/play/Planted.java
+++ b/rig/src/test/java/loadbalancer/rig/play/Planted.java
@@ -1,4 +1,4 @@
-package kitemux.rig.play;
+package loadbalancer.rig.play;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,18 +7,25 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import kitemux.Balancer;
-import kitemux.ServiceQBalancer;
-import kitemux.rig.world.Policy;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.BalancerActions;
+import loadbalancer.policy.BalancerRequest;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.ListKind;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.policy.ServerState;
+import loadbalancer.policy.ServiceQBalancer;
+import loadbalancer.rig.world.Policy;
 
 /** The module with one fault planted between it and its node; what is not overridden passes through. */
-class Planted implements Balancer, Balancer.Actions {
+class Planted implements Balancer, BalancerActions {
     Balancer inner;
-    Actions out;
-    Settings settings;
+    BalancerActions out;
+    BalancerSettings settings;
     long now;
     /** Requests that the node holds, and the newest server of each. */
-    final Map<Long, Request> held = new HashMap<>();
+    final Map<Long, BalancerRequest> held = new HashMap<>();
 
     final Map<Long, String> sentTo = new HashMap<>();
     final Map<String, ServerEntry> listed = new TreeMap<>();
@@ -33,7 +40,7 @@
         };
     }
 
-    Settings given(Settings told) {
+    BalancerSettings given(BalancerSettings told) {
         return told;
     }
 
@@ -59,14 +66,14 @@
     }
 
     @Override
-    public void onRequest(long nowUs, Request request) {
+    public void onRequest(long nowUs, BalancerRequest request) {
         now = nowUs;
         held.put(request.id(), request);
         inner.onRequest(nowUs, request);
     }
 
     @Override
-    public void onOutcome(long nowUs, Outcome outcome) {
+    public void onOutcome(long nowUs, AttemptOutcome outcome) {
         now = nowUs;
         inner.onOutcome(nowUs, outcome);
     }
@@ -89,7 +96,7 @@
     }
 
     @Override
-    public void onSettings(long nowUs, Settings other) {
+    public void onSettings(long nowUs, BalancerSettings other) {
         inner.onSettings(nowUs, other);
     }
 
@@ -100,8 +107,8 @@
     }
 
     @Override
-    public int skipped() {
-        return inner.skipped();
+    public int excludedServers() {
+        return inner.excludedServers();
     }
 
     @Override
@@ -116,8 +123,8 @@
     }
 
     @Override
-    public void refuse(long requestId, long retryAfterUs) {
-        out.refuse(requestId, retryAfterUs);
+    public void reject(long requestId, long retryAfterUs) {
+        out.reject(requestId, retryAfterUs);
     }
 
     @Override
--- a/rig/src/test/java/kitemux/rig/play/PlantedFaultsTest.java
+++ b/rig/src/test/java/loadbalancer/rig/play/PlantedFaultsTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig.play;
+package loadbalancer.rig.play;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,18 +12,18 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 import java.util.stream.Stream;
-import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Repeat;
-import kitemux.Balancer.Result;
-import kitemux.Balancer.ServerEntry;
-import kitemux.Balancer.ServerState;
-import kitemux.Balancer.Settings;
-import kitemux.rig.check.Violation;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.scenario.ScenarioFile;
-import kitemux.rig.trouble.Troubles;
-import kitemux.rig.world.Policy;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.ListKind;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.policy.ServerState;
+import loadbalancer.rig.check.Violation;
+import loadbalancer.rig.fault.Faults;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.scenario.ScenarioFile;
+import loadbalancer.rig.world.Policy;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
@@ -40,11 +40,11 @@
         for (int i = 1; i < words.length; i += 2) {
             overrides.put(words[i], words[i + 1]);
         }
-        return ScenarioFile.read(Path.of("scenarios", words[0] + ".toml"), overrides, Troubles.names());
+        return ScenarioFile.read(Path.of("scenarios", words[0] + ".toml"), overrides, Faults.names());
     }
 
     private static boolean isUnsafe(Planted at, long request) {
-        return at.settings.classes.get(at.held.get(request).classIndex()).repeat() == Repeat.UNSAFE;
+        return at.settings.classes.get(at.held.get(request).classIndex()).idempotency() == Idempotency.NON_IDEMPOTENT;
     }
 
     private static Stream<Fault> faults() {
@@ -86,7 +86,7 @@
                     private final List<Long> kept = new ArrayList<>();
 
                     @Override
-                    public void refuse(long requestId, long retryAfterUs) {
+                    public void reject(long requestId, long retryAfterUs) {
                         kept.add(requestId);
                     }
 
@@ -94,9 +94,9 @@
                     public void onWake(long nowUs) {
                         super.onWake(nowUs);
                         kept.removeIf(id -> {
-                            boolean late = held.get(id).leftUs() > 0 && nowUs % 97 == 0;
+                            boolean late = held.get(id).remainingUs() > 0 && nowUs % 97 == 0;
                             if (late) {
-                                out.refuse(id, 0);
+                                out.reject(id, 0);
                             }
                             return late;
                         });
@@ -105,13 +105,13 @@
                 new Fault("a refusal of what may have run", "Repeats", "jam", () -> new Planted() {
                     @Override
                     public void fail(long requestId) {
-                        super.refuse(requestId, 0);
+                        super.reject(requestId, 0);
                     }
                 }),
                 new Fault("a repeat too many", "Repeats", "jam", () -> new Planted() {
                     @Override
-                    public void onOutcome(long nowUs, Outcome outcome) {
-                        if (outcome.result() == Result.ERROR
+                    public void onOutcome(long nowUs, AttemptOutcome outcome) {
+                        if (outcome.result() == AttemptResult.ERROR
                                 && isUnsafe(this, outcome.requestId())
                                 && !outcome.requestEnded()) {
                             out.send(outcome.requestId(), another(sentTo.get(outcome.requestId())), 0, 0);
@@ -130,10 +130,10 @@
                 }),
                 new Fault("more attempts than allowed", "Repeats", "jam rules.max_attempts=1", () -> new Planted() {
                     @Override
-                    Settings given(Settings told) {
-                        Settings more = new Settings();
+                    BalancerSettings given(BalancerSettings told) {
+                        BalancerSettings more = new BalancerSettings();
                         more.nodes = told.nodes;
-                        more.me = told.me;
+                        more.nodeIndex = told.nodeIndex;
                         more.zones.addAll(told.zones);
                         more.classes.addAll(told.classes);
                         more.maxAttempts = told.maxAttempts + 4;
--- a/rig/src/test/java/kitemux/rig/play/SimPlayTest.java
+++ b/rig/src/test/java/loadbalancer/rig/play/SimPlayTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig.play;
+package loadbalancer.rig.play;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -6,9 +6,9 @@
 
 import java.util.List;
 import java.util.Set;
-import kitemux.rig.baseline.Baselines;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.world.Policy;
+import loadbalancer.rig.baseline.Baselines;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.world.Policy;
 import org.junit.jupiter.api.Test;
 
 class SimPlayTest {
--- a/rig/src/test/java/kitemux/rig/real/FaultLinkTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/FaultLinkTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -18,8 +18,8 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import kitemux.rig.real.FaultLink.Faults;
-import kitemux.rig.real.FaultLink.Way;
+import loadbalancer.rig.real.FaultLink.Faults;
+import loadbalancer.rig.real.FaultLink.Way;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/rig/src/test/java/kitemux/rig/real/MemberFleetTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/MemberFleetTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,8 +12,8 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import kitemux.members.Look;
-import kitemux.rig.real.MemberFleet.Process;
+import loadbalancer.membership.MembershipClient;
+import loadbalancer.rig.real.MemberFleet.Process;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -31,7 +31,7 @@
     }
 
     private static long count(Process process, String figure) {
-        Look.View view = process.view();
+        MembershipClient.View view = process.view();
         return view == null ? -1 : view.figures().get(figure);
     }
 
@@ -123,14 +123,15 @@
                 process.kill();
                 try (Stream<String> lines = Files.lines(classes)) {
                     loaded.add(lines.flatMap(line -> Stream.of(line.split(" ")))
-                            .filter(word -> word.startsWith("kitemux.core.")
-                                    || word.startsWith("kitemux.members.")
+                            .filter(word -> word.startsWith("loadbalancer.membership.")
                                     || word.contains(".cbor.")
                                     || word.contains("NioDatagramChannel"))
                             .collect(Collectors.toSet()));
                 }
             }
-            assertTrue(loaded.get(0).contains("kitemux.members.Members"), "the check sees what is loaded");
+            assertTrue(
+                    loaded.get(0).contains("loadbalancer.membership.MembershipService"),
+                    "the check sees what is loaded");
             assertEquals(Set.of(), loaded.get(1));
         }
     }
--- a/rig/src/test/java/kitemux/rig/real/ChildTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/NodeProcessTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,14 +15,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class ChildTest {
+class NodeProcessTest {
     @TempDir
     private Path folder;
 
     private final BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
 
-    private Child start(String command) throws IOException {
-        return new Child("child", command, Map.of("GREETING", "hello"), folder, folder.resolve("log"), codes::add);
+    private NodeProcess start(String command) throws IOException {
+        return new NodeProcess(
+                "child", command, Map.of("GREETING", "hello"), folder, folder.resolve("log"), codes::add);
     }
 
     private static void await(BooleanSupplier holds) {
@@ -43,7 +44,7 @@
 
     @Test
     void itsExitCodeAndWhatItPrintsAreItsOwn() throws Exception {
-        try (Child child = start("echo $GREETING; echo again >&2; exit 7")) {
+        try (NodeProcess child = start("echo $GREETING; echo again >&2; exit 7")) {
             assertEquals(7, codes.poll(20, TimeUnit.SECONDS));
             assertEquals("hello\nagain\n", printed());
             assertFalse(child.isAlive());
@@ -52,7 +53,7 @@
 
     @Test
     void oneThatIgnoresSigtermIsKilledAllTheSame() throws Exception {
-        Child child = start("exec sh -c 'trap \"\" TERM; echo up; while :; do read x; done </dev/zero'");
+        NodeProcess child = start("exec sh -c 'trap \"\" TERM; echo up; while :; do read x; done </dev/zero'");
         await(() -> printed().startsWith("up"));
         child.terminate();
         assertTrue(child.isAlive());
@@ -70,7 +71,7 @@
                         "sh",
                         "-c",
                         "sleep 1000 | sh -c \"$0\" 'exec sleep 999' >" + id + " & exec sleep 1000",
-                        Child.GUARD)
+                        NodeProcess.GUARD)
                 .start();
         await(() -> Files.exists(id) && id.toFile().length() > 1);
         long pid = Long.parseLong(Files.readString(id).strip());
@@ -85,18 +86,18 @@
 
     @Test
     void ofOneThatPrintsWithoutEndTheNewestIsKept() throws Exception {
-        try (Child child = start("exec yes 0123456789012345678901234567890123456789")) {
+        try (NodeProcess child = start("exec yes 0123456789012345678901234567890123456789")) {
             await(child::isCut);
             child.kill();
             assertEquals(137, codes.poll(20, TimeUnit.SECONDS));
-            assertTrue(Files.size(folder.resolve("log")) <= Child.MOST_OUTPUT);
-            assertTrue(Files.size(folder.resolve("log.1")) <= Child.MOST_OUTPUT);
+            assertTrue(Files.size(folder.resolve("log")) <= NodeProcess.MOST_OUTPUT);
+            assertTrue(Files.size(folder.resolve("log.1")) <= NodeProcess.MOST_OUTPUT);
         }
     }
 
     @Test
     void aPausedOneDoesNothingUntilItGoesOn() throws Exception {
-        try (Child child = start("exec sh -c 'i=0; while :; do i=$((i+1)); echo $i; sleep 0.01; done'")) {
+        try (NodeProcess child = start("exec sh -c 'i=0; while :; do i=$((i+1)); echo $i; sleep 0.01; done'")) {
             await(() -> printed().contains("3\n"));
             child.pause(true);
             String state = "State:\tT";
@@ -108,7 +109,7 @@
         }
     }
 
-    private static String status(Child child) {
+    private static String status(NodeProcess child) {
         try {
             return Files.readString(Path.of("/proc/" + child.pid() + "/status"));
         } catch (IOException e) {
--- a/rig/src/test/java/kitemux/rig/real/RealPlayTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/RealPlayTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig.real;
+package loadbalancer.rig.real;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,12 +15,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
-import kitemux.rig.history.Event;
-import kitemux.rig.history.Event.Kind;
-import kitemux.rig.play.Outcome;
-import kitemux.rig.scenario.Scenario;
-import kitemux.rig.scenario.ScenarioFile;
-import kitemux.rig.trouble.Troubles;
+import loadbalancer.rig.fault.Faults;
+import loadbalancer.rig.history.Event;
+import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.rig.play.Outcome;
+import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.rig.scenario.ScenarioFile;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -52,7 +52,7 @@
     }
 
     private Outcome play(String more, Consumer<RealPlay> prepare) throws Exception {
-        Scenario scenario = ScenarioFile.parse(FLEET + more, Map.of(), Troubles.names());
+        Scenario scenario = ScenarioFile.parse(FLEET + more, Map.of(), Faults.names());
         try (RealPlay play = new RealPlay(scenario, 1, DeployFile.find(Path.of("")), folder, null, this::count)) {
             prepare.accept(play);
             return play.play((nowUs, world) -> {
--- a/rig/src/test/java/kitemux/rig/scenario/ScenarioFileTest.java
+++ b/rig/src/test/java/loadbalancer/rig/scenario/ScenarioFileTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig.scenario;
+package loadbalancer.rig.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/rig/src/test/java/kitemux/rig/time/SimulatorTest.java
+++ b/rig/src/test/java/loadbalancer/rig/time/SimulatorTest.java
@@ -1,4 +1,4 @@
-package kitemux.rig.time;
+package loadbalancer.rig.time;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
