--- a/node/src/main/java/loadbalancer/admin/ControlServer.java
+++ b/node/src/main/java/loadbalancer/admin/ControlServer.java
@@ -115,7 +115,7 @@
         } catch (RejectedCallException e) {
             return new Answer("NO " + e.getMessage(), 0);
         } catch (RuntimeException e) {
-            Log.error("call " + call, e);
+            Log.error("control_call_error", e, "call", call);
             return new Answer("NO defect in the node", 0);
         }
     }
@@ -173,7 +173,7 @@
                 answered = true;
                 say("NO line too long");
             } else if (!(cause instanceof IOException) && !(cause instanceof TooLongFrameException)) {
-                Log.error("connection to an operator", cause);
+                Log.error("control_connection_error", cause);
                 channel.close();
             }
         }
--- a/node/src/main/java/loadbalancer/admin/CordonStore.java
+++ b/node/src/main/java/loadbalancer/admin/CordonStore.java
@@ -78,7 +78,7 @@
         } catch (IOException e) {
             if (!unreadable) {
                 unreadable = true;
-                Log.line("cordons: " + file + " cannot be read, those known stand: " + e);
+                Log.warn("cordons_unreadable", "file", file, "cause", e);
             }
             return false;
         }
--- a/node/src/main/java/loadbalancer/client/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -347,7 +347,7 @@
             owner.asked(this, new ClientRequest(head, body, upload, partArrivedAtNanos));
         } catch (RuntimeException e) {
             // A defect met by one request must not leave it without an answer.
-            Log.error("request " + head.uri(), e);
+            Log.error("request_error", e, "uri", head.uri());
             if (held == null) {
                 answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
             }
@@ -542,7 +542,7 @@
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         // A client that leaves amid its request is no defect of ours either.
         if (!(cause instanceof IOException)) {
-            Log.error("connection to a client", cause);
+            Log.error("client_connection_error", cause);
         }
         channel.close();
     }
--- a/node/src/main/java/loadbalancer/discovery/EndpointList.java
+++ b/node/src/main/java/loadbalancer/discovery/EndpointList.java
@@ -8,6 +8,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.common.Log;
 import loadbalancer.config.ConfigAddresses;
 import loadbalancer.config.ConfigException;
 import loadbalancer.policy.ServerEntry;
@@ -87,14 +88,26 @@
     }
 
     /** In one line, for the log. */
-    String summary() {
+    /** Logs its version and how many of its servers are in each state. */
+    void log(boolean firstOfWatch) {
         int[] counts = new int[ServerState.values().length];
         for (Host host : hosts) {
             counts[host.entry().state().ordinal()]++;
         }
-        return "list " + rev + (all ? " whole: " : " changes: ") + counts[ServerState.READY.ordinal()]
-                + " ready, " + counts[ServerState.DRAINING.ordinal()] + " draining, "
-                + counts[ServerState.GONE.ordinal()] + " gone";
+        Log.info(
+                "endpoint_list",
+                "version",
+                rev,
+                "kind",
+                all ? "full" : "changes",
+                "first_of_watch",
+                firstOfWatch,
+                "ready",
+                counts[ServerState.READY.ordinal()],
+                "draining",
+                counts[ServerState.DRAINING.ordinal()],
+                "gone",
+                counts[ServerState.GONE.ordinal()]);
     }
 
     private static Host host(JsonNode target, List<String> zones, String at) throws ConfigException {
--- a/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
+++ b/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
@@ -32,6 +32,7 @@
 import loadbalancer.common.Log;
 import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.net.SocketAddresses;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.upstream.StrictClientCodec;
 
@@ -188,7 +189,7 @@
         endCurrent();
         Watch watch = new Watch();
         current = watch;
-        Log.line("discovery: watch at " + address + " after " + rev);
+        Log.info("watch_opened", "address", SocketAddresses.text(address), "after_version", rev);
         ChannelFuture opening = dialer.connect(address);
         watch.channel = opening.channel();
         watch.expectMore(patience.firstWordUs);
@@ -316,7 +317,7 @@
 
         private void heed(EndpointList list) {
             if (!told || !list.hosts().isEmpty()) {
-                Log.line("discovery: " + (told ? "" : "first word, ") + list.summary());
+                list.log(!told);
             }
             if (!told) {
                 told = true;
@@ -351,7 +352,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                Log.error("watch on discovery", cause);
+                Log.error("watch_error", cause);
             }
             broken("connection failed");
         }
--- a/node/src/main/java/loadbalancer/eventloop/LoopLag.java
+++ b/node/src/main/java/loadbalancer/eventloop/LoopLag.java
@@ -30,15 +30,7 @@
      * @param longestHandlingNanos the longest that it handled events in one turn
      * @param longestTasksNanos the longest that it ran tasks in one turn
      */
-    public record Activity(long turns, long longestHandlingNanos, long longestTasksNanos) {
-        private static final long MILLISECOND_NANOS = 1_000_000;
-
-        @Override
-        public String toString() {
-            return turns + " turns, at most " + longestHandlingNanos / MILLISECOND_NANOS + " ms of handling" + " and "
-                    + longestTasksNanos / MILLISECOND_NANOS + " ms of tasks in one";
-        }
-    }
+    public record Activity(long turns, long longestHandlingNanos, long longestTasksNanos) {}
 
     private final LongSupplier nanoTime;
     private IoHandler handler;
--- a/node/src/main/java/loadbalancer/policy/BalancerActions.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerActions.java
@@ -30,6 +30,14 @@
     /** Subscribes to changes of the endpoint list. */
     void subscribe();
 
-    /** Writes a log line for operators. */
-    void log(String line);
+    /**
+     * A server is ejected: it gets trial requests only.
+     *
+     * @param failures how many of its last answers failed
+     * @param className the class of requests that it is ejected for, or null for all
+     */
+    void ejected(String serverId, int failures, String className);
+
+    /** A server is no longer ejected, for this class or, where it is null, for all. */
+    void restored(String serverId, String className);
 }
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -751,7 +751,7 @@
             health.servedAt = now;
             health.trialAt = now;
             if (health.ejected && ++health.trialsWon >= TRIALS) {
-                out.log("restored server " + server.id + (health == ofClass ? " for a class" : ""));
+                out.restored(server.id, health == ofClass ? className(server, ofClass) : null);
                 restore(health);
                 if (health == server.overall) {
                     startAnew(server);
@@ -791,14 +791,17 @@
             }
             health.ejected = true;
             health.ejectedForUs = EJECT_US / 2;
-            out.log("ejected server " + server.id + " after " + health.recentFailures() + " failures"
-                    + (c < 0 ? "" : " of class " + set.classes.get(c).name()));
+            out.ejected(server.id, health.recentFailures(), c < 0 ? null : className(server, health));
         }
         health.ejectedForUs = Math.min(MOST_EJECT_US, 2 * health.ejectedForUs);
         health.trialAt = now + health.ejectedForUs / 2 + random.nextLong(health.ejectedForUs);
         countReady();
     }
 
+    private String className(Server server, Health ofClass) {
+        return set.classes.get(server.byClass.indexOf(ofClass)).name();
+    }
+
     /** Its last answers stand: until its failures among them are made up for, the next ejects it again. */
     private static void restore(Health health) {
         health.ejected = false;
--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -25,6 +25,7 @@
 import loadbalancer.discovery.EndpointWatcher;
 import loadbalancer.eventloop.LoopLag;
 import loadbalancer.eventloop.MeasuredEventLoop;
+import loadbalancer.net.SocketAddresses;
 import loadbalancer.policy.Balancer;
 import loadbalancer.policy.BalancerActions;
 import loadbalancer.policy.ListKind;
@@ -104,7 +105,7 @@
 
             @Override
             public void failed(String reason) {
-                Log.line("discovery: " + reason);
+                Log.warn("watch_failed", "reason", reason);
                 module.tell(told -> told.onListFailed(clock.nowUs()));
             }
         });
@@ -155,7 +156,16 @@
                     housekeptUs = clock.nowUs();
                     LoopLag.Activity activity = loop.lag().takeActivity();
                     if (lateUs > HELD_UP_US) {
-                        Log.line("held up for " + lateUs / 1_000 + " ms: " + activity);
+                        Log.warn(
+                                "event_loop_stalled",
+                                "ms",
+                                lateUs / 1_000,
+                                "turns",
+                                activity.turns(),
+                                "longest_handling_ms",
+                                activity.longestHandlingNanos() / 1_000_000,
+                                "longest_tasks_ms",
+                                activity.longestTasksNanos() / 1_000_000);
                     }
                     pool.closeOld();
                     clients.closeOld();
@@ -172,7 +182,7 @@
     void drain(Runnable whenEmpty) {
         loop.execute(() -> {
             serves = false;
-            Log.line("draining, " + requests.open() + " requests open");
+            Log.info("draining", "open_requests", requests.open());
             long remainingUs = Math.min(MOST_DEADLINE_US, tuning.longestDeadlineUs()) + KILL_US - ROOM_US;
             requests.endAt(clock.nowUs() + remainingUs);
             loop.schedule(requests::cutOff, remainingUs, TimeUnit.MICROSECONDS);
@@ -218,7 +228,7 @@
         @Override
         public long cordon(String serverId, boolean out) throws RejectedCallException {
             cordons.change(serverId, out);
-            Log.line((out ? "cordoned server " : "uncordoned server ") + serverId);
+            Log.info(out ? "server_cordoned" : "server_uncordoned", "server", serverId);
             Node.this.cordon();
             // The yes binds every process of the node, and another one learns of it by looking.
             return out && cordons.areShared() ? HEEDED_MS : 0;
@@ -248,13 +258,13 @@
             NodeConfig read = config.againSettled(env);
             loop.execute(() -> retune(read));
         } catch (ConfigException e) {
-            Log.line("load-balancer: reload: " + e.getMessage());
+            Log.warn("reload_failed", "reason", e.getMessage());
             loop.execute(counters::loadFailed);
         }
     }
 
     private void retune(NodeConfig read) {
-        Log.line("configuration taken, discovery is at " + read.discovery());
+        Log.info("reloaded", "discovery", read.discovery() == null ? null : SocketAddresses.text(read.discovery()));
         counters.loaded();
         counters.report(read.settings().classes);
         ClassRegistry next = tuning.then(read.settings());
@@ -351,7 +361,12 @@
     }
 
     @Override
-    public void log(String line) {
-        Log.line(line);
+    public void ejected(String serverId, int failures, String className) {
+        Log.info("server_ejected", "server", serverId, "failures", failures, "class", className);
+    }
+
+    @Override
+    public void restored(String serverId, String className) {
+        Log.info("server_restored", "server", serverId, "class", className);
     }
 }
--- a/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -1,6 +1,7 @@
 package loadbalancer.process;
 
 import io.netty.channel.ChannelFuture;
+import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
@@ -9,6 +10,7 @@
 import loadbalancer.config.NodeConfig;
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.membership.MembershipService;
+import loadbalancer.net.SocketAddresses;
 
 /** The life of the process in which a node runs: its start, its signals and its end. */
 public final class ProcessLifecycle {
@@ -30,18 +32,20 @@
         Node node = new Node(config, loop);
         ReloadSignal.handle(() -> node.reload(env));
         // By an interface of the JDK's, so that a node of no fleet need not load what one is made of.
-        Runnable leave =
-                config.fleet() == null ? null : MembershipService.join(config.fleet(), Log::line, node::alsoReport);
+        Runnable leave = config.fleet() == null
+                ? null
+                : MembershipService.join(
+                        config.fleet(), text -> Log.info("membership", "text", text), node::alsoReport);
         ChannelFuture control = node.startControl();
         if (control != null) {
             awaitListening("control " + config.operators().control(), control);
-            Log.line("operators at " + control.channel().localAddress());
+            Log.info("control_listening", "address", text(control));
         }
         // Ahead of the rehearsal, which takes longer than discovery to answer.
         node.watch();
         long rehearsed = WarmUp.play(config, loop);
         if (rehearsed < WarmUp.REQUESTS) {
-            Log.line("rehearsal cut short after " + rehearsed + " of " + WarmUp.REQUESTS + " requests");
+            Log.warn("warm_up_incomplete", "requests", rehearsed, "of", WarmUp.REQUESTS);
         }
         ChannelFuture listening = node.start(inherited);
         awaitListening("listen " + config.listen(), listening);
@@ -61,7 +65,11 @@
                             }
                         },
                         "drain"));
-        Log.line("listening on " + listening.channel().localAddress());
+        Log.info("listening", "address", text(listening));
+    }
+
+    private static String text(ChannelFuture listening) {
+        return SocketAddresses.text((InetSocketAddress) listening.channel().localAddress());
     }
 
     private static void awaitListening(String where, ChannelFuture listening) {
--- a/node/src/main/java/loadbalancer/process/ReloadSignal.java
+++ b/node/src/main/java/loadbalancer/process/ReloadSignal.java
@@ -25,7 +25,10 @@
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), reloader);
             if (before == handler.getField("SIG_IGN").get(null)) {
                 // The JVM leaves it so, as nohup wants it: the list would be lost where discovery moves.
-                Log.line("SIGHUP is ignored, as by nohup: no new configuration will be taken");
+                Log.warn(
+                        "reload_unavailable",
+                        "reason",
+                        "SIGHUP is ignored, as by nohup: no new configuration will be taken");
             }
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("SIGHUP cannot be handled", e);
--- a/node/src/main/java/loadbalancer/request/PolicyEventQueue.java
+++ b/node/src/main/java/loadbalancer/request/PolicyEventQueue.java
@@ -54,7 +54,7 @@
             event.call.accept(module);
         } catch (RuntimeException e) {
             // A defect met by one request must neither end the node nor leave it without an answer.
-            Log.error("event", e);
+            Log.error("balancer_error", e);
             if (event.about != null) {
                 event.about.defect();
             }
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -7,6 +7,7 @@
 import loadbalancer.admin.Metrics.Ending;
 import loadbalancer.client.ClientConnection;
 import loadbalancer.client.ClientRequest;
+import loadbalancer.common.Log;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.BalancerRequest;
 import loadbalancer.transfer.RequestBody;
@@ -84,10 +85,20 @@
         return ended;
     }
 
-    /** How it stands, for the log. */
-    String told() {
-        return attempts.size() + " attempts made, " + outstanding + " out"
-                + (answering == null ? "" : ", its answer flows");
+    /** Logs that it ended this much after its deadline. */
+    void logLate(long lateUs) {
+        Log.warn(
+                "request_late",
+                "txn",
+                request.head().txn(),
+                "late_ms",
+                lateUs / 1_000,
+                "attempts",
+                attempts.size(),
+                "in_flight",
+                outstanding,
+                "streaming",
+                answering != null);
     }
 
     /** Whether nothing will be heard of it any more. */
--- a/node/src/main/java/loadbalancer/request/RequestTable.java
+++ b/node/src/main/java/loadbalancer/request/RequestTable.java
@@ -8,7 +8,6 @@
 import loadbalancer.client.ClientConnection;
 import loadbalancer.client.ClientRequest;
 import loadbalancer.client.ClientServer;
-import loadbalancer.common.Log;
 import loadbalancer.config.ClassRegistry;
 
 /** All requests that a node holds. */
@@ -82,8 +81,7 @@
         open -= request.isWhole() ? 1 : 0;
         long lateUs = means.clock().nowUs() - request.deadlineUs();
         if (lateUs > LATE_US) {
-            Log.line("request " + request.request.head().txn() + " ended " + lateUs / 1_000 + " ms late, "
-                    + request.told());
+            request.logLate(lateUs);
         }
     }
 
--- a/node/src/main/java/loadbalancer/simulator/WireLineWriter.java
+++ b/node/src/main/java/loadbalancer/simulator/WireLineWriter.java
@@ -102,9 +102,16 @@
     }
 
     @Override
-    public void log(String line) {
+    public void ejected(String serverId, int failures, String className) {
         open("record");
-        note(line);
+        note("ejected server " + serverId + " after " + failures + " failures"
+                + (className == null ? "" : " of class " + className));
+    }
+
+    @Override
+    public void restored(String serverId, String className) {
+        open("record");
+        note("restored server " + serverId + (className == null ? "" : " for a class"));
     }
 
     /** The module has thrown: the day ends with this text. */
--- a/node/src/main/java/loadbalancer/upstream/ServerConnection.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerConnection.java
@@ -352,7 +352,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            Log.error("connection to server " + home.serverId(), cause);
+            Log.error("upstream_connection_error", cause, "server", home.serverId());
         }
         close();
     }
--- a/node/src/test/java/loadbalancer/policy/DecisionStream.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionStream.java
@@ -566,17 +566,17 @@
     }
 
     @Override
-    public void log(String line) {
-        line("log", line);
-        String[] words = line.split(" ");
-        boolean ofClass = line.contains("class");
-        if (words[0].equals("ejected")) {
-            cover(ofClass ? Covered.EJECTED_FOR_CLASS : Covered.EJECTED);
-            ejected.add(words[2]);
-        } else {
-            cover(ofClass ? Covered.RESTORED_FOR_CLASS : Covered.RESTORED);
-            ejected.remove(words[2]);
-        }
+    public void ejected(String serverId, int failures, String className) {
+        line("log", FakeNode.ejection(serverId, failures, className));
+        cover(className == null ? Covered.EJECTED : Covered.EJECTED_FOR_CLASS);
+        ejected.add(serverId);
+    }
+
+    @Override
+    public void restored(String serverId, String className) {
+        line("log", FakeNode.restoration(serverId, className));
+        cover(className == null ? Covered.RESTORED : Covered.RESTORED_FOR_CLASS);
+        ejected.remove(serverId);
     }
 
     // ---------------------------------------------------------------- time and lines
--- a/node/src/test/java/loadbalancer/policy/ExampleTest.java
+++ b/node/src/test/java/loadbalancer/policy/ExampleTest.java
@@ -46,7 +46,10 @@
         public void subscribe() {}
 
         @Override
-        public void log(String line) {}
+        public void ejected(String serverId, int failures, String className) {}
+
+        @Override
+        public void restored(String serverId, String className) {}
     }
 
     @Test
--- a/node/src/test/java/loadbalancer/policy/FakeNode.java
+++ b/node/src/test/java/loadbalancer/policy/FakeNode.java
@@ -199,7 +199,23 @@
     }
 
     @Override
-    public void log(String line) {
-        logged.add(line);
+    public void ejected(String serverId, int failures, String className) {
+        logged.add(ejection(serverId, failures, className));
+    }
+
+    @Override
+    public void restored(String serverId, String className) {
+        logged.add(restoration(serverId, className));
+    }
+
+    /** What tests write down of an ejection. */
+    static String ejection(String serverId, int failures, String className) {
+        return "ejected server " + serverId + " after " + failures + " failures"
+                + (className == null ? "" : " of class " + className);
+    }
+
+    /** What tests write down of the end of an ejection. */
+    static String restoration(String serverId, String className) {
+        return "restored server " + serverId + (className == null ? "" : " for a class");
     }
 }
--- a/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -201,8 +201,13 @@
         }
 
         @Override
-        public void log(String line) {
-            trace.append(line).append('\n');
+        public void ejected(String serverId, int failures, String className) {
+            trace.append(FakeNode.ejection(serverId, failures, className)).append('\n');
+        }
+
+        @Override
+        public void restored(String serverId, String className) {
+            trace.append(FakeNode.restoration(serverId, className)).append('\n');
         }
 
         void ask() {
--- a/node/src/test/java/loadbalancer/process/LargeListTest.java
+++ b/node/src/test/java/loadbalancer/process/LargeListTest.java
@@ -43,12 +43,15 @@
             String known = Site.list(1, true, "s0=" + server.endpoint() + "=Ready");
             Process program = start(folder, discovery.endpoint(), known);
             try {
-                String listening = awaitLine(program, line -> line.startsWith("listening on "));
+                String listening = awaitLine(program, line -> line.startsWith("level=info event=listening "));
                 int port = Integer.parseInt(listening.substring(listening.lastIndexOf(':') + 1));
                 assertEquals(200, ask(port, "before"));
                 String list = wholeList(servers, server.endpoint());
                 FarServer.next(discovery.peers).write(Site.chunk(list + "\n"));
-                awaitLine(program, line -> line.endsWith("list 2 whole: " + servers + " ready, 0 draining, 0 gone"));
+                awaitLine(
+                        program,
+                        line -> line.endsWith("event=endpoint_list version=2 kind=full first_of_watch=true ready="
+                                + servers + " draining=0 gone=0"));
                 for (int i = 0; i < 20; i++) {
                     assertEquals(200, ask(port, "after" + i));
                 }
--- a/node/src/test/java/loadbalancer/process/NodeTest.java
+++ b/node/src/test/java/loadbalancer/process/NodeTest.java
@@ -101,7 +101,7 @@
         Path file = Files.writeString(folder.resolve("config.json"), config("127.0.0.1:9"));
         Process process = program(file, "127.0.0.1:9");
         try {
-            awaitLine(process, "listening on ");
+            awaitLine(process, "level=info event=listening ");
             endsOnSigterm(process);
         } finally {
             process.destroyForcibly();
@@ -118,7 +118,7 @@
                 FarServer.next(before.requests);
                 Files.writeString(file, "{");
                 hangUp(process);
-                awaitLine(process, "load-balancer: reload: PROXY_CONFIG is not JSON");
+                awaitLine(process, "level=warn event=reload_failed reason=\"PROXY_CONFIG is not JSON");
                 assertTrue(before.ended.isEmpty(), "a file that cannot be read changes nothing");
                 Files.writeString(file, config(after.endpoint()));
                 hangUp(process);
--- a/node/src/test/java/loadbalancer/process/RestartTest.java
+++ b/node/src/test/java/loadbalancer/process/RestartTest.java
@@ -92,7 +92,7 @@
     }
 
     private static InetSocketAddress control(Path log) {
-        String said = "operators at /127.0.0.1:";
+        String said = "event=control_listening address=127.0.0.1:";
         await(
                 () -> read(log).contains(said)
                         && read(log).substring(read(log).indexOf(said)).contains("\n"),
@@ -183,7 +183,7 @@
             assertTrue(atTerm > 0);
             assertTrue(programs.get(0).destroy(), "told to end");
             await(() -> !programs.get(0).isAlive(), "the first process goes on");
-            assertTrue(read(oldLog).contains("draining"), "the log outlasts the socket: " + read(oldLog));
+            assertTrue(read(oldLog).contains("event=draining"), "the log outlasts the socket: " + read(oldLog));
             int atEnd = served.get();
             await(() -> served.get() > atEnd + 100, "the second process serves nothing");
             more.set(0);
--- a/node/src/test/java/loadbalancer/process/SmallHeapTest.java
+++ b/node/src/test/java/loadbalancer/process/SmallHeapTest.java
@@ -172,7 +172,7 @@
                 do {
                     line = program.inputReader().readLine();
                     assertNotNull(line, "the program has ended");
-                } while (!line.startsWith("listening on "));
+                } while (!line.startsWith("level=info event=listening "));
                 int port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
                 List<Future<String>> downloads = new ArrayList<>();
                 List<Future<String>> uploads = new ArrayList<>();
--- a/node/src/test/java/loadbalancer/simulator/WireBytesTest.java
+++ b/node/src/test/java/loadbalancer/simulator/WireBytesTest.java
@@ -34,7 +34,10 @@
         reply.probe("a:1");
         reply.closeIdle("b:2");
         reply.subscribe();
-        reply.log("one\nline");
+        reply.ejected("s\n1", 4, null);
+        reply.ejected("s1", 4, "view");
+        reply.restored("s1", null);
+        reply.restored("s1", "view");
         reply.fault("gone\r");
         reply.flush();
         assertEquals("""
@@ -48,7 +51,10 @@
                 sound_out node=node-3 server=a:1
                 drop_conns node=node-3 server=b:2
                 track node=node-3 want=1
-                record node=node-3 noteText=one line
+                record node=node-3 noteText=ejected server s 1 after 4 failures
+                record node=node-3 noteText=ejected server s1 after 4 failures of class view
+                record node=node-3 noteText=restored server s1
+                record node=node-3 noteText=restored server s1 for a class
                 fault node=node-3 noteText=gone\s
                 next
                 """, out.toString(StandardCharsets.UTF_8));
--- a/rig/src/main/java/loadbalancer/rig/scale/ModuleScale.java
+++ b/rig/src/main/java/loadbalancer/rig/scale/ModuleScale.java
@@ -193,6 +193,9 @@
         public void subscribe() {}
 
         @Override
-        public void log(String line) {}
+        public void ejected(String serverId, int failures, String className) {}
+
+        @Override
+        public void restored(String serverId, String className) {}
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/world/SimNode.java
+++ b/rig/src/main/java/loadbalancer/rig/world/SimNode.java
@@ -477,7 +477,12 @@
     }
 
     @Override
-    public void log(String line) {
-        // The history tells what the module did.
+    public void ejected(String serverId, int failures, String className) {
+        // The history shows where requests go.
+    }
+
+    @Override
+    public void restored(String serverId, String className) {
+        // The history shows where requests go.
     }
 }
--- a/rig/src/test/java/loadbalancer/rig/play/Planted.java
+++ b/rig/src/test/java/loadbalancer/rig/play/Planted.java
@@ -153,7 +153,12 @@
     }
 
     @Override
-    public void log(String line) {
-        out.log(line);
+    public void ejected(String serverId, int failures, String className) {
+        out.ejected(serverId, failures, className);
+    }
+
+    @Override
+    public void restored(String serverId, String className) {
+        out.restored(serverId, className);
     }
 }
--- a/rig/src/test/java/loadbalancer/rig/real/MemberFleetTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/MemberFleetTest.java
@@ -153,7 +153,7 @@
             fleet.process(3).end();
             fleet.await("it to end", AWAITED_MS, () -> !fleet.process(3).isUp());
             assertTrue(
-                    fleet.process(3).printed().contains("draining"),
+                    fleet.process(3).printed().contains("event=draining"),
                     fleet.process(3).printed());
             fleet.await(
                     "the others to hold the later one for it",
