--- a/node/src/test/java/loadbalancer/membership/MembersConfigTest.java
+++ b/node/src/test/java/loadbalancer/membership/MembersConfigTest.java
@@ -5,7 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
+import java.lang.reflect.RecordComponent;
 import java.util.List;
+import java.util.StringJoiner;
+import loadbalancer.membership.core.MembershipSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -50,6 +53,63 @@
         assertTrue(message.startsWith(told), message);
     }
 
+    /** The keys of a deploy file, each of which a field of the code stands for. */
+    @Test
+    void keysOfTheObject() {
+        String message = assertThrows(
+                        IllegalArgumentException.class, () -> read("{'name':'f','bind':'127.0.0.1:1','other':5}"))
+                .getMessage();
+        assertEquals(
+                "fleet.other = 5: is not known; keys here are name, member, bind, beyondLoopback, advertise, seeds,"
+                        + " zone, role, periodMs, answerMs, askers, suspicionPeriods, suspicionMost, confirmations,"
+                        + " healthMost, spread, syncMs, forgetMs, mostMembers",
+                message);
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "'answerMs':1000 | fleet.answerMs = 1000: must be above 0 and under periodMs",
+                "'askers':101 | fleet.askers = 101: must be 0 to 100",
+                "'suspicionPeriods':0 | fleet.suspicionPeriods = 0: must be at least 1",
+                "'suspicionMost':0 | fleet.suspicionMost = 0: must be at least 1",
+                "'confirmations':-1 | fleet.confirmations = -1: must be at least 0",
+                "'healthMost':101 | fleet.healthMost = 101: must be 0 to 100",
+                "'spread':0 | fleet.spread = 0: must be 1 to 100",
+                "'syncMs':999 | fleet.syncMs = 999: must be at least periodMs",
+                "'forgetMs':5 | fleet.forgetMs = 5: must be at least syncMs",
+                "'mostMembers':1 | fleet.mostMembers = 1: must be at least 2",
+                "'askers':1.5 | fleet.askers = 1.5: must be a whole number"
+            })
+    void boundsInTheWordsOfTheFile(String setting, String expected) {
+        String message = assertThrows(
+                        IllegalArgumentException.class, () -> read("{'name':'f','bind':'127.0.0.1:1'," + setting + "}"))
+                .getMessage();
+        assertEquals(expected, message);
+    }
+
+    /** Each key sets the one field that it stands for. */
+    @Test
+    void eachKeySetsItsField() throws Exception {
+        MembersConfig config = read("{'name':'f','member':'me','bind':'127.0.0.1:1','advertise':'127.0.0.2:2',"
+                + "'zone':'a','role':'r','periodMs':100,'answerMs':11,'askers':12,'suspicionPeriods':13,"
+                + "'suspicionMost':14,'confirmations':15,'healthMost':16,'spread':17,'syncMs':1800,'forgetMs':1900,"
+                + "'mostMembers':20,'seeds':['127.0.0.3:3']}");
+        assertEquals(
+                "me 127.0.0.2:2 a r 100000 11000 12 13 14 15 16 17 1800000 1900000 20 880 [127.0.0.3:3]",
+                values(config.settings()));
+    }
+
+    /** The components in their order, whatever their names. */
+    private static String values(MembershipSettings settings) throws Exception {
+        StringJoiner values = new StringJoiner(" ");
+        for (RecordComponent component : MembershipSettings.class.getRecordComponents()) {
+            values.add(String.valueOf(component.getAccessor().invoke(settings)));
+        }
+        return values.toString();
+    }
+
     @Test
     void beyondLoopbackOnlyWhereTheFileSaysSo() throws Exception {
         assertEquals(
--- /dev/null
+++ b/node/src/test/java/loadbalancer/membership/MembershipMetricsTest.java
@@ -0,0 +1,45 @@
+package loadbalancer.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import loadbalancer.membership.BadFrameException.Reason;
+import loadbalancer.membership.core.MembershipChange;
+import org.junit.jupiter.api.Test;
+
+/** Names of metrics as operators' dashboards and {@code fleet members} read them. */
+class MembershipMetricsTest {
+
+    /** Each reason and kind is counted as often as its place among the others, so that no two change places. */
+    @Test
+    void namesAndWhatTheyCount() {
+        MembershipMetrics metrics = new MembershipMetrics();
+        metrics.sent(100);
+        metrics.sent(20);
+        metrics.received(7);
+        metrics.exchanged(true);
+        metrics.exchanged(true);
+        metrics.exchanged(true);
+        metrics.exchanged(false);
+        for (Reason reason : Reason.values()) {
+            for (int i = 0; i <= reason.ordinal(); i++) {
+                metrics.bad(reason);
+            }
+        }
+        for (MembershipChange.Kind kind : MembershipChange.Kind.values()) {
+            for (int i = 0; i <= kind.ordinal(); i++) {
+                metrics.changed(kind);
+            }
+        }
+        metrics.roundTrip(100);
+        metrics.roundTrip(100);
+        metrics.roundTrip(5_000);
+        assertEquals(
+                "{datagrams_sent=2, datagram_bytes_sent=120, datagrams_received=1, datagram_bytes_received=7,"
+                        + " exchanges=3, exchanges_failed=1, dropped_not_ours=1, dropped_damaged=2, dropped_newer=3,"
+                        + " dropped_foreign_fleet=4, dropped_malformed=5, changes_joined=1, changes_updated=2,"
+                        + " changes_suspected=3, changes_cleared=4, changes_died=5, changes_left=6,"
+                        + " changes_forgotten=7, changes_gave_way=8, changes_taken_over=9, changes_turned_away=10,"
+                        + " round_trip_p50_us=128, round_trip_p99_us=8192}",
+                metrics.all().toString());
+    }
+}
--- a/rig/src/main/java/loadbalancer/rig/members/DatagramNet.java
+++ b/rig/src/main/java/loadbalancer/rig/members/DatagramNet.java
@@ -2,6 +2,7 @@
 
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
+import java.util.zip.CRC32C;
 import loadbalancer.membership.Codec;
 import loadbalancer.membership.core.Message;
 import loadbalancer.rig.time.Timeline;
@@ -20,6 +21,7 @@
     private final Codec codec = new Codec("simulated");
     private long sent;
     private long sentBytes;
+    private final CRC32C sentChecksum = new CRC32C();
     private BiPredicate<String, String> cut = (from, to) -> false;
 
     DatagramNet(Timeline time) {
@@ -58,8 +60,15 @@
 
     /** A datagram goes out, wherever it ends. */
     void count(Message message) {
+        byte[] frame = codec.encode(message);
         sent++;
-        sentBytes += codec.encode(message).length;
+        sentBytes += frame.length;
+        sentChecksum.update(frame);
+    }
+
+    /** CRC32C over all datagrams in the order in which they were sent: equal for two runs that sent the same. */
+    long sentChecksum() {
+        return sentChecksum.getValue();
     }
 
     long sent() {
