--- a/cli/src/main/java/loadbalancer/cli/FleetStudy.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetStudy.java
@@ -87,25 +87,8 @@
     }
 
     /** Never stretches its times, and waits for nobody's confirmation. */
-    private static MembershipSettings sure(MembershipSettings set) {
-        return new MembershipSettings(
-                set.name(),
-                set.address(),
-                set.zone(),
-                set.role(),
-                set.periodUs(),
-                set.answerUs(),
-                set.askers(),
-                set.suspicionPeriods(),
-                1,
-                set.confirmations(),
-                0,
-                set.spread(),
-                set.syncUs(),
-                set.forgetUs(),
-                set.mostMembers(),
-                set.roomBytes(),
-                set.seeds());
+    private static MembershipSettings sure(MembershipSettings settings) {
+        return settings.toBuilder().maxSuspicionFactor(1).maxLocalHealth(0).build();
     }
 
     private void falsely(PrintWriter out, int n, String how, UnaryOperator<MembershipSettings> tuned)
--- a/cli/src/test/java/loadbalancer/cli/FleetMembersTest.java
+++ b/cli/src/test/java/loadbalancer/cli/FleetMembersTest.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.membership.MembersConfig;
+import loadbalancer.membership.MembershipConfig;
 import loadbalancer.membership.MembershipService;
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine;
@@ -34,7 +34,7 @@
             address = "127.0.0.1:" + any.getLocalPort();
         }
         MembershipService alone = MembershipService.join(
-                MembersConfig.read(
+                MembershipConfig.read(
                         new ObjectMapper().valueToTree(Map.of("name", "f", "bind", address, "zone", "a")), "n1"),
                 line -> {});
         try {
--- a/cli/src/test/java/loadbalancer/cli/FleetTest.java
+++ b/cli/src/test/java/loadbalancer/cli/FleetTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import loadbalancer.membership.MembersConfig;
+import loadbalancer.membership.MembershipConfig;
 import loadbalancer.membership.MembershipService;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -175,7 +175,7 @@
     private static MembershipService member(String name, String at, String seed, Consumer<String> log)
             throws Exception {
         return MembershipService.join(
-                MembersConfig.read(
+                MembershipConfig.read(
                         new ObjectMapper()
                                 .createObjectNode()
                                 .put("name", "told")
--- a/node/src/main/java/loadbalancer/config/NodeConfig.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfig.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import loadbalancer.discovery.EndpointList;
-import loadbalancer.membership.MembersConfig;
+import loadbalancer.membership.MembershipConfig;
 import loadbalancer.policy.BalancerSettings;
 import loadbalancer.policy.RequestClass;
 import loadbalancer.settings.SettingsReader;
@@ -45,7 +45,7 @@
         BalancerSettings settings,
         Set<String> keys,
         Operators operators,
-        MembersConfig fleet) {
+        MembershipConfig fleet) {
 
     /** A file that cannot be taken is looked at again for so long, this often: figures may be 0.5 s late. */
     private static final long SETTLES_MS = 200;
@@ -263,12 +263,12 @@
         return EndpointList.decode(json.get("known"), zones, "known.");
     }
 
-    private static MembersConfig fleet(JsonNode json) throws ConfigException {
+    private static MembershipConfig fleet(JsonNode json) throws ConfigException {
         if (!json.hasNonNull("fleet")) {
             return null;
         }
         try {
-            return MembersConfig.read(json.get("fleet"), json.path("name").asText());
+            return MembershipConfig.read(json.get("fleet"), json.path("name").asText());
         } catch (IllegalArgumentException e) {
             throw new ConfigException("configuration:", e.getMessage());
         }
--- a/node/src/main/java/loadbalancer/membership/Codec.java
+++ b/node/src/main/java/loadbalancer/membership/Codec.java
@@ -307,7 +307,7 @@
     }
 
     private static String checked(String name) throws BadFrameException {
-        require(Member.isName(name));
+        require(Member.isValidName(name));
         return name;
     }
 }
--- /dev/null
+++ b/node/src/main/java/loadbalancer/membership/MembershipConfigReader.java
@@ -0,0 +1,111 @@
+package loadbalancer.membership;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import loadbalancer.membership.core.Member;
+import loadbalancer.net.SocketAddresses;
+
+/**
+ * Reads the values of a JSON object key by key, and remembers which keys nobody has read. All methods throw
+ * MembershipConfigException where a value is missing or of another kind.
+ */
+final class MembershipConfigReader {
+    private final Map<String, JsonNode> unread = new TreeMap<>();
+    private final List<String> knownKeys = new ArrayList<>();
+
+    MembershipConfigReader(JsonNode json) {
+        if (!json.isObject()) {
+            throw MembershipConfigException.notAnObject(json);
+        }
+        json.properties().forEach(field -> unread.put(field.getKey(), field.getValue()));
+    }
+
+    private JsonNode take(String key) {
+        knownKeys.add(key);
+        return unread.remove(key);
+    }
+
+    /** A text; required where there is no default. */
+    private String text(String key, String defaultValue) {
+        JsonNode value = take(key);
+        if (value == null && defaultValue == null) {
+            throw MembershipConfigException.missing(key);
+        }
+        if (value != null && !value.isTextual()) {
+            throw MembershipConfigException.invalid(key, value, "a text");
+        }
+        return value == null ? defaultValue : value.asText();
+    }
+
+    String name(String key, String defaultValue) {
+        String name = text(key, defaultValue);
+        if (!Member.isValidName(name)) {
+            throw MembershipConfigException.invalid(key, name, Member.NAME_RULE);
+        }
+        return name;
+    }
+
+    InetSocketAddress address(String key, String defaultValue) {
+        String text = text(key, defaultValue);
+        return parse(key, text, "address:port, with a port above 0");
+    }
+
+    List<String> addresses(String key) {
+        JsonNode value = take(key);
+        List<String> addresses = new ArrayList<>();
+        if (value != null && !value.isArray()) {
+            throw MembershipConfigException.invalid(key, value, "a list of address:port");
+        }
+        if (value != null) {
+            value.forEach(entry -> addresses.add(
+                    SocketAddresses.text(parse(key, entry.asText(), "a list of address:port, with a port above 0"))));
+        }
+        return addresses;
+    }
+
+    private static InetSocketAddress parse(String key, String text, String allowed) {
+        InetSocketAddress address = SocketAddresses.parse(text);
+        if (address == null || address.getPort() == 0) {
+            throw MembershipConfigException.invalid(key, text, allowed);
+        }
+        return address;
+    }
+
+    /** True only where the key is there and true. */
+    boolean flag(String key) {
+        JsonNode value = take(key);
+        if (value != null && !value.isBoolean()) {
+            throw MembershipConfigException.invalid(key, value, "true or false");
+        }
+        return value != null && value.asBoolean();
+    }
+
+    int integer(String key, int defaultValue) {
+        JsonNode value = take(key);
+        if (value != null && !value.isInt()) {
+            throw MembershipConfigException.invalid(key, value, "a whole number");
+        }
+        return value == null ? defaultValue : value.asInt();
+    }
+
+    /** A duration above 0, or null where the key is not there. */
+    Integer positiveMillis(String key) {
+        JsonNode value = take(key);
+        if (value != null && (!value.isInt() || value.asInt() <= 0)) {
+            throw MembershipConfigException.invalid(key, value, "a whole number of milliseconds above 0");
+        }
+        return value == null ? null : value.asInt();
+    }
+
+    /** Guards against a misspelt key, whose default would apply unnoticed. */
+    void rejectUnknownKeys() {
+        if (!unread.isEmpty()) {
+            String key = unread.keySet().iterator().next();
+            throw MembershipConfigException.unknown(key, unread.get(key), knownKeys);
+        }
+    }
+}
--- a/node/src/main/java/loadbalancer/membership/MembershipService.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipService.java
@@ -40,7 +40,7 @@
 public final class MembershipService {
     private static final long LEAVING_MS = 1_000;
 
-    private final MembersConfig config;
+    private final MembershipConfig config;
     private final Consumer<String> log;
     private final MeasuredEventLoop loop = new MeasuredEventLoop("members", true);
     private final Codec codec;
@@ -53,7 +53,7 @@
     /** What {@link #figures} says; written by the loop. */
     private volatile String text = "";
 
-    private MembershipService(MembersConfig config, Consumer<String> log) {
+    private MembershipService(MembershipConfig config, Consumer<String> log) {
         this.config = config;
         this.log = log;
         codec = new Codec(config.fleet());
@@ -65,7 +65,7 @@
      *
      * @param log told of what changes, a line each
      */
-    public static MembershipService join(MembersConfig config, Consumer<String> log) {
+    public static MembershipService join(MembershipConfig config, Consumer<String> log) {
         MembershipService members = new MembershipService(config, log);
         members.loop.execute(members::open);
         return members;
@@ -77,7 +77,7 @@
      * @param figures given what tells this part's
      * @return what leaves
      */
-    public static Runnable join(MembersConfig config, Consumer<String> log, Consumer<Supplier<String>> figures) {
+    public static Runnable join(MembershipConfig config, Consumer<String> log, Consumer<Supplier<String>> figures) {
         MembershipService members = join(config, log);
         figures.accept(members::figures);
         return members::leave;
@@ -128,7 +128,7 @@
                             ? ""
                             : " (" + cause.getClass().getName() + ")"));
         }
-        loop.schedule(this::open, config.settings().periodUs(), TimeUnit.MICROSECONDS);
+        loop.schedule(this::open, config.settings().probePeriodUs(), TimeUnit.MICROSECONDS);
     }
 
     private void begin() {
--- a/node/src/main/java/loadbalancer/membership/core/FailureDetector.java
+++ b/node/src/main/java/loadbalancer/membership/core/FailureDetector.java
@@ -63,7 +63,7 @@
     /** Periods begin. */
     void start(long nowUs) {
         // Members that start together must not ask together.
-        endsAtUs = nowUs + random.nextLong(set.periodUs());
+        endsAtUs = nowUs + random.nextLong(set.probePeriodUs());
     }
 
     void stop() {
@@ -77,7 +77,7 @@
     }
 
     private void doubt(int more) {
-        health = Math.max(0, Math.min(set.healthMost(), health + more));
+        health = Math.max(0, Math.min(set.maxLocalHealth(), health + more));
     }
 
     /** This process stood still: answers may have come meanwhile, and wait to be read. */
@@ -143,7 +143,7 @@
     }
 
     private void begin(long nowUs) {
-        long stretched = set.periodUs() * (1 + health);
+        long stretched = set.probePeriodUs() * (1 + health);
         endsAtUs = nowUs + stretched;
         Member next = next();
         if (next == null) {
@@ -155,7 +155,7 @@
         answered = false;
         passedOn = false;
         wordsDue = 0;
-        passOnAtUs = nowUs + set.answerUs() * (1 + health);
+        passOnAtUs = nowUs + set.probeTimeoutUs() * (1 + health);
         outside.send(next.address(), new Message.Ping(askedNumber, next.name(), outside.self(), List.of()));
     }
 
@@ -192,7 +192,7 @@
         }
         List<String> others = new ArrayList<>(outside.liveNames());
         others.remove(asked);
-        for (int i = 0; i < set.askers() && !others.isEmpty(); i++) {
+        for (int i = 0; i < set.indirectProbes() && !others.isEmpty(); i++) {
             Member by = outside.live(others.remove(random.nextInt(others.size())));
             outside.send(
                     by.address(),
@@ -235,7 +235,7 @@
                 new Relay(
                         request.from().address(),
                         request.number(),
-                        nowUs + Math.min(set.answerUs(), (set.periodUs() - set.answerUs()) / 2)));
+                        nowUs + Math.min(set.probeTimeoutUs(), (set.probePeriodUs() - set.probeTimeoutUs()) / 2)));
         outside.send(request.address(), new Message.Ping(number, request.to(), outside.self(), List.of()));
     }
 }
--- a/node/src/main/java/loadbalancer/membership/core/LocalMember.java
+++ b/node/src/main/java/loadbalancer/membership/core/LocalMember.java
@@ -94,7 +94,7 @@
             raiseAbove(told.incarnation());
         } else if (rival == null) {
             // Another process that began later, or an earlier life of this one elsewhere: only asking tells.
-            rival = new Rival(told, outside.number(), nowUs + set.suspicionPeriods() * set.periodUs());
+            rival = new Rival(told, outside.number(), nowUs + set.suspicionPeriods() * set.probePeriodUs());
             ask(told, rival.number);
         }
     }
--- a/node/src/main/java/loadbalancer/membership/core/Member.java
+++ b/node/src/main/java/loadbalancer/membership/core/Member.java
@@ -11,15 +11,15 @@
 public record Member(
         String name, String address, String zone, String role, Incarnation incarnation, MemberState state) {
     /** Longest name, address, zone or role: a datagram has to hold several members. */
-    private static final int MOST_NAME = 64;
-    /** What {@link #isName} allows, in words. */
-    public static final String NAMES = "1 to " + MOST_NAME + " characters of ASCII without spaces";
+    private static final int MAX_NAME_LENGTH = 64;
+    /** What {@link #isValidName} allows, in words. */
+    public static final String NAME_RULE = "1 to " + MAX_NAME_LENGTH + " characters of ASCII without spaces";
 
     /** Whether this may be a name, address, zone or role. */
-    public static boolean isName(String text) {
+    public static boolean isValidName(String text) {
         return text != null
                 && !text.isEmpty()
-                && text.length() <= MOST_NAME
+                && text.length() <= MAX_NAME_LENGTH
                 && text.chars().allMatch(c -> c > ' ' && c < 0x7f);
     }
 
--- a/node/src/main/java/loadbalancer/membership/core/Membership.java
+++ b/node/src/main/java/loadbalancer/membership/core/Membership.java
@@ -183,7 +183,7 @@
         prober.start(now);
         rumors.add(new GossipUpdate(self(), self().name()));
         exchangeAtUs = now;
-        lostAtUs = now + set.periodUs();
+        lostAtUs = now + set.probePeriodUs();
         schedule();
     }
 
@@ -248,7 +248,7 @@
     private void begin(long now) {
         nowUs = now;
         long late = now - wakeAtUs;
-        if (late > set.periodUs() && !over) {
+        if (late > set.probePeriodUs() && !over) {
             wakeAtUs = now;
             prober.stoodStill();
             others.suspected().forEach(entry -> entry.suspicion().putOff(late));
@@ -260,7 +260,7 @@
             return;
         }
         if (rumors.size() > 0 && gossipAtUs == Long.MAX_VALUE) {
-            gossipAtUs = nowUs + set.periodUs() / GOSSIPS;
+            gossipAtUs = nowUs + set.probePeriodUs() / GOSSIPS;
         }
         long at = Math.min(Math.min(prober.nextUs(), exchangeAtUs), Math.min(forgetAtUs, lostAtUs));
         at = Math.min(at, Math.min(gossipAtUs, others.nextSuspicionUs()));
@@ -272,7 +272,7 @@
     private void gossip() {
         gossipAtUs = Long.MAX_VALUE;
         List<Member> to = new ArrayList<>(others.liveOnes());
-        for (int i = 0; i < set.askers() && !to.isEmpty() && rumors.size() > 0; i++) {
+        for (int i = 0; i < set.indirectProbes() && !to.isEmpty() && rumors.size() > 0; i++) {
             send(to.remove(random.nextInt(to.size())).address(), new Message.Gossip(self(), List.of()));
         }
     }
@@ -287,7 +287,7 @@
         } else {
             out.exchange(live.get(random.nextInt(live.size())).address());
         }
-        long mean = live.isEmpty() ? ALONE_PERIODS * set.periodUs() : set.syncUs();
+        long mean = live.isEmpty() ? ALONE_PERIODS * set.probePeriodUs() : set.stateSyncIntervalUs();
         exchangeAtUs = nowUs + mean / 2 + random.nextLong(mean);
     }
 
@@ -297,7 +297,7 @@
      * ever.
      */
     private void lookForLost() {
-        lostAtUs = nowUs + set.periodUs() / 2 + random.nextLong(set.periodUs());
+        lostAtUs = nowUs + set.probePeriodUs() / 2 + random.nextLong(set.probePeriodUs());
         List<Member> dead =
                 others.members().filter(m -> m.state() == MemberState.DEAD).toList();
         List<String> seeds = set.seeds().stream()
@@ -320,7 +320,7 @@
             if (entry.isLive()) {
                 continue;
             }
-            long atUs = entry.endedAtUs() + set.forgetUs();
+            long atUs = entry.endedAtUs() + set.tombstoneRetentionUs();
             if (atUs <= nowUs) {
                 drop(entry);
             } else {
@@ -356,7 +356,7 @@
     // ---------------------------------------------------------------- messages
 
     private void send(String address, Message message) {
-        int times = set.spread() * logOf(others.live() + 1);
+        int times = set.retransmitFactor() * logOf(others.live() + 1);
         List<GossipUpdate> riding = new ArrayList<>();
         if (message instanceof Message.Ping ping) {
             // Whoever is suspected or held for dead is to hear of it first, so that it can contradict.
@@ -365,8 +365,8 @@
                 riding.add(new GossipUpdate(target.member(), self().name()));
             }
         }
-        int left =
-                set.roomBytes() - riding.stream().mapToInt(BroadcastQueue::size).sum();
+        int left = set.gossipBudgetBytes()
+                - riding.stream().mapToInt(BroadcastQueue::size).sum();
         riding.addAll(rumors.take(left, times));
         out.send(address, message.with(riding));
     }
@@ -415,8 +415,9 @@
             out.exchange(ping.from().address());
         }
         told.addAll(rumors.take(
-                set.roomBytes() - told.stream().mapToInt(BroadcastQueue::size).sum(),
-                set.spread() * logOf(others.live() + 1)));
+                set.gossipBudgetBytes()
+                        - told.stream().mapToInt(BroadcastQueue::size).sum(),
+                set.retransmitFactor() * logOf(others.live() + 1)));
         out.send(ping.from().address(), new Message.Ack(ping.number(), self(), told));
     }
 
@@ -465,7 +466,7 @@
 
     private void begin(GossipUpdate rumor) {
         Member told = rumor.member();
-        if (others.size() + 1 >= set.mostMembers() && !makeRoom(told)) {
+        if (others.size() + 1 >= set.maxMembers() && !makeRoom(told)) {
             tell(MembershipChange.Kind.TURNED_AWAY, told);
             return;
         }
@@ -522,17 +523,18 @@
         if (entry.member().state() != MemberState.SUSPECT) {
             return;
         }
-        long least = (long) (set.suspicionPeriods() * Math.max(1, Math.log10(others.live() + 1)) * set.periodUs());
+        long least = (long) (set.suspicionPeriods() * Math.max(1, Math.log10(others.live() + 1)) * set.probePeriodUs());
         // Where fewer others are there to confirm it, fewer are waited for.
-        int wanted = Math.max(0, Math.min(set.confirmations(), others.live() - 2));
+        int wanted = Math.max(0, Math.min(set.suspicionConfirmations(), others.live() - 2));
         others.suspect(
                 entry,
-                new Suspicion(nowUs, least, wanted == 0 ? least : set.suspicionMost() * least, wanted, rumor.by()));
+                new Suspicion(
+                        nowUs, least, wanted == 0 ? least : set.maxSuspicionFactor() * least, wanted, rumor.by()));
         tell(MembershipChange.Kind.SUSPECTED, entry.member());
     }
 
     private void forgetInTime() {
-        forgetAtUs = Math.min(forgetAtUs, nowUs + set.forgetUs());
+        forgetAtUs = Math.min(forgetAtUs, nowUs + set.tombstoneRetentionUs());
     }
 
     private void tell(MembershipChange.Kind kind, Member member) {
--- a/node/src/main/java/loadbalancer/membership/core/MembershipSettings.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipSettings.java
@@ -3,97 +3,127 @@
 import java.util.List;
 
 /**
- * How a member takes part. Lengths of time are microseconds.
+ * How a process takes part in membership. {@code docs/membership.md} says how each default follows from the probe
+ * period and the number of members.
  *
- * @param periodUs one member is asked in each period
- * @param answerUs an answer that takes longer is asked for by others
- * @param askers how many others are asked to ask
- * @param suspicionPeriods least time of a suspicion, in periods times log10 of the members (1 at least)
- * @param suspicionMost longest time of one, in least ones: while nobody else has confirmed it
- * @param confirmations by so many others, after which only the least time is left
- * @param healthMost how far a member that doubts itself stretches its times: by up to 1 + this; 0 for never
- * @param spread how often each rumor is passed on, times log2 of the members
- * @param syncUs how often all that is known is exchanged with another member
- * @param forgetUs for how long what is dead or left is remembered
- * @param mostMembers how many names are held; what is new beyond is turned away, and said
- * @param roomBytes of rumors in a datagram
- * @param seeds addresses that are tried at the start, and for ever while nobody there is known alive
+ * @param name this member's name, the same after a restart
+ * @param address where others reach this member
+ * @param zone where this member runs
+ * @param role what this member does
+ * @param probePeriodUs one member is probed in each period
+ * @param probeTimeoutUs a ping without an ack for so long is followed by indirect pings
+ * @param indirectProbes how many other members are asked for an indirect ping; also how many receive a gossip message
+ * @param suspicionPeriods shortest suspicion timeout, in probe periods times log10 of the members (1 at least)
+ * @param maxSuspicionFactor longest suspicion timeout, in shortest ones: while no other member confirms the suspicion
+ * @param suspicionConfirmations so many confirmations shorten the timeout to the shortest one
+ * @param maxLocalHealth highest local health score; probe times are up to 1 + this times longer; 0 turns it off
+ * @param retransmitFactor how often each gossip update is sent, times log2 of the members
+ * @param stateSyncIntervalUs mean time between two state syncs with another member
+ * @param tombstoneRetentionUs for how long a dead or left member is remembered
+ * @param maxMembers how many names are remembered, this process included; new ones beyond are rejected
+ * @param gossipBudgetBytes for gossip updates in one datagram
+ * @param seeds addresses that are contacted at the start, and for ever while no live member has them
  */
 public record MembershipSettings(
         String name,
         String address,
         String zone,
         String role,
-        long periodUs,
-        long answerUs,
-        int askers,
+        long probePeriodUs,
+        long probeTimeoutUs,
+        int indirectProbes,
         int suspicionPeriods,
-        int suspicionMost,
-        int confirmations,
-        int healthMost,
-        int spread,
-        long syncUs,
-        long forgetUs,
-        int mostMembers,
-        int roomBytes,
+        int maxSuspicionFactor,
+        int suspicionConfirmations,
+        int maxLocalHealth,
+        int retransmitFactor,
+        long stateSyncIntervalUs,
+        long tombstoneRetentionUs,
+        int maxMembers,
+        int gossipBudgetBytes,
         List<String> seeds) {
-    /** What is left of a datagram of 1,400 bytes beside the longest of everything else in it. */
-    public static final int MOST_ROOM = 880;
+    /** A datagram of 1,400 bytes less the longest of everything else in it. */
+    public static final int MAX_GOSSIP_BUDGET_BYTES = 880;
 
-    /**
-     * The defaults; {@code docs/membership.md} tells how each follows from the period and the number of
-     * members.
-     */
+    private static final int MIN_GOSSIP_BUDGET_BYTES = 400;
+
+    /** Settings of this member with the defaults for everything else. */
     public static MembershipSettings of(String name, String address, String zone, String role, List<String> seeds) {
-        return new MembershipSettings(
-                name,
-                address,
-                zone,
-                role,
-                1_000_000,
-                400_000,
-                3,
-                4,
-                6,
-                3,
-                8,
-                4,
-                30_000_000,
-                3_600_000_000L,
-                10_000,
-                MOST_ROOM,
-                List.copyOf(seeds));
+        return builder(name, address, zone, role, seeds).build();
+    }
+
+    /** A builder for this member that starts with the defaults. */
+    public static MembershipSettingsBuilder builder(
+            String name, String address, String zone, String role, List<String> seeds) {
+        return new MembershipSettingsBuilder(name, address, zone, role, seeds);
+    }
+
+    /** A builder that starts with these settings. */
+    public MembershipSettingsBuilder toBuilder() {
+        return builder(name, address, zone, role, seeds)
+                .probePeriodUs(probePeriodUs)
+                .probeTimeoutUs(probeTimeoutUs)
+                .indirectProbes(indirectProbes)
+                .suspicionPeriods(suspicionPeriods)
+                .maxSuspicionFactor(maxSuspicionFactor)
+                .suspicionConfirmations(suspicionConfirmations)
+                .maxLocalHealth(maxLocalHealth)
+                .retransmitFactor(retransmitFactor)
+                .stateSyncIntervalUs(stateSyncIntervalUs)
+                .tombstoneRetentionUs(tombstoneRetentionUs)
+                .maxMembers(maxMembers)
+                .gossipBudgetBytes(gossipBudgetBytes);
     }
 
-    /** Throws IllegalArgumentException, naming the field, its value and what is allowed. */
+    /** Throws InvalidSettingException for the first setting that is out of its bounds. */
     public void validate() {
-        text("name", name);
-        text("address", address);
-        text("zone", zone);
-        text("role", role);
-        require(periodUs >= 1_000, "periodUs", periodUs, "at least 1000");
-        require(answerUs > 0 && answerUs < periodUs, "answerUs", answerUs, "above 0 and under periodUs");
-        require(askers >= 0 && askers <= 100, "askers", askers, "0 to 100");
-        require(suspicionPeriods >= 1, "suspicionPeriods", suspicionPeriods, "at least 1");
-        require(suspicionMost >= 1, "suspicionMost", suspicionMost, "at least 1");
-        require(confirmations >= 0, "confirmations", confirmations, "at least 0");
-        require(healthMost >= 0 && healthMost <= 100, "healthMost", healthMost, "0 to 100");
-        require(spread >= 1 && spread <= 100, "spread", spread, "1 to 100");
-        require(syncUs >= periodUs, "syncUs", syncUs, "at least periodUs");
-        require(forgetUs >= syncUs, "forgetUs", forgetUs, "at least syncUs");
-        require(mostMembers >= 2, "mostMembers", mostMembers, "at least 2");
-        require(roomBytes >= 400 && roomBytes <= MOST_ROOM, "roomBytes", roomBytes, "400 to " + MOST_ROOM);
+        requireName("name", name);
+        requireName("address", address);
+        requireName("zone", zone);
+        requireName("role", role);
+        require(probePeriodUs >= 1_000, "probePeriodUs", probePeriodUs, "at least 1000");
+        require(
+                probeTimeoutUs > 0 && probeTimeoutUs < probePeriodUs,
+                "probeTimeoutUs",
+                probeTimeoutUs,
+                "above 0 and under probePeriodUs");
+        requireBetween(0, 100, "indirectProbes", indirectProbes);
+        requireAtLeast(1, "suspicionPeriods", suspicionPeriods);
+        requireAtLeast(1, "maxSuspicionFactor", maxSuspicionFactor);
+        requireAtLeast(0, "suspicionConfirmations", suspicionConfirmations);
+        requireBetween(0, 100, "maxLocalHealth", maxLocalHealth);
+        requireBetween(1, 100, "retransmitFactor", retransmitFactor);
+        require(
+                stateSyncIntervalUs >= probePeriodUs,
+                "stateSyncIntervalUs",
+                stateSyncIntervalUs,
+                "at least probePeriodUs");
+        require(
+                tombstoneRetentionUs >= stateSyncIntervalUs,
+                "tombstoneRetentionUs",
+                tombstoneRetentionUs,
+                "at least stateSyncIntervalUs");
+        requireAtLeast(2, "maxMembers", maxMembers);
+        requireBetween(MIN_GOSSIP_BUDGET_BYTES, MAX_GOSSIP_BUDGET_BYTES, "gossipBudgetBytes", gossipBudgetBytes);
     }
 
-    private static void text(String field, String value) {
-        if (!Member.isName(value)) {
-            throw new IllegalArgumentException(field + " = " + value + ": must be " + Member.NAMES);
+    private static void requireName(String setting, String value) {
+        if (!Member.isValidName(value)) {
+            throw new InvalidSettingException(setting, value, Member.NAME_RULE);
         }
     }
 
-    private static void require(boolean holds, String field, long value, String allowed) {
+    private static void requireAtLeast(int least, String setting, int value) {
+        require(value >= least, setting, value, "at least " + least);
+    }
+
+    private static void requireBetween(int least, int most, String setting, int value) {
+        require(value >= least && value <= most, setting, value, least + " to " + most);
+    }
+
+    private static void require(boolean holds, String setting, long value, String allowed) {
         if (!holds) {
-            throw new IllegalArgumentException(field + " = " + value + ": must be " + allowed);
+            throw new InvalidSettingException(setting, value, allowed);
         }
     }
 }
--- a/node/src/test/java/loadbalancer/membership/CodecTest.java
+++ b/node/src/test/java/loadbalancer/membership/CodecTest.java
@@ -85,7 +85,7 @@
         GossipUpdate rumor = new GossipUpdate(member, longest);
         // What the core reckons a rumor to need, and not less, is what it may fill its room with.
         List<GossipUpdate> rumors = new ArrayList<>();
-        for (int bytes = 48 + 5 * 64; bytes <= MembershipSettings.MOST_ROOM; bytes += 48 + 5 * 64) {
+        for (int bytes = 48 + 5 * 64; bytes <= MembershipSettings.MAX_GOSSIP_BUDGET_BYTES; bytes += 48 + 5 * 64) {
             rumors.add(rumor);
         }
         int length =
@@ -186,25 +186,9 @@
     @Test
     void noDatagramHarmsWhoeverItComesUpon() throws Exception {
         SplittableRandom random = new SplittableRandom(4);
-        MembershipSettings usual = MembershipSettings.of("me", "127.0.0.1:1", "z", "node", List.of());
-        MembershipSettings small = new MembershipSettings(
-                "me",
-                usual.address(),
-                "z",
-                "node",
-                usual.periodUs(),
-                usual.answerUs(),
-                usual.askers(),
-                usual.suspicionPeriods(),
-                usual.suspicionMost(),
-                usual.confirmations(),
-                usual.healthMost(),
-                usual.spread(),
-                usual.syncUs(),
-                usual.forgetUs(),
-                MOST_HELD,
-                usual.roomBytes(),
-                usual.seeds());
+        MembershipSettings small = MembershipSettings.builder("me", "127.0.0.1:1", "z", "node", List.of())
+                .maxMembers(MOST_HELD)
+                .build();
         Quiet out = new Quiet();
         Membership core = new Membership(small, 1, 1L << 62, out);
         core.start(0);
--- a/node/src/test/java/loadbalancer/membership/MembersConfigTest.java
+++ b/node/src/test/java/loadbalancer/membership/MembershipConfigTest.java
@@ -13,20 +13,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class MembersConfigTest {
+class MembershipConfigTest {
 
-    private static MembersConfig read(String json) throws Exception {
-        return MembersConfig.read(new ObjectMapper().readTree(json.replace('\'', '"')), "n1");
+    private static MembershipConfig read(String json) throws Exception {
+        return MembershipConfig.read(new ObjectMapper().readTree(json.replace('\'', '"')), "n1");
     }
 
     @Test
     void whatIsLeftOutFollowsFromThePeriod() throws Exception {
-        MembersConfig config =
+        MembershipConfig config =
                 read("{'name':'f','bind':'127.0.0.1:7946','seeds':['127.0.0.2:7946']," + "'periodMs':200}");
         assertEquals("n1", config.settings().name());
         assertEquals("127.0.0.1:7946", config.settings().address());
-        assertEquals(80_000, config.settings().answerUs());
-        assertEquals(6_000_000, config.settings().syncUs());
+        assertEquals(80_000, config.settings().probeTimeoutUs());
+        assertEquals(6_000_000, config.settings().stateSyncIntervalUs());
         assertEquals(List.of("127.0.0.2:7946"), config.settings().seeds());
     }
 
@@ -92,7 +92,7 @@
     /** Each key sets the one field that it stands for. */
     @Test
     void eachKeySetsItsField() throws Exception {
-        MembersConfig config = read("{'name':'f','member':'me','bind':'127.0.0.1:1','advertise':'127.0.0.2:2',"
+        MembershipConfig config = read("{'name':'f','member':'me','bind':'127.0.0.1:1','advertise':'127.0.0.2:2',"
                 + "'zone':'a','role':'r','periodMs':100,'answerMs':11,'askers':12,'suspicionPeriods':13,"
                 + "'suspicionMost':14,'confirmations':15,'healthMost':16,'spread':17,'syncMs':1800,'forgetMs':1900,"
                 + "'mostMembers':20,'seeds':['127.0.0.3:3']}");
--- a/rig/src/main/java/loadbalancer/rig/members/MembersStudy.java
+++ b/rig/src/main/java/loadbalancer/rig/members/MembersStudy.java
@@ -35,7 +35,7 @@
     /** Throws IllegalStateException where a fleet in which nothing goes wrong does not settle. */
     public static Figures play(int members, long seed, UnaryOperator<MembershipSettings> tuned) {
         MembersWorld world = new MembersWorld(seed, Long.MAX_VALUE / 4).with(members, tuned);
-        long period = world.member(0).settings().periodUs();
+        long period = world.member(0).settings().probePeriodUs();
         SplittableRandom random = world.time().stream("study");
         world.startAll(period);
         if (world.agreedAtUs(period, SETTLE_PERIODS * period) < 0) {
@@ -90,7 +90,7 @@
     public static Falsely falsely(
             int members, long seed, double lost, int seconds, UnaryOperator<MembershipSettings> tuned) {
         MembersWorld world = new MembersWorld(seed, Long.MAX_VALUE / 4).with(members, tuned);
-        long period = world.member(0).settings().periodUs();
+        long period = world.member(0).settings().probePeriodUs();
         SplittableRandom random = world.time().stream("study");
         world.startAll(period);
         pass(world, SETTLE_PERIODS * period);
--- a/rig/src/main/java/loadbalancer/rig/members/ModelCheck.java
+++ b/rig/src/main/java/loadbalancer/rig/members/ModelCheck.java
@@ -265,27 +265,15 @@
         Process(int number, World world) {
             this.number = number;
             this.world = world;
-            MembershipSettings usual = MembershipSettings.of("p" + number, address(), "z", "node", List.of("p0:1"));
-            // As little of each as still does all: fewer askers and periods make more of the space fit the
-            // depth.
-            MembershipSettings small = new MembershipSettings(
-                    usual.name(),
-                    usual.address(),
-                    usual.zone(),
-                    usual.role(),
-                    usual.periodUs(),
-                    usual.answerUs(),
-                    1,
-                    1,
-                    1,
-                    0,
-                    1,
-                    2,
-                    usual.syncUs(),
-                    usual.forgetUs(),
-                    usual.mostMembers(),
-                    usual.roomBytes(),
-                    usual.seeds());
+            // As little of each as still does all: fewer probes and periods make more of the space fit the depth.
+            MembershipSettings small = MembershipSettings.builder("p" + number, address(), "z", "node", List.of("p0:1"))
+                    .indirectProbes(1)
+                    .suspicionPeriods(1)
+                    .maxSuspicionFactor(1)
+                    .suspicionConfirmations(0)
+                    .maxLocalHealth(1)
+                    .retransmitFactor(2)
+                    .build();
             core = new Membership(small, number + 1, BIRTH + number, this);
             core.start(0);
         }
--- a/rig/src/test/java/loadbalancer/rig/members/MembershipDeterminismTest.java
+++ b/rig/src/test/java/loadbalancer/rig/members/MembershipDeterminismTest.java
@@ -69,24 +69,13 @@
     /** More processes than places, and little time for which those that ended are remembered. */
     @Test
     void aFleetThatIsFullTurnsTheSameMembersAway() {
-        UnaryOperator<MembershipSettings> small = usual -> new MembershipSettings(
-                usual.name(),
-                usual.address(),
-                usual.zone(),
-                usual.role(),
-                PERIOD,
-                400_000,
-                2,
-                4,
-                6,
-                3,
-                8,
-                4,
-                5 * PERIOD,
-                20 * PERIOD,
-                8,
-                500,
-                usual.seeds());
+        UnaryOperator<MembershipSettings> small = usual -> usual.toBuilder()
+                .indirectProbes(2)
+                .stateSyncIntervalUs(5 * PERIOD)
+                .tombstoneRetentionUs(20 * PERIOD)
+                .maxMembers(8)
+                .gossipBudgetBytes(500)
+                .build();
         MembersWorld world =
                 new MembersWorld(5, Long.MAX_VALUE / 4).with(10, small).startAll(PERIOD);
         pass(world, 20);
