--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.ConfigAddresses;
-import loadbalancer.process.FarServer;
+import loadbalancer.process.FakeServer;
 import loadbalancer.process.Http;
-import loadbalancer.process.Site;
+import loadbalancer.process.NodeHarness;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -27,32 +27,35 @@
             new EndpointWatcher.Patience(300_000, 20_000_000, 60_000_000);
 
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    private Site site;
-    private FarServer next;
+    private NodeHarness harness;
+    private FakeServer next;
     private EndpointWatcher discovery;
-    private FarServer.Peer before;
+    private FakeServer.Connection before;
 
     /** A watch that is kept open, and has heard of version 42 at the first address. */
     @BeforeEach
     void follow() throws Exception {
-        site = Site.quiet();
+        harness = NodeHarness.withSilentDiscovery();
         next = silent();
         start(PATIENCE);
-        before = FarServer.next(site.discovery.peers);
+        before = FakeServer.awaitNext(harness.discovery.answeredConnections);
         say(before, 42, false);
-        assertEquals("42", FarServer.next(told));
+        assertEquals("42", FakeServer.awaitNext(told));
     }
 
     @AfterEach
     void close() throws IOException {
-        site.loop.execute(discovery::close);
+        harness.loop.execute(discovery::close);
         next.close();
-        site.close();
+        harness.close();
     }
 
     private void start(EndpointWatcher.Patience patience) throws Exception {
         discovery = new EndpointWatcher(
-                site.loop, site.config(Site.list(41, true)), patience, new EndpointWatcher.Listener() {
+                harness.loop,
+                harness.config(NodeHarness.endpointList(41, true)),
+                patience,
+                new EndpointWatcher.Listener() {
                     @Override
                     public void listed(EndpointList list) {
                         told.add(Long.toString(list.rev()));
@@ -63,66 +66,66 @@
                         // Counted by what is opened next.
                     }
                 });
-        site.loop.execute(discovery::keepSubscribed);
+        harness.loop.execute(discovery::keepSubscribed);
     }
 
     /** Takes what it is asked and answers only what a test writes. */
-    private static FarServer silent() throws IOException {
-        return new FarServer((request, peer) -> {});
+    private static FakeServer silent() throws IOException {
+        return new FakeServer((request, peer) -> {});
     }
 
-    private void move(FarServer to) throws Exception {
+    private void move(FakeServer to) throws Exception {
         moveTo(to.endpoint());
     }
 
     private void moveTo(String endpoint) throws Exception {
         var to = ConfigAddresses.parse("discovery", endpoint);
-        site.loop.execute(() -> discovery.moveTo(to));
+        harness.loop.execute(() -> discovery.moveTo(to));
     }
 
     private static String line(int rev, boolean all) {
-        return Site.chunk(Site.list(rev, all, "s0=10.0.0.1:80=Terminating") + "\n");
+        return NodeHarness.chunk(NodeHarness.endpointList(rev, all, "s0=10.0.0.1:80=Terminating") + "\n");
     }
 
-    private static void say(FarServer.Peer peer, int rev, boolean all) throws IOException {
+    private static void say(FakeServer.Connection peer, int rev, boolean all) throws IOException {
         peer.write(line(rev, all));
     }
 
-    private void begin(FarServer.Peer peer, int rev, boolean all) throws IOException {
-        peer.write(Site.watchHead() + line(rev, all));
+    private void begin(FakeServer.Connection peer, int rev, boolean all) throws IOException {
+        peer.write(NodeHarness.watchResponseHead() + line(rev, all));
     }
 
     @Test
     void theOldAddressIsHeardUntilTheNewOneHasSpokenAndThenLeft() throws Exception {
         move(next);
-        FarServer.Peer after = FarServer.next(next.peers);
+        FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
         say(before, 43, false);
-        assertEquals("43", FarServer.next(told));
+        assertEquals("43", FakeServer.awaitNext(told));
         begin(after, 44, false);
-        assertEquals("44", FarServer.next(told));
-        FarServer.next(site.discovery.ended);
+        assertEquals("44", FakeServer.awaitNext(told));
+        FakeServer.awaitNext(harness.discovery.closedConnections);
         assertEquals(
                 "/discovery/hosts?watch=1&after=42",
-                FarServer.next(next.requests).path());
+                FakeServer.awaitNext(next.requests).path());
     }
 
     @Test
     void anAddressThatTakesTheWatchAndSaysNothingIsAskedAgainWhileTheOldOneIsHeard() throws Exception {
         move(next);
-        FarServer.next(next.peers);
-        FarServer.Peer second = FarServer.next(next.peers);
+        FakeServer.awaitNext(next.answeredConnections);
+        FakeServer.Connection second = FakeServer.awaitNext(next.answeredConnections);
         say(before, 43, false);
-        assertEquals("43", FarServer.next(told));
+        assertEquals("43", FakeServer.awaitNext(told));
         begin(second, 44, false);
-        assertEquals("44", FarServer.next(told));
+        assertEquals("44", FakeServer.awaitNext(told));
     }
 
     @Test
     void anAddressThatOnlyBeginsAnAnswerIsAskedAgain() throws Exception {
         move(next);
-        FarServer.next(next.peers).write(Site.watchHead());
-        begin(FarServer.next(next.peers), 43, false);
-        assertEquals("43", FarServer.next(told));
+        FakeServer.awaitNext(next.answeredConnections).write(NodeHarness.watchResponseHead());
+        begin(FakeServer.awaitNext(next.answeredConnections), 43, false);
+        assertEquals("43", FakeServer.awaitNext(told));
     }
 
     @Test
@@ -136,40 +139,40 @@
         moveTo("127.0.0.77:" + port);
         // The old agent leaves as it does after a move, and the new one comes late.
         before.socket().close();
-        site.loop.submit(() -> {}).sync();
+        harness.loop.submit(() -> {}).sync();
         try (ServerSocket late = new ServerSocket(port, 50, apart);
                 Socket watch = late.accept()) {
-            Http.read(watch.getInputStream());
-            begin(new FarServer.Peer(watch), 43, false);
-            assertEquals("43", FarServer.next(told));
+            Http.readMessage(watch.getInputStream());
+            begin(new FakeServer.Connection(watch), 43, false);
+            assertEquals("43", FakeServer.awaitNext(told));
         }
     }
 
     @Test
     void anAgentThatLagsUnlearnsNothingAndIsHeardOnceItIsPastWhatIsKnown() throws Exception {
         move(next);
-        FarServer.Peer after = FarServer.next(next.peers);
+        FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
         begin(after, 40, true);
         say(after, 41, false);
         // It has not caught up, so the old one still counts.
         say(before, 43, false);
-        assertEquals("43", FarServer.next(told));
+        assertEquals("43", FakeServer.awaitNext(told));
         say(after, 43, false);
-        assertEquals("43", FarServer.next(told));
-        FarServer.next(site.discovery.ended);
+        assertEquals("43", FakeServer.awaitNext(told));
+        FakeServer.awaitNext(harness.discovery.closedConnections);
         say(after, 44, false);
-        assertEquals("44", FarServer.next(told));
+        assertEquals("44", FakeServer.awaitNext(told));
     }
 
     @Test
     void anAgentThatLagsForGoodIsAskedForAllThatItHas() throws Exception {
-        site.loop.execute(discovery::close);
+        harness.loop.execute(discovery::close);
         start(new EndpointWatcher.Patience(20_000_000, 20_000_000, 100_000));
-        FarServer.Peer peer = FarServer.next(site.discovery.peers);
+        FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
         say(peer, 42, false);
-        assertEquals("42", FarServer.next(told));
+        assertEquals("42", FakeServer.awaitNext(told));
         move(next);
-        FarServer.Peer after = FarServer.next(next.peers);
+        FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
         begin(after, 3, true);
         // Its beats go on until it is given up.
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
@@ -177,20 +180,20 @@
             assertTrue(System.nanoTime() < end, "the watch on an agent that lags is still open");
             Thread.onSpinWait();
         }
-        begin(FarServer.next(next.peers), 3, true);
-        assertEquals("3", FarServer.next(told));
+        begin(FakeServer.awaitNext(next.answeredConnections), 3, true);
+        assertEquals("3", FakeServer.awaitNext(told));
         assertEquals(
                 "/discovery/hosts?watch=1&after=42",
-                FarServer.next(next.requests).path());
+                FakeServer.awaitNext(next.requests).path());
         assertEquals(
                 "/discovery/hosts?watch=1&after=0",
-                FarServer.next(next.requests).path());
+                FakeServer.awaitNext(next.requests).path());
     }
 
     /** Whether the watch still takes a beat: its end shows to the writer as a broken pipe. */
-    private static boolean beats(FarServer.Peer peer) {
+    private static boolean beats(FakeServer.Connection peer) {
         try {
-            peer.write(Site.chunk("\n"));
+            peer.write(NodeHarness.chunk("\n"));
             return true;
         } catch (IOException e) {
             return false;
@@ -202,27 +205,27 @@
         String line = line(43, false);
         before.write(line.substring(0, line.length() / 2));
         move(next);
-        FarServer.Peer after = FarServer.next(next.peers);
+        FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
         before.write(line.substring(line.length() / 2));
-        assertEquals("43", FarServer.next(told));
+        assertEquals("43", FakeServer.awaitNext(told));
         before.write(line(44, false).substring(0, 20));
         begin(after, 44, false);
-        assertEquals("44", FarServer.next(told));
+        assertEquals("44", FakeServer.awaitNext(told));
     }
 
     @Test
     void aSecondMoveBeforeTheFirstIsAnsweredLeavesTheOneThatSpokeOpen() throws Exception {
-        try (FarServer third = silent()) {
+        try (FakeServer third = silent()) {
             move(next);
-            FarServer.next(next.peers);
+            FakeServer.awaitNext(next.answeredConnections);
             move(third);
-            FarServer.Peer last = FarServer.next(third.peers);
-            FarServer.next(next.ended);
+            FakeServer.Connection last = FakeServer.awaitNext(third.answeredConnections);
+            FakeServer.awaitNext(next.closedConnections);
             say(before, 43, false);
-            assertEquals("43", FarServer.next(told));
+            assertEquals("43", FakeServer.awaitNext(told));
             begin(last, 44, false);
-            assertEquals("44", FarServer.next(told));
-            FarServer.next(site.discovery.ended);
+            assertEquals("44", FakeServer.awaitNext(told));
+            FakeServer.awaitNext(harness.discovery.closedConnections);
         }
     }
 }
--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
@@ -7,26 +7,26 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicInteger;
-import loadbalancer.process.FarServer;
+import loadbalancer.process.FakeServer;
 import loadbalancer.process.Http;
-import loadbalancer.process.Site;
+import loadbalancer.process.NodeHarness;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The watch on the list. */
 class EndpointWatcherTest {
-    private static final String KNOWN = Site.list(41, true);
+    private static final String KNOWN = NodeHarness.endpointList(41, true);
     /** As short as a slow machine allows. */
     private static final EndpointWatcher.Patience BRIEF = new EndpointWatcher.Patience(100_000, 20_000_000, 100_000);
 
     private static final String ENTRY = "s0=10.0.0.1:80=Ready";
 
     /** A watch alone; what it tells comes as a line. */
-    private static EndpointWatcher watch(Site site, EndpointWatcher.Patience patience, BlockingQueue<String> told)
-            throws Exception {
+    private static EndpointWatcher watch(
+            NodeHarness harness, EndpointWatcher.Patience patience, BlockingQueue<String> told) throws Exception {
         EndpointWatcher discovery =
-                new EndpointWatcher(site.loop, site.config(KNOWN), patience, new EndpointWatcher.Listener() {
+                new EndpointWatcher(harness.loop, harness.config(KNOWN), patience, new EndpointWatcher.Listener() {
                     @Override
                     public void listed(EndpointList list) {
                         told.add(list.rev()
@@ -39,62 +39,65 @@
                         told.add("failed");
                     }
                 });
-        site.loop.execute(discovery::subscribe);
+        harness.loop.execute(discovery::subscribe);
         return discovery;
     }
 
     @Test
     void listsComeInPiecesAndTheNextWatchGoesOnFromTheLast() throws Exception {
-        try (Site site = Site.quiet()) {
+        try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            EndpointWatcher discovery = watch(site, EndpointWatcher.Patience.USUAL, told);
+            EndpointWatcher discovery = watch(harness, EndpointWatcher.Patience.USUAL, told);
             assertEquals(
                     "/discovery/hosts?watch=1&after=41",
-                    FarServer.next(site.discovery.requests).path());
-            FarServer.Peer peer = FarServer.next(site.discovery.peers);
-            String line = Site.list(43, true, ENTRY, "s1=10.0.0.2:80=Terminating");
-            peer.write(Site.chunk(line.substring(0, 20)));
-            peer.write(Site.chunk(line.substring(20) + "\n\n" + Site.list(44, false, ENTRY) + "\n"));
-            assertEquals("43 all 2", FarServer.next(told));
-            assertEquals("44 changes 1", FarServer.next(told));
+                    FakeServer.awaitNext(harness.discovery.requests).path());
+            FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            String line = NodeHarness.endpointList(43, true, ENTRY, "s1=10.0.0.2:80=Terminating");
+            peer.write(NodeHarness.chunk(line.substring(0, 20)));
+            peer.write(
+                    NodeHarness.chunk(line.substring(20) + "\n\n" + NodeHarness.endpointList(44, false, ENTRY) + "\n"));
+            assertEquals("43 all 2", FakeServer.awaitNext(told));
+            assertEquals("44 changes 1", FakeServer.awaitNext(told));
             peer.socket().close();
-            assertEquals("failed", FarServer.next(told));
-            site.loop.execute(discovery::subscribe);
+            assertEquals("failed", FakeServer.awaitNext(told));
+            harness.loop.execute(discovery::subscribe);
             assertEquals(
                     "/discovery/hosts?watch=1&after=44",
-                    FarServer.next(site.discovery.requests).path());
+                    FakeServer.awaitNext(harness.discovery.requests).path());
         }
     }
 
     @Test
     void aWatchThatIsResetAmidALineIsAskedForThatLineAgain() throws Exception {
-        try (Site site = Site.quiet()) {
+        try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            EndpointWatcher discovery = watch(site, EndpointWatcher.Patience.USUAL, told);
-            FarServer.Peer peer = FarServer.next(site.discovery.peers);
-            String line = Site.list(42, false, ENTRY) + "\n";
-            peer.write(Site.chunk(line.substring(0, 30)));
+            EndpointWatcher discovery = watch(harness, EndpointWatcher.Patience.USUAL, told);
+            FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            String line = NodeHarness.endpointList(42, false, ENTRY) + "\n";
+            peer.write(NodeHarness.chunk(line.substring(0, 30)));
             peer.reset();
-            assertEquals("failed", FarServer.next(told));
-            site.loop.execute(discovery::subscribe);
-            FarServer.next(site.discovery.requests);
+            assertEquals("failed", FakeServer.awaitNext(told));
+            harness.loop.execute(discovery::subscribe);
+            FakeServer.awaitNext(harness.discovery.requests);
             assertEquals(
                     "/discovery/hosts?watch=1&after=41",
-                    FarServer.next(site.discovery.requests).path());
-            FarServer.next(site.discovery.peers).write(Site.chunk(line));
-            assertEquals("42 changes 1", FarServer.next(told));
+                    FakeServer.awaitNext(harness.discovery.requests).path());
+            FakeServer.awaitNext(harness.discovery.answeredConnections).write(NodeHarness.chunk(line));
+            assertEquals("42 changes 1", FakeServer.awaitNext(told));
         }
     }
 
     @Test
     void aBeatAsTheFirstWordSaysThatNothingHasChanged() throws Exception {
-        try (Site site = Site.quiet()) {
+        try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, EndpointWatcher.Patience.USUAL, told);
-            FarServer.next(site.discovery.peers)
-                    .write(Site.chunk("\n") + Site.chunk("\n") + Site.chunk(Site.list(42, false, ENTRY) + "\n"));
-            assertEquals("41 changes 0", FarServer.next(told));
-            assertEquals("42 changes 1", FarServer.next(told));
+            watch(harness, EndpointWatcher.Patience.USUAL, told);
+            FakeServer.awaitNext(harness.discovery.answeredConnections)
+                    .write(NodeHarness.chunk("\n")
+                            + NodeHarness.chunk("\n")
+                            + NodeHarness.chunk(NodeHarness.endpointList(42, false, ENTRY) + "\n"));
+            assertEquals("41 changes 0", FakeServer.awaitNext(told));
+            assertEquals("42 changes 1", FakeServer.awaitNext(told));
         }
     }
 
@@ -108,53 +111,54 @@
                 "{\"rev\":42,\"all\":false,\"targets\":[{\"uid\":\"s\",\"endpoint\":\"x\",\"state\":\"Ready\"}]}",
             })
     void aBadLineBreaksTheWatch(String line) throws Exception {
-        try (Site site = Site.quiet()) {
+        try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, EndpointWatcher.Patience.USUAL, told);
-            FarServer.next(site.discovery.peers).write(Site.chunk(line + "\n"));
-            assertEquals("failed", FarServer.next(told));
-            FarServer.next(site.discovery.ended);
+            watch(harness, EndpointWatcher.Patience.USUAL, told);
+            FakeServer.awaitNext(harness.discovery.answeredConnections).write(NodeHarness.chunk(line + "\n"));
+            assertEquals("failed", FakeServer.awaitNext(told));
+            FakeServer.awaitNext(harness.discovery.closedConnections);
         }
     }
 
     @Test
     void aListMayComeIndentedAndInPieces() throws Exception {
-        try (Site site = Site.quiet()) {
+        try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, EndpointWatcher.Patience.USUAL, told);
-            FarServer.Peer peer = FarServer.next(site.discovery.peers);
+            watch(harness, EndpointWatcher.Patience.USUAL, told);
+            FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
             String indented = new ObjectMapper()
-                            .readTree(Site.list(42, true, "s\\\"]{=10.0.0.1:80=Ready"))
+                            .readTree(NodeHarness.endpointList(42, true, "s\\\"]{=10.0.0.1:80=Ready"))
                             .toPrettyString()
                             .replace("\n", "\r\n")
                     + "\r\n";
             for (int cut = 0; cut < indented.length(); cut += 7) {
-                peer.write(Site.chunk(indented.substring(cut, Math.min(cut + 7, indented.length()))));
+                peer.write(NodeHarness.chunk(indented.substring(cut, Math.min(cut + 7, indented.length()))));
             }
-            peer.write(Site.chunk("\n") + Site.chunk(Site.list(43, false, ENTRY, ENTRY) + "\n"));
-            assertEquals("42 all 1", FarServer.next(told));
-            assertEquals("43 changes 2", FarServer.next(told));
+            peer.write(NodeHarness.chunk("\n")
+                    + NodeHarness.chunk(NodeHarness.endpointList(43, false, ENTRY, ENTRY) + "\n"));
+            assertEquals("42 all 1", FakeServer.awaitNext(told));
+            assertEquals("43 changes 2", FakeServer.awaitNext(told));
         }
     }
 
     @Test
     void aHeadThatCannotBeReadBreaksTheWatch() throws Exception {
         BlockingQueue<String> told = new LinkedBlockingQueue<>();
-        try (FarServer discovery = new FarServer(
-                        (request, peer) -> peer.write(Site.watchHead().replace("OK\r\n", "OK\r\nno colon here\r\n")
-                                + Site.chunk(Site.list(42, false, ENTRY) + "\n")));
-                Site site = new Site(discovery)) {
-            watch(site, EndpointWatcher.Patience.USUAL, told);
-            assertEquals("failed", FarServer.next(told));
+        try (FakeServer discovery = new FakeServer((request, peer) ->
+                        peer.write(NodeHarness.watchResponseHead().replace("OK\r\n", "OK\r\nno colon here\r\n")
+                                + NodeHarness.chunk(NodeHarness.endpointList(42, false, ENTRY) + "\n")));
+                NodeHarness harness = new NodeHarness(discovery)) {
+            watch(harness, EndpointWatcher.Patience.USUAL, told);
+            assertEquals("failed", FakeServer.awaitNext(told));
         }
     }
 
     @Test
     void aSilentWatchIsBroken() throws Exception {
-        try (Site site = Site.quiet()) {
+        try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, BRIEF, told);
-            assertEquals("failed", FarServer.next(told));
+            watch(harness, BRIEF, told);
+            assertEquals("failed", FakeServer.awaitNext(told));
             assertTrue(told.isEmpty());
         }
     }
@@ -162,15 +166,18 @@
     @Test
     void aNodeAsksAgainAfterARefusalAndThenUsesTheList() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (FarServer server = FarServer.serving("x");
-                FarServer discovery = new FarServer((request, peer) -> peer.write(
+        try (FakeServer server = FakeServer.respondingWith("x");
+                FakeServer discovery = new FakeServer((request, peer) -> peer.write(
                         calls.getAndIncrement() == 0
-                                ? Http.answer("503 Busy", "", "")
-                                : Site.watchHead()
-                                        + Site.chunk(
-                                                Site.list(2, true, "s0=" + server.endpoint() + "=Ready") + "\n")));
-                Site site = new Site(discovery).startKnowing(Site.list(1, true))) {
-            assertEquals(200, site.ask(Http.page("/api/p", "t", "5000m")).status());
+                                ? Http.response("503 Busy", "", "")
+                                : NodeHarness.watchResponseHead()
+                                        + NodeHarness.chunk(
+                                                NodeHarness.endpointList(2, true, "s0=" + server.endpoint() + "=Ready")
+                                                        + "\n")));
+                NodeHarness harness = new NodeHarness(discovery).startWithList(NodeHarness.endpointList(1, true))) {
+            assertEquals(
+                    200,
+                    harness.exchange(Http.pageRequest("/api/p", "t", "5000m")).status());
             assertEquals(2, calls.get());
         }
     }
@@ -178,42 +185,46 @@
     @Test
     void changesThatArePushedComeByAWatchThatTheNodeKeepsOpen() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (FarServer first = FarServer.serving("first");
-                FarServer second = FarServer.serving("second");
-                FarServer discovery = new FarServer((request, peer) -> {
-                    FarServer server = calls.getAndIncrement() == 0 ? first : second;
-                    peer.write(Site.watchHead()
-                            + Site.chunk(Site.list(
+        try (FakeServer first = FakeServer.respondingWith("first");
+                FakeServer second = FakeServer.respondingWith("second");
+                FakeServer discovery = new FakeServer((request, peer) -> {
+                    FakeServer server = calls.getAndIncrement() == 0 ? first : second;
+                    peer.write(NodeHarness.watchResponseHead()
+                            + NodeHarness.chunk(NodeHarness.endpointList(
                                             1 + calls.get(),
                                             true,
                                             "s" + calls.get() + "=" + server.endpoint() + "=Ready")
                                     + "\n"));
                 });
-                Site site = new Site(discovery)) {
-            site.settings.pollsEndpointList = false;
-            site.startKnowing(Site.list(1, true));
+                NodeHarness harness = new NodeHarness(discovery)) {
+            harness.settings.pollsEndpointList = false;
+            harness.startWithList(NodeHarness.endpointList(1, true));
             assertEquals(
                     "/discovery/hosts?watch=1&after=1",
-                    FarServer.next(discovery.requests).path());
-            assertEquals("first", site.ask(Http.page("/api/p", "t", "5000m")).body());
-            FarServer.next(discovery.peers).socket().close();
+                    FakeServer.awaitNext(discovery.requests).path());
+            assertEquals(
+                    "first",
+                    harness.exchange(Http.pageRequest("/api/p", "t", "5000m")).body());
+            FakeServer.awaitNext(discovery.answeredConnections).socket().close();
             assertEquals(
                     "/discovery/hosts?watch=1&after=2",
-                    FarServer.next(discovery.requests).path());
+                    FakeServer.awaitNext(discovery.requests).path());
             // The node reads the new list before it can end the old server's connection.
-            FarServer.next(first.ended);
-            assertEquals("second", site.ask(Http.page("/api/p", "u", "5000m")).body());
+            FakeServer.awaitNext(first.closedConnections);
+            assertEquals(
+                    "second",
+                    harness.exchange(Http.pageRequest("/api/p", "u", "5000m")).body());
         }
     }
 
     @Test
     void aClosedNodeLeavesNoWatchOpen() throws Exception {
-        try (Site site = Site.quiet()) {
-            site.settings.pollsEndpointList = false;
-            site.startKnowing(Site.list(1, true));
-            FarServer.next(site.discovery.requests);
-            site.node.close();
-            FarServer.next(site.discovery.ended);
+        try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            harness.settings.pollsEndpointList = false;
+            harness.startWithList(NodeHarness.endpointList(1, true));
+            FakeServer.awaitNext(harness.discovery.requests);
+            harness.node.close();
+            FakeServer.awaitNext(harness.discovery.closedConnections);
         }
     }
 
--- a/node/src/test/java/loadbalancer/process/ClientServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ClientServerTest.java
@@ -21,16 +21,16 @@
 
     @Test
     void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
-        try (FarServer server = FarServer.serving("proof");
-                Site site = Site.quiet().start(server)) {
+        try (FakeServer server = FakeServer.respondingWith("proof");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             String photo = "POST /api/7f3a?x=1&y=%20 HTTP/1.1\r\nHost: h\r\nX-Txn: 9b1f\r\nX-Lane: photo\r\n"
                     + "X-Org: org\r\nX-Remaining: 480m\r\nIdempotency-Key: 5c0f\r\n"
                     + "Content-Length: 4\r\n\r\nbody";
-            Http.Message answer = site.ask(photo);
+            Http.Message answer = harness.exchange(photo);
             assertEquals(200, answer.status());
             assertEquals("proof", answer.body());
-            Http.Message sent = FarServer.next(server.requests);
-            assertEquals("POST /api/7f3a?x=1&y=%20 HTTP/1.1", sent.start());
+            Http.Message sent = FakeServer.awaitNext(server.requests);
+            assertEquals("POST /api/7f3a?x=1&y=%20 HTTP/1.1", sent.startLine());
             assertEquals("9b1f", sent.headers().get("x-txn"));
             assertEquals("5c0f", sent.headers().get("idempotency-key"));
             assertEquals("body", sent.body());
@@ -42,54 +42,60 @@
     @ParameterizedTest
     @ValueSource(strings = {"http://h:8000", "HTTP://h", "http://[::1]:80"})
     void aRequestThatNamesTheHostInItsFirstLineGoesOnByItsPath(String host) throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             assertEquals(
                     200,
-                    site.ask(Http.page(host + "/api/7f3a?u=http://y", "t", "400m"))
+                    harness.exchange(Http.pageRequest(host + "/api/7f3a?u=http://y", "t", "400m"))
                             .status());
-            assertEquals("/api/7f3a?u=http://y", FarServer.next(server.requests).path());
+            assertEquals(
+                    "/api/7f3a?u=http://y",
+                    FakeServer.awaitNext(server.requests).path());
             assertEquals(
                     200,
-                    site.ask("GET " + host + "/up HTTP/1.1\r\nHost: h\r\n\r\n").status());
+                    harness.exchange("GET " + host + "/up HTTP/1.1\r\nHost: h\r\n\r\n")
+                            .status());
             assertEquals(
                     404,
-                    site.ask("GET " + host + "?/up HTTP/1.1\r\nHost: h\r\n\r\n").status());
+                    harness.exchange("GET " + host + "?/up HTTP/1.1\r\nHost: h\r\n\r\n")
+                            .status());
         }
     }
 
     @Test
     void aFirstLineOfEightThousandBytesIsUnderstood() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             assertEquals(
                     200,
-                    site.ask(Http.page("/api/" + "k".repeat(7_900), "t", "400m"))
+                    harness.exchange(Http.pageRequest("/api/" + "k".repeat(7_900), "t", "400m"))
                             .status());
         }
     }
 
     @Test
     void aConnectionCarriesOneRequestAfterAnother() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
             for (int i = 0; i < 3; i++) {
-                assertEquals(200, Site.ask(client, Http.page("t" + i)).status());
+                assertEquals(
+                        200,
+                        NodeHarness.exchange(client, Http.pageRequest("t" + i)).status());
             }
-            assertEquals(1, server.connections.get(), "connections to the server");
+            assertEquals(1, server.connectionCount.get(), "connections to the server");
         }
     }
 
     @Test
     void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
-        try (FarServer server = new FarServer(
-                        (request, peer) -> peer.write(Http.ok(request.headers().get("x-txn"))));
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(client, Http.page("a") + Http.page("b") + Http.page("c"));
+        try (FakeServer server = new FakeServer((request, peer) ->
+                        peer.write(Http.okResponse(request.headers().get("x-txn"))));
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, Http.pageRequest("a") + Http.pageRequest("b") + Http.pageRequest("c"));
             for (String txn : new String[] {"a", "b", "c"}) {
-                assertEquals(txn, Http.read(client.getInputStream()).body());
+                assertEquals(txn, Http.readMessage(client.getInputStream()).body());
             }
         }
     }
@@ -112,66 +118,71 @@
                 "not http at all",
             })
     void whatCannotBeUsedGets400AndReachesNoServer(String lines) throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            assertEquals(400, site.ask(lines.replace("|", "\r\n") + "\r\n\r\n").status());
-            assertEquals(0, server.connections.get());
-            assertEquals(200, site.ask(Http.page("next")).status(), "the node goes on");
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            assertEquals(
+                    400,
+                    harness.exchange(lines.replace("|", "\r\n") + "\r\n\r\n").status());
+            assertEquals(0, server.connectionCount.get());
+            assertEquals(200, harness.exchange(Http.pageRequest("next")).status(), "the node goes on");
         }
     }
 
     @Test
     void anUnknownPathGets404() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            assertEquals(404, site.ask(Http.page("/apis/x", "t", "400m")).status());
-            assertEquals(0, server.connections.get());
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            assertEquals(
+                    404,
+                    harness.exchange(Http.pageRequest("/apis/x", "t", "400m")).status());
+            assertEquals(0, server.connectionCount.get());
         }
     }
 
     @Test
     void aBodyOver32MiBGets413AndOneThatIsGatheredOrFlowsIsServed() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            String order = Http.order("t", "4000m");
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            String order = Http.orderRequest("t", "4000m");
             for (int length : new int[] {65_535, 65_536, 65_537, 100_000}) {
                 assertEquals(
                         200,
-                        site.ask(order.replace(
+                        harness.exchange(order.replace(
                                         "Length: 2\r\n\r\nab", "Length: " + length + "\r\n\r\n" + "a".repeat(length)))
                                 .status());
-                assertEquals(length, FarServer.next(server.requests).body().length());
+                assertEquals(
+                        length, FakeServer.awaitNext(server.requests).body().length());
             }
             String larger = order.replace("Length: 2\r\n\r\nab", "Length: 33554433\r\n\r\n");
-            assertEquals(413, site.ask(larger).status());
+            assertEquals(413, harness.exchange(larger).status());
             assertTrue(server.requests.isEmpty());
         }
     }
 
     @Test
     void theAnswerToTooLargeABodyOutlastsWhatStillComes() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(
                     client,
-                    Http.order("t", "4000m")
+                    Http.orderRequest("t", "4000m")
                             .replace("Length: 2\r\n\r\nab", "Length: 60000000\r\n\r\n" + "a".repeat(8_000_000)));
-            assertEquals(413, Http.read(client.getInputStream()).status());
+            assertEquals(413, Http.readMessage(client.getInputStream()).status());
             assertEquals(-1, client.getInputStream().read());
-            assertEquals(0, server.connections.get());
+            assertEquals(0, server.connectionCount.get());
         }
     }
 
     @Test
     void aClientThatClosesIsGoneAndItsAttemptGivenUp() throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> {});
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(client, Http.page("/api/x", "t", "5000m"));
-            FarServer.next(server.requests);
+        try (FakeServer server = new FakeServer((request, peer) -> {});
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, Http.pageRequest("/api/x", "t", "5000m"));
+            FakeServer.awaitNext(server.requests);
             client.close();
-            FarServer.next(server.ended);
+            FakeServer.awaitNext(server.closedConnections);
         }
     }
 
@@ -179,32 +190,33 @@
     void aDrainingNodeSaysSoServesWhatItHasAndEnds() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (FakeServer server = new FakeServer((request, peer) -> {
                     asked.countDown();
                     try {
                         answer.await();
                     } catch (InterruptedException e) {
                         throw new IOException(e);
                     }
-                    peer.write(Http.ok("late"));
+                    peer.write(Http.okResponse("late"));
                 });
-                Site site = Site.quiet().start(server)) {
-            assertEquals(200, site.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
-            Socket client = site.connect();
-            Socket idle = site.connect();
-            Site.write(client, Http.page("/api/x", "t", "5000m"));
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            assertEquals(
+                    200, harness.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
+            Socket client = harness.connect();
+            Socket idle = harness.connect();
+            NodeHarness.write(client, Http.pageRequest("/api/x", "t", "5000m"));
             assertTrue(asked.await(20, TimeUnit.SECONDS));
             CountDownLatch done = new CountDownLatch(1);
-            site.node.drain(done::countDown);
-            Http.Message up = site.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
+            harness.node.drain(done::countDown);
+            Http.Message up = harness.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
             assertEquals(503, up.status());
             assertEquals("close", up.headers().get("connection"));
             // The end of an idle connection tells that nothing new is taken; what is held is still answered.
             assertEquals(-1, idle.getInputStream().read());
-            site.awaitRefusal();
+            harness.awaitConnectionRefused();
             assertEquals(1, done.getCount());
             answer.countDown();
-            Http.Message last = Http.read(client.getInputStream());
+            Http.Message last = Http.readMessage(client.getInputStream());
             assertEquals("late", last.body());
             assertEquals("close", last.headers().get("connection"));
             assertEquals(-1, client.getInputStream().read());
@@ -220,15 +232,17 @@
                 "POST /api/x HTTP/1.1\r\nX-Txn: t\r\nX-Lane: order\r\nX-Remaining: 400m\r\nContent-Length: 9\r\n\r\n",
             })
     void aPeerThatAsksNothingWholeIsClosedSoonAndAClientStays(String part) throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            assertEquals(200, Site.ask(client, Http.page("t")).status());
-            Socket peer = site.connect();
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            assertEquals(
+                    200, NodeHarness.exchange(client, Http.pageRequest("t")).status());
+            Socket peer = harness.connect();
             peer.setSoTimeout(8_000);
-            Site.write(peer, part);
+            NodeHarness.write(peer, part);
             assertEquals(-1, peer.getInputStream().read());
-            assertEquals(200, Site.ask(client, Http.page("u")).status());
+            assertEquals(
+                    200, NodeHarness.exchange(client, Http.pageRequest("u")).status());
         }
     }
 
@@ -236,15 +250,15 @@
     void aClientThatLeavesAmidItsRequestIsNotLoggedAsADefect() throws Exception {
         PrintStream err = System.err;
         ByteArrayOutputStream said = new ByteArrayOutputStream();
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             System.setErr(new PrintStream(said, true, StandardCharsets.UTF_8));
-            Socket client = site.connect();
-            Site.write(client, Http.order("t", "400m").replace("Length: 2", "Length: 9"));
+            Socket client = harness.connect();
+            NodeHarness.write(client, Http.orderRequest("t", "400m").replace("Length: 2", "Length: 9"));
             client.shutdownOutput();
             assertEquals(-1, client.getInputStream().read());
             // What the loop still does about the closed connection comes before this.
-            site.loop.submit(() -> {}).sync();
+            harness.loop.submit(() -> {}).sync();
         } finally {
             System.setErr(err);
         }
@@ -254,26 +268,27 @@
 
     @Test
     void clientsLeaveRoomForConnectionsToServers() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet()) {
-            site.sockets = 64;
-            site.start(server);
-            Socket first = site.connect();
-            assertEquals(200, Site.ask(first, Http.page("first")).status());
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            harness.socketLimit = 64;
+            harness.start(server);
+            Socket first = harness.connect();
+            assertEquals(
+                    200, NodeHarness.exchange(first, Http.pageRequest("first")).status());
             for (int i = 0; i < 100; i++) {
-                site.connect();
+                harness.connect();
             }
-            assertEquals(200, site.ask(Http.page("last")).status());
+            assertEquals(200, harness.exchange(Http.pageRequest("last")).status());
             assertEquals(-1, first.getInputStream().read(), "the longest idle made room");
         }
     }
 
     @Test
     void refusalsSayWhenToComeBack() throws Exception {
-        try (FarServer server = new FarServer(
-                        (request, peer) -> peer.write(Http.answer("503 Busy", "X-Turned-Away: 1\r\n", "")));
-                Site site = Site.quiet().start(server)) {
-            Http.Message answer = site.ask(Http.order("t", "300m"));
+        try (FakeServer server = new FakeServer(
+                        (request, peer) -> peer.write(Http.response("503 Busy", "X-Turned-Away: 1\r\n", "")));
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Http.Message answer = harness.exchange(Http.orderRequest("t", "300m"));
             assertEquals(503, answer.status());
             assertEquals("0.25", answer.headers().get("retry-after"));
             assertFalse(answer.headers().containsKey("connection"));
--- a/node/src/test/java/loadbalancer/process/ControlServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ControlServerTest.java
@@ -19,23 +19,23 @@
 /** What operators see of a node, and do to it. */
 class ControlServerTest {
 
-    private static Site operated() throws Exception {
-        Site site = Site.quiet();
-        site.operated = true;
-        return site;
+    private static NodeHarness operated() throws Exception {
+        NodeHarness harness = NodeHarness.withSilentDiscovery();
+        harness.hasControl = true;
+        return harness;
     }
 
     @Test
     void healthIsYesFromWhenClientsCanConnectUntilTheDrain() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = operated()) {
-            site.control(Site.list(1, true, "s0=" + server.endpoint() + "=Ready"));
-            assertEquals("NO not serving\n", site.call("health\n"));
-            site.begin();
-            assertEquals("YES\n", site.call("health\n"));
-            assertEquals("YES\n", site.call("health\r\n"));
-            site.node.drain(() -> {});
-            assertEquals("NO not serving\n", site.call("health\n"));
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = operated()) {
+            harness.createNode(NodeHarness.endpointList(1, true, "s0=" + server.endpoint() + "=Ready"));
+            assertEquals("NO not serving\n", harness.controlCall("health\n"));
+            harness.listen();
+            assertEquals("YES\n", harness.controlCall("health\n"));
+            assertEquals("YES\n", harness.controlCall("health\r\n"));
+            harness.node.drain(() -> {});
+            assertEquals("NO not serving\n", harness.controlCall("health\n"));
         }
     }
 
@@ -55,22 +55,22 @@
                 "GET / HTTP/1.1"
             })
     void aCallThatIsNoneGetsNo(String call) throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = operated().start(server)) {
-            String answer = site.call(call + "\n");
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = operated().start(server)) {
+            String answer = harness.controlCall(call + "\n");
             assertTrue(answer.matches("NO .+\n"), answer);
-            assertEquals(200, site.ask(Http.page("t")).status());
+            assertEquals(200, harness.exchange(Http.pageRequest("t")).status());
         }
     }
 
     @Test
     void aCallTooLongGetsNoAndACallInPiecesIsRead() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = operated().start(server)) {
-            assertEquals("NO line too long\n", site.call("cordon " + "s".repeat(5_000)));
-            try (Socket caller = new Socket(site.control.getAddress(), site.control.getPort())) {
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = operated().start(server)) {
+            assertEquals("NO line too long\n", harness.controlCall("cordon " + "s".repeat(5_000)));
+            try (Socket caller = new Socket(harness.controlAddress.getAddress(), harness.controlAddress.getPort())) {
                 for (String piece : "health\n".split("")) {
-                    Site.write(caller, piece);
+                    NodeHarness.write(caller, piece);
                 }
                 assertEquals("YES\n", new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8));
             }
@@ -79,16 +79,16 @@
 
     @Test
     void callersThatSayNothingDelayNobodyAndAreClosed() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = operated().start(server)) {
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = operated().start(server)) {
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                Socket caller = new Socket(site.control.getAddress(), site.control.getPort());
+                Socket caller = new Socket(harness.controlAddress.getAddress(), harness.controlAddress.getPort());
                 caller.setSoTimeout(20_000);
-                Site.write(caller, i % 2 == 0 ? "" : "heal");
+                NodeHarness.write(caller, i % 2 == 0 ? "" : "heal");
                 silent.add(caller);
             }
-            assertEquals("YES\n", site.call("health\n"));
+            assertEquals("YES\n", harness.controlCall("health\n"));
             for (Socket caller : silent) {
                 assertEquals(-1, caller.getInputStream().read());
                 caller.close();
@@ -100,27 +100,27 @@
     void theFiguresAgreeWithWhatThePeersSaw() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch left = new CountDownLatch(1);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (FakeServer server = new FakeServer((request, peer) -> {
                     String txn = request.headers().get("x-txn");
                     if (txn.startsWith("full")) {
-                        peer.write(Http.answer("503 Busy", "X-Turned-Away: 1\r\n", ""));
+                        peer.write(Http.response("503 Busy", "X-Turned-Away: 1\r\n", ""));
                     } else if (txn.startsWith("bad")) {
-                        peer.write(Http.answer("500 No", "", ""));
+                        peer.write(Http.response("500 No", "", ""));
                     } else if (txn.equals("held")) {
                         try {
                             held.await();
                         } catch (InterruptedException e) {
                             Thread.currentThread().interrupt();
                         }
-                        peer.write(Http.ok("x"));
+                        peer.write(Http.okResponse("x"));
                     } else if (txn.equals("left")) {
                         left.countDown();
                     } else {
-                        peer.write(Http.ok("x"));
+                        peer.write(Http.okResponse("x"));
                     }
                 });
-                Site site = operated().start(server)) {
-            String none = site.call("counters\n");
+                NodeHarness harness = operated().start(server)) {
+            String none = harness.controlCall("counters\n");
             for (String line : new String[] {
                 "handled{category=\"page\",outcome=\"passed\"}",
                 "handled{category=\"photo\",outcome=\"dropped\"}",
@@ -136,26 +136,31 @@
             assertTrue(none.contains("node_known_app_servers 1\n"), none);
             assertTrue(none.endsWith("\nEND\n"), none);
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, site.ask(Http.page("t" + i)).status());
+                assertEquals(200, harness.exchange(Http.pageRequest("t" + i)).status());
             }
-            assertEquals(200, site.ask(Http.order("o", "4000m")).status());
-            assertEquals(503, site.ask(Http.order("full", "300m")).status());
-            assertEquals(502, site.ask(Http.order("bad", "4000m")).status());
-            assertEquals(404, site.ask(Http.page("/nothing", "u", "1m")).status());
-            assertEquals(400, site.ask(Http.page("/api/x", "", "1m")).status());
-            Socket leaver = site.connect();
-            Site.write(leaver, Http.page("/api/x", "left", "5000m"));
+            assertEquals(200, harness.exchange(Http.orderRequest("o", "4000m")).status());
+            assertEquals(
+                    503, harness.exchange(Http.orderRequest("full", "300m")).status());
+            assertEquals(
+                    502, harness.exchange(Http.orderRequest("bad", "4000m")).status());
+            assertEquals(
+                    404,
+                    harness.exchange(Http.pageRequest("/nothing", "u", "1m")).status());
+            assertEquals(
+                    400, harness.exchange(Http.pageRequest("/api/x", "", "1m")).status());
+            Socket leaver = harness.connect();
+            NodeHarness.write(leaver, Http.pageRequest("/api/x", "left", "5000m"));
             // Written to a server, and read there: only then do both sides count the same.
             left.await();
             leaver.close();
-            site.awaitFigure("node_in_progress 0");
-            Socket last = site.connect();
-            Site.write(last, Http.page("/api/x", "held", "5000m"));
-            site.awaitFigure("node_in_progress 1");
+            harness.awaitMetric("node_in_progress 0");
+            Socket last = harness.connect();
+            NodeHarness.write(last, Http.pageRequest("/api/x", "held", "5000m"));
+            harness.awaitMetric("node_in_progress 1");
             held.countDown();
-            assertEquals(200, Http.read(last.getInputStream()).status());
-            site.awaitFigure("node_in_progress 0");
-            String all = site.call("counters\n");
+            assertEquals(200, Http.readMessage(last.getInputStream()).status());
+            harness.awaitMetric("node_in_progress 0");
+            String all = harness.controlCall("counters\n");
             assertTrue(all.contains("{category=\"page\",outcome=\"passed\"} 6\n"), all);
             assertTrue(all.contains("{category=\"page\",outcome=\"bad_gateway\"} 0\n"), all);
             assertTrue(all.contains("{category=\"order\",outcome=\"passed\"} 1\n"), all);
@@ -167,72 +172,75 @@
 
     @Test
     void aCordonedServerGetsNothingFromTheYesUntilItIsCalledBack() throws Exception {
-        try (FarServer one = FarServer.serving("one");
-                FarServer two = FarServer.serving("two");
-                Site site = operated().start(one, two)) {
-            FarServer.Peer watch = FarServer.next(site.discovery.peers);
-            assertEquals("YES\n", site.call("cordon s0\n"));
-            assertEquals("YES\n", site.call("cordon s0\n"), "repeated");
+        try (FakeServer one = FakeServer.respondingWith("one");
+                FakeServer two = FakeServer.respondingWith("two");
+                NodeHarness harness = operated().start(one, two)) {
+            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            assertEquals("YES\n", harness.controlCall("cordon s0\n"));
+            assertEquals("YES\n", harness.controlCall("cordon s0\n"), "repeated");
             // Dropped from the list and named again: the cordon stands.
-            watch.write(Site.chunk(Site.list(2, true, "s1=" + two.endpoint() + "=Ready") + "\n"));
-            site.awaitFigure("node_known_app_servers 1");
-            watch.write(Site.chunk(
-                    Site.list(3, true, "s0=" + one.endpoint() + "=Ready", "s1=" + two.endpoint() + "=Ready") + "\n"));
-            site.awaitFigure("node_known_app_servers 2");
-            site.awaitFigure("node_skipped_app_servers 1");
+            watch.write(NodeHarness.chunk(NodeHarness.endpointList(2, true, "s1=" + two.endpoint() + "=Ready") + "\n"));
+            harness.awaitMetric("node_known_app_servers 1");
+            watch.write(NodeHarness.chunk(NodeHarness.endpointList(
+                            3, true, "s0=" + one.endpoint() + "=Ready", "s1=" + two.endpoint() + "=Ready")
+                    + "\n"));
+            harness.awaitMetric("node_known_app_servers 2");
+            harness.awaitMetric("node_skipped_app_servers 1");
             for (int i = 0; i < 30; i++) {
                 assertEquals(
-                        "two", site.ask(Http.page("/api/x", "t" + i, "4000m")).body());
+                        "two",
+                        harness.exchange(Http.pageRequest("/api/x", "t" + i, "4000m"))
+                                .body());
             }
-            assertEquals("YES\n", site.call("uncordon s0\n"), "one call back ends it");
-            site.awaitFigure("node_skipped_app_servers 0");
-            assertEquals("YES\n", site.call("uncordon s0\n"), "not cordoned, but listed");
+            assertEquals("YES\n", harness.controlCall("uncordon s0\n"), "one call back ends it");
+            harness.awaitMetric("node_skipped_app_servers 0");
+            assertEquals("YES\n", harness.controlCall("uncordon s0\n"), "not cordoned, but listed");
             int asked = 0;
             while (one.requests.isEmpty()) {
                 assertTrue(asked < 10_000, "never used again");
-                site.ask(Http.page("/api/x", "u" + asked++, "4000m"));
+                harness.exchange(Http.pageRequest("/api/x", "u" + asked++, "4000m"));
             }
         }
     }
 
     @Test
     void aCordonBindsAllProcessesOfANodeAndTheNextOne(@TempDir Path folder) throws Exception {
-        try (FarServer one = FarServer.serving("one");
-                FarServer two = FarServer.serving("two");
-                Site first = operated();
-                Site second = operated()) {
-            first.folder = folder;
-            second.folder = folder;
+        try (FakeServer one = FakeServer.respondingWith("one");
+                FakeServer two = FakeServer.respondingWith("two");
+                NodeHarness first = operated();
+                NodeHarness second = operated()) {
+            first.sharedFolder = folder;
+            second.sharedFolder = folder;
             first.start(one, two);
-            assertEquals("YES\n", first.call("cordon s0\n"));
+            assertEquals("YES\n", first.controlCall("cordon s0\n"));
             second.start(one, two);
-            second.awaitFigure("node_skipped_app_servers 1");
-            assertEquals("two", second.ask(Http.page("t")).body());
-            assertEquals("YES\n", second.call("uncordon s0\n"));
-            first.awaitFigure("node_skipped_app_servers 0");
+            second.awaitMetric("node_skipped_app_servers 1");
+            assertEquals("two", second.exchange(Http.pageRequest("t")).body());
+            assertEquals("YES\n", second.controlCall("uncordon s0\n"));
+            first.awaitMetric("node_skipped_app_servers 0");
             long calledAt = System.nanoTime();
-            assertEquals("YES\n", second.call("cordon s1\n"));
+            assertEquals("YES\n", second.controlCall("cordon s1\n"));
             long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt);
             assertTrue(tookMs >= Node.HEEDED_MS, "no yes before the other process has looked: " + tookMs);
-            first.awaitFigure("node_skipped_app_servers 1");
-            assertEquals("one", first.ask(Http.page("u")).body());
+            first.awaitMetric("node_skipped_app_servers 1");
+            assertEquals("one", first.exchange(Http.pageRequest("u")).body());
         }
     }
 
     @Test
     void cordonsThatCannotBeReadDoNotStopTheNodeAndOnesThatCannotBeKeptGetNo(@TempDir Path folder) throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = operated()) {
-            site.folder = folder;
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = operated()) {
+            harness.sharedFolder = folder;
             Files.write(folder.resolve("kitemux.cordons"), new byte[] {(byte) 0xff, (byte) 0xfe, 0});
-            site.start(server);
-            assertEquals(200, site.ask(Http.page("t")).status());
-            assertEquals("YES\n", site.call("cordon s0\n"), "written anew");
-            site.awaitFigure("node_skipped_app_servers 1");
+            harness.start(server);
+            assertEquals(200, harness.exchange(Http.pageRequest("t")).status());
+            assertEquals("YES\n", harness.controlCall("cordon s0\n"), "written anew");
+            harness.awaitMetric("node_skipped_app_servers 1");
             Files.createDirectory(folder.resolve("kitemux.cordons.new"));
-            String answer = site.call("uncordon s0\n");
+            String answer = harness.controlCall("uncordon s0\n");
             assertTrue(answer.startsWith("NO cordons cannot be kept: "), answer);
-            site.awaitFigure("node_skipped_app_servers 1");
+            harness.awaitMetric("node_skipped_app_servers 1");
         }
     }
 }
--- a/node/src/test/java/loadbalancer/process/Early.java
+++ b/node/src/test/java/loadbalancer/process/EarlyResponseServer.java
@@ -7,31 +7,31 @@
 import java.nio.charset.StandardCharsets;
 
 /** A server that answers once it has read a request's head, and reads on. */
-final class Early implements AutoCloseable {
-    private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+final class EarlyResponseServer implements AutoCloseable {
+    private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-    Early(String answer) throws IOException {
+    EarlyResponseServer(String response) throws IOException {
         Thread thread = new Thread(
                 () -> {
-                    try (Socket socket = listening.accept()) {
+                    try (Socket socket = listener.accept()) {
                         Http.readHead(socket.getInputStream());
-                        socket.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+                        socket.getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
                         socket.getInputStream().readAllBytes();
                     } catch (IOException e) {
                         // The node has closed, or the test is over.
                     }
                 },
-                "early");
+                "early-response-server");
         thread.setDaemon(true);
         thread.start();
     }
 
     String endpoint() {
-        return "127.0.0.1:" + listening.getLocalPort();
+        return "127.0.0.1:" + listener.getLocalPort();
     }
 
     @Override
     public void close() throws IOException {
-        listening.close();
+        listener.close();
     }
 }
--- a/node/src/test/java/loadbalancer/process/EndingTest.java
+++ b/node/src/test/java/loadbalancer/process/EndingTest.java
@@ -16,36 +16,36 @@
 
 /** Clients' connections that end while something else happens on them: {@code docs/acceptance.md}. */
 class EndingTest {
-    private static final String PIPELINED = Http.page("a") + Http.page("b");
+    private static final String PIPELINED = Http.pageRequest("a") + Http.pageRequest("b");
 
     /** A server that answers once the latch is down, with the request's id. */
-    private static FarServer answering(CountDownLatch when) throws IOException {
-        return new FarServer((request, peer) -> {
+    private static FakeServer answering(CountDownLatch when) throws IOException {
+        return new FakeServer((request, peer) -> {
             try {
                 assertTrue(when.await(20, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
-            peer.write(Http.ok(request.headers().get("x-txn")));
+            peer.write(Http.okResponse(request.headers().get("x-txn")));
         });
     }
 
-    private static CountDownLatch drain(Site site) {
+    private static CountDownLatch drain(NodeHarness harness) {
         CountDownLatch done = new CountDownLatch(1);
-        site.node.drain(done::countDown);
+        harness.node.drain(done::countDown);
         return done;
     }
 
     @Test
     void connectionsThatComeAtOnceMakeRoomForEachOther() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet()) {
-            site.sockets = 64;
-            site.start(server);
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            harness.socketLimit = 64;
+            harness.start(server);
             CountDownLatch closed = new CountDownLatch(31);
-            CountDownLatch release = site.holdLoop();
+            CountDownLatch release = harness.blockEventLoop();
             for (int i = 0; i < 40; i++) {
-                Socket idle = site.connect();
+                Socket idle = harness.connect();
                 idle.setSoTimeout(0);
                 Thread reader = new Thread(() -> {
                     try {
@@ -59,7 +59,7 @@
                 reader.start();
             }
             release.countDown();
-            assertEquals(200, site.ask(Http.page("last")).status());
+            assertEquals(200, harness.exchange(Http.pageRequest("last")).status());
             assertTrue(closed.await(20, TimeUnit.SECONDS), closed.getCount() + " too many are open");
         }
     }
@@ -67,37 +67,37 @@
     @Test
     void aClientThatLeavesIsHeardOfThoughItHasSentRequestsAhead() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = answering(answer);
-                Site site = Site.quiet()) {
-            site.operated = true;
-            site.start(server);
-            Socket client = site.connect();
-            Site.write(client, PIPELINED.replace("400m", "50000m"));
-            assertEquals("a", FarServer.next(server.requests).headers().get("x-txn"));
+        try (FakeServer server = answering(answer);
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            harness.hasControl = true;
+            harness.start(server);
+            Socket client = harness.connect();
+            NodeHarness.write(client, PIPELINED.replace("400m", "50000m"));
+            assertEquals("a", FakeServer.awaitNext(server.requests).headers().get("x-txn"));
             client.close();
             // Heard of while the answer is still out.
-            site.awaitFigure("node_in_progress 0");
+            harness.awaitMetric("node_in_progress 0");
             answer.countDown();
-            assertEquals(200, site.ask(Http.page("c")).status());
-            assertEquals("c", FarServer.next(server.requests).headers().get("x-txn"), "b went on");
+            assertEquals(200, harness.exchange(Http.pageRequest("c")).status());
+            assertEquals("c", FakeServer.awaitNext(server.requests).headers().get("x-txn"), "b went on");
         }
     }
 
     @Test
     void aDrainingNodeAnswersAllThatItHasReadAndEndsWithTheLast() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = answering(answer);
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(client, PIPELINED.replace("400m", "50000m"));
-            FarServer.next(server.requests);
-            site.awaitLoop();
-            CountDownLatch done = drain(site);
+        try (FakeServer server = answering(answer);
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, PIPELINED.replace("400m", "50000m"));
+            FakeServer.awaitNext(server.requests);
+            harness.awaitEventLoop();
+            CountDownLatch done = drain(harness);
             answer.countDown();
-            Http.Message first = Http.read(client.getInputStream());
+            Http.Message first = Http.readMessage(client.getInputStream());
             assertEquals("a", first.body());
             assertFalse(first.headers().containsKey("connection"));
-            Http.Message second = Http.read(client.getInputStream());
+            Http.Message second = Http.readMessage(client.getInputStream());
             assertEquals("b", second.body());
             assertEquals("close", second.headers().get("connection"));
             assertEquals(-1, client.getInputStream().read());
@@ -107,23 +107,24 @@
     }
 
     /** What a client still writes is taken in and dropped: a reset would go behind an answer on its way. */
-    private static void assertReadAndDropped(Site site, Socket client) throws Exception {
+    private static void assertReadAndDropped(NodeHarness harness, Socket client) throws Exception {
         for (int i = 0; i < 20; i++) {
             // To a connection that is closed the first of them is answered by a reset, and the next fails.
-            Site.write(client, Http.page("late" + i));
-            site.awaitLoop();
+            NodeHarness.write(client, Http.pageRequest("late" + i));
+            harness.awaitEventLoop();
         }
     }
 
     @Test
     void aRequestThatCrossesTheEndOfARestingConnectionIsNotSentOn() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            assertEquals(200, Site.ask(client, Http.page("t")).status());
-            CountDownLatch done = drain(site);
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            assertEquals(
+                    200, NodeHarness.exchange(client, Http.pageRequest("t")).status());
+            CountDownLatch done = drain(harness);
             assertEquals(-1, client.getInputStream().read());
-            assertReadAndDropped(site, client);
+            assertReadAndDropped(harness, client);
             assertEquals(1, server.requests.size());
             assertEquals(1, done.getCount(), "it may still have to hear of the end");
             client.close();
@@ -135,30 +136,31 @@
     @ValueSource(booleans = {false, true})
     void whatComesBehindTheLastAnswerIsReadAndDropped(boolean drains) throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = answering(answer);
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            String last = Http.page("/api/page", "a", "5000m");
-            Site.write(client, drains ? last : last.replace("X-Org", "Connection: close\r\nX-Org"));
-            FarServer.next(server.requests);
+        try (FakeServer server = answering(answer);
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            String last = Http.pageRequest("/api/page", "a", "5000m");
+            NodeHarness.write(client, drains ? last : last.replace("X-Org", "Connection: close\r\nX-Org"));
+            FakeServer.awaitNext(server.requests);
             if (drains) {
-                drain(site);
+                drain(harness);
             }
             answer.countDown();
-            assertEquals("a", Http.read(client.getInputStream()).body());
+            assertEquals("a", Http.readMessage(client.getInputStream()).body());
             assertEquals(-1, client.getInputStream().read());
-            assertReadAndDropped(site, client);
+            assertReadAndDropped(harness, client);
             assertTrue(server.requests.isEmpty());
         }
     }
 
     @Test
     void aClientThatKeepsSendingBehindItsEndIsClosedInTheEnd() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            assertEquals(200, Site.ask(client, Http.page("t")).status());
-            CountDownLatch done = drain(site);
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            assertEquals(
+                    200, NodeHarness.exchange(client, Http.pageRequest("t")).status());
+            CountDownLatch done = drain(harness);
             assertEquals(-1, client.getInputStream().read());
             assertTrue(done.await(20, TimeUnit.SECONDS), "it never closes its side");
         }
--- /dev/null
+++ b/node/src/test/java/loadbalancer/process/FakeServer.java
@@ -0,0 +1,110 @@
+package loadbalancer.process;
+
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.Queue;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/** A fake server, or a fake discovery: it records the requests that it receives, and a script responds. */
+public final class FakeServer implements AutoCloseable {
+    /** What the server does with a request. */
+    public interface Script {
+        void respond(Http.Message request, Connection connection) throws IOException;
+    }
+
+    /** One connection that a node has opened. */
+    public record Connection(Socket socket) {
+        public void write(String text) throws IOException {
+            socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+        }
+
+        /** Breaks the connection. */
+        public void reset() throws IOException {
+            socket.setSoLinger(true, 0);
+            socket.close();
+        }
+    }
+
+    public final BlockingQueue<Http.Message> requests = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Connection> answeredConnections = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Connection> closedConnections = new LinkedBlockingQueue<>();
+    final AtomicInteger connectionCount = new AtomicInteger();
+    private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
+    private final ServerSocket listener;
+    private final Script script;
+
+    public FakeServer(Script script) throws IOException {
+        this.script = script;
+        listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        startDaemon(this::accept);
+    }
+
+    public static FakeServer respondingWith(String body) throws IOException {
+        return new FakeServer((request, connection) -> connection.write(Http.okResponse(body)));
+    }
+
+    public String endpoint() {
+        return "127.0.0.1:" + listener.getLocalPort();
+    }
+
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task, "fake-server");
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    private void accept() {
+        try {
+            while (true) {
+                Socket socket = listener.accept();
+                openSockets.add(socket);
+                connectionCount.incrementAndGet();
+                startDaemon(() -> serve(new Connection(socket)));
+            }
+        } catch (IOException e) {
+            // Closed: the test is over.
+        }
+    }
+
+    private void serve(Connection connection) {
+        try {
+            while (true) {
+                Http.Message request = Http.readMessage(connection.socket.getInputStream());
+                requests.add(request);
+                script.respond(request, connection);
+                // Only now: what a test writes to the connection must come behind the script's answer.
+                answeredConnections.add(connection);
+            }
+        } catch (IOException e) {
+            closedConnections.add(connection);
+        }
+    }
+
+    public static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
+        T item = queue.poll(20, TimeUnit.SECONDS);
+        assertNotNull(item, "nothing came");
+        return item;
+    }
+
+    /** The process has ended: connections break and new ones are refused. */
+    public void stop() throws IOException {
+        listener.close();
+        for (Socket socket : openSockets) {
+            socket.close();
+        }
+    }
+
+    @Override
+    public void close() throws IOException {
+        stop();
+    }
+}
--- a/node/src/test/java/loadbalancer/process/Http.java
+++ b/node/src/test/java/loadbalancer/process/Http.java
@@ -9,38 +9,38 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** HTTP/1.1 messages as bytes, for the far sides of a node under test. */
+/** HTTP/1.1 messages as bytes, for the clients and servers of a node under test. */
 public final class Http {
     private Http() {}
 
     /** A message; header names are in small letters. */
-    public record Message(String start, Map<String, String> headers, String body) {
+    public record Message(String startLine, Map<String, String> headers, String body) {
         public int status() {
-            return Integer.parseInt(start.split(" ")[1]);
+            return Integer.parseInt(startLine.split(" ")[1]);
         }
 
         public String path() {
-            return start.split(" ")[1];
+            return startLine.split(" ")[1];
         }
     }
 
-    /** Reads one message whole; an answer that ends with its connection says so. */
-    public static Message read(InputStream in) throws IOException {
+    /** Reads one message with its body. */
+    public static Message readMessage(InputStream in) throws IOException {
         Message head = readHead(in);
-        return new Message(head.start, head.headers, new String(readBody(in, head), StandardCharsets.ISO_8859_1));
+        return new Message(head.startLine, head.headers, new String(readBody(in, head), StandardCharsets.ISO_8859_1));
     }
 
     /** Reads a message up to its body. */
     static Message readHead(InputStream in) throws IOException {
-        String start = line(in);
+        String startLine = readLine(in);
         Map<String, String> headers = new TreeMap<>();
-        for (String line = line(in); !line.isEmpty(); line = line(in)) {
+        for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
             int colon = line.indexOf(':');
             headers.put(
                     line.substring(0, colon).toLowerCase(Locale.ROOT),
                     line.substring(colon + 1).strip());
         }
-        return new Message(start, headers, "");
+        return new Message(startLine, headers, "");
     }
 
     static byte[] readBody(InputStream in, Message head) throws IOException {
@@ -48,18 +48,18 @@
             ByteArrayOutputStream body = new ByteArrayOutputStream();
             int length;
             do {
-                length = Integer.parseInt(line(in).split(";")[0], 16);
-                body.writeBytes(readWhole(in, length));
-            } while (length > 0 && line(in).isEmpty());
-            while (length == 0 && !line(in).isEmpty()) {
+                length = Integer.parseInt(readLine(in).split(";")[0], 16);
+                body.writeBytes(readExactly(in, length));
+            } while (length > 0 && readLine(in).isEmpty());
+            while (length == 0 && !readLine(in).isEmpty()) {
                 // A trailer.
             }
             return body.toByteArray();
         }
-        return readWhole(in, Integer.parseInt(head.headers.getOrDefault("content-length", "0")));
+        return readExactly(in, Integer.parseInt(head.headers.getOrDefault("content-length", "0")));
     }
 
-    private static byte[] readWhole(InputStream in, int length) throws IOException {
+    private static byte[] readExactly(InputStream in, int length) throws IOException {
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
             throw new EOFException("message cut short");
@@ -67,7 +67,7 @@
         return body;
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
@@ -78,24 +78,24 @@
         return line.toString(StandardCharsets.UTF_8).stripTrailing();
     }
 
-    public static String ok(String body) {
-        return answer("200 OK", "", body);
+    public static String okResponse(String body) {
+        return response("200 OK", "", body);
     }
 
-    public static String answer(String status, String headers, String body) {
+    public static String response(String status, String headers, String body) {
         return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    public static String page(String txn) {
-        return page("/api/page", txn, "400m");
+    public static String pageRequest(String txn) {
+        return pageRequest("/api/page", txn, "400m");
     }
 
-    public static String page(String uri, String txn, String remaining) {
+    public static String pageRequest(String uri, String txn, String remaining) {
         return "GET " + uri + " HTTP/1.1\r\nHost: backend.local\r\nX-Txn: " + txn
                 + "\r\nX-Lane: page\r\nX-Org: org\r\nX-Remaining: " + remaining + "\r\n\r\n";
     }
 
-    public static String order(String txn, String remaining) {
+    public static String orderRequest(String txn, String remaining) {
         return "POST /api/order HTTP/1.1\r\nHost: backend.local\r\nX-Txn: " + txn
                 + "\r\nX-Lane: order\r\nX-Org: org\r\nX-Remaining: " + remaining
                 + "\r\nContent-Length: 2\r\n\r\nab";
--- a/node/src/test/java/loadbalancer/process/LargeBodyTest.java
+++ b/node/src/test/java/loadbalancer/process/LargeBodyTest.java
@@ -43,7 +43,7 @@
     }
 
     private static String order(String txn, String framing, String body) {
-        return Http.order(txn, "5000m").replace("Content-Length: 2\r\n\r\nab", framing + "\r\n\r\n" + body);
+        return Http.orderRequest(txn, "5000m").replace("Content-Length: 2\r\n\r\nab", framing + "\r\n\r\n" + body);
     }
 
     /** In pieces that are cut anywhere. */
@@ -61,15 +61,15 @@
     @ValueSource(ints = {0, 1, 65_536, 65_537, LARGE})
     void bodiesArriveAsTheyWereSentWithLengthsAndInChunks(int length) throws Exception {
         String body = text(length);
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
             for (String framed : new String[] {
                 order("l", "Content-Length: " + length, body), order("c", "Transfer-Encoding: chunked", chunks(body))
             }) {
                 writeInPieces(client, framed);
-                assertEquals(200, Http.read(client.getInputStream()).status());
-                assertEquals(body, FarServer.next(server.requests).body());
+                assertEquals(200, Http.readMessage(client.getInputStream()).status());
+                assertEquals(body, FakeServer.awaitNext(server.requests).body());
             }
         }
     }
@@ -79,9 +79,9 @@
     void answersArriveAsTheyWereGivenHoweverTheyAreFramed(int length) throws Exception {
         String body = text(length);
         String interim = "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (FakeServer server = new FakeServer((request, peer) -> {
                     switch (request.headers().get("x-txn")) {
-                        case "length" -> writeInPieces(peer.socket(), interim + Http.ok(body));
+                        case "length" -> writeInPieces(peer.socket(), interim + Http.okResponse(body));
                         case "chunks" ->
                             writeInPieces(
                                     peer.socket(),
@@ -92,10 +92,10 @@
                         }
                     }
                 });
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
             for (String txn : new String[] {"length", "chunks", "end", "length"}) {
-                Http.Message answer = Site.ask(client, Http.page("/api/x", txn, "5000m"));
+                Http.Message answer = NodeHarness.exchange(client, Http.pageRequest("/api/x", txn, "5000m"));
                 assertEquals(200, answer.status());
                 assertEquals(body, answer.body());
             }
@@ -104,33 +104,33 @@
 
     @Test
     void aClientThatWaitsToBeToldToGoOnIsTold() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(client, order("t", "Expect: 100-continue\r\nContent-Length: 5", ""));
-            assertEquals(100, Http.read(client.getInputStream()).status());
-            assertEquals(200, Site.ask(client, "hello").status());
-            assertEquals("hello", FarServer.next(server.requests).body());
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, order("t", "Expect: 100-continue\r\nContent-Length: 5", ""));
+            assertEquals(100, Http.readMessage(client.getInputStream()).status());
+            assertEquals(200, NodeHarness.exchange(client, "hello").status());
+            assertEquals("hello", FakeServer.awaitNext(server.requests).body());
             String odd = order("t", "Expect: miracles\r\nContent-Length: 5", "");
-            assertEquals(417, Site.ask(client, odd).status());
+            assertEquals(417, NodeHarness.exchange(client, odd).status());
         }
     }
 
     @Test
     void requestsSentAheadBehindALargeOneAreAnsweredInTheirOrder() throws Exception {
         String body = text(LARGE);
-        try (FarServer server = new FarServer((request, peer) -> peer.write(
-                        Http.ok(request.headers().get("x-txn") + request.body().length())));
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(
+        try (FakeServer server = new FakeServer((request, peer) -> peer.write(Http.okResponse(
+                        request.headers().get("x-txn") + request.body().length())));
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(
                     client,
                     order("a", "Content-Length: " + LARGE, body)
-                            + Http.page("/api/x", "b", "5000m")
+                            + Http.pageRequest("/api/x", "b", "5000m")
                             + order("c", "Transfer-Encoding: chunked", chunks(body))
-                            + Http.order("d", "5000m"));
+                            + Http.orderRequest("d", "5000m"));
             for (String answer : new String[] {"a" + LARGE, "b0", "c" + LARGE, "d2"}) {
-                assertEquals(answer, Http.read(client.getInputStream()).body());
+                assertEquals(answer, Http.readMessage(client.getInputStream()).body());
             }
         }
     }
@@ -146,51 +146,54 @@
                 "Content-Length: -2",
             })
     void aRequestWhoseEndIsNotClearGets400AndReachesNoServer(String framing) throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            assertEquals(400, Site.ask(client, order("t", framing, "0\r\n\r\n")).status());
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            assertEquals(
+                    400,
+                    NodeHarness.exchange(client, order("t", framing, "0\r\n\r\n"))
+                            .status());
             assertEquals(-1, client.getInputStream().read());
-            assertEquals(0, server.connections.get());
+            assertEquals(0, server.connectionCount.get());
         }
     }
 
     @Test
     void aBodyThatBreaksInItsFramingNeverReachesAServerWhole() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             String whole = chunks(text(LARGE));
             assertEquals(
                     400,
-                    site.ask(order(
+                    harness.exchange(order(
                                     "t",
                                     "Transfer-Encoding: chunked",
                                     whole.substring(0, whole.indexOf("0\r\nX-Trailer")) + "no chunk\r\n"))
                             .status());
-            FarServer.next(server.ended);
+            FakeServer.awaitNext(server.closedConnections);
             assertTrue(server.requests.isEmpty());
-            assertEquals(200, site.ask(Http.page("next")).status());
+            assertEquals(200, harness.exchange(Http.pageRequest("next")).status());
         }
     }
 
     @Test
     void aClientThatLeavesEndsWhatFlowsAtTheServerEitherWay() throws Exception {
         String body = text(8_000_000);
-        try (FarServer server = FarServer.serving(body);
-                Site site = Site.quiet().start(server)) {
-            Socket sender = site.connect();
-            Site.write(sender, order("t", "Content-Length: " + LARGE, body.substring(0, LARGE - 1)));
-            while (server.connections.get() == 0) {
+        try (FakeServer server = FakeServer.respondingWith(body);
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket sender = harness.connect();
+            NodeHarness.write(sender, order("t", "Content-Length: " + LARGE, body.substring(0, LARGE - 1)));
+            while (server.connectionCount.get() == 0) {
                 Thread.onSpinWait();
             }
             sender.close();
-            FarServer.next(server.ended);
+            FakeServer.awaitNext(server.closedConnections);
             assertTrue(server.requests.isEmpty(), "never whole");
-            Socket reader = site.connect();
-            Site.write(reader, Http.page("/api/x", "u", "5000m"));
+            Socket reader = harness.connect();
+            NodeHarness.write(reader, Http.pageRequest("/api/x", "u", "5000m"));
             assertEquals(200, Http.readHead(reader.getInputStream()).status());
             reader.close();
-            FarServer.next(server.ended);
+            FakeServer.awaitNext(server.closedConnections);
         }
     }
 
@@ -198,42 +201,45 @@
     @ValueSource(strings = {"length", "chunks", "end"})
     void anAnswerThatBreaksAfterItBeganIsSeenToBeBrokenAndNotTriedAgain(String framing) throws Exception {
         String part = text(LARGE);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (FakeServer server = new FakeServer((request, peer) -> {
                     peer.write("HTTP/1.1 200 OK\r\n"
                             + switch (framing) {
                                 case "length" -> "Content-Length: " + (LARGE + 1) + "\r\n\r\n" + part;
-                                case "chunks" -> "Transfer-Encoding: chunked\r\n\r\n" + Site.chunk(part);
+                                case "chunks" -> "Transfer-Encoding: chunked\r\n\r\n" + NodeHarness.chunk(part);
                                 default -> "Connection: close\r\n\r\n" + part;
                             });
                     peer.reset();
                 });
-                Site site = Site.quiet()) {
-            site.operated = true;
-            site.start(server, server);
-            Socket client = site.connect();
-            Site.write(client, Http.page("/api/x", "t", "5000m"));
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            harness.hasControl = true;
+            harness.start(server, server);
+            Socket client = harness.connect();
+            NodeHarness.write(client, Http.pageRequest("/api/x", "t", "5000m"));
             assertThrows(IOException.class, () -> {
-                if (Http.read(client.getInputStream()).body().length() < LARGE) {
+                if (Http.readMessage(client.getInputStream()).body().length() < LARGE) {
                     throw new IOException("cut short");
                 }
             });
-            site.awaitFigure("node_handled{category=\"page\",outcome=\"bad_gateway\"} 1");
-            site.awaitFigure("node_upstream_tries 1");
+            harness.awaitMetric("node_handled{category=\"page\",outcome=\"bad_gateway\"} 1");
+            harness.awaitMetric("node_upstream_tries 1");
             assertEquals(1, server.requests.size());
         }
     }
 
     @Test
     void anAnswerThatIsGatheredIsReplacedWhenItBreaks() throws Exception {
-        try (FarServer bad = new FarServer((request, peer) -> {
-                    peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Site.chunk(text(60_000)));
+        try (FakeServer bad = new FakeServer((request, peer) -> {
+                    peer.write(
+                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + NodeHarness.chunk(text(60_000)));
                     peer.reset();
                 });
-                FarServer good = FarServer.serving("good");
-                Site site = Site.quiet().start(bad, good)) {
+                FakeServer good = FakeServer.respondingWith("good");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(bad, good)) {
             for (int i = 0; i < 12; i++) {
                 assertEquals(
-                        "good", site.ask(Http.page("/api/x", "t" + i, "5000m")).body());
+                        "good",
+                        harness.exchange(Http.pageRequest("/api/x", "t" + i, "5000m"))
+                                .body());
             }
             assertFalse(bad.requests.isEmpty());
         }
@@ -243,8 +249,8 @@
     void theFirstBytesOfALargeAnswerDoNotWaitForTheRest() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         String body = text(LARGE);
-        try (FarServer server = new FarServer((request, peer) -> {
-                    String answer = Http.ok(body);
+        try (FakeServer server = new FakeServer((request, peer) -> {
+                    String answer = Http.okResponse(body);
                     peer.write(answer.substring(0, 100));
                     try {
                         assertTrue(seen.await(20, TimeUnit.SECONDS));
@@ -253,10 +259,10 @@
                     }
                     peer.write(answer.substring(100));
                 });
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
             // Its time runs out while it flows: what has begun goes on all the same.
-            Site.write(client, Http.page("/api/x", "t", "300m"));
+            NodeHarness.write(client, Http.pageRequest("/api/x", "t", "300m"));
             Http.Message head = Http.readHead(client.getInputStream());
             assertEquals(body.charAt(0), client.getInputStream().read());
             seen.countDown();
@@ -270,40 +276,43 @@
     @Test
     void anAnswerOfUnknownLengthThatTakesLongIsPassedOnAsItComes() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
-        try (FarServer server = new FarServer((request, peer) -> {
-                    peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Site.chunk("first"));
+        try (FakeServer server = new FakeServer((request, peer) -> {
+                    peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + NodeHarness.chunk("first"));
                     try {
                         assertTrue(seen.await(20, TimeUnit.SECONDS));
                     } catch (InterruptedException e) {
                         throw new IOException(e);
                     }
-                    peer.write(Site.chunk("last") + "0\r\n\r\n");
+                    peer.write(NodeHarness.chunk("last") + "0\r\n\r\n");
                 });
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(client, Http.page("/api/x", "t", "5000m"));
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, Http.pageRequest("/api/x", "t", "5000m"));
             Http.Message head = Http.readHead(client.getInputStream());
             seen.countDown();
             assertEquals("firstlast", new String(Http.readBody(client.getInputStream(), head), StandardCharsets.UTF_8));
             assertEquals(
-                    200, Site.ask(client, Http.page("/api/x", "u", "5000m")).status(), "and goes on");
+                    200,
+                    NodeHarness.exchange(client, Http.pageRequest("/api/x", "u", "5000m"))
+                            .status(),
+                    "and goes on");
         }
     }
 
     @Test
     void aLargeBodyGoesToAnotherServerOnlyFromItsStart() throws Exception {
         String body = text(LARGE);
-        try (FarServer dead = FarServer.serving("x");
-                FarServer good = FarServer.serving("x");
-                Site site = Site.quiet()) {
+        try (FakeServer dead = FakeServer.respondingWith("x");
+                FakeServer good = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             dead.stop();
-            site.start(dead, good);
+            harness.start(dead, good);
             for (int i = 0; i < 12; i++) {
                 assertEquals(
                         200,
-                        site.ask(order("t" + i, "Content-Length: " + LARGE, body))
+                        harness.exchange(order("t" + i, "Content-Length: " + LARGE, body))
                                 .status());
-                assertEquals(body, FarServer.next(good.requests).body());
+                assertEquals(body, FakeServer.awaitNext(good.requests).body());
             }
         }
     }
@@ -311,16 +320,19 @@
     @Test
     void aServerThatAnswersAmidABodyHasItsAnswerPassedOn() throws Exception {
         String body = text(LARGE);
-        try (Early server = new Early(Http.answer("500 No", "", ""));
-                Site site = Site.quiet()) {
-            site.startKnowing(Site.list(1, true, "s0=" + server.endpoint() + "=Ready"));
-            Socket client = site.connect();
-            Site.write(client, order("t", "Content-Length: " + (LARGE + 1), body));
-            Http.Message answer = Http.read(client.getInputStream());
+        try (EarlyResponseServer server = new EarlyResponseServer(Http.response("500 No", "", ""));
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            harness.startWithList(NodeHarness.endpointList(1, true, "s0=" + server.endpoint() + "=Ready"));
+            Socket client = harness.connect();
+            NodeHarness.write(client, order("t", "Content-Length: " + (LARGE + 1), body));
+            Http.Message answer = Http.readMessage(client.getInputStream());
             assertEquals(502, answer.status());
             // The rest of the body is read, and the connection carries the next request.
-            Site.write(client, "z");
-            assertEquals(404, Site.ask(client, Http.page("/nothing", "u", "1m")).status());
+            NodeHarness.write(client, "z");
+            assertEquals(
+                    404,
+                    NodeHarness.exchange(client, Http.pageRequest("/nothing", "u", "1m"))
+                            .status());
         }
     }
 }
--- a/node/src/test/java/loadbalancer/process/LargeListTest.java
+++ b/node/src/test/java/loadbalancer/process/LargeListTest.java
@@ -38,16 +38,16 @@
     @ParameterizedTest
     @ValueSource(ints = {1_024, 5_000, 19_000})
     void aNodeServesBeforeAndAfterItIsToldALongList(int servers, @TempDir Path folder) throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                FarServer discovery = new FarServer((request, peer) -> peer.write(Site.watchHead()))) {
-            String known = Site.list(1, true, "s0=" + server.endpoint() + "=Ready");
+        try (FakeServer server = FakeServer.respondingWith("x");
+                FakeServer discovery = new FakeServer((request, peer) -> peer.write(NodeHarness.watchResponseHead()))) {
+            String known = NodeHarness.endpointList(1, true, "s0=" + server.endpoint() + "=Ready");
             Process program = start(folder, discovery.endpoint(), known);
             try {
                 String listening = awaitLine(program, line -> line.startsWith("level=info event=listening "));
                 int port = Integer.parseInt(listening.substring(listening.lastIndexOf(':') + 1));
                 assertEquals(200, ask(port, "before"));
                 String list = wholeList(servers, server.endpoint());
-                FarServer.next(discovery.peers).write(Site.chunk(list + "\n"));
+                FakeServer.awaitNext(discovery.answeredConnections).write(NodeHarness.chunk(list + "\n"));
                 awaitLine(
                         program,
                         line -> line.endsWith("event=endpoint_list version=2 kind=full first_of_watch=true ready="
@@ -100,8 +100,8 @@
     private static int ask(int port, String txn) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(60_000);
-            Site.write(socket, Http.page("/api/p", txn, "60000m"));
-            return Http.read(socket.getInputStream()).status();
+            NodeHarness.write(socket, Http.pageRequest("/api/p", txn, "60000m"));
+            return Http.readMessage(socket.getInputStream()).status();
         }
     }
 }
--- a/node/src/test/java/loadbalancer/process/LateConnectionTest.java
+++ b/node/src/test/java/loadbalancer/process/LateConnectionTest.java
@@ -69,8 +69,9 @@
         private void serve(Socket socket) {
             try {
                 while (true) {
-                    asked.add(Http.read(socket.getInputStream()).headers().get("x-txn"));
-                    new FarServer.Peer(socket).write(Http.ok("late"));
+                    asked.add(
+                            Http.readMessage(socket.getInputStream()).headers().get("x-txn"));
+                    new FakeServer.Connection(socket).write(Http.okResponse("late"));
                 }
             } catch (IOException e) {
                 // It has ended.
@@ -84,8 +85,8 @@
     }
 
     /** The module, with a permit for each attempt that it has started. */
-    private static Balancer counting(Site site, BalancerActions actions, Semaphore started) {
-        return new ServiceQBalancer(site.settings, 7, (BalancerActions) Proxy.newProxyInstance(
+    private static Balancer counting(NodeHarness harness, BalancerActions actions, Semaphore started) {
+        return new ServiceQBalancer(harness.settings, 7, (BalancerActions) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {BalancerActions.class}, (proxy, method, args) -> {
                     try {
                         Object result = method.invoke(actions, args);
@@ -102,7 +103,7 @@
         Semaphore started = new Semaphore(0);
         CountDownLatch listed = new CountDownLatch(1);
         try (LateServer late = new LateServer();
-                FarServer first = new FarServer((request, peer) -> {
+                FakeServer first = new FakeServer((request, peer) -> {
                     try {
                         assertTrue(listed.await(20, TimeUnit.SECONDS));
                     } catch (InterruptedException e) {
@@ -110,9 +111,9 @@
                     }
                     peer.reset();
                 });
-                Site site = Site.quiet()) {
-            site.operated = true;
-            site.settings.classes.set(
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            harness.hasControl = true;
+            harness.settings.classes.set(
                     1,
                     new RequestClass(
                             "photo",
@@ -125,20 +126,20 @@
                             DeduplicationScope.CELL,
                             900_000,
                             false));
-            site.module = actions -> counting(site, actions, started);
-            site.start(first);
-            FarServer.Peer watch = FarServer.next(site.discovery.peers);
-            Socket client = site.connect();
-            Site.write(client, PHOTO.formatted("t"));
-            FarServer.next(first.requests);
-            watch.write(Site.chunk(Site.list(2, false, late.entry("s1")) + "\n"));
-            site.awaitFigure("node_known_app_servers 2");
+            harness.balancerFactory = actions -> counting(harness, actions, started);
+            harness.start(first);
+            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            Socket client = harness.connect();
+            NodeHarness.write(client, PHOTO.formatted("t"));
+            FakeServer.awaitNext(first.requests);
+            watch.write(NodeHarness.chunk(NodeHarness.endpointList(2, false, late.entry("s1")) + "\n"));
+            harness.awaitMetric("node_known_app_servers 2");
             listed.countDown();
             // The repeat has asked for its connection, and is to be asked again by the system.
             assertTrue(started.tryAcquire(2, 20, TimeUnit.SECONDS));
-            site.awaitLoop();
+            harness.awaitEventLoop();
             late.letIn();
-            assertEquals(502, Http.read(client.getInputStream()).status());
+            assertEquals(502, Http.readMessage(client.getInputStream()).status());
             assertTrue(late.asked.isEmpty(), "sent behind its window");
         }
     }
@@ -147,18 +148,18 @@
     void aConnectionThatComesUpBehindItsRequestsEndCarriesTheNextOne() throws Exception {
         Semaphore started = new Semaphore(0);
         try (LateServer late = new LateServer();
-                Site site = Site.quiet()) {
-            site.operated = true;
-            site.module = actions -> counting(site, actions, started);
-            site.startKnowing(Site.list(1, true, late.entry("s0")));
-            Socket client = site.connect();
-            Site.write(client, PHOTO.formatted("gone"));
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            harness.hasControl = true;
+            harness.balancerFactory = actions -> counting(harness, actions, started);
+            harness.startWithList(NodeHarness.endpointList(1, true, late.entry("s0")));
+            Socket client = harness.connect();
+            NodeHarness.write(client, PHOTO.formatted("gone"));
             assertTrue(started.tryAcquire(20, TimeUnit.SECONDS));
-            site.awaitLoop();
+            harness.awaitEventLoop();
             client.close();
-            site.awaitFigure("node_in_progress 0");
+            harness.awaitMetric("node_in_progress 0");
             late.letIn();
-            assertEquals(200, site.ask(PHOTO.formatted("next")).status());
+            assertEquals(200, harness.exchange(PHOTO.formatted("next")).status());
             assertEquals(List.of("next"), List.copyOf(late.asked));
         }
     }
--- a/node/src/test/java/loadbalancer/process/Site.java
+++ b/node/src/test/java/loadbalancer/process/NodeHarness.java
@@ -28,28 +28,30 @@
 import loadbalancer.policy.ServiceQBalancer;
 import loadbalancer.policy.Tenant;
 
-/** A node on loopback sockets with the servers that its list names and a discovery that a test plays. */
-public final class Site implements AutoCloseable {
+/** A node under test on loopback sockets: its servers and its discovery are fakes that a test scripts. */
+public final class NodeHarness implements AutoCloseable {
     public final BalancerSettings settings = new BalancerSettings();
-    public final FarServer discovery;
+    public final FakeServer discovery;
     public final MeasuredEventLoop loop = new MeasuredEventLoop("node", false);
-    int sockets = 256;
+    int socketLimit = 256;
     public long connIdleUs = 60_000_000;
-    /** The decision module; a test may put a faulty one in its place. */
-    public Function<BalancerActions, Balancer> module;
-    /** Whether the node has an address for operators, and what it shares with other processes of the node. */
-    boolean operated;
+    /** Makes the balancer of the node; a test may put a faulty one in its place. */
+    public Function<BalancerActions, Balancer> balancerFactory;
+    /** Whether the node has a control address. */
+    boolean hasControl;
+
+    /** What it shares with other processes of the same node; null where it shares nothing. */
+    Path sharedFolder;
 
-    Path folder;
     Set<String> keys = Set.of();
     public Node node;
-    InetSocketAddress control;
+    InetSocketAddress controlAddress;
     private InetSocketAddress address;
     private final List<Socket> clients = new ArrayList<>();
 
-    public Site(FarServer discovery) {
+    public NodeHarness(FakeServer discovery) {
         this.discovery = discovery;
-        module = actions -> new ServiceQBalancer(settings, 7, actions);
+        balancerFactory = actions -> new ServiceQBalancer(settings, 7, actions);
         settings.zones.add("here");
         settings.classes.add(requestClass("page", Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
         settings.classes.add(requestClass("photo", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL));
@@ -66,12 +68,12 @@
         return new RequestClass(name, 1_000_000, 0, 5_000_000, 1, 0, repeat, group, 1_200_000, false);
     }
 
-    /** A site whose discovery opens a watch and says nothing on it. */
-    public static Site quiet() throws IOException {
-        return new Site(new FarServer((request, peer) -> peer.write(watchHead())));
+    /** A node whose discovery opens a watch and says nothing on it. */
+    public static NodeHarness withSilentDiscovery() throws IOException {
+        return new NodeHarness(new FakeServer((request, connection) -> connection.write(watchResponseHead())));
     }
 
-    public static String watchHead() {
+    public static String watchResponseHead() {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     }
 
@@ -80,7 +82,7 @@
     }
 
     /** A list whose entries are id=endpoint=state. */
-    public static String list(int rev, boolean all, String... entries) {
+    public static String endpointList(int rev, boolean all, String... entries) {
         StringBuilder targets = new StringBuilder();
         for (String entry : entries) {
             String[] parts = entry.split("=");
@@ -105,38 +107,39 @@
                 anyPort(),
                 ConfigAddresses.parse("discovery", discovery.endpoint()),
                 7,
-                sockets,
+                socketLimit,
                 connIdleUs,
                 EndpointList.decode(new ObjectMapper().readTree(known), settings.zones, ""),
                 settings,
                 keys,
-                new NodeConfig.Operators(operated ? anyPort() : null, folder, false),
+                new NodeConfig.Operators(hasControl ? anyPort() : null, sharedFolder, false),
                 null);
     }
 
     /** Starts the node with the servers s0, s1, ... */
-    public Site start(FarServer... servers) throws Exception {
+    public NodeHarness start(FakeServer... servers) throws Exception {
         String[] entries = new String[servers.length];
         for (int i = 0; i < servers.length; i++) {
             entries[i] = "s" + i + "=" + servers[i].endpoint() + "=Ready";
         }
-        return startKnowing(list(1, true, entries));
+        return startWithList(endpointList(1, true, entries));
     }
 
-    public Site startKnowing(String known) throws Exception {
-        control(known);
-        return begin();
+    public NodeHarness startWithList(String known) throws Exception {
+        createNode(known);
+        return listen();
     }
 
     /** Makes a node that does not serve clients yet. */
-    void control(String known) throws Exception {
-        node = new Node(config(known), loop, module);
-        if (operated) {
-            control = (InetSocketAddress) node.startControl().sync().channel().localAddress();
+    void createNode(String known) throws Exception {
+        node = new Node(config(known), loop, balancerFactory);
+        if (hasControl) {
+            controlAddress =
+                    (InetSocketAddress) node.startControl().sync().channel().localAddress();
         }
     }
 
-    Site begin() throws Exception {
+    NodeHarness listen() throws Exception {
         address = (InetSocketAddress) node.start().sync().channel().localAddress();
         return this;
     }
@@ -148,27 +151,27 @@
         return client;
     }
 
-    /** What the node answers to a call at its address for operators, to the end. */
-    String call(String line) throws IOException {
-        try (Socket caller = new Socket(control.getAddress(), control.getPort())) {
+    /** The whole response to a control call. */
+    String controlCall(String line) throws IOException {
+        try (Socket caller = new Socket(controlAddress.getAddress(), controlAddress.getPort())) {
             caller.setSoTimeout(20_000);
             write(caller, line);
             return new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    /** Waits until a figure has this value. */
-    void awaitFigure(String line) throws IOException {
+    /** Waits until the metrics have this line. */
+    void awaitMetric(String line) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        String figures = call("counters\n");
-        while (!figures.contains(line + "\n")) {
-            assertTrue(System.nanoTime() < end, "no " + line + " in\n" + figures);
-            figures = call("counters\n");
+        String metrics = controlCall("counters\n");
+        while (!metrics.contains(line + "\n")) {
+            assertTrue(System.nanoTime() < end, "no " + line + " in\n" + metrics);
+            metrics = controlCall("counters\n");
         }
     }
 
     /** Waits until connections are refused: the system closes a listener with the loop's next select. */
-    void awaitRefusal() {
+    void awaitConnectionRefused() {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (true) {
             try {
@@ -182,29 +185,29 @@
     }
 
     /** Keeps the node's one loop from running until the latch is down: it meets all that comes at once. */
-    public CountDownLatch holdLoop() throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
+    public CountDownLatch blockEventLoop() throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(() -> {
-            held.countDown();
+            blocked.countDown();
             try {
                 release.await(20, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        held.await();
+        blocked.await();
         return release;
     }
 
     /** Waits until the loop has done all that it had to do by now. */
-    void awaitLoop() throws InterruptedException {
+    void awaitEventLoop() throws InterruptedException {
         loop.submit(() -> {}).sync();
     }
 
-    public static Http.Message ask(Socket client, String request) throws IOException {
+    public static Http.Message exchange(Socket client, String request) throws IOException {
         write(client, request);
-        return Http.read(client.getInputStream());
+        return Http.readMessage(client.getInputStream());
     }
 
     public static void write(Socket client, String text) throws IOException {
@@ -212,8 +215,8 @@
     }
 
     /** One request on a connection of its own. */
-    public Http.Message ask(String request) throws IOException {
-        return ask(connect(), request);
+    public Http.Message exchange(String request) throws IOException {
+        return exchange(connect(), request);
     }
 
     @Override
--- a/node/src/test/java/loadbalancer/process/NodeTest.java
+++ b/node/src/test/java/loadbalancer/process/NodeTest.java
@@ -42,12 +42,14 @@
     @ValueSource(strings = {"onRequest", "onOutcome"})
     void anExceptionCostsOneRequestAndStillAnswersIt(String event) throws Exception {
         // Neither answer is a success, so that the node owes the client its own.
-        try (FarServer server = new FarServer((request, peer) -> peer.write(Http.answer("500 No", "", "")));
-                Site site = Site.quiet()) {
-            site.module = actions -> breaking(new ServiceQBalancer(site.settings, 7, actions), event);
-            site.start(server);
-            assertEquals(500, site.ask(Http.order("first", "4000m")).status());
-            assertEquals(502, site.ask(Http.order("second", "4000m")).status());
+        try (FakeServer server = new FakeServer((request, peer) -> peer.write(Http.response("500 No", "", "")));
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            harness.balancerFactory = actions -> breaking(new ServiceQBalancer(harness.settings, 7, actions), event);
+            harness.start(server);
+            assertEquals(
+                    500, harness.exchange(Http.orderRequest("first", "4000m")).status());
+            assertEquals(
+                    502, harness.exchange(Http.orderRequest("second", "4000m")).status());
         }
     }
 
@@ -110,22 +112,22 @@
 
     @Test
     void sighupMovesTheWatchToWhereTheFileSaysDiscoveryIs(@TempDir Path folder) throws Exception {
-        try (FarServer before = new FarServer((request, peer) -> peer.write(Site.watchHead()));
-                FarServer after = new FarServer((request, peer) -> peer.write(Site.watchHead()))) {
+        try (FakeServer before = new FakeServer((request, peer) -> peer.write(NodeHarness.watchResponseHead()));
+                FakeServer after = new FakeServer((request, peer) -> peer.write(NodeHarness.watchResponseHead()))) {
             Path file = Files.writeString(folder.resolve("config.json"), config(before.endpoint()));
             Process process = program(file, before.endpoint());
             try {
-                FarServer.next(before.requests);
+                FakeServer.awaitNext(before.requests);
                 Files.writeString(file, "{");
                 hangUp(process);
                 awaitLine(process, "level=warn event=reload_failed reason=\"PROXY_CONFIG is not JSON");
-                assertTrue(before.ended.isEmpty(), "a file that cannot be read changes nothing");
+                assertTrue(before.closedConnections.isEmpty(), "a file that cannot be read changes nothing");
                 Files.writeString(file, config(after.endpoint()));
                 hangUp(process);
                 assertEquals(
                         "/discovery/hosts?watch=1&after=0",
-                        FarServer.next(after.requests).path());
-                FarServer.next(before.ended);
+                        FakeServer.awaitNext(after.requests).path());
+                FakeServer.awaitNext(before.closedConnections);
                 endsOnSigterm(process);
             } finally {
                 process.destroyForcibly();
@@ -136,22 +138,26 @@
     /** Guards a day on which nodes that had just started sent to servers that drained while they did. */
     @Test
     void aNodeHearsOfDrainsBeforeItServesClients() throws Exception {
-        try (FarServer one = FarServer.serving("one");
-                FarServer two = FarServer.serving("two");
-                Site site = Site.quiet()) {
-            site.operated = true;
-            site.control(Site.list(1, true, "s0=" + one.endpoint() + "=Ready", "s1=" + two.endpoint() + "=Ready"));
-            site.node.watch();
-            FarServer.next(site.discovery.peers)
-                    .write(Site.chunk(Site.list(2, false, "s0=" + one.endpoint() + "=Gone") + "\n"));
-            site.awaitFigure("node_known_app_servers 1");
-            site.begin();
+        try (FakeServer one = FakeServer.respondingWith("one");
+                FakeServer two = FakeServer.respondingWith("two");
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            harness.hasControl = true;
+            harness.createNode(NodeHarness.endpointList(
+                    1, true, "s0=" + one.endpoint() + "=Ready", "s1=" + two.endpoint() + "=Ready"));
+            harness.node.watch();
+            FakeServer.awaitNext(harness.discovery.answeredConnections)
+                    .write(NodeHarness.chunk(
+                            NodeHarness.endpointList(2, false, "s0=" + one.endpoint() + "=Gone") + "\n"));
+            harness.awaitMetric("node_known_app_servers 1");
+            harness.listen();
             for (int i = 0; i < 20; i++) {
                 assertEquals(
-                        "two", site.ask(Http.page("/api/x", "t" + i, "4000m")).body());
+                        "two",
+                        harness.exchange(Http.pageRequest("/api/x", "t" + i, "4000m"))
+                                .body());
             }
             assertTrue(one.requests.isEmpty());
-            assertEquals(1, site.discovery.requests.size(), "one watch");
+            assertEquals(1, harness.discovery.requests.size(), "one watch");
         }
     }
 }
--- a/node/src/test/java/loadbalancer/process/OwedAtEndTest.java
+++ b/node/src/test/java/loadbalancer/process/OwedAtEndTest.java
@@ -16,22 +16,25 @@
 
 /** What is owed where a request meets the end of its node, or a client leaves: {@code docs/acceptance.md}. */
 class OwedAtEndTest {
-    private static final String ORDER = Http.order("t", "15000m");
-    private static final String PAGE = Http.page("/api/p", "t", "15000m");
+    private static final String ORDER = Http.orderRequest("t", "15000m");
+    private static final String PAGE = Http.pageRequest("/api/p", "t", "15000m");
 
     /** The node has been told to end, and has ended whatever connection is at rest. */
-    private static CountDownLatch drained(Site site) throws Exception {
-        Socket resting = site.connect();
-        assertEquals(404, Site.ask(resting, Http.page("/nothing", "u", "1m")).status());
+    private static CountDownLatch drained(NodeHarness harness) throws Exception {
+        Socket resting = harness.connect();
+        assertEquals(
+                404,
+                NodeHarness.exchange(resting, Http.pageRequest("/nothing", "u", "1m"))
+                        .status());
         CountDownLatch done = new CountDownLatch(1);
-        site.node.drain(done::countDown);
+        harness.node.drain(done::countDown);
         assertEquals(-1, resting.getInputStream().read());
         resting.close();
         return done;
     }
 
     private static void assertServedLast(Socket client, String body, CountDownLatch done) throws Exception {
-        Http.Message answer = Http.read(client.getInputStream());
+        Http.Message answer = Http.readMessage(client.getInputStream());
         assertEquals(body, answer.body());
         assertEquals("close", answer.headers().get("connection"));
         assertEquals(-1, client.getInputStream().read());
@@ -43,17 +46,18 @@
     @CsvSource({"0, 10", "0, 40", "1, 10", "1, 70", "0, 1"})
     void aRequestHalfReadAtSigtermIsServedOnceItIsWhole(int before, int cut) throws Exception {
         // Behind an answered request or as the first; cut amid the first line, a field, or ahead of the body.
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
             for (int i = 0; i < before; i++) {
-                assertEquals(200, Site.ask(client, Http.page("b")).status());
+                assertEquals(
+                        200, NodeHarness.exchange(client, Http.pageRequest("b")).status());
             }
             int at = cut == 1 ? ORDER.length() - 1 : cut;
-            Site.write(client, ORDER.substring(0, at));
-            site.awaitLoop();
-            CountDownLatch done = drained(site);
-            Site.write(client, ORDER.substring(at));
+            NodeHarness.write(client, ORDER.substring(0, at));
+            harness.awaitEventLoop();
+            CountDownLatch done = drained(harness);
+            NodeHarness.write(client, ORDER.substring(at));
             assertServedLast(client, "x", done);
             assertEquals(before + 1, server.requests.size());
         }
@@ -61,13 +65,14 @@
 
     @Test
     void aRequestThatWaitsForAServerAtSigtermIsServed() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start()) {
-            Socket client = site.connect();
-            Site.write(client, ORDER);
-            CountDownLatch done = drained(site);
-            FarServer.next(site.discovery.peers)
-                    .write(Site.chunk(Site.list(2, false, "s0=" + server.endpoint() + "=Ready") + "\n"));
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start()) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, ORDER);
+            CountDownLatch done = drained(harness);
+            FakeServer.awaitNext(harness.discovery.answeredConnections)
+                    .write(NodeHarness.chunk(
+                            NodeHarness.endpointList(2, false, "s0=" + server.endpoint() + "=Ready") + "\n"));
             assertServedLast(client, "x", done);
         }
     }
@@ -75,22 +80,23 @@
     @Test
     void aRequestThatIsPassedOnAfterSigtermIsServed() throws Exception {
         CountDownLatch drains = new CountDownLatch(1);
-        try (FarServer first = resetting(drains);
-                FarServer second = FarServer.serving("x");
-                Site site = Site.quiet().start(first)) {
-            Socket client = site.connect();
-            Site.write(client, PAGE);
-            FarServer.next(first.requests);
-            CountDownLatch done = drained(site);
-            FarServer.next(site.discovery.peers)
-                    .write(Site.chunk(Site.list(2, false, "s1=" + second.endpoint() + "=Ready") + "\n"));
+        try (FakeServer first = resetting(drains);
+                FakeServer second = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(first)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, PAGE);
+            FakeServer.awaitNext(first.requests);
+            CountDownLatch done = drained(harness);
+            FakeServer.awaitNext(harness.discovery.answeredConnections)
+                    .write(NodeHarness.chunk(
+                            NodeHarness.endpointList(2, false, "s1=" + second.endpoint() + "=Ready") + "\n"));
             drains.countDown();
             assertServedLast(client, "x", done);
         }
     }
 
-    private static FarServer resetting(CountDownLatch when) throws IOException {
-        return new FarServer((request, peer) -> {
+    private static FakeServer resetting(CountDownLatch when) throws IOException {
+        return new FakeServer((request, peer) -> {
             await(when);
             peer.reset();
         });
@@ -108,18 +114,18 @@
     void anAnswerThatFlowsAtSigtermIsEnded() throws Exception {
         CountDownLatch drains = new CountDownLatch(1);
         String half = "a".repeat(100_000);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (FakeServer server = new FakeServer((request, peer) -> {
                     peer.write("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + half);
                     await(drains);
                     peer.write(half);
                 });
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(client, PAGE);
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, PAGE);
             Http.Message head = Http.readHead(client.getInputStream());
             assertEquals(200, head.status());
             // Its head has gone without a word of the end: the end of the connection tells.
-            CountDownLatch done = drained(site);
+            CountDownLatch done = drained(harness);
             drains.countDown();
             assertEquals(200_000, Http.readBody(client.getInputStream(), head).length);
             client.close();
@@ -129,123 +135,133 @@
 
     @Test
     void nothingIsSentForAClientThatLeavesWhileItsRequestWaits() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet()) {
-            site.operated = true;
-            site.start();
-            Socket client = site.connect();
-            Site.write(client, ORDER);
-            site.awaitFigure("node_in_progress 1");
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            harness.hasControl = true;
+            harness.start();
+            Socket client = harness.connect();
+            NodeHarness.write(client, ORDER);
+            harness.awaitMetric("node_in_progress 1");
             client.close();
-            site.awaitFigure("node_in_progress 0");
-            FarServer.next(site.discovery.peers)
-                    .write(Site.chunk(Site.list(2, false, "s0=" + server.endpoint() + "=Ready") + "\n"));
-            assertEquals(200, site.ask(Http.page("/api/p", "next", "15000m")).status());
-            assertEquals("next", FarServer.next(server.requests).headers().get("x-txn"));
+            harness.awaitMetric("node_in_progress 0");
+            FakeServer.awaitNext(harness.discovery.answeredConnections)
+                    .write(NodeHarness.chunk(
+                            NodeHarness.endpointList(2, false, "s0=" + server.endpoint() + "=Ready") + "\n"));
+            assertEquals(
+                    200,
+                    harness.exchange(Http.pageRequest("/api/p", "next", "15000m"))
+                            .status());
+            assertEquals("next", FakeServer.awaitNext(server.requests).headers().get("x-txn"));
         }
     }
 
     /** A client whose request is out at the one server that there is. */
-    private static Socket asking(Site site, FarServer server) throws Exception {
-        site.operated = true;
-        site.start(server);
-        Socket client = site.connect();
-        Site.write(client, PAGE);
-        FarServer.next(server.requests);
+    private static Socket asking(NodeHarness harness, FakeServer server) throws Exception {
+        harness.hasControl = true;
+        harness.start(server);
+        Socket client = harness.connect();
+        NodeHarness.write(client, PAGE);
+        FakeServer.awaitNext(server.requests);
         return client;
     }
 
-    private static void join(Site site, FarServer second) throws Exception {
-        FarServer.next(site.discovery.peers)
-                .write(Site.chunk(Site.list(2, false, "s1=" + second.endpoint() + "=Ready") + "\n"));
-        site.awaitFigure("node_known_app_servers 2");
+    private static void join(NodeHarness harness, FakeServer second) throws Exception {
+        FakeServer.awaitNext(harness.discovery.answeredConnections)
+                .write(NodeHarness.chunk(
+                        NodeHarness.endpointList(2, false, "s1=" + second.endpoint() + "=Ready") + "\n"));
+        harness.awaitMetric("node_known_app_servers 2");
     }
 
     @Test
     void nothingIsSentForAClientThatLeavesBetweenAttempts() throws Exception {
         CountDownLatch reset = new CountDownLatch(1);
-        try (FarServer first = resetting(reset);
-                FarServer second = FarServer.serving("x");
-                Site site = Site.quiet()) {
-            Socket client = asking(site, first);
+        try (FakeServer first = resetting(reset);
+                FakeServer second = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            Socket client = asking(harness, first);
             reset.countDown();
-            FarServer.next(first.peers);
+            FakeServer.awaitNext(first.answeredConnections);
             // Its one server has failed it: it waits for another.
-            site.awaitLoop();
+            harness.awaitEventLoop();
             client.close();
-            site.awaitFigure("node_in_progress 0");
-            join(site, second);
-            site.awaitLoop();
+            harness.awaitMetric("node_in_progress 0");
+            join(harness, second);
+            harness.awaitEventLoop();
             assertTrue(second.requests.isEmpty());
         }
     }
 
     @Test
     void nothingIsSentForAClientWhoseRequestAndEndAreReadInOneTurn() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             // A connection to the server that is free: what is sent on it is written at once.
-            assertEquals(200, site.ask(Http.page("first")).status());
-            Socket open = site.connect();
-            Socket late = site.connect();
-            site.awaitLoop();
-            CountDownLatch release = site.holdLoop();
-            for (Socket client : List.of(open, late, site.connect())) {
-                Site.write(client, PAGE);
+            assertEquals(200, harness.exchange(Http.pageRequest("first")).status());
+            Socket open = harness.connect();
+            Socket late = harness.connect();
+            harness.awaitEventLoop();
+            CountDownLatch release = harness.blockEventLoop();
+            for (Socket client : List.of(open, late, harness.connect())) {
+                NodeHarness.write(client, PAGE);
                 client.close();
             }
             release.countDown();
-            assertEquals(200, site.ask(Http.page("last")).status());
-            assertEquals("first", FarServer.next(server.requests).headers().get("x-txn"));
-            assertEquals("last", FarServer.next(server.requests).headers().get("x-txn"));
+            assertEquals(200, harness.exchange(Http.pageRequest("last")).status());
+            assertEquals(
+                    "first", FakeServer.awaitNext(server.requests).headers().get("x-txn"));
+            assertEquals("last", FakeServer.awaitNext(server.requests).headers().get("x-txn"));
         }
     }
 
     @Test
     void nothingIsPassedOnForAClientWhoseEndIsReadInTheTurnOfTheFailure() throws Exception {
         CountDownLatch reset = new CountDownLatch(1);
-        try (FarServer first = resetting(reset);
-                FarServer second = FarServer.serving("x");
-                Site site = Site.quiet()) {
-            Socket client = asking(site, first);
-            join(site, second);
-            CountDownLatch release = site.holdLoop();
+        try (FakeServer first = resetting(reset);
+                FakeServer second = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            Socket client = asking(harness, first);
+            join(harness, second);
+            CountDownLatch release = harness.blockEventLoop();
             reset.countDown();
-            FarServer.next(first.peers);
+            FakeServer.awaitNext(first.answeredConnections);
             client.close();
             release.countDown();
-            site.awaitFigure("node_in_progress 0");
-            site.awaitLoop();
-            assertEquals(0, second.connections.get());
+            harness.awaitMetric("node_in_progress 0");
+            harness.awaitEventLoop();
+            assertEquals(0, second.connectionCount.get());
         }
     }
 
     @Test
     void anAnswerAndTheEndOfItsTimeInOneTurnGiveOneAnswer() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (FakeServer server = new FakeServer((request, peer) -> {
                     if ("t0".equals(request.headers().get("x-txn"))) {
                         await(held);
                     }
-                    peer.write(Http.ok(request.headers().get("x-txn")));
+                    peer.write(Http.okResponse(request.headers().get("x-txn")));
                 });
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(client, Http.page("/api/p", "t0", "60m"));
-            FarServer.next(server.requests);
-            CountDownLatch release = site.holdLoop();
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, Http.pageRequest("/api/p", "t0", "60m"));
+            FakeServer.awaitNext(server.requests);
+            CountDownLatch release = harness.blockEventLoop();
             long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(80);
             held.countDown();
-            FarServer.next(server.peers);
+            FakeServer.awaitNext(server.answeredConnections);
             while (System.nanoTime() < due) {
                 Thread.onSpinWait();
             }
             release.countDown();
-            int status = Http.read(client.getInputStream()).status();
+            int status = Http.readMessage(client.getInputStream()).status();
             assertTrue(status == 200 || status == 502 || status == 503, "status " + status);
             assertEquals(
-                    "t1", Site.ask(client, Http.page("/api/p", "t1", "15000m")).body());
-            assertEquals("t2", site.ask(Http.page("/api/p", "t2", "15000m")).body());
+                    "t1",
+                    NodeHarness.exchange(client, Http.pageRequest("/api/p", "t1", "15000m"))
+                            .body());
+            assertEquals(
+                    "t2",
+                    harness.exchange(Http.pageRequest("/api/p", "t2", "15000m")).body());
         }
     }
 
@@ -253,7 +269,7 @@
     @CsvSource({"true", "false"})
     void anAnswerOfNoToldLengthThatIsResetIsNeverWhole(boolean flows) throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (FakeServer server = new FakeServer((request, peer) -> {
                     peer.write(
                             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nonly a part" + "a".repeat(flows ? 70_000 : 0));
                     if (flows) {
@@ -261,9 +277,9 @@
                     }
                     peer.reset();
                 });
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(client, ORDER);
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, ORDER);
             Http.Message head = Http.readHead(client.getInputStream());
             assertEquals(flows ? 200 : 502, head.status());
             begun.countDown();
@@ -283,30 +299,30 @@
 
     @Test
     void anAnswerThatNeverEndsEndsWithItsClient() throws Exception {
-        try (FarServer server = new FarServer((request, peer) ->
+        try (FakeServer server = new FakeServer((request, peer) ->
                         peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nnever\r\n"));
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(client, PAGE);
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, PAGE);
             assertEquals(200, Http.readHead(client.getInputStream()).status());
             client.close();
-            FarServer.next(server.ended);
+            FakeServer.awaitNext(server.closedConnections);
         }
     }
 
     @Test
     void anAnswerOfNoToldLengthThatStandsStillIsBrokenOffSoonBehindItsTime() throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (FakeServer server = new FakeServer((request, peer) -> {
                     if ("stands".equals(request.headers().get("x-txn"))) {
                         peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nstill\r\n");
                     }
                 });
-                Site site = Site.quiet().start(server)) {
-            Socket other = site.connect();
-            Site.write(other, Http.page("/api/p", "silent", "4000m"));
-            FarServer.next(server.requests);
-            Socket client = site.connect();
-            Site.write(client, Http.page("/api/p", "stands", "200m"));
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket other = harness.connect();
+            NodeHarness.write(other, Http.pageRequest("/api/p", "silent", "4000m"));
+            FakeServer.awaitNext(server.requests);
+            Socket client = harness.connect();
+            NodeHarness.write(client, Http.pageRequest("/api/p", "stands", "200m"));
             Http.Message head = Http.readHead(client.getInputStream());
             assertThrows(IOException.class, () -> Http.readBody(client.getInputStream(), head));
             assertEquals(0, other.getInputStream().available(), "whose time is up long after");
@@ -315,22 +331,22 @@
 
     @Test
     void halfALineFromAServerThatIsBeingLeftHurtsNobody() throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (FakeServer server = new FakeServer((request, peer) -> {
                     if (!"t".equals(request.headers().get("x-txn"))) {
-                        peer.write(Http.ok("next"));
+                        peer.write(Http.okResponse("next"));
                     }
                 });
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(client, PAGE);
-            FarServer.Peer peer = FarServer.next(server.peers);
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, PAGE);
+            FakeServer.Connection peer = FakeServer.awaitNext(server.answeredConnections);
             // Both ends in one turn of the loop: the client's, and half an answer's head.
-            CountDownLatch release = site.holdLoop();
+            CountDownLatch release = harness.blockEventLoop();
             peer.write("HTTP/1.1 200 O");
             client.close();
             release.countDown();
-            FarServer.next(server.ended);
-            assertEquals("next", site.ask(Http.page("u")).body());
+            FakeServer.awaitNext(server.closedConnections);
+            assertEquals("next", harness.exchange(Http.pageRequest("u")).body());
         }
     }
 }
--- a/node/src/test/java/loadbalancer/process/ReloadTest.java
+++ b/node/src/test/java/loadbalancer/process/ReloadTest.java
@@ -35,13 +35,13 @@
         env = Map.of("PROXY_CONFIG", folder.resolve("config.json").toString(), "PROXY_DISCOVERY", "127.0.0.1:9");
     }
 
-    private static String file(Site site, int attempts, String... classes) {
+    private static String file(NodeHarness harness, int attempts, String... classes) {
         return """
                 {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"7",
                  "limits":{"memory_mb":128,"sockets":256},
                  "settings":{"zones":["here"],"limits":{"attemptsCap":%d,"cancelling":true},
                   "rules":{"drainGraceUs":1000000},"classes":[%s]}}
-                """.formatted(site.discovery.endpoint(), attempts, String.join(",", classes));
+                """.formatted(harness.discovery.endpoint(), attempts, String.join(",", classes));
     }
 
     private void write(String text) throws Exception {
@@ -49,52 +49,53 @@
     }
 
     /** A node that runs by the file, with these servers. */
-    private Site start(Site site, String text, FarServer... servers) throws Exception {
+    private NodeHarness start(NodeHarness harness, String text, FakeServer... servers) throws Exception {
         write(text);
-        site.operated = true;
-        site.settings.classes.clear();
-        site.settings.classes.addAll(NodeConfig.read(env).settings().classes);
-        site.keys = NodeConfig.read(env).keys();
-        return site.start(servers);
+        harness.hasControl = true;
+        harness.settings.classes.clear();
+        harness.settings.classes.addAll(NodeConfig.read(env).settings().classes);
+        harness.keys = NodeConfig.read(env).keys();
+        return harness.start(servers);
     }
 
     /** What SIGHUP does, until it is done. */
-    private void reload(Site site, String text) throws Exception {
+    private void reload(NodeHarness harness, String text) throws Exception {
         write(text);
-        site.node.reload(env);
-        site.loop.submit(() -> {}).sync();
+        harness.node.reload(env);
+        harness.loop.submit(() -> {}).sync();
     }
 
     @Test
     void classesAreAddedAndDroppedAndTheirFiguresWithThem() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet()) {
-            start(site, file(site, 4, PAGE, ORDER), server);
-            String note = Http.order("t", "4000m").replace("X-Lane: order", "X-Lane: note");
-            assertEquals(400, site.ask(note).status());
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            start(harness, file(harness, 4, PAGE, ORDER), server);
+            String note = Http.orderRequest("t", "4000m").replace("X-Lane: order", "X-Lane: note");
+            assertEquals(400, harness.exchange(note).status());
             // Short deadlines, so that what is dropped is soon out of use.
-            reload(site, file(site, 4, PAGE, CLASS.formatted("order", 200_000, "unsafe")));
-            reload(site, file(site, 4, PAGE, CLASS.formatted("note", 5_000_000, "unsafe")));
-            assertEquals(200, site.ask(note).status());
-            assertEquals(200, site.ask(Http.order("old", "4000m")).status(), "repeats may still come");
-            site.awaitFigure("node_handled{category=\"note\",outcome=\"passed\"} 1");
-            site.awaitFigure("node_handled{category=\"order\",outcome=\"passed\"} 1");
-            site.awaitFigure("node_loads 2");
-            site.awaitFigure("node_load_errors 0");
+            reload(harness, file(harness, 4, PAGE, CLASS.formatted("order", 200_000, "unsafe")));
+            reload(harness, file(harness, 4, PAGE, CLASS.formatted("note", 5_000_000, "unsafe")));
+            assertEquals(200, harness.exchange(note).status());
+            assertEquals(
+                    200, harness.exchange(Http.orderRequest("old", "4000m")).status(), "repeats may still come");
+            harness.awaitMetric("node_handled{category=\"note\",outcome=\"passed\"} 1");
+            harness.awaitMetric("node_handled{category=\"order\",outcome=\"passed\"} 1");
+            harness.awaitMetric("node_loads 2");
+            harness.awaitMetric("node_load_errors 0");
         }
     }
 
     @Test
     void aDroppedClassIsRefusedOnceNobodyCanBeRepeatingIt() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet()) {
-            start(site, file(site, 4, PAGE, CLASS.formatted("order", 200_000, "unsafe")), server);
-            reload(site, file(site, 4, PAGE));
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            start(harness, file(harness, 4, PAGE, CLASS.formatted("order", 200_000, "unsafe")), server);
+            reload(harness, file(harness, 4, PAGE));
             int tries = 0;
-            while (site.ask(Http.order("t" + tries, "150m")).status() != 400) {
+            while (harness.exchange(Http.orderRequest("t" + tries, "150m")).status() != 400) {
                 assertTrue(tries++ < 100_000, "still served");
             }
-            assertEquals(200, site.ask(Http.page("t")).status());
+            assertEquals(200, harness.exchange(Http.pageRequest("t")).status());
         }
     }
 
@@ -102,7 +103,7 @@
     void anOpenRequestIsNotRepeatedByRulesThatCameLater() throws Exception {
         CountDownLatch arrived = new CountDownLatch(2);
         CountDownLatch reset = new CountDownLatch(1);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (FakeServer server = new FakeServer((request, peer) -> {
                     arrived.countDown();
                     try {
                         reset.await();
@@ -111,32 +112,35 @@
                     }
                     peer.reset();
                 });
-                FarServer other = FarServer.serving("other");
-                Site site = Site.quiet()) {
-            start(site, file(site, 4, PAGE, ORDER), server);
-            Socket page = site.connect();
-            Site.write(page, Http.page("/api/x", "p", "5000m"));
-            Socket order = site.connect();
-            Site.write(order, Http.order("o", "5000m"));
+                FakeServer other = FakeServer.respondingWith("other");
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            start(harness, file(harness, 4, PAGE, ORDER), server);
+            Socket page = harness.connect();
+            NodeHarness.write(page, Http.pageRequest("/api/x", "p", "5000m"));
+            Socket order = harness.connect();
+            NodeHarness.write(order, Http.orderRequest("o", "5000m"));
             arrived.await();
             // Safe becomes unsafe and the other way round, and no second attempt is allowed any more.
             reload(
-                    site,
+                    harness,
                     file(
-                            site,
+                            harness,
                             1,
                             CLASS.formatted("page", 5_000_000, "unsafe"),
                             CLASS.formatted("order", 5_000_000, "safe")));
-            FarServer.Peer watch = FarServer.next(site.discovery.peers);
-            watch.write(Site.chunk(Site.list(2, false, "s1=" + other.endpoint() + "=Ready") + "\n"));
-            site.awaitFigure("node_known_app_servers 2");
+            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            watch.write(
+                    NodeHarness.chunk(NodeHarness.endpointList(2, false, "s1=" + other.endpoint() + "=Ready") + "\n"));
+            harness.awaitMetric("node_known_app_servers 2");
             reset.countDown();
-            assertEquals("other", Http.read(page.getInputStream()).body(), "safe when it was asked");
-            assertEquals(502, Http.read(order.getInputStream()).status(), "unsafe when it was asked");
+            assertEquals("other", Http.readMessage(page.getInputStream()).body(), "safe when it was asked");
+            assertEquals(502, Http.readMessage(order.getInputStream()).status(), "unsafe when it was asked");
             // By now both ways of asking are understood, each by its own rules.
-            for (String asked : new String[] {Http.page("/api/x", "q", "5000m"), Http.order("r", "5000m")}) {
+            for (String asked :
+                    new String[] {Http.pageRequest("/api/x", "q", "5000m"), Http.orderRequest("r", "5000m")}) {
                 assertNotEquals(
-                        400, site.ask(asked.replace("page\r", "order\r")).status());
+                        400,
+                        harness.exchange(asked.replace("page\r", "order\r")).status());
             }
         }
     }
@@ -144,12 +148,12 @@
     /** The signal comes ahead of the file's end: it is taken once, and counts as no broken one. */
     @Test
     void aFileThatIsStillBeingWrittenIsTakenOnceItIsWhole() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet()) {
-            String text = file(site, 4, PAGE, ORDER);
-            start(site, text, server);
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            String text = file(harness, 4, PAGE, ORDER);
+            start(harness, text, server);
             write(text.substring(0, text.length() / 2));
-            Thread signal = new Thread(() -> site.node.reload(env));
+            Thread signal = new Thread(() -> harness.node.reload(env));
             signal.start();
             // Until it has read what is there and waits for more, or has given up.
             while (signal.getState() != Thread.State.TIMED_WAITING && signal.isAlive()) {
@@ -157,8 +161,8 @@
             }
             write(text);
             signal.join();
-            site.awaitFigure("node_loads 1");
-            site.awaitFigure("node_load_errors 0");
+            harness.awaitMetric("node_loads 1");
+            harness.awaitMetric("node_load_errors 0");
         }
     }
 
@@ -189,21 +193,22 @@
                 "\"memory_mb\":128, | `` | limits.memory_mb is missing",
             })
     void aBrokenFileChangesNothingAndIsCounted(String good, String bad, String reason) throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                FarServer moved = FarServer.serving("");
-                Site site = Site.quiet()) {
-            String before = file(site, 4, PAGE, ORDER);
-            start(site, before, server);
-            NodeConfig running = site.config(Site.list(1, true));
+        try (FakeServer server = FakeServer.respondingWith("x");
+                FakeServer moved = FakeServer.respondingWith("");
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            String before = file(harness, 4, PAGE, ORDER);
+            start(harness, before, server);
+            NodeConfig running = harness.config(NodeHarness.endpointList(1, true));
             reload(
-                    site,
-                    before.replace(site.discovery.endpoint(), moved.endpoint()).replaceFirst(good, bad));
+                    harness,
+                    before.replace(harness.discovery.endpoint(), moved.endpoint())
+                            .replaceFirst(good, bad));
             ConfigException e = assertThrows(ConfigException.class, () -> running.again(env));
             assertTrue(e.getMessage().startsWith(reason), e.getMessage());
-            site.awaitFigure("node_load_errors 1");
-            site.awaitFigure("node_loads 0");
-            assertEquals(200, site.ask(Http.page("t")).status());
-            assertEquals(0, moved.connections.get(), "discovery is where it was");
+            harness.awaitMetric("node_load_errors 1");
+            harness.awaitMetric("node_loads 0");
+            assertEquals(200, harness.exchange(Http.pageRequest("t")).status());
+            assertEquals(0, moved.connectionCount.get(), "discovery is where it was");
         }
     }
 }
--- a/node/src/test/java/loadbalancer/process/RestartTest.java
+++ b/node/src/test/java/loadbalancer/process/RestartTest.java
@@ -104,7 +104,7 @@
 
     private static String call(InetSocketAddress control, String line) {
         try (Socket caller = new Socket(control.getAddress(), control.getPort())) {
-            Site.write(caller, line + "\n");
+            NodeHarness.write(caller, line + "\n");
             return new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException(e);
@@ -120,7 +120,7 @@
                 socket.setSoTimeout(20_000);
             }
             String txn = "t" + served.incrementAndGet();
-            Http.Message answer = Site.ask(socket, Http.page("/api/x", txn, "5000m"));
+            Http.Message answer = NodeHarness.exchange(socket, Http.pageRequest("/api/x", txn, "5000m"));
             assertEquals(200, answer.status());
             assertEquals("two", answer.body(), "the server that is not cordoned");
             if ("close".equals(answer.headers().get("connection"))) {
@@ -133,14 +133,14 @@
         }
     }
 
-    private static Path config(Path folder, FarServer one, FarServer two) throws IOException {
+    private static Path config(Path folder, FakeServer one, FakeServer two) throws IOException {
         return Files.writeString(folder.resolve("config.json"), """
                 {"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":256},
                  "known":%s,
                  "settings":{"zones":["here"],"limits":{"attemptsCap":4},
                  "classes":[{"name":"page","onTimeUs":1000000,"giveUpUs":5000000,"repeat":"safe"}]}}
-                """.formatted(
-                        Site.list(1, true, "s0=" + one.endpoint() + "=Ready", "s1=" + two.endpoint() + "=Ready")));
+                """.formatted(NodeHarness.endpointList(
+                1, true, "s0=" + one.endpoint() + "=Ready", "s1=" + two.endpoint() + "=Ready")));
     }
 
     @Test
@@ -149,8 +149,8 @@
         List<ProcessHandle> programs = new ArrayList<>();
         ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
         AtomicInteger more = new AtomicInteger(1);
-        try (FarServer one = FarServer.serving("one");
-                FarServer two = FarServer.serving("two")) {
+        try (FakeServer one = FakeServer.respondingWith("one");
+                FakeServer two = FakeServer.respondingWith("two")) {
             platform = platform(
                     "listen",
                     Map.of(
@@ -209,8 +209,8 @@
 
     @Test
     void aDescriptorThatIsNoListeningSocketEndsTheStart(@TempDir Path folder) throws Exception {
-        try (FarServer one = FarServer.serving("one");
-                FarServer two = FarServer.serving("two")) {
+        try (FakeServer one = FakeServer.respondingWith("one");
+                FakeServer two = FakeServer.respondingWith("two")) {
             String java = ProcessHandle.current().info().command().orElseThrow();
             for (String descriptor : new String[] {"0", "3"}) {
                 ProcessBuilder builder = new ProcessBuilder(
--- a/node/src/test/java/loadbalancer/process/SmallHeapTest.java
+++ b/node/src/test/java/loadbalancer/process/SmallHeapTest.java
@@ -112,11 +112,11 @@
                 threads.submit(() -> {
                     Http.Message asked = Http.readHead(socket.getInputStream());
                     String txn = asked.headers().get("x-txn");
-                    if (asked.start().startsWith("GET")) {
-                        Site.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + LENGTH + "\r\n\r\n");
+                    if (asked.startLine().startsWith("GET")) {
+                        NodeHarness.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + LENGTH + "\r\n\r\n");
                         send(socket.getOutputStream(), txn);
                     } else {
-                        Site.write(socket, Http.ok(digest(socket.getInputStream(), PART)));
+                        NodeHarness.write(socket, Http.okResponse(digest(socket.getInputStream(), PART)));
                     }
                     return null;
                 });
@@ -126,7 +126,7 @@
 
     private String download(int port, String txn) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            Site.write(socket, Http.page("/api/x", txn, "60000m"));
+            NodeHarness.write(socket, Http.pageRequest("/api/x", txn, "60000m"));
             assertEquals(200, Http.readHead(socket.getInputStream()).status());
             return digest(socket.getInputStream(), PART);
         }
@@ -134,12 +134,12 @@
 
     private String upload(int port, String txn) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            Site.write(
+            NodeHarness.write(
                     socket,
-                    Http.order(txn, "60000m")
+                    Http.orderRequest(txn, "60000m")
                             .replace("Content-Length: 2\r\n\r\nab", "Content-Length: " + LENGTH + "\r\n\r\n"));
             send(socket.getOutputStream(), txn);
-            return Http.read(socket.getInputStream()).body();
+            return Http.readMessage(socket.getInputStream()).body();
         }
     }
 
@@ -154,7 +154,7 @@
                      "classes":[{"name":"page","onTimeUs":60000000,"giveUpUs":60000000,"repeat":"safe"},
                       {"name":"order","onTimeUs":60000000,"giveUpUs":60000000,"repeat":"unsafe"}]}}
                     """.formatted(
-                            Site.list(1, true, "s0=127.0.0.1:" + listening.getLocalPort() + "=Ready")));
+                            NodeHarness.endpointList(1, true, "s0=127.0.0.1:" + listening.getLocalPort() + "=Ready")));
             String java = ProcessHandle.current().info().command().orElseThrow();
             ProcessBuilder builder = new ProcessBuilder(
                     java,
--- a/node/src/test/java/loadbalancer/process/StalledLoopTest.java
+++ b/node/src/test/java/loadbalancer/process/StalledLoopTest.java
@@ -35,18 +35,20 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aRequestThatWaitedToBeReadTellsTheServerWhatIsLeftToItsClient(boolean newConnection) throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            Socket open = site.connect();
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket open = harness.connect();
             assertEquals(
-                    200, Site.ask(open, Http.page("/api/p", "first", "15000m")).status());
-            CountDownLatch release = site.holdLoop();
-            Socket client = newConnection ? site.connect() : open;
-            Site.write(client, Http.page("/api/p", "second", "15000m"));
+                    200,
+                    NodeHarness.exchange(open, Http.pageRequest("/api/p", "first", "15000m"))
+                            .status());
+            CountDownLatch release = harness.blockEventLoop();
+            Socket client = newConnection ? harness.connect() : open;
+            NodeHarness.write(client, Http.pageRequest("/api/p", "second", "15000m"));
             stall(release);
-            assertEquals(200, Http.read(client.getInputStream()).status());
-            FarServer.next(server.requests);
-            String left = FarServer.next(server.requests).headers().get("x-remaining");
+            assertEquals(200, Http.readMessage(client.getInputStream()).status());
+            FakeServer.awaitNext(server.requests);
+            String left = FakeServer.awaitNext(server.requests).headers().get("x-remaining");
             long remainingUs = Long.parseLong(left.substring(0, left.length() - 1));
             assertTrue(remainingUs <= 15_000_000 - STALL_MS * 1_000, "told " + left);
         }
@@ -55,37 +57,44 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aRequestWhoseTimeRanOutUnreadIsRefusedAndNotSent(boolean newConnection) throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            Socket open = site.connect();
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket open = harness.connect();
             assertEquals(
-                    200, Site.ask(open, Http.page("/api/p", "first", "15000m")).status());
-            CountDownLatch release = site.holdLoop();
-            Socket client = newConnection ? site.connect() : open;
-            Site.write(client, Http.page("/api/p", "late", "200m"));
+                    200,
+                    NodeHarness.exchange(open, Http.pageRequest("/api/p", "first", "15000m"))
+                            .status());
+            CountDownLatch release = harness.blockEventLoop();
+            Socket client = newConnection ? harness.connect() : open;
+            NodeHarness.write(client, Http.pageRequest("/api/p", "late", "200m"));
             stall(release);
-            assertEquals(503, Http.read(client.getInputStream()).status());
+            assertEquals(503, Http.readMessage(client.getInputStream()).status());
+            assertEquals(
+                    200,
+                    NodeHarness.exchange(client, Http.pageRequest("/api/p", "last", "15000m"))
+                            .status());
             assertEquals(
-                    200, Site.ask(client, Http.page("/api/p", "last", "15000m")).status());
-            assertEquals("first", FarServer.next(server.requests).headers().get("x-txn"));
-            assertEquals("last", FarServer.next(server.requests).headers().get("x-txn"));
+                    "first", FakeServer.awaitNext(server.requests).headers().get("x-txn"));
+            assertEquals("last", FakeServer.awaitNext(server.requests).headers().get("x-txn"));
         }
     }
 
     @Test
     void aRequestSentAheadHasTheTimeThatIsLeftOnceItIsItsTurn() throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (FakeServer server = new FakeServer((request, peer) -> {
                     if ("first".equals(request.headers().get("x-txn"))) {
                         stall(new CountDownLatch(1));
                     }
-                    peer.write(Http.ok("x"));
+                    peer.write(Http.okResponse("x"));
                 });
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            Site.write(client, Http.page("/api/p", "first", "15000m") + Http.page("/api/p", "second", "15000m"));
-            assertEquals(200, Http.read(client.getInputStream()).status());
-            FarServer.next(server.requests);
-            String left = FarServer.next(server.requests).headers().get("x-remaining");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(
+                    client,
+                    Http.pageRequest("/api/p", "first", "15000m") + Http.pageRequest("/api/p", "second", "15000m"));
+            assertEquals(200, Http.readMessage(client.getInputStream()).status());
+            FakeServer.awaitNext(server.requests);
+            String left = FakeServer.awaitNext(server.requests).headers().get("x-remaining");
             long remainingUs = Long.parseLong(left.substring(0, left.length() - 1));
             assertTrue(remainingUs <= 15_000_000 - STALL_MS * 1_000, "told " + left);
         }
@@ -95,33 +104,34 @@
     void anAttemptWhoseTimeRanOutIsToldBeforeANewOneBegins() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         AtomicBoolean newOneWasFirst = new AtomicBoolean();
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (FakeServer server = new FakeServer((request, peer) -> {
                     if ("hangs".equals(request.headers().get("x-txn"))) {
                         await(never);
                     }
-                    peer.write(Http.ok("x"));
+                    peer.write(Http.okResponse("x"));
                 });
-                Site site = Site.quiet()) {
-            Function<BalancerActions, Balancer> module = site.module;
-            site.module = actions -> onTimeout(module.apply(actions), () -> {
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            Function<BalancerActions, Balancer> module = harness.balancerFactory;
+            harness.balancerFactory = actions -> onTimeout(module.apply(actions), () -> {
                 // Whatever was written by now has come to the server.
                 stall(new CountDownLatch(1));
                 newOneWasFirst.set(server.requests.stream()
                         .anyMatch(request -> "new".equals(request.headers().get("x-txn"))));
             });
-            site.start(server);
-            Socket first = site.connect();
-            Socket second = site.connect();
-            Site.write(first, Http.order("hangs", "150m"));
-            FarServer.next(server.requests);
+            harness.start(server);
+            Socket first = harness.connect();
+            Socket second = harness.connect();
+            NodeHarness.write(first, Http.orderRequest("hangs", "150m"));
+            FakeServer.awaitNext(server.requests);
             // A connection to the server that is free, so that the new attempt is written as it begins.
             assertEquals(
                     200,
-                    Site.ask(second, Http.page("/api/p", "before", "15000m")).status());
-            CountDownLatch release = site.holdLoop();
-            Site.write(second, Http.page("/api/p", "new", "15000m"));
+                    NodeHarness.exchange(second, Http.pageRequest("/api/p", "before", "15000m"))
+                            .status());
+            CountDownLatch release = harness.blockEventLoop();
+            NodeHarness.write(second, Http.pageRequest("/api/p", "new", "15000m"));
             stall(release);
-            assertEquals(200, Http.read(second.getInputStream()).status());
+            assertEquals(200, Http.readMessage(second.getInputStream()).status());
             never.countDown();
             assertFalse(newOneWasFirst.get());
         }
@@ -150,15 +160,15 @@
     @Test
     void aNodeThatEndsAnswersWhatServersHoldBeforeItIsKilled() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        try (FarServer server = new FarServer((request, peer) -> await(never));
-                Site site = Site.quiet().start(server)) {
-            Socket out = site.connect();
-            Site.write(out, Http.order("out", "60000m"));
-            FarServer.next(server.requests);
+        try (FakeServer server = new FakeServer((request, peer) -> await(never));
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket out = harness.connect();
+            NodeHarness.write(out, Http.orderRequest("out", "60000m"));
+            FakeServer.awaitNext(server.requests);
             CountDownLatch done = new CountDownLatch(1);
-            site.node.drain(done::countDown);
+            harness.node.drain(done::countDown);
             // The client would wait for a minute, the platform kills the process 3.7 s after its SIGTERM.
-            Http.Message answer = Http.read(out.getInputStream());
+            Http.Message answer = Http.readMessage(out.getInputStream());
             assertEquals(502, answer.status());
             assertEquals("close", answer.headers().get("connection"));
             out.close();
--- a/node/src/test/java/loadbalancer/process/WarmUpTest.java
+++ b/node/src/test/java/loadbalancer/process/WarmUpTest.java
@@ -13,31 +13,32 @@
 
     @Test
     void requestsAreServedWithNoWordToDiscovery() throws Exception {
-        try (Site site = Site.quiet()) {
-            assertTrue(WarmUp.play(site.config(Site.list(1, true)), site.loop) > 0);
-            assertEquals(0, site.discovery.connections.get());
+        try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            assertTrue(WarmUp.play(harness.config(NodeHarness.endpointList(1, true)), harness.loop) > 0);
+            assertEquals(0, harness.discovery.connectionCount.get());
         }
     }
 
     @Test
     void littleCpuDoesNotCutItShort() throws Exception {
-        try (Site site = Site.quiet()) {
+        try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             // The loop stands still for most of the time, as it does where the process has a part of a core.
-            site.loop.scheduleWithFixedDelay(() -> LockSupport.parkNanos(2_000_000), 0, 1, TimeUnit.MICROSECONDS);
-            assertEquals(WarmUp.REQUESTS, WarmUp.play(site.config(Site.list(1, true)), site.loop));
+            harness.loop.scheduleWithFixedDelay(() -> LockSupport.parkNanos(2_000_000), 0, 1, TimeUnit.MICROSECONDS);
+            assertEquals(WarmUp.REQUESTS, WarmUp.play(harness.config(NodeHarness.endpointList(1, true)), harness.loop));
         }
     }
 
     @Test
     void aNodeThatIsClosedLeavesNothingOpen() throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                Site site = Site.quiet().start(server)) {
-            Socket client = site.connect();
-            assertEquals(200, Site.ask(client, Http.page("t")).status());
-            site.node.close();
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            assertEquals(
+                    200, NodeHarness.exchange(client, Http.pageRequest("t")).status());
+            harness.node.close();
             assertEquals(-1, client.getInputStream().read());
-            FarServer.next(server.ended);
-            site.awaitRefusal();
+            FakeServer.awaitNext(server.closedConnections);
+            harness.awaitConnectionRefused();
         }
     }
 }
--- a/node/src/test/java/loadbalancer/upstream/LoadReportDecoderTest.java
+++ b/node/src/test/java/loadbalancer/upstream/LoadReportDecoderTest.java
@@ -12,9 +12,9 @@
 import loadbalancer.policy.Balancer;
 import loadbalancer.policy.LoadReportField;
 import loadbalancer.policy.ServiceQBalancer;
-import loadbalancer.process.FarServer;
+import loadbalancer.process.FakeServer;
 import loadbalancer.process.Http;
-import loadbalancer.process.Site;
+import loadbalancer.process.NodeHarness;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -53,12 +53,12 @@
     void theModuleHearsOfTheReportWithTheAnswer() throws Exception {
         BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
         String[] reports = {"TEXT depth=1, concurrent=9", "TEXT depth=?"};
-        try (FarServer server = new FarServer((request, peer) -> peer.write(Http.answer(
+        try (FakeServer server = new FakeServer((request, peer) -> peer.write(Http.response(
                         "200 OK", "X-Pressure: " + reports["/api/a".equals(request.path()) ? 0 : 1] + "\r\n", "x")));
-                Site site = Site.quiet()) {
-            site.settings.reportFields.addAll(FIELDS);
-            site.module = actions -> {
-                Balancer sound = new ServiceQBalancer(site.settings, 7, actions);
+                NodeHarness harness = NodeHarness.withSilentDiscovery()) {
+            harness.settings.reportFields.addAll(FIELDS);
+            harness.balancerFactory = actions -> {
+                Balancer sound = new ServiceQBalancer(harness.settings, 7, actions);
                 return (Balancer) Proxy.newProxyInstance(
                         Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                             if (args.length == 2 && args[1] instanceof AttemptOutcome outcome) {
@@ -67,12 +67,16 @@
                             return method.invoke(sound, args);
                         });
             };
-            site.start(server);
-            assertEquals("x", site.ask(Http.page("/api/a", "t", "4000m")).body());
+            harness.start(server);
+            assertEquals(
+                    "x",
+                    harness.exchange(Http.pageRequest("/api/a", "t", "4000m")).body());
             assertArrayEquals(
-                    new double[] {1, 9}, FarServer.next(outcomes).report().values());
-            assertEquals("x", site.ask(Http.page("/api/b", "u", "4000m")).body());
-            assertNull(FarServer.next(outcomes).report());
+                    new double[] {1, 9}, FakeServer.awaitNext(outcomes).report().values());
+            assertEquals(
+                    "x",
+                    harness.exchange(Http.pageRequest("/api/b", "u", "4000m")).body());
+            assertNull(FakeServer.awaitNext(outcomes).report());
         }
     }
 }
