--- a/node/src/main/java/loadbalancer/admin/ControlServer.java
+++ b/node/src/main/java/loadbalancer/admin/ControlServer.java
@@ -21,7 +21,7 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.common.Log;
-import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.TransferLimits;
 
 /** The address for operators: one call, a line, to a connection. */
 public final class ControlServer {
@@ -67,7 +67,7 @@
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
+                .childOption(ChannelOption.ALLOCATOR, TransferLimits.ALLOCATOR)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
--- a/node/src/main/java/loadbalancer/client/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -28,8 +28,10 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.common.Log;
 import loadbalancer.eventloop.LoopLag;
+import loadbalancer.http.TransferCodings;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
+import loadbalancer.transfer.TransferLimits;
 
 /**
  * A client's connection: one request at a time, further ones wait their turn. It is long because reading,
@@ -161,7 +163,8 @@
         }
         long since = now - connectedAtNanos;
         // What flows is no slower than the server that takes it.
-        boolean slow = upload == null && came + MOST_PART < LEAST_BYTES_PER_NANO * (since - MOST_UNPROVEN_NANOS);
+        boolean slow = upload == null
+                && came + TransferLimits.MAX_READ_BYTES < LEAST_BYTES_PER_NANO * (since - MOST_UNPROVEN_NANOS);
         return since > MOST_UNPROVEN_NANOS && (silence > MOST_PAUSE_NANOS || head == null || slow);
     }
 
@@ -246,7 +249,7 @@
     /** The rest of a request that has its answer: read to its end, as the client may read only then. */
     private void drop(HttpContent content) {
         came += content.content().readableBytes();
-        if (came > MOST_BODY) {
+        if (came > TransferLimits.MAX_BODY_BYTES) {
             channel.close();
         } else if (content instanceof LastHttpContent) {
             whole = true;
@@ -279,9 +282,9 @@
                     HttpResponseStatus.BAD_REQUEST,
                     bodiless ? NO_BODY : (e.getMessage() + "\n").getBytes(StandardCharsets.UTF_8));
         }
-        if (!StrictServerCodec.isPlain(request)) {
+        if (!TransferCodings.isChunkedAtMost(request)) {
             reject(HttpResponseStatus.BAD_REQUEST);
-        } else if (length > (head == null ? MOST_GATHERED : MOST_BODY)) {
+        } else if (length > (head == null ? TransferLimits.MAX_BUFFERED_BYTES : TransferLimits.MAX_BODY_BYTES)) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         } else if (request.headers().contains(HttpHeaderNames.EXPECT)) {
             meet(request);
@@ -299,7 +302,7 @@
 
     private void add(HttpContent content) {
         came += content.content().readableBytes();
-        if (came > (head == null ? MOST_GATHERED : MOST_BODY)) {
+        if (came > (head == null ? TransferLimits.MAX_BUFFERED_BYTES : TransferLimits.MAX_BODY_BYTES)) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
@@ -311,9 +314,9 @@
         }
         if (last) {
             whole = true;
-            goOn();
+            resumeReading();
             end();
-        } else if (came > MOST_GATHERED && upload == null) {
+        } else if (came > TransferLimits.MAX_BUFFERED_BYTES && upload == null) {
             upload = new RequestBody(this, length, gathered);
             gathered = null;
             ask(NO_BODY);
@@ -323,7 +326,7 @@
     private void gather(ByteBuf bytes) {
         if (gathered == null) {
             // Not for what is announced, which may never come.
-            gathered = ALLOCATOR.buffer(bytes.readableBytes());
+            gathered = TransferLimits.ALLOCATOR.buffer(bytes.readableBytes());
         }
         gathered.writeBytes(bytes);
     }
@@ -372,7 +375,7 @@
     }
 
     @Override
-    public void holdBack() {
+    public void pauseReading() {
         if (!settled) {
             heldBack = true;
             channel.config().setAutoRead(false);
@@ -380,7 +383,7 @@
     }
 
     @Override
-    public void goOn() {
+    public void resumeReading() {
         heldBack = false;
         activeAtNanos = System.nanoTime();
         if (!waiting.isFull()) {
@@ -430,7 +433,7 @@
         channel.write(new DefaultHttpContent(part));
         if (!channel.isWritable() && stalledSinceNanos == 0) {
             stalledSinceNanos = System.nanoTime();
-            answering.holdBack();
+            answering.pauseReading();
         }
     }
 
@@ -462,7 +465,7 @@
         settled = true;
         if (upload != null) {
             upload = null;
-            goOn();
+            resumeReading();
         }
         activeAtNanos = System.nanoTime();
         // What was read ahead has been taken, and is answered before the connection ends.
@@ -520,7 +523,7 @@
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (answering != null && channel.isWritable() && stalledSinceNanos != 0) {
             stalledSinceNanos = 0;
-            answering.goOn();
+            answering.resumeReading();
         }
     }
 
--- a/node/src/main/java/loadbalancer/client/ClientServer.java
+++ b/node/src/main/java/loadbalancer/client/ClientServer.java
@@ -17,7 +17,7 @@
 import loadbalancer.common.SocketBudget;
 import loadbalancer.eventloop.LoopLag;
 import loadbalancer.eventloop.MeasuredEventLoop;
-import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.TransferLimits;
 
 /** The side that clients see: connections, what they ask, and the answers they get. */
 public final class ClientServer implements ClientConnection.Owner {
@@ -61,13 +61,14 @@
                         () -> inherited == null ? new NioServerSocketChannel() : new NioServerSocketChannel(inherited))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, 1024)
-                .childOption(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
+                .childOption(ChannelOption.ALLOCATOR, TransferLimits.ALLOCATOR)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.SO_SNDBUF, FlowControl.SYSTEM_BUFFER)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, FlowControl.WATER_MARK)
+                .childOption(ChannelOption.SO_SNDBUF, TransferLimits.SOCKET_SEND_BUFFER_BYTES)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, TransferLimits.WRITE_WATER_MARK)
                 // Until nothing is left to read: a client's end may stand right behind its request.
                 .childOption(
-                        ChannelOption.RECVBUF_ALLOCATOR, FlowControl.parts().respectMaybeMoreData(false))
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        TransferLimits.newReadAllocator().respectMaybeMoreData(false))
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
--- a/node/src/main/java/loadbalancer/client/PipelinedMessages.java
+++ b/node/src/main/java/loadbalancer/client/PipelinedMessages.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
-import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.TransferLimits;
 
 /** What a client has sent ahead of the answer that it is due, in order; bounded, as it may never stop. */
 public final class PipelinedMessages {
@@ -36,7 +36,7 @@
 
     /** Whether nothing more should be read until some of it is gone. */
     public boolean isFull() {
-        return bytes >= FlowControl.MOST_GATHERED;
+        return bytes >= TransferLimits.MAX_BUFFERED_BYTES;
     }
 
     void release() {
--- a/node/src/main/java/loadbalancer/client/StrictServerCodec.java
+++ b/node/src/main/java/loadbalancer/client/StrictServerCodec.java
@@ -4,14 +4,12 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.CombinedChannelDuplexHandler;
 import io.netty.handler.codec.http.HttpDecoderConfig;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
-import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.TransferLimits;
 
 /**
  * HTTP as a node speaks it to clients. A request whose end could be read in two ways is none: Netty drops the
@@ -30,17 +28,13 @@
         return ((Decoder) inboundHandler()).isAmidMessage();
     }
 
-    /** Whether a body in chunks is coded in that one way only, which is all that a node can pass on. */
-    public static boolean isPlain(HttpMessage message) {
-        return message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING).stream()
-                .allMatch(HttpHeaderValues.CHUNKED::contentEqualsIgnoreCase);
-    }
-
     private static final class Decoder extends HttpRequestDecoder {
         private boolean begun;
 
         Decoder() {
-            super(new HttpDecoderConfig().setMaxChunkSize(FlowControl.MOST_PART).setMaxInitialLineLength(MOST_LINE));
+            super(new HttpDecoderConfig()
+                    .setMaxChunkSize(TransferLimits.MAX_READ_BYTES)
+                    .setMaxInitialLineLength(MOST_LINE));
         }
 
         @Override
--- a/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
+++ b/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
@@ -32,9 +32,9 @@
 import loadbalancer.common.Log;
 import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.http.StrictClientCodec;
 import loadbalancer.net.SocketAddresses;
-import loadbalancer.transfer.FlowControl;
-import loadbalancer.upstream.StrictClientCodec;
+import loadbalancer.transfer.TransferLimits;
 
 /**
  * The watch on discovery's list. When it breaks it says so. Asking again is the module's word where the list
@@ -113,7 +113,7 @@
         dialer = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
+                .option(ChannelOption.ALLOCATOR, TransferLimits.ALLOCATOR)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
--- a/node/src/main/java/loadbalancer/upstream/StrictClientCodec.java
+++ b/node/src/main/java/loadbalancer/http/StrictClientCodec.java
@@ -1,11 +1,11 @@
-package loadbalancer.upstream;
+package loadbalancer.http;
 
 import io.netty.channel.CombinedChannelDuplexHandler;
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.util.AsciiString;
-import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.TransferLimits;
 
 /**
  * HTTP as a node speaks it to servers and discovery: answers are held to the rules that Netty keeps for
@@ -18,7 +18,7 @@
 
     private static final class Decoder extends HttpResponseDecoder {
         Decoder() {
-            super(new HttpDecoderConfig().setMaxChunkSize(FlowControl.MOST_PART));
+            super(new HttpDecoderConfig().setMaxChunkSize(TransferLimits.MAX_READ_BYTES));
         }
 
         /**
--- a/node/src/main/java/loadbalancer/process/WarmUp.java
+++ b/node/src/main/java/loadbalancer/process/WarmUp.java
@@ -29,12 +29,12 @@
 import loadbalancer.config.NodeConfig;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.eventloop.MeasuredEventLoop;
+import loadbalancer.http.StrictClientCodec;
 import loadbalancer.policy.Idempotency;
 import loadbalancer.policy.RequestClass;
 import loadbalancer.policy.ServerEntry;
 import loadbalancer.policy.ServerState;
-import loadbalancer.transfer.FlowControl;
-import loadbalancer.upstream.StrictClientCodec;
+import loadbalancer.transfer.TransferLimits;
 
 /**
  * Warms a starting process before it listens: a node apart serves requests between a client and a server of
@@ -70,7 +70,7 @@
         Channel server = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                .childOption(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
+                .childOption(ChannelOption.ALLOCATOR, TransferLimits.ALLOCATOR)
                 .childHandler(pipeline(true))
                 .bind(new InetSocketAddress(config.listen().getAddress(), 0))
                 .syncUninterruptibly()
@@ -82,7 +82,7 @@
         Bootstrap client = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
+                .option(ChannelOption.ALLOCATOR, TransferLimits.ALLOCATOR)
                 .handler(pipeline(false));
         for (int i = 0; i < CLIENTS; i++) {
             client.connect(listening.localAddress());
@@ -105,7 +105,7 @@
                 channel.pipeline()
                         .addLast(
                                 codec,
-                                new HttpObjectAggregator(FlowControl.MOST_GATHERED),
+                                new HttpObjectAggregator(TransferLimits.MAX_BUFFERED_BYTES),
                                 server ? new FarServer() : new FarClient());
             }
         };
--- a/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -17,6 +17,7 @@
 import loadbalancer.policy.LoadReport;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
+import loadbalancer.transfer.TransferLimits;
 import loadbalancer.upstream.LoadReportDecoder;
 import loadbalancer.upstream.UpstreamExchange;
 
@@ -156,7 +157,7 @@
     }
 
     private void expireIfSilent() {
-        if (given > MOST_GATHERED) {
+        if (given > TransferLimits.MAX_BUFFERED_BYTES) {
             // One whose first bytes were owed in time, and its rest for as long as the server gives it.
             return;
         }
@@ -213,16 +214,16 @@
     }
 
     @Override
-    public void holdBack() {
+    public void pauseReading() {
         heldBack = true;
-        answer.holdBack();
+        answer.pauseReading();
     }
 
     @Override
-    public void goOn() {
+    public void resumeReading() {
         heldBack = false;
         movedAtUs = means.clock().nowUs();
-        answer.goOn();
+        answer.resumeReading();
     }
 
     /** Its time is up. */
--- a/node/src/main/java/loadbalancer/transfer/RequestBody.java
+++ b/node/src/main/java/loadbalancer/transfer/RequestBody.java
@@ -49,7 +49,7 @@
         this.client = client;
         this.length = length;
         this.beginning = beginning;
-        client.holdBack();
+        client.pauseReading();
     }
 
     public void follow(Listener by) {
@@ -138,9 +138,9 @@
         if (hold != heldBack) {
             heldBack = hold;
             if (hold) {
-                client.holdBack();
+                client.pauseReading();
             } else {
-                client.goOn();
+                client.resumeReading();
             }
         }
     }
@@ -151,7 +151,7 @@
             sink = null;
             heldBack = true;
             if (!whole) {
-                client.holdBack();
+                client.pauseReading();
             }
         }
     }
--- a/node/src/main/java/loadbalancer/upstream/ServerConnection.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerConnection.java
@@ -20,12 +20,13 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.client.StrictServerCodec;
 import loadbalancer.common.Clock;
 import loadbalancer.common.Log;
+import loadbalancer.http.TransferCodings;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
+import loadbalancer.transfer.TransferLimits;
 
 /** A connection to a server, which carries one exchange at a time. */
 final class ServerConnection extends ChannelInboundHandlerAdapter implements FlowControl, RequestBody.Sink {
@@ -170,12 +171,12 @@
     }
 
     @Override
-    public void holdBack() {
+    public void pauseReading() {
         channel.config().setAutoRead(false);
     }
 
     @Override
-    public void goOn() {
+    public void resumeReading() {
         channel.config().setAutoRead(true);
     }
 
@@ -210,11 +211,11 @@
         if (message instanceof HttpResponse response) {
             head = response;
             dropBody();
-            body = ALLOCATOR.buffer(
-                    Math.max(0, (int) Math.min(MOST_GATHERED, HttpUtil.getContentLength(response, 256L))));
+            body = TransferLimits.ALLOCATOR.buffer(Math.max(
+                    0, (int) Math.min(TransferLimits.MAX_BUFFERED_BYTES, HttpUtil.getContentLength(response, 256L))));
             // Where only the end of the connection ends a body, it must be an end that was announced:
             // else one cut short would pass for whole.
-            if (!StrictServerCodec.isPlain(response)
+            if (!TransferCodings.isChunkedAtMost(response)
                     || response.status().code() == 200
                             && length() < 0
                             && !HttpUtil.isTransferEncodingChunked(response)
@@ -255,7 +256,9 @@
             // Nobody is told what an error says.
             return;
         }
-        if (!flows && Math.max(length(), body.readableBytes() + part.readableBytes()) > MOST_GATHERED) {
+        if (!flows
+                && Math.max(length(), body.readableBytes() + part.readableBytes())
+                        > TransferLimits.MAX_BUFFERED_BYTES) {
             flow();
         }
         if (flows) {
@@ -337,7 +340,7 @@
         head = null;
         dropBody();
         flows = false;
-        goOn();
+        resumeReading();
         if (upload != null) {
             upload.stop(this);
         }
--- a/node/src/main/java/loadbalancer/upstream/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -17,9 +17,10 @@
 import loadbalancer.common.Clock;
 import loadbalancer.common.SocketBudget;
 import loadbalancer.discovery.EndpointList;
+import loadbalancer.http.StrictClientCodec;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.ServerState;
-import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.TransferLimits;
 
 /** The connections to servers: one exchange at a time on each, the most recently used first. */
 public final class ServerPool {
@@ -44,11 +45,11 @@
         dialer = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
+                .option(ChannelOption.ALLOCATOR, TransferLimits.ALLOCATOR)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.SO_SNDBUF, FlowControl.SYSTEM_BUFFER)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, FlowControl.WATER_MARK)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, FlowControl.parts())
+                .option(ChannelOption.SO_SNDBUF, TransferLimits.SOCKET_SEND_BUFFER_BYTES)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, TransferLimits.WRITE_WATER_MARK)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, TransferLimits.newReadAllocator())
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
