--- a/node/src/main/java/loadbalancer/client/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -39,9 +39,9 @@
  */
 public final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements FlowControl {
     /** What becomes of a request; told once. */
-    public interface OpenRequest {
+    public interface CloseListener {
         /** The client has closed before it had its answer, or lost the right to one. */
-        void left();
+        void onClientGone();
     }
 
     /** Whoever has accepted the connection. */
@@ -53,19 +53,19 @@
         RequestReader reader();
 
         /** Whether every answer is to end its connection. */
-        boolean drains();
+        boolean isDraining();
 
         /** What {@code GET /up} is answered. */
-        HttpResponseStatus up();
+        HttpResponseStatus readiness();
 
         /** It has begun to ask: others have been idle for longer. */
-        void used(ClientConnection client);
+        void onRequestStarted(ClientConnection client);
 
-        /** A whole request that can be read; it is owed one {@link #answer}. */
-        void asked(ClientConnection client, ClientRequest request);
+        /** A whole request that can be read; it is owed one {@link #sendResponse}. */
+        void onRequest(ClientConnection client, ClientRequest request);
 
         /** It is closed. */
-        void closed(ClientConnection client);
+        void onClosed(ClientConnection client);
     }
 
     private static final byte[] NO_BODY = {};
@@ -124,7 +124,7 @@
     /** The end of the time in which what still comes is dropped; null until the node ends its side. */
     private Future<?> lingering;
     /** The request that is open, as its owner knows it. */
-    private OpenRequest held;
+    private CloseListener held;
 
     /** A server's answer that flows to the client, and since when the client takes no more of it. */
     private FlowControl answering;
@@ -188,16 +188,16 @@
     }
 
     /** Tells that the client has left, once, if its end has been read; else that is told a little later. */
-    public void tellIfLeft() {
-        OpenRequest open = held;
+    public void notifyIfClosed() {
+        CloseListener open = held;
         if (!channel.isActive() && open != null) {
             held = null;
-            open.left();
+            open.onClientGone();
         }
     }
 
     /** What is told if the client leaves. */
-    public void hold(OpenRequest request) {
+    public void setCloseListener(CloseListener request) {
         held = request;
     }
 
@@ -263,14 +263,14 @@
         settled = false;
         written = false;
         keepAlive = HttpUtil.isKeepAlive(request);
-        owner.used(this);
+        owner.onRequestStarted(this);
         came = 0;
         length = HttpUtil.getContentLength(request, -1L);
         try {
             request.setUri(RequestReader.target(request.uri()));
             String path = RequestReader.path(request.uri());
             if (path.equals("/up")) {
-                verdict = new Verdict(owner.up(), NO_BODY);
+                verdict = new Verdict(owner.readiness(), NO_BODY);
             } else if (RequestReader.isRequestPath(path)) {
                 head = owner.reader().read(request);
             } else {
@@ -333,7 +333,7 @@
 
     private void end() {
         if (verdict != null) {
-            answer(verdict.status, verdict.body, 0);
+            sendResponse(verdict.status, verdict.body, 0);
         } else if (upload != null) {
             proven = true;
             upload.end();
@@ -347,12 +347,12 @@
     private void ask(byte[] body) {
         proven |= whole;
         try {
-            owner.asked(this, new ClientRequest(head, body, upload, partArrivedAtNanos));
+            owner.onRequest(this, new ClientRequest(head, body, upload, partArrivedAtNanos));
         } catch (RuntimeException e) {
             // A defect met by one request must not leave it without an answer.
             Log.error("request_error", e, "uri", head.uri());
             if (held == null) {
-                answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
+                sendResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
             }
         }
     }
@@ -367,10 +367,10 @@
         busy = true;
         whole = true;
         written = false;
-        OpenRequest open = held;
-        answer(status, NO_BODY, 0);
+        CloseListener open = held;
+        sendResponse(status, NO_BODY, 0);
         if (open != null) {
-            open.left();
+            open.onClientGone();
         }
     }
 
@@ -401,7 +401,7 @@
     // ---------------------------------------------------------------- what it is answered
 
     /** The one answer to the request that is open; {@code retryAfterUs} of 0 gives no advice. */
-    public void answer(HttpResponseStatus status, byte[] body, long retryAfterUs) {
+    public void sendResponse(HttpResponseStatus status, byte[] body, long retryAfterUs) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
@@ -414,7 +414,7 @@
     }
 
     /** The beginning of a server's answer of this length, or of -1 where it is not known. */
-    public void beginAnswer(long answerLength, FlowControl from) {
+    public void startResponse(long answerLength, FlowControl from) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (answerLength >= 0) {
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answerLength);
@@ -429,7 +429,7 @@
     }
 
     /** The answer's next part, which is taken over. */
-    public void continueAnswer(ByteBuf part) {
+    public void writeResponsePart(ByteBuf part) {
         channel.write(new DefaultHttpContent(part));
         if (!channel.isWritable() && stalledSinceNanos == 0) {
             stalledSinceNanos = System.nanoTime();
@@ -437,12 +437,12 @@
         }
     }
 
-    public void flushAnswer() {
+    public void flushResponse() {
         channel.flush();
     }
 
     /** Writes the end of an answer that was sent in parts, and goes on to the next request. */
-    public void endAnswer() {
+    public void endResponse() {
         held = null;
         answering = null;
         stalledSinceNanos = 0;
@@ -450,7 +450,7 @@
     }
 
     /** The rest will not come; by the connection's end the client can tell. */
-    public void breakOffAnswer() {
+    public void abortResponse() {
         held = null;
         answering = null;
         // Where nothing but the end tells that an answer is whole, it must be no orderly one.
@@ -469,7 +469,7 @@
         }
         activeAtNanos = System.nanoTime();
         // What was read ahead has been taken, and is answered before the connection ends.
-        if (!keepAlive || owner.drains() && waiting.isEmpty()) {
+        if (!keepAlive || owner.isDraining() && waiting.isEmpty()) {
             keepAlive = false;
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
@@ -537,8 +537,8 @@
         if (lingering != null) {
             lingering.cancel(false);
         }
-        tellIfLeft();
-        owner.closed(this);
+        notifyIfClosed();
+        owner.onClosed(this);
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/client/ClientServer.java
+++ b/node/src/main/java/loadbalancer/client/ClientServer.java
@@ -22,9 +22,9 @@
 /** The side that clients see: connections, what they ask, and the answers they get. */
 public final class ClientServer implements ClientConnection.Owner {
     /** What becomes of requests. */
-    public interface Handler {
-        /** A whole request that can be read; it is owed one {@link ClientConnection#answer}. */
-        void asked(ClientConnection client, ClientRequest request);
+    public interface RequestHandler {
+        /** A whole request that can be read; it is owed one {@link ClientConnection#sendResponse}. */
+        void onRequest(ClientConnection client, ClientRequest request);
     }
 
     /** After SIGTERM connections arrive for 0.4 s more; a tenth is room for those under way. */
@@ -33,7 +33,7 @@
     private final MeasuredEventLoop loop;
     private RequestReader reader;
     private final SocketBudget sockets;
-    private final Handler handler;
+    private final RequestHandler handler;
     /** All connections, the longest unused first. */
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
 
@@ -43,10 +43,10 @@
 
     private boolean draining;
     private boolean closed;
-    private Runnable whenEmpty = () -> {};
+    private Runnable onDrained = () -> {};
 
     /** The client side of a node; it accepts nothing until told to listen. */
-    public ClientServer(MeasuredEventLoop loop, RequestReader reader, SocketBudget sockets, Handler handler) {
+    public ClientServer(MeasuredEventLoop loop, RequestReader reader, SocketBudget sockets, RequestHandler handler) {
         this.loop = loop;
         this.reader = reader;
         this.sockets = sockets;
@@ -82,7 +82,7 @@
     }
 
     /** Requests that come from now on are read by this. */
-    public void readBy(RequestReader next) {
+    public void setRequestReader(RequestReader next) {
         reader = next;
     }
 
@@ -111,7 +111,7 @@
     }
 
     /** Closes connections that have been idle, or amid a request or an unread answer, for too long. */
-    public void closeOld() {
+    public void closeExpired() {
         long now = System.nanoTime();
         for (ClientConnection client : new ArrayList<>(clients)) {
             if (client.isOverdue(now)) {
@@ -127,14 +127,14 @@
      *
      * @param idleMs how long idle connections may stay
      */
-    public void handOver(long idleMs, Runnable whenDone) {
+    public void drainForHandover(long idleMs, Runnable drained) {
         draining = true;
         closed = true;
-        whenEmpty = whenDone;
+        onDrained = drained;
         // Not closed: with an inherited socket the JDK would end the standard streams, and with them the log.
         listening.config().setAutoRead(false);
         loop.schedule(this::shutDownResting, idleMs, TimeUnit.MILLISECONDS);
-        tellIfEmpty();
+        notifyIfDrained();
     }
 
     /** What has begun to come is waited for, and its answer ends the connection. */
@@ -146,16 +146,16 @@
      * No longer ready: new connections are served while the front may still deal them out, every answer
      * ends its connection, and then all that is idle is closed.
      *
-     * @param whenDone called once no connection is left and none can come
+     * @param drained called once no connection is left and none can come
      */
-    public void drain(Runnable whenDone) {
+    public void drain(Runnable drained) {
         draining = true;
-        whenEmpty = whenDone;
+        onDrained = drained;
         loop.schedule(
                 () -> listening.close().addListener(done -> {
                     closed = true;
                     shutDownResting();
-                    tellIfEmpty();
+                    notifyIfDrained();
                 }),
                 ARRIVING_MS,
                 TimeUnit.MILLISECONDS);
@@ -166,9 +166,9 @@
         new ArrayList<>(clients).forEach(ClientConnection::close);
     }
 
-    private void tellIfEmpty() {
+    private void notifyIfDrained() {
         if (closed && clients.isEmpty()) {
-            whenEmpty.run();
+            onDrained.run();
         }
     }
 
@@ -185,29 +185,29 @@
     }
 
     @Override
-    public boolean drains() {
+    public boolean isDraining() {
         return draining;
     }
 
     @Override
-    public HttpResponseStatus up() {
+    public HttpResponseStatus readiness() {
         return draining && !shared ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK;
     }
 
     @Override
-    public void used(ClientConnection client) {
+    public void onRequestStarted(ClientConnection client) {
         clients.remove(client);
         clients.add(client);
     }
 
     @Override
-    public void asked(ClientConnection client, ClientRequest request) {
-        handler.asked(client, request);
+    public void onRequest(ClientConnection client, ClientRequest request) {
+        handler.onRequest(client, request);
     }
 
     @Override
-    public void closed(ClientConnection client) {
+    public void onClosed(ClientConnection client) {
         clients.remove(client);
-        tellIfEmpty();
+        notifyIfDrained();
     }
 }
--- a/node/src/main/java/loadbalancer/client/RequestReader.java
+++ b/node/src/main/java/loadbalancer/client/RequestReader.java
@@ -60,7 +60,7 @@
                 idempotencyKey,
                 classIndex,
                 tenant == null ? -1 : tuning.tenants().getOrDefault(tenant, -1),
-                left(need(message, "X-Remaining")),
+                parseRemainingUs(need(message, "X-Remaining")),
                 work(one(message, "X-Estimate")),
                 "1".equals(one(message, "X-Resent")),
                 key.isEmpty() ? null : key,
@@ -106,7 +106,7 @@
     }
 
     /** Time left by X-Remaining, a number and a unit. */
-    public static long left(String text) throws BadRequestException {
+    public static long parseRemainingUs(String text) throws BadRequestException {
         double unit = text.endsWith("m") ? 1_000 : text.endsWith("u") ? 1 : 0;
         double us = unit * number(text.substring(0, text.length() - 1), "X-Remaining");
         if (unit == 0 || us > MOST_LEFT_US) {
--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -106,10 +106,10 @@
             @Override
             public void failed(String reason) {
                 Log.warn("watch_failed", "reason", reason);
-                module.tell(told -> told.onListFailed(clock.nowUs()));
+                module.submit(balancer -> balancer.onListFailed(clock.nowUs()));
             }
         });
-        module.decidedBy(deciding.apply(this));
+        module.setBalancer(deciding.apply(this));
     }
 
     // ---------------------------------------------------------------- start and end
@@ -167,8 +167,8 @@
                                 "longest_tasks_ms",
                                 activity.longestTasksNanos() / 1_000_000);
                     }
-                    pool.closeOld();
-                    clients.closeOld();
+                    pool.evictIdle();
+                    clients.closeExpired();
                     requests.expireStalled();
                     heedCordons();
                 },
@@ -182,12 +182,12 @@
     void drain(Runnable whenEmpty) {
         loop.execute(() -> {
             serves = false;
-            Log.info("draining", "open_requests", requests.open());
+            Log.info("draining", "open_requests", requests.pendingCount());
             long remainingUs = Math.min(MOST_DEADLINE_US, tuning.longestDeadlineUs()) + KILL_US - ROOM_US;
-            requests.endAt(clock.nowUs() + remainingUs);
-            loop.schedule(requests::cutOff, remainingUs, TimeUnit.MICROSECONDS);
+            requests.setShutdownDeadline(clock.nowUs() + remainingUs);
+            loop.schedule(requests::failPending, remainingUs, TimeUnit.MICROSECONDS);
             if (config.operators().inherits()) {
-                clients.handOver(Math.max(0, remainingUs - LAST_ASKED_US) / 1_000, whenEmpty);
+                clients.drainForHandover(Math.max(0, remainingUs - LAST_ASKED_US) / 1_000, whenEmpty);
             } else {
                 clients.drain(whenEmpty);
             }
@@ -221,7 +221,8 @@
 
         @Override
         public String figures() {
-            return counters.text(new Metrics.Gauges(requests.open(), pool.listed(), module.excludedServers()))
+            return counters.text(
+                            new Metrics.Gauges(requests.pendingCount(), pool.serverCount(), module.excludedServers()))
                     + (moreFigures == null ? "" : moreFigures.get());
         }
 
@@ -243,9 +244,9 @@
     }
 
     private void cordon() {
-        module.tell(told -> {
-            pool.cordon(cordons.out());
-            told.onCordoned(clock.nowUs(), cordons.out());
+        module.submit(balancer -> {
+            pool.setCordoned(cordons.out());
+            balancer.onCordoned(clock.nowUs(), cordons.out());
         });
     }
 
@@ -269,16 +270,16 @@
         counters.report(read.settings().classes);
         ClassRegistry next = tuning.then(read.settings());
         tuning = next;
-        module.tell(told -> told.onSettings(clock.nowUs(), next.settings()));
-        clients.readBy(new RequestReader(next));
-        pool.tune(next.settings().connectTimeoutUs, read.connIdleUs());
+        module.submit(balancer -> balancer.onSettings(clock.nowUs(), next.settings()));
+        clients.setRequestReader(new RequestReader(next));
+        pool.setTimeouts(next.settings().connectTimeoutUs, read.connIdleUs());
         discovery.moveTo(read.discovery());
         loop.schedule(
                 () -> {
                     // Unless another file has been taken since.
                     if (tuning == next) {
                         tuning = next.settled();
-                        clients.readBy(new RequestReader(tuning));
+                        clients.setRequestReader(new RequestReader(tuning));
                     }
                 },
                 next.settlesAfterUs(),
@@ -286,12 +287,12 @@
     }
 
     private void list(EndpointList list, ListKind kind) {
-        module.tell(told -> {
+        module.submit(balancer -> {
             // The pool first, as the module sends to new servers at once. What it frees from a draining
             // server is told after the list: the module would else send it there again.
             pool.update(list);
             cordons.listed(list);
-            told.onServers(
+            balancer.onServers(
                     clock.nowUs(),
                     kind,
                     list.hosts().stream().map(EndpointList.Host::entry).toList());
@@ -302,22 +303,22 @@
 
     @Override
     public void send(long requestId, String serverId, long beginByUs, long untilUs) {
-        requests.send(requestId, serverId, beginByUs, untilUs);
+        requests.startAttempt(requestId, serverId, beginByUs, untilUs);
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
-        requests.cancel(requestId, attempt);
+        requests.cancelAttempt(requestId, attempt);
     }
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        requests.finish(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterUs);
+        requests.respond(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterUs);
     }
 
     @Override
     public void fail(long requestId) {
-        requests.finish(requestId, HttpResponseStatus.BAD_GATEWAY, 0);
+        requests.respond(requestId, HttpResponseStatus.BAD_GATEWAY, 0);
     }
 
     /** The module keeps one wake-up pending at most: an earlier one takes the place of a later. */
@@ -339,7 +340,7 @@
                         return;
                     }
                     wake = null;
-                    module.tell(told -> told.onWake(clock.nowUs()));
+                    module.submit(balancer -> balancer.onWake(clock.nowUs()));
                 },
                 Math.max(0, wakeAtUs - clock.nowUs()),
                 TimeUnit.MICROSECONDS);
@@ -347,7 +348,7 @@
 
     @Override
     public void probe(String serverId) {
-        new HealthCheck(serverId, means).begin();
+        new HealthCheck(serverId, means).start();
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/request/HealthCheck.java
+++ b/node/src/main/java/loadbalancer/request/HealthCheck.java
@@ -22,29 +22,29 @@
     private static final long MOST_US = 1_000_000;
 
     private final String serverId;
-    private final RequestServices means;
+    private final RequestServices services;
     private final long sentAtUs;
     private Future<?> expiry;
     private LoadReport report;
 
     /** A probe of this server. */
-    public HealthCheck(String serverId, RequestServices means) {
+    public HealthCheck(String serverId, RequestServices services) {
         this.serverId = serverId;
-        this.means = means;
-        sentAtUs = means.clock().nowUs();
+        this.services = services;
+        sentAtUs = services.clock().nowUs();
     }
 
     /** Sends the probe. */
-    public void begin() {
-        expiry = means.loop()
+    public void start() {
+        expiry = services.loop()
                 .schedule(
                         () -> {
-                            means.pool().giveUp(serverId, this);
+                            services.pool().giveUp(serverId, this);
                             ended(AttemptResult.TIMEOUT, NO_BODY);
                         },
                         MOST_US,
                         TimeUnit.MICROSECONDS);
-        means.pool().start(serverId, this);
+        services.pool().start(serverId, this);
     }
 
     @Override
@@ -87,14 +87,18 @@
 
     @Override
     public void reported(String load) {
-        report = LoadReportDecoder.decode(load, means.reportFields());
+        report = LoadReportDecoder.decode(load, services.loadReportFields());
     }
 
     @Override
     public void ended(AttemptResult result, byte[] body) {
         expiry.cancel(false);
-        means.module()
-                .tell(module -> module.onProbe(
-                        means.clock().nowUs(), serverId, result, means.clock().nowUs() - sentAtUs, report));
+        services.events()
+                .submit(module -> module.onProbe(
+                        services.clock().nowUs(),
+                        serverId,
+                        result,
+                        services.clock().nowUs() - sentAtUs,
+                        report));
     }
 }
--- a/node/src/main/java/loadbalancer/request/PolicyEventQueue.java
+++ b/node/src/main/java/loadbalancer/request/PolicyEventQueue.java
@@ -11,52 +11,52 @@
  */
 public final class PolicyEventQueue {
     /** What an event is about, where something is owed to it. */
-    public interface Owed {
+    public interface FailureHandler {
         /** The module has failed on an event about it. */
-        void defect();
+        void onBalancerFailure();
     }
 
-    private record Event(Owed about, Consumer<Balancer> call) {}
+    private record Event(FailureHandler about, Consumer<Balancer> call) {}
 
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private Balancer module;
-    private boolean telling;
+    private boolean delivering;
 
     /** Whom to tell; once, before the first event. */
-    public void decidedBy(Balancer balancer) {
+    public void setBalancer(Balancer balancer) {
         module = balancer;
     }
 
     /** Tells it now, or once the event is over in which the module is. */
-    public void tell(Consumer<Balancer> call) {
-        tell(null, call);
+    public void submit(Consumer<Balancer> call) {
+        submit(null, call);
     }
 
     /** The same for an event about a request, which is to have its answer even if the module fails on it. */
-    public void tell(Owed about, Consumer<Balancer> call) {
+    public void submit(FailureHandler about, Consumer<Balancer> call) {
         events.add(new Event(about, call));
-        if (telling) {
+        if (delivering) {
             return;
         }
-        telling = true;
+        delivering = true;
         try {
             Event event;
             while ((event = events.poll()) != null) {
-                tellOne(event);
+                deliver(event);
             }
         } finally {
-            telling = false;
+            delivering = false;
         }
     }
 
-    private void tellOne(Event event) {
+    private void deliver(Event event) {
         try {
             event.call.accept(module);
         } catch (RuntimeException e) {
             // A defect met by one request must neither end the node nor leave it without an answer.
             Log.error("balancer_error", e);
             if (event.about != null) {
-                event.about.defect();
+                event.about.onBalancerFailure();
             }
         }
     }
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -13,7 +13,7 @@
 import loadbalancer.transfer.RequestBody;
 
 /** A client's request from its coming until its last attempt has ended. */
-final class ProxiedRequest implements ClientConnection.OpenRequest, PolicyEventQueue.Owed {
+final class ProxiedRequest implements ClientConnection.CloseListener, PolicyEventQueue.FailureHandler {
     private static final byte[] NO_BODY = {};
 
     /** Whoever keeps all requests. */
@@ -34,7 +34,7 @@
     private final String className;
     private final int maxAttempts;
     private final Keeper keeper;
-    private final RequestServices means;
+    private final RequestServices services;
     /** By when it wants its answer; not known until all of it has come. */
     private long deadlineUs = Long.MAX_VALUE;
 
@@ -54,14 +54,14 @@
             String className,
             int maxAttempts,
             Keeper keeper,
-            RequestServices means) {
+            RequestServices services) {
         this.id = id;
         this.request = request;
         this.client = client;
         this.className = className;
         this.maxAttempts = maxAttempts;
         this.keeper = keeper;
-        this.means = means;
+        this.services = services;
     }
 
     String className() {
@@ -70,7 +70,7 @@
 
     /** When it arrived, at the earliest: before it was read, where the loop was held up. */
     long arrivedAtUs() {
-        return means.clock().atUs(request.arrivedAtNanos());
+        return services.clock().atUs(request.arrivedAtNanos());
     }
 
     long deadlineUs() {
@@ -118,10 +118,10 @@
             @Override
             public void bound() {
                 int attempt = carried.number();
-                means.module()
-                        .tell(
+                services.events()
+                        .submit(
                                 ProxiedRequest.this,
-                                module -> module.onFirstByte(means.clock().nowUs(), id, attempt));
+                                module -> module.onFirstByte(services.clock().nowUs(), id, attempt));
             }
 
             @Override
@@ -134,8 +134,8 @@
     /** Tells the module of it, and that its client wants the answer by then. */
     void ask(long wantedUs) {
         ClientRequest.Head head = request.head();
-        means.module().tell(this, module -> {
-            long nowUs = means.clock().nowUs();
+        services.events().submit(this, module -> {
+            long nowUs = services.clock().nowUs();
             long waitedUs = Math.max(0, nowUs - arrivedAtUs());
             module.onRequest(
                     nowUs,
@@ -159,19 +159,20 @@
     }
 
     @Override
-    public void left() {
-        means.module().tell(this, module -> {
+    public void onClientGone() {
+        services.events().submit(this, module -> {
             end();
-            module.onClientGone(means.clock().nowUs(), id);
+            module.onClientGone(services.clock().nowUs(), id);
             forgetIfOver();
         });
     }
 
     @Override
-    public void defect() {
+    public void onBalancerFailure() {
         if (!ended) {
             answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
-            means.module().tell(module -> module.onClientGone(means.clock().nowUs(), id));
+            services.events()
+                    .submit(module -> module.onClientGone(services.clock().nowUs(), id));
         }
     }
 
@@ -185,15 +186,15 @@
     }
 
     void send(String serverId, long beginByUs, long untilUs) {
-        UpstreamAttempt attempt = new UpstreamAttempt(this, attempts.size(), serverId, beginByUs, untilUs, means);
+        UpstreamAttempt attempt = new UpstreamAttempt(this, attempts.size(), serverId, beginByUs, untilUs, services);
         attempts.add(attempt);
         outstanding++;
         // Behind all that has come by this turn of the loop, and behind all timers that are due: where those
         // came late, the client may have left since it asked, the server been told to drain, or time run out.
-        means.loop()
+        services.loop()
                 .schedule(
                         () -> {
-                            client.tellIfLeft();
+                            client.notifyIfClosed();
                             attempt.begin();
                         },
                         0,
@@ -215,7 +216,7 @@
             return false;
         }
         answering = by;
-        client.beginAnswer(length, by);
+        client.startResponse(length, by);
         return true;
     }
 
@@ -228,11 +229,11 @@
     void attemptEnded(UpstreamAttempt attempt, AttemptResult result, byte[] body) {
         if (answering == attempt && !ended) {
             if (result == AttemptResult.OK) {
-                client.endAnswer();
+                client.endResponse();
             } else {
-                client.breakOffAnswer();
+                client.abortResponse();
             }
-            means.counters().handled(className, result == AttemptResult.OK ? Ending.PASSED : Ending.BAD_GATEWAY);
+            services.metrics().handled(className, result == AttemptResult.OK ? Ending.PASSED : Ending.BAD_GATEWAY);
             end();
         } else if (result == AttemptResult.OK && !ended && answering == null) {
             answer(HttpResponseStatus.OK, body, 0);
@@ -253,7 +254,7 @@
             return;
         }
         end();
-        means.counters()
+        services.metrics()
                 .handled(
                         className,
                         switch (status.code()) {
@@ -261,18 +262,19 @@
                             case 503 -> Ending.DROPPED;
                             default -> Ending.BAD_GATEWAY;
                         });
-        client.answer(status, body, retryAfterUs);
+        client.sendResponse(status, body, retryAfterUs);
         forgetIfOver();
     }
 
     /** Answers it without waiting any longer, as the process ends; an answer that flows goes on. */
-    void cutOff() {
+    void failPending() {
         if (!ended && answering == null) {
             answer(
                     attempts.isEmpty() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.BAD_GATEWAY,
                     NO_BODY,
                     0);
-            means.module().tell(module -> module.onClientGone(means.clock().nowUs(), id));
+            services.events()
+                    .submit(module -> module.onClientGone(services.clock().nowUs(), id));
         }
     }
 
--- a/node/src/main/java/loadbalancer/request/RequestServices.java
+++ b/node/src/main/java/loadbalancer/request/RequestServices.java
@@ -11,13 +11,13 @@
 /**
  * What requests and their attempts are carried with, the same for all of a node.
  *
- * @param flowing attempts of which something flows that is too large to be gathered
+ * @param streaming attempts of which something flows that is too large to be gathered
  */
 public record RequestServices(
         EventLoop loop,
         Clock clock,
         ServerPool pool,
-        Metrics counters,
-        List<LoadReportField> reportFields,
-        PolicyEventQueue module,
-        Set<UpstreamAttempt> flowing) {}
+        Metrics metrics,
+        List<LoadReportField> loadReportFields,
+        PolicyEventQueue events,
+        Set<UpstreamAttempt> streaming) {}
--- a/node/src/main/java/loadbalancer/request/RequestTable.java
+++ b/node/src/main/java/loadbalancer/request/RequestTable.java
@@ -11,12 +11,12 @@
 import loadbalancer.config.ClassRegistry;
 
 /** All requests that a node holds. */
-public final class RequestTable implements ClientServer.Handler, ProxiedRequest.Keeper {
+public final class RequestTable implements ClientServer.RequestHandler, ProxiedRequest.Keeper {
     private static final byte[] NO_BODY = {};
     /** Clients take an answer for lost that comes half a second after its time. */
     private static final long LATE_US = 250_000;
 
-    private final RequestServices means;
+    private final RequestServices services;
     private final Supplier<ClassRegistry> tuning;
     private final Map<Long, ProxiedRequest> held = new HashMap<>();
     /** How many of these have come whole and not had the end of their final answer. */
@@ -26,28 +26,28 @@
     private long endsAtUs = Long.MAX_VALUE;
 
     /** @param tuning the classes as they are when a request comes */
-    public RequestTable(RequestServices means, Supplier<ClassRegistry> tuning) {
-        this.means = means;
+    public RequestTable(RequestServices services, Supplier<ClassRegistry> tuning) {
+        this.services = services;
         this.tuning = tuning;
     }
 
     /** How many have come whole and wait for the end of their answer. */
-    public int open() {
+    public int pendingCount() {
         return open;
     }
 
-    /** What comes from now on is to have its answer by then, when {@link #cutOff} is due. */
-    public void endAt(long atUs) {
+    /** What comes from now on is to have its answer by then, when {@link #failPending} is due. */
+    public void setShutdownDeadline(long atUs) {
         endsAtUs = atUs;
     }
 
     /** Answers whatever has no answer yet: the process will be killed soon. */
-    public void cutOff() {
-        List.copyOf(held.values()).forEach(ProxiedRequest::cutOff);
+    public void failPending() {
+        List.copyOf(held.values()).forEach(ProxiedRequest::failPending);
     }
 
     @Override
-    public void asked(ClientConnection client, ClientRequest request) {
+    public void onRequest(ClientConnection client, ClientRequest request) {
         ClassRegistry now = tuning.get();
         ClientRequest.Head head = request.head();
         ProxiedRequest taken = new ProxiedRequest(
@@ -57,8 +57,8 @@
                 now.known().get(head.classIndex()).name(),
                 now.settings().maxAttempts,
                 this,
-                means);
-        client.hold(taken);
+                services);
+        client.setCloseListener(taken);
         held.put(taken.id, taken);
         taken.begin();
         taken.ask(Math.min(endsAtUs, taken.arrivedAtUs() + head.remainingUs()));
@@ -70,7 +70,7 @@
             open++;
             long wholeAtUs = request.request.upload() == null
                     ? request.arrivedAtUs()
-                    : means.clock().nowUs();
+                    : services.clock().nowUs();
             request.wholeUntil(
                     Math.min(endsAtUs, wholeAtUs + request.request.head().remainingUs()));
         }
@@ -79,7 +79,7 @@
     @Override
     public void ended(ProxiedRequest request) {
         open -= request.isWhole() ? 1 : 0;
-        long lateUs = means.clock().nowUs() - request.deadlineUs();
+        long lateUs = services.clock().nowUs() - request.deadlineUs();
         if (lateUs > LATE_US) {
             request.logLate(lateUs);
         }
@@ -95,8 +95,8 @@
 
     /** Gives up attempts whose servers neither take nor give anything of what flows. */
     public void expireStalled() {
-        long nowUs = means.clock().nowUs();
-        List.copyOf(means.flowing()).stream()
+        long nowUs = services.clock().nowUs();
+        List.copyOf(services.streaming()).stream()
                 .filter(attempt -> attempt.isStalled(nowUs))
                 .forEach(UpstreamAttempt::expire);
     }
@@ -104,7 +104,7 @@
     // ---------------------------------------------------------------- what the module asks for
 
     /** Starts an attempt of a request. */
-    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+    public void startAttempt(long requestId, String serverId, long beginByUs, long untilUs) {
         ProxiedRequest request = held.get(requestId);
         // Where the body flows, the module does not know yet by when the client wants its answer.
         boolean known = untilUs != 0 && request.request.upload() == null;
@@ -112,7 +112,7 @@
     }
 
     /** Cancels an attempt of a request; unknown ids are ignored. */
-    public void cancel(long requestId, int attempt) {
+    public void cancelAttempt(long requestId, int attempt) {
         ProxiedRequest request = held.get(requestId);
         if (request != null) {
             request.cancel(attempt);
@@ -120,7 +120,7 @@
     }
 
     /** The final answer that no server made: refused or failed. */
-    public void finish(long requestId, HttpResponseStatus status, long retryAfterUs) {
+    public void respond(long requestId, HttpResponseStatus status, long retryAfterUs) {
         ProxiedRequest request = held.get(requestId);
         if (request != null) {
             request.answer(status, NO_BODY, retryAfterUs);
--- a/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -35,7 +35,7 @@
     private final ProxiedRequest of;
     private final int number;
     private final String serverId;
-    private final RequestServices means;
+    private final RequestServices services;
     private final long sentAtUs;
     private final long beginByUs;
     private final long untilUs;
@@ -57,14 +57,14 @@
     private boolean over;
 
     UpstreamAttempt(
-            ProxiedRequest of, int number, String serverId, long beginByUs, long untilUs, RequestServices means) {
+            ProxiedRequest of, int number, String serverId, long beginByUs, long untilUs, RequestServices services) {
         this.of = of;
         this.number = number;
         this.serverId = serverId;
         this.beginByUs = beginByUs;
         this.untilUs = untilUs;
-        this.means = means;
-        sentAtUs = means.clock().nowUs();
+        this.services = services;
+        sentAtUs = services.clock().nowUs();
         wholeAtUs = sentAtUs;
         movedAtUs = sentAtUs;
     }
@@ -83,7 +83,7 @@
 
     @Override
     public boolean mayBegin() {
-        return means.clock().nowUs() <= beginByUs;
+        return services.clock().nowUs() <= beginByUs;
     }
 
     @Override
@@ -93,7 +93,7 @@
         byte[] body = of.request.body();
         FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1, head.method(), head.uri(), Unpooled.wrappedBuffer(body));
-        long remainingUs = of.isWhole() ? endsUs() - means.clock().nowUs() : head.remainingUs();
+        long remainingUs = of.isWhole() ? endsUs() - services.clock().nowUs() : head.remainingUs();
         message.headers()
                 .set(HttpHeaderNames.HOST, "backend.local")
                 .set("X-Txn", head.txn())
@@ -119,7 +119,7 @@
 
     @Override
     public void written() {
-        means.counters().tried();
+        services.metrics().tried();
     }
 
     void begin() {
@@ -134,14 +134,14 @@
             awaitEnd();
         }
         if (upload() != null) {
-            means.flowing().add(this);
+            services.streaming().add(this);
         }
-        means.pool().start(serverId, this);
+        services.pool().start(serverId, this);
     }
 
     /** All of the request has come: its time runs. */
     void cameWhole() {
-        wholeAtUs = means.clock().nowUs();
+        wholeAtUs = services.clock().nowUs();
         awaitEnd();
     }
 
@@ -153,7 +153,7 @@
     }
 
     private void expireAt(long atUs, Runnable expiring) {
-        expiry = means.loop().schedule(expiring, atUs - means.clock().nowUs(), TimeUnit.MICROSECONDS);
+        expiry = services.loop().schedule(expiring, atUs - services.clock().nowUs(), TimeUnit.MICROSECONDS);
     }
 
     private void expireIfSilent() {
@@ -161,7 +161,7 @@
             // One whose first bytes were owed in time, and its rest for as long as the server gives it.
             return;
         }
-        long nowUs = means.clock().nowUs();
+        long nowUs = services.clock().nowUs();
         if (!heldBack && nowUs - movedAtUs >= MOST_LATE_SILENCE_US) {
             expire();
         } else {
@@ -180,8 +180,8 @@
     @Override
     public void begun(long length, FlowControl from) {
         answer = from;
-        begunAtUs = means.clock().nowUs();
-        means.flowing().add(this);
+        begunAtUs = services.clock().nowUs();
+        services.streaming().add(this);
         if (expiry != null) {
             expiry.cancel(false);
             if (length < 0) {
@@ -189,17 +189,18 @@
             }
         }
         if (of.beginAnswer(length, this)) {
-            means.module().tell(of, module -> module.onFirstByte(means.clock().nowUs(), of.id, number));
+            services.events()
+                    .submit(of, module -> module.onFirstByte(services.clock().nowUs(), of.id, number));
         }
     }
 
     @Override
     public void part(ByteBuf part) {
-        movedAtUs = means.clock().nowUs();
+        movedAtUs = services.clock().nowUs();
         given += part.readableBytes();
         ClientConnection client = of.takes(this);
         if (client != null) {
-            client.continueAnswer(part);
+            client.writeResponsePart(part);
         } else {
             part.release();
         }
@@ -209,7 +210,7 @@
     public void partsRead() {
         ClientConnection client = of.takes(this);
         if (client != null) {
-            client.flushAnswer();
+            client.flushResponse();
         }
     }
 
@@ -222,26 +223,26 @@
     @Override
     public void resumeReading() {
         heldBack = false;
-        movedAtUs = means.clock().nowUs();
+        movedAtUs = services.clock().nowUs();
         answer.resumeReading();
     }
 
     /** Its time is up. */
     void expire() {
         // What never left for want of a connection is known not to have run.
-        ended(means.pool().giveUp(serverId, this) ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, NO_BODY);
+        ended(services.pool().giveUp(serverId, this) ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, NO_BODY);
     }
 
     void cancel() {
         if (!over) {
-            means.pool().giveUp(serverId, this);
+            services.pool().giveUp(serverId, this);
             ended(AttemptResult.CANCELLED, NO_BODY);
         }
     }
 
     @Override
     public void reported(String load) {
-        report = LoadReportDecoder.decode(load, means.reportFields());
+        report = LoadReportDecoder.decode(load, services.loadReportFields());
     }
 
     @Override
@@ -250,17 +251,17 @@
             return;
         }
         over = true;
-        means.flowing().remove(this);
+        services.streaming().remove(this);
         if (expiry != null) {
             expiry.cancel(false);
         }
         of.attemptEnded(this, result, body);
         // Of what flowed it counts how long the server took, not how long the two ends did.
-        long answeredAtUs = begunAtUs == 0 ? means.clock().nowUs() : begunAtUs;
-        means.module().tell(of, module -> {
+        long answeredAtUs = begunAtUs == 0 ? services.clock().nowUs() : begunAtUs;
+        services.events().submit(of, module -> {
             of.attemptTold();
             module.onOutcome(
-                    means.clock().nowUs(),
+                    services.clock().nowUs(),
                     new AttemptOutcome(
                             of.id, number, result, Math.max(0, answeredAtUs - wholeAtUs), of.isEnded(), report));
         });
--- a/node/src/main/java/loadbalancer/upstream/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -56,11 +56,11 @@
                         channel.pipeline().addLast(new StrictClientCodec());
                     }
                 });
-        tune(connectTimeoutUs, connIdleUs);
+        setTimeouts(connectTimeoutUs, connIdleUs);
     }
 
     /** New connections may take this long to open, and idle ones are closed before the servers do it. */
-    public void tune(long connectTimeoutUs, long idleUs) {
+    public void setTimeouts(long connectTimeoutUs, long idleUs) {
         dialer.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1_000));
         connIdleUs = idleUs;
     }
@@ -170,12 +170,12 @@
     }
 
     /** How many servers are listed, whatever their state. */
-    public int listed() {
+    public int serverCount() {
         return upstreams.size();
     }
 
     /** These and no others are kept out by hand: as with a drain, also what awaits a connection is freed. */
-    public void cordon(Set<String> ids) {
+    public void setCordoned(Set<String> ids) {
         cordoned = ids;
         for (Upstream upstream : upstreams.values()) {
             upstream.ready = upstream.listedReady && !ids.contains(upstream.id);
@@ -280,7 +280,7 @@
     }
 
     /** Closes what has been idle for half of what servers allow: a request that met their close resets. */
-    public void closeOld() {
+    public void evictIdle() {
         long before = clock.nowUs() - connIdleUs / 2;
         for (Upstream upstream : upstreams.values()) {
             while (!upstream.idle.isEmpty() && upstream.idle.peekLast().idleSinceUs() < before) {
--- a/node/src/test/java/loadbalancer/process/ClientServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ClientServerTest.java
@@ -34,7 +34,7 @@
             assertEquals("9b1f", sent.headers().get("x-txn"));
             assertEquals("5c0f", sent.headers().get("idempotency-key"));
             assertEquals("body", sent.body());
-            long left = RequestReader.left(sent.headers().get("x-remaining"));
+            long left = RequestReader.parseRemainingUs(sent.headers().get("x-remaining"));
             assertTrue(left > 0 && left < 480_000, "left " + left);
         }
     }
