--- /dev/null
+++ b/node/src/test/java/loadbalancer/admin/CordonStoreTest.java
@@ -0,0 +1,110 @@
+package loadbalancer.admin;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.channels.FileChannel;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.stream.Stream;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.policy.ServerEntry;
+import loadbalancer.policy.ServerState;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The file of cordons as two versions of the program share it: its names, its bytes and its lock. */
+class CordonStoreTest {
+    @TempDir
+    private Path folder;
+
+    private CordonStore store() {
+        CordonStore store = new CordonStore(folder);
+        store.listed(new EndpointList(
+                1,
+                true,
+                List.of(
+                        new EndpointList.Host(new ServerEntry("s-2", 0, 0, ServerState.READY, 1, 0), null),
+                        new EndpointList.Host(new ServerEntry("s-1", 0, 0, ServerState.READY, 1, 0), null))));
+        return store;
+    }
+
+    private Set<String> fileNames() throws Exception {
+        try (Stream<Path> files = Files.list(folder)) {
+            Set<String> names = new TreeSet<>();
+            files.forEach(file -> names.add(file.getFileName().toString()));
+            return names;
+        }
+    }
+
+    @Test
+    void theFileHoldsOneIdALineInOrder() throws Exception {
+        CordonStore store = store();
+        store.change("s-2", true);
+        store.change("s-1", true);
+        assertEquals("s-1\ns-2\n", Files.readString(folder.resolve("kitemux.cordons")));
+        assertEquals(Set.of("kitemux.cordons", "kitemux.cordons.lock"), fileNames());
+        assertEquals(0, Files.size(folder.resolve("kitemux.cordons.lock")));
+        store.change("s-1", false);
+        store.change("s-2", false);
+        assertEquals("", Files.readString(folder.resolve("kitemux.cordons")));
+        assertEquals(Set.of(), store.out());
+    }
+
+    @Test
+    void anotherProcessLearnsOfAChangeByReading() throws Exception {
+        CordonStore first = store();
+        CordonStore second = store();
+        first.change("s-1", true);
+        assertEquals(Set.of(), second.out());
+        assertTrue(second.refresh());
+        assertEquals(Set.of("s-1"), second.out());
+        assertFalse(second.refresh(), "nothing has changed since");
+    }
+
+    /** Another process writes at this moment. Were its lock ignored, one of the two changes would be lost. */
+    @Test
+    void aChangeIsRejectedWhileAnotherHolderHasTheLock() throws Exception {
+        CordonStore store = store();
+        try (FileChannel other = FileChannel.open(
+                folder.resolve("kitemux.cordons.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
+            other.lock();
+            RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.change("s-1", true));
+            // A lock in the same process shows as an exception, one of another process as no lock.
+            assertEquals("cordons cannot be kept: java.nio.channels.OverlappingFileLockException", e.getMessage());
+        }
+        assertEquals(Set.of(), store.out());
+        assertEquals(Set.of("kitemux.cordons.lock"), fileNames());
+        store.change("s-1", true);
+        assertEquals(Set.of("s-1"), store.out());
+    }
+
+    /** The disk fails amid a change. The answer is no, so the server must still be used. */
+    @Test
+    void aChangeThatCannotBeWrittenChangesNothing() throws Exception {
+        CordonStore store = store();
+        Files.createDirectory(folder.resolve("kitemux.cordons.new"));
+        RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.change("s-1", true));
+        assertTrue(e.getMessage().startsWith("cordons cannot be kept: java.nio.file."), e.getMessage());
+        assertEquals(Set.of(), store.out());
+    }
+
+    @Test
+    void withoutAFolderCordonsAreInMemoryOnly() throws Exception {
+        CordonStore store = new CordonStore(null);
+        RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.change("s-1", true));
+        assertEquals("never listed: s-1", e.getMessage());
+        store.listed(new EndpointList(
+                1, true, List.of(new EndpointList.Host(new ServerEntry("s-1", 0, 0, ServerState.READY, 1, 0), null))));
+        store.change("s-1", true);
+        assertEquals(Set.of("s-1"), store.out());
+        assertFalse(store.areShared());
+        assertFalse(store.refresh());
+    }
+}
--- /dev/null
+++ b/node/src/test/java/loadbalancer/admin/MetricsTest.java
@@ -0,0 +1,50 @@
+package loadbalancer.admin;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.RequestClass;
+import org.junit.jupiter.api.Test;
+
+/** The text of all metrics, byte for byte. */
+class MetricsTest {
+    private static RequestClass requestClass(String name) {
+        return new RequestClass(
+                name, 100_000, 0, 500_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false);
+    }
+
+    @Test
+    void everyMetricHasItsLine() {
+        Metrics metrics = new Metrics();
+        metrics.report(List.of(requestClass("page"), requestClass("a\"b\\c\nd")));
+        metrics.handled("page", Metrics.Ending.PASSED);
+        metrics.handled("page", Metrics.Ending.PASSED);
+        metrics.handled("page", Metrics.Ending.DROPPED);
+        metrics.handled("a\"b\\c\nd", Metrics.Ending.BAD_GATEWAY);
+        metrics.tried();
+        metrics.loaded();
+        metrics.loaded();
+        metrics.loadFailed();
+        // A class keeps its counts when the settings are read again.
+        metrics.report(List.of(requestClass("page"), requestClass("new")));
+        assertEquals("""
+                node_handled{category="page",outcome="passed"} 2
+                node_handled{category="page",outcome="dropped"} 1
+                node_handled{category="page",outcome="bad_gateway"} 0
+                node_handled{category="a\\"b\\\\c\\nd",outcome="passed"} 0
+                node_handled{category="a\\"b\\\\c\\nd",outcome="dropped"} 0
+                node_handled{category="a\\"b\\\\c\\nd",outcome="bad_gateway"} 1
+                node_handled{category="new",outcome="passed"} 0
+                node_handled{category="new",outcome="dropped"} 0
+                node_handled{category="new",outcome="bad_gateway"} 0
+                node_upstream_tries 1
+                node_in_progress 7
+                node_known_app_servers 5
+                node_skipped_app_servers 3
+                node_loads 2
+                node_load_errors 1
+                """, metrics.text(new Metrics.Gauges(7, 5, 3)));
+    }
+}
