--- a/cli/src/main/java/loadbalancer/cli/FleetMembers.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetMembers.java
@@ -58,7 +58,7 @@
     public Integer call() throws IOException {
         Map<String, MembershipClient.View> views = new LinkedHashMap<>();
         for (String address : addresses) {
-            InetSocketAddress at = SocketAddresses.parse(address);
+            InetSocketAddress at = SocketAddresses.parseOrNull(address);
             if (at == null || timeoutMs <= 0) {
                 throw new UsageException(
                         at == null
--- a/node/src/main/java/loadbalancer/admin/CordonStore.java
+++ b/node/src/main/java/loadbalancer/admin/CordonStore.java
@@ -57,7 +57,7 @@
     }
 
     public void listed(EndpointList list) {
-        list.hosts().forEach(host -> listed.put(host.entry().id(), true));
+        list.endpoints().forEach(endpoint -> listed.put(endpoint.server().id(), true));
     }
 
     /** Reads what any process of this node has written; true if that changed what is out. */
--- a/node/src/main/java/loadbalancer/config/NodeConfig.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfig.java
@@ -16,7 +16,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.EndpointListDecoder;
+import loadbalancer.discovery.InvalidEndpointListException;
 import loadbalancer.membership.MembersConfig;
+import loadbalancer.net.SocketAddresses;
 import loadbalancer.policy.BalancerSettings;
 import loadbalancer.policy.RequestClass;
 import loadbalancer.settings.SettingsReader;
@@ -71,7 +74,7 @@
                 throw new ConfigException("PROXY_SOCKET_FD", "is not 0, the only one: " + descriptor);
             }
             return new Operators(
-                    control.isEmpty() ? null : ConfigAddresses.parse("control", control),
+                    control.isEmpty() ? null : address("control", control),
                     folder.isEmpty() ? null : Path.of(folder),
                     !descriptor.isEmpty());
         }
@@ -108,8 +111,8 @@
         String discovery =
                 env.getOrDefault("PROXY_DISCOVERY", json.path("discovery").asText());
         return new NodeConfig(
-                ConfigAddresses.parse("listen", listen),
-                ConfigAddresses.parse("discovery", discovery),
+                address("listen", listen),
+                address("discovery", discovery),
                 seed(json.path("seed").asText()),
                 sockets.asInt(),
                 idle,
@@ -258,9 +261,13 @@
 
     private static EndpointList known(JsonNode json, List<String> zones) throws ConfigException {
         if (!json.hasNonNull("known")) {
-            return new EndpointList(0, true, List.of());
+            return EndpointList.empty();
+        }
+        try {
+            return new EndpointListDecoder(zones).decode(json.get("known"));
+        } catch (InvalidEndpointListException e) {
+            throw new ConfigException("known." + e.field(), e.problem());
         }
-        return EndpointList.decode(json.get("known"), zones, "known.");
     }
 
     private static MembersConfig fleet(JsonNode json) throws ConfigException {
@@ -274,6 +281,14 @@
         }
     }
 
+    private static InetSocketAddress address(String key, String text) throws ConfigException {
+        InetSocketAddress address = SocketAddresses.parseOrNull(text);
+        if (address == null) {
+            throw new ConfigException(key, "is not address:port: " + text);
+        }
+        return address;
+    }
+
     private static long seed(String text) throws ConfigException {
         try {
             return Long.parseUnsignedLong(text, 16);
--- a/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
+++ b/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
@@ -26,13 +26,12 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.common.Log;
-import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
 import loadbalancer.net.SocketAddresses;
+import loadbalancer.policy.ServerState;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.upstream.StrictClientCodec;
 
@@ -83,7 +82,7 @@
     private static final int MOST_LINE = 8 << 20;
 
     private final EventLoop loop;
-    private final List<String> zones;
+    private final EndpointListDecoder decoder;
     private final Patience patience;
     private final Listener listener;
     private final Bootstrap dialer;
@@ -106,8 +105,8 @@
         this.patience = patience;
         this.listener = listener;
         address = config.discovery();
-        zones = config.settings().zones;
-        rev = config.known().rev();
+        decoder = new EndpointListDecoder(config.settings().zones);
+        rev = config.known().version();
         nodes = config.settings().nodes;
         random = new SplittableRandom(config.seed());
         dialer = new Bootstrap()
@@ -189,7 +188,7 @@
         endCurrent();
         Watch watch = new Watch();
         current = watch;
-        Log.info("watch_opened", "address", SocketAddresses.text(address), "after_version", rev);
+        Log.info("watch_opened", "address", SocketAddresses.format(address), "after_version", rev);
         ChannelFuture opening = dialer.connect(address);
         watch.channel = opening.channel();
         watch.expectMore(patience.firstWordUs);
@@ -206,6 +205,27 @@
         });
     }
 
+    private static void logList(EndpointList list, boolean firstOfWatch) {
+        int[] counts = new int[ServerState.values().length];
+        for (Endpoint endpoint : list.endpoints()) {
+            counts[endpoint.server().state().ordinal()]++;
+        }
+        Log.info(
+                "endpoint_list",
+                "version",
+                list.version(),
+                "kind",
+                list.full() ? "full" : "changes",
+                "first_of_watch",
+                firstOfWatch,
+                "ready",
+                counts[ServerState.READY.ordinal()],
+                "draining",
+                counts[ServerState.DRAINING.ordinal()],
+                "gone",
+                counts[ServerState.GONE.ordinal()]);
+    }
+
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
         private final JsonDocumentFramer brackets = new JsonDocumentFramer();
@@ -291,11 +311,11 @@
                     heed(decode(whole));
                 } else if (!told) {
                     // A beat. As the first word it says that nothing has changed: the call has its answer.
-                    heed(new EndpointList(rev, false, List.of()));
+                    heed(EndpointList.unchangedSince(rev));
                 } else {
                     endLag();
                 }
-            } catch (IOException | ConfigException e) {
+            } catch (IOException | InvalidEndpointListException e) {
                 broken("bad line: " + e.getMessage());
             }
         }
@@ -309,28 +329,28 @@
             return true;
         }
 
-        private EndpointList decode(byte[] whole) throws IOException, ConfigException {
+        private EndpointList decode(byte[] whole) throws IOException, InvalidEndpointListException {
             try (JsonParser parser = json.createParser(whole)) {
-                return EndpointList.decode(parser, zones);
+                return decoder.decode(parser);
             }
         }
 
         private void heed(EndpointList list) {
-            if (!told || !list.hosts().isEmpty()) {
-                list.log(!told);
+            if (!told || !list.endpoints().isEmpty()) {
+                logList(list, !told);
             }
             if (!told) {
                 told = true;
                 expectMore(patience.silenceUs);
             }
-            if (list.rev() < rev) {
+            if (list.version() < rev) {
                 lagsSinceNanos = lagsSinceNanos == 0 ? System.nanoTime() : lagsSinceNanos;
                 endLag();
                 return;
             }
             lagsSinceNanos = 0;
             backoffMs = BACKOFF_MS;
-            rev = list.rev();
+            rev = list.version();
             if (this == current) {
                 endFormer();
             }
--- a/node/src/main/java/loadbalancer/membership/MembersConfig.java
+++ b/node/src/main/java/loadbalancer/membership/MembersConfig.java
@@ -31,13 +31,14 @@
         InetSocketAddress bind = fields.address("bind", null);
         boolean beyond = fields.yes("beyondLoopback");
         if (!beyond && !bind.getAddress().isLoopbackAddress()) {
-            throw bad("bind", SocketAddresses.text(bind), "a loopback address, or \"beyondLoopback\": true beside it");
+            throw bad(
+                    "bind", SocketAddresses.format(bind), "a loopback address, or \"beyondLoopback\": true beside it");
         }
-        InetSocketAddress advertised = fields.address("advertise", SocketAddresses.text(bind));
+        InetSocketAddress advertised = fields.address("advertise", SocketAddresses.format(bind));
         List<String> seeds = fields.addresses("seeds");
         MembershipSettings usual = MembershipSettings.of(
                 name,
-                SocketAddresses.text(advertised),
+                SocketAddresses.format(advertised),
                 fields.name("zone", "none"),
                 fields.name("role", "node"),
                 seeds);
@@ -119,7 +120,7 @@
         }
 
         private static InetSocketAddress address(String key, String text, boolean inList) {
-            InetSocketAddress address = SocketAddresses.parse(text);
+            InetSocketAddress address = SocketAddresses.parseOrNull(text);
             if (address == null || address.getPort() == 0) {
                 throw bad(key, text, (inList ? "a list of " : "") + "address:port, with a port above 0");
             }
@@ -137,7 +138,7 @@
                 throw bad(key, value, "a list of address:port");
             }
             if (value != null) {
-                value.forEach(entry -> addresses.add(SocketAddresses.text(address(key, entry.asText(), true))));
+                value.forEach(entry -> addresses.add(SocketAddresses.format(address(key, entry.asText(), true))));
             }
             return addresses;
         }
--- a/node/src/main/java/loadbalancer/membership/MembershipService.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipService.java
@@ -123,7 +123,7 @@
         exchanges.close();
         if (!toldBusy) {
             toldBusy = true;
-            say(SocketAddresses.text(config.bind()) + " cannot be had yet: " + cause.getMessage()
+            say(SocketAddresses.format(config.bind()) + " cannot be had yet: " + cause.getMessage()
                     + (cause instanceof BindException
                             ? ""
                             : " (" + cause.getClass().getName() + ")"));
@@ -202,7 +202,7 @@
     private final class Actions implements Membership.Actions {
         @Override
         public void send(String address, Message message) {
-            InetSocketAddress to = SocketAddresses.parse(address);
+            InetSocketAddress to = SocketAddresses.parseOrNull(address);
             if (to == null || to.getPort() == 0) {
                 // Another's word, for which nobody listens.
                 return;
@@ -215,7 +215,7 @@
 
         @Override
         public void exchange(String address) {
-            InetSocketAddress to = SocketAddresses.parse(address);
+            InetSocketAddress to = SocketAddresses.parseOrNull(address);
             if (to != null && to.getPort() != 0) {
                 exchanges.begin(to);
             }
--- a/node/src/main/java/loadbalancer/net/SocketAddresses.java
+++ b/node/src/main/java/loadbalancer/net/SocketAddresses.java
@@ -5,28 +5,32 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** Addresses as files and peers write them. */
+/** Socket addresses as text, {@code address:port}, as files and peers write them. */
 public final class SocketAddresses {
     private SocketAddresses() {}
 
     /**
-     * An IP address with a port, or null where it is none. There are no host names: looking one up would
-     * block.
+     * Parses an IP address with a port; null if the text is none. Host names are not accepted: a lookup would block.
      */
-    public static InetSocketAddress parse(String text) {
+    public static InetSocketAddress parseOrNull(String text) {
         int colon = text.lastIndexOf(':');
-        byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+        if (colon < 0) {
+            return null;
+        }
+        byte[] ipAddress = NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+        if (ipAddress == null) {
+            return null;
+        }
         try {
-            return ip == null
-                    ? null
-                    : new InetSocketAddress(InetAddress.getByAddress(ip), Integer.parseInt(text.substring(colon + 1)));
+            int port = Integer.parseInt(text.substring(colon + 1));
+            return new InetSocketAddress(InetAddress.getByAddress(ipAddress), port);
         } catch (IOException | IllegalArgumentException e) {
             return null;
         }
     }
 
-    /** The same as {@link #parse} reads it. */
-    public static String text(InetSocketAddress address) {
+    /** Formats an address so that {@link #parseOrNull} reads it. */
+    public static String format(InetSocketAddress address) {
         return NetUtil.toSocketAddressString(address);
     }
 }
--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -21,6 +21,7 @@
 import loadbalancer.config.ClassRegistry;
 import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointWatcher;
 import loadbalancer.eventloop.LoopLag;
@@ -100,7 +101,7 @@
         discovery = new EndpointWatcher(loop, config, EndpointWatcher.Patience.USUAL, new EndpointWatcher.Listener() {
             @Override
             public void listed(EndpointList list) {
-                list(list, list.all() ? ListKind.FULL : ListKind.CHANGES);
+                list(list, list.full() ? ListKind.FULL : ListKind.CHANGES);
             }
 
             @Override
@@ -264,7 +265,7 @@
     }
 
     private void retune(NodeConfig read) {
-        Log.info("reloaded", "discovery", read.discovery() == null ? null : SocketAddresses.text(read.discovery()));
+        Log.info("reloaded", "discovery", read.discovery() == null ? null : SocketAddresses.format(read.discovery()));
         counters.loaded();
         counters.report(read.settings().classes);
         ClassRegistry next = tuning.then(read.settings());
@@ -294,7 +295,7 @@
             told.onServers(
                     clock.nowUs(),
                     kind,
-                    list.hosts().stream().map(EndpointList.Host::entry).toList());
+                    list.endpoints().stream().map(Endpoint::server).toList());
         });
     }
 
--- a/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -69,7 +69,7 @@
     }
 
     private static String text(ChannelFuture listening) {
-        return SocketAddresses.text((InetSocketAddress) listening.channel().localAddress());
+        return SocketAddresses.format((InetSocketAddress) listening.channel().localAddress());
     }
 
     private static void awaitListening(String where, ChannelFuture listening) {
--- a/node/src/main/java/loadbalancer/process/WarmUp.java
+++ b/node/src/main/java/loadbalancer/process/WarmUp.java
@@ -27,6 +27,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.policy.Idempotency;
@@ -75,9 +76,9 @@
                 .bind(new InetSocketAddress(config.listen().getAddress(), 0))
                 .syncUninterruptibly()
                 .channel();
-        EndpointList.Host host = new EndpointList.Host(
+        Endpoint endpoint = new Endpoint(
                 new ServerEntry("rehearsal", 0, 0, ServerState.READY, 1, 0), (InetSocketAddress) server.localAddress());
-        Node node = new Node(config.apart(new EndpointList(0, true, List.of(host))), loop);
+        Node node = new Node(config.apart(new EndpointList(0, true, List.of(endpoint))), loop);
         Channel listening = node.start().syncUninterruptibly().channel();
         Bootstrap client = new Bootstrap()
                 .group(loop)
--- a/node/src/main/java/loadbalancer/upstream/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -16,6 +16,7 @@
 import java.util.Set;
 import loadbalancer.common.Clock;
 import loadbalancer.common.SocketBudget;
+import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.ServerState;
@@ -139,24 +140,24 @@
 
     /** Follows the list. Word of a drain takes effect at once, also for what awaits a connection. */
     public void update(EndpointList list) {
-        Map<String, Upstream> missing = list.all() ? new HashMap<>(upstreams) : Map.of();
-        for (EndpointList.Host host : list.hosts()) {
-            String id = host.entry().id();
-            if (list.all()) {
+        Map<String, Upstream> missing = list.full() ? new HashMap<>(upstreams) : Map.of();
+        for (Endpoint endpoint : list.endpoints()) {
+            String id = endpoint.server().id();
+            if (list.full()) {
                 missing.remove(id);
             }
-            if (host.entry().state() == ServerState.GONE) {
+            if (endpoint.server().state() == ServerState.GONE) {
                 remove(id);
                 continue;
             }
             Upstream upstream = upstreams.computeIfAbsent(id, Upstream::new);
             // What was opened to another address, or to a process that has ended, is of no more use: a
             // request written to it would end as a reset, which may not be repeated.
-            boolean moved =
-                    !host.endpoint().equals(upstream.endpoint) || host.entry().startedAtUs() > upstream.startedAtUs;
-            upstream.endpoint = host.endpoint();
-            upstream.startedAtUs = host.entry().startedAtUs();
-            upstream.listedReady = host.entry().state() == ServerState.READY;
+            boolean moved = !endpoint.address().equals(upstream.endpoint)
+                    || endpoint.server().startedAtUs() > upstream.startedAtUs;
+            upstream.endpoint = endpoint.address();
+            upstream.startedAtUs = endpoint.server().startedAtUs();
+            upstream.listedReady = endpoint.server().state() == ServerState.READY;
             upstream.ready = upstream.listedReady && !cordoned.contains(id);
             if (moved || !upstream.ready) {
                 List.copyOf(upstream.idle).stream().filter(c -> !c.isUsable()).forEach(ServerConnection::close);
--- a/node/src/test/java/loadbalancer/admin/CordonStoreTest.java
+++ b/node/src/test/java/loadbalancer/admin/CordonStoreTest.java
@@ -13,6 +13,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Stream;
+import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.policy.ServerEntry;
 import loadbalancer.policy.ServerState;
@@ -30,8 +31,8 @@
                 1,
                 true,
                 List.of(
-                        new EndpointList.Host(new ServerEntry("s-2", 0, 0, ServerState.READY, 1, 0), null),
-                        new EndpointList.Host(new ServerEntry("s-1", 0, 0, ServerState.READY, 1, 0), null))));
+                        new Endpoint(new ServerEntry("s-2", 0, 0, ServerState.READY, 1, 0), null),
+                        new Endpoint(new ServerEntry("s-1", 0, 0, ServerState.READY, 1, 0), null))));
         return store;
     }
 
@@ -101,7 +102,7 @@
         RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.change("s-1", true));
         assertEquals("never listed: s-1", e.getMessage());
         store.listed(new EndpointList(
-                1, true, List.of(new EndpointList.Host(new ServerEntry("s-1", 0, 0, ServerState.READY, 1, 0), null))));
+                1, true, List.of(new Endpoint(new ServerEntry("s-1", 0, 0, ServerState.READY, 1, 0), null))));
         store.change("s-1", true);
         assertEquals(Set.of("s-1"), store.out());
         assertFalse(store.areShared());
--- a/node/src/test/java/loadbalancer/config/NodeConfigTest.java
+++ b/node/src/test/java/loadbalancer/config/NodeConfigTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.Main;
-import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.Endpoint;
 import loadbalancer.policy.DeduplicationScope;
 import loadbalancer.policy.Idempotency;
 import loadbalancer.policy.ServerState;
@@ -67,14 +67,14 @@
                 config.settings().classes.get(0).idempotency());
         assertEquals(DeduplicationScope.CELL, config.settings().classes.get(0).deduplicationScope());
         assertEquals("school-a", config.settings().tenants.get(0).name());
-        EndpointList.Host host = config.known().hosts().get(0);
+        Endpoint endpoint = config.known().endpoints().get(0);
         assertEquals(
                 "10.1.0.18:8000",
-                host.endpoint().getHostString() + ":" + host.endpoint().getPort());
-        assertEquals(1, host.entry().zone());
-        assertEquals(3, host.entry().cell());
-        assertEquals(ServerState.DRAINING, host.entry().state());
-        assertEquals(1_234_000, host.entry().startedAtUs());
+                endpoint.address().getHostString() + ":" + endpoint.address().getPort());
+        assertEquals(1, endpoint.server().zone());
+        assertEquals(3, endpoint.server().cell());
+        assertEquals(ServerState.DRAINING, endpoint.server().state());
+        assertEquals(1_234_000, endpoint.server().startedAtUs());
     }
 
     @Test
--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.config.ConfigAddresses;
+import loadbalancer.net.SocketAddresses;
 import loadbalancer.process.FarServer;
 import loadbalancer.process.Http;
 import loadbalancer.process.Site;
@@ -55,7 +55,7 @@
                 site.loop, site.config(Site.list(41, true)), patience, new EndpointWatcher.Listener() {
                     @Override
                     public void listed(EndpointList list) {
-                        told.add(Long.toString(list.rev()));
+                        told.add(Long.toString(list.version()));
                     }
 
                     @Override
@@ -76,7 +76,7 @@
     }
 
     private void moveTo(String endpoint) throws Exception {
-        var to = ConfigAddresses.parse("discovery", endpoint);
+        var to = SocketAddresses.parseOrNull(endpoint);
         site.loop.execute(() -> discovery.moveTo(to));
     }
 
--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
@@ -29,9 +29,9 @@
                 new EndpointWatcher(site.loop, site.config(KNOWN), patience, new EndpointWatcher.Listener() {
                     @Override
                     public void listed(EndpointList list) {
-                        told.add(list.rev()
-                                + (list.all() ? " all " : " changes ")
-                                + list.hosts().size());
+                        told.add(list.version()
+                                + (list.full() ? " all " : " changes ")
+                                + list.endpoints().size());
                     }
 
                     @Override
--- a/node/src/test/java/loadbalancer/process/Site.java
+++ b/node/src/test/java/loadbalancer/process/Site.java
@@ -15,10 +15,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import loadbalancer.config.ConfigAddresses;
 import loadbalancer.config.NodeConfig;
-import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.EndpointListDecoder;
 import loadbalancer.eventloop.MeasuredEventLoop;
+import loadbalancer.net.SocketAddresses;
 import loadbalancer.policy.Balancer;
 import loadbalancer.policy.BalancerActions;
 import loadbalancer.policy.BalancerSettings;
@@ -103,11 +103,11 @@
     public NodeConfig config(String known) throws Exception {
         return new NodeConfig(
                 anyPort(),
-                ConfigAddresses.parse("discovery", discovery.endpoint()),
+                SocketAddresses.parseOrNull(discovery.endpoint()),
                 7,
                 sockets,
                 connIdleUs,
-                EndpointList.decode(new ObjectMapper().readTree(known), settings.zones, ""),
+                new EndpointListDecoder(settings.zones).decode(new ObjectMapper().readTree(known)),
                 settings,
                 keys,
                 new NodeConfig.Operators(operated ? anyPort() : null, folder, false),
