--- a/node/src/main/java/loadbalancer/client/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -28,8 +28,10 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.common.Log;
 import loadbalancer.eventloop.LoopLag;
+import loadbalancer.http.TransferCodings;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
+import loadbalancer.transfer.TransferLimits;
 
 /**
  * A client's connection: one request at a time, further ones wait their turn. It is long because reading,
@@ -37,9 +39,9 @@
  */
 public final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements FlowControl {
     /** What becomes of a request; told once. */
-    public interface OpenRequest {
+    public interface CloseListener {
         /** The client has closed before it had its answer, or lost the right to one. */
-        void left();
+        void onClientGone();
     }
 
     /** Whoever has accepted the connection. */
@@ -51,19 +53,19 @@
         RequestReader reader();
 
         /** Whether every answer is to end its connection. */
-        boolean drains();
+        boolean isDraining();
 
         /** What {@code GET /up} is answered. */
-        HttpResponseStatus up();
+        HttpResponseStatus readiness();
 
         /** It has begun to ask: others have been idle for longer. */
-        void used(ClientConnection client);
+        void onRequestStarted(ClientConnection client);
 
-        /** A whole request that can be read; it is owed one {@link #answer}. */
-        void asked(ClientConnection client, ClientRequest request);
+        /** A whole request that can be read; it is owed one {@link #sendResponse}. */
+        void onRequest(ClientConnection client, ClientRequest request);
 
         /** It is closed. */
-        void closed(ClientConnection client);
+        void onClosed(ClientConnection client);
     }
 
     private static final byte[] NO_BODY = {};
@@ -122,7 +124,7 @@
     /** The end of the time in which what still comes is dropped; null until the node ends its side. */
     private Future<?> lingering;
     /** The request that is open, as its owner knows it. */
-    private OpenRequest held;
+    private CloseListener held;
 
     /** A server's answer that flows to the client, and since when the client takes no more of it. */
     private FlowControl answering;
@@ -161,7 +163,8 @@
         }
         long since = now - connectedAtNanos;
         // What flows is no slower than the server that takes it.
-        boolean slow = upload == null && came + MOST_PART < LEAST_BYTES_PER_NANO * (since - MOST_UNPROVEN_NANOS);
+        boolean slow = upload == null
+                && came + TransferLimits.MAX_READ_BYTES < LEAST_BYTES_PER_NANO * (since - MOST_UNPROVEN_NANOS);
         return since > MOST_UNPROVEN_NANOS && (silence > MOST_PAUSE_NANOS || head == null || slow);
     }
 
@@ -185,16 +188,16 @@
     }
 
     /** Tells that the client has left, once, if its end has been read; else that is told a little later. */
-    public void tellIfLeft() {
-        OpenRequest open = held;
+    public void notifyIfClosed() {
+        CloseListener open = held;
         if (!channel.isActive() && open != null) {
             held = null;
-            open.left();
+            open.onClientGone();
         }
     }
 
     /** What is told if the client leaves. */
-    public void hold(OpenRequest request) {
+    public void setCloseListener(CloseListener request) {
         held = request;
     }
 
@@ -246,7 +249,7 @@
     /** The rest of a request that has its answer: read to its end, as the client may read only then. */
     private void drop(HttpContent content) {
         came += content.content().readableBytes();
-        if (came > MOST_BODY) {
+        if (came > TransferLimits.MAX_BODY_BYTES) {
             channel.close();
         } else if (content instanceof LastHttpContent) {
             whole = true;
@@ -260,14 +263,14 @@
         settled = false;
         written = false;
         keepAlive = HttpUtil.isKeepAlive(request);
-        owner.used(this);
+        owner.onRequestStarted(this);
         came = 0;
         length = HttpUtil.getContentLength(request, -1L);
         try {
             request.setUri(RequestReader.target(request.uri()));
             String path = RequestReader.path(request.uri());
             if (path.equals("/up")) {
-                verdict = new Verdict(owner.up(), NO_BODY);
+                verdict = new Verdict(owner.readiness(), NO_BODY);
             } else if (RequestReader.isRequestPath(path)) {
                 head = owner.reader().read(request);
             } else {
@@ -279,9 +282,9 @@
                     HttpResponseStatus.BAD_REQUEST,
                     bodiless ? NO_BODY : (e.getMessage() + "\n").getBytes(StandardCharsets.UTF_8));
         }
-        if (!StrictServerCodec.isPlain(request)) {
+        if (!TransferCodings.isChunkedAtMost(request)) {
             reject(HttpResponseStatus.BAD_REQUEST);
-        } else if (length > (head == null ? MOST_GATHERED : MOST_BODY)) {
+        } else if (length > (head == null ? TransferLimits.MAX_BUFFERED_BYTES : TransferLimits.MAX_BODY_BYTES)) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         } else if (request.headers().contains(HttpHeaderNames.EXPECT)) {
             meet(request);
@@ -299,7 +302,7 @@
 
     private void add(HttpContent content) {
         came += content.content().readableBytes();
-        if (came > (head == null ? MOST_GATHERED : MOST_BODY)) {
+        if (came > (head == null ? TransferLimits.MAX_BUFFERED_BYTES : TransferLimits.MAX_BODY_BYTES)) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
@@ -311,9 +314,9 @@
         }
         if (last) {
             whole = true;
-            goOn();
+            resumeReading();
             end();
-        } else if (came > MOST_GATHERED && upload == null) {
+        } else if (came > TransferLimits.MAX_BUFFERED_BYTES && upload == null) {
             upload = new RequestBody(this, length, gathered);
             gathered = null;
             ask(NO_BODY);
@@ -323,14 +326,14 @@
     private void gather(ByteBuf bytes) {
         if (gathered == null) {
             // Not for what is announced, which may never come.
-            gathered = ALLOCATOR.buffer(bytes.readableBytes());
+            gathered = TransferLimits.ALLOCATOR.buffer(bytes.readableBytes());
         }
         gathered.writeBytes(bytes);
     }
 
     private void end() {
         if (verdict != null) {
-            answer(verdict.status, verdict.body, 0);
+            sendResponse(verdict.status, verdict.body, 0);
         } else if (upload != null) {
             proven = true;
             upload.end();
@@ -344,12 +347,12 @@
     private void ask(byte[] body) {
         proven |= whole;
         try {
-            owner.asked(this, new ClientRequest(head, body, upload, partArrivedAtNanos));
+            owner.onRequest(this, new ClientRequest(head, body, upload, partArrivedAtNanos));
         } catch (RuntimeException e) {
             // A defect met by one request must not leave it without an answer.
             Log.error("request_error", e, "uri", head.uri());
             if (held == null) {
-                answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
+                sendResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
             }
         }
     }
@@ -364,15 +367,15 @@
         busy = true;
         whole = true;
         written = false;
-        OpenRequest open = held;
-        answer(status, NO_BODY, 0);
+        CloseListener open = held;
+        sendResponse(status, NO_BODY, 0);
         if (open != null) {
-            open.left();
+            open.onClientGone();
         }
     }
 
     @Override
-    public void holdBack() {
+    public void pauseReading() {
         if (!settled) {
             heldBack = true;
             channel.config().setAutoRead(false);
@@ -380,7 +383,7 @@
     }
 
     @Override
-    public void goOn() {
+    public void resumeReading() {
         heldBack = false;
         activeAtNanos = System.nanoTime();
         if (!waiting.isFull()) {
@@ -398,7 +401,7 @@
     // ---------------------------------------------------------------- what it is answered
 
     /** The one answer to the request that is open; {@code retryAfterUs} of 0 gives no advice. */
-    public void answer(HttpResponseStatus status, byte[] body, long retryAfterUs) {
+    public void sendResponse(HttpResponseStatus status, byte[] body, long retryAfterUs) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
@@ -411,7 +414,7 @@
     }
 
     /** The beginning of a server's answer of this length, or of -1 where it is not known. */
-    public void beginAnswer(long answerLength, FlowControl from) {
+    public void startResponse(long answerLength, FlowControl from) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (answerLength >= 0) {
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answerLength);
@@ -426,20 +429,20 @@
     }
 
     /** The answer's next part, which is taken over. */
-    public void continueAnswer(ByteBuf part) {
+    public void writeResponsePart(ByteBuf part) {
         channel.write(new DefaultHttpContent(part));
         if (!channel.isWritable() && stalledSinceNanos == 0) {
             stalledSinceNanos = System.nanoTime();
-            answering.holdBack();
+            answering.pauseReading();
         }
     }
 
-    public void flushAnswer() {
+    public void flushResponse() {
         channel.flush();
     }
 
     /** Writes the end of an answer that was sent in parts, and goes on to the next request. */
-    public void endAnswer() {
+    public void endResponse() {
         held = null;
         answering = null;
         stalledSinceNanos = 0;
@@ -447,7 +450,7 @@
     }
 
     /** The rest will not come; by the connection's end the client can tell. */
-    public void breakOffAnswer() {
+    public void abortResponse() {
         held = null;
         answering = null;
         // Where nothing but the end tells that an answer is whole, it must be no orderly one.
@@ -462,11 +465,11 @@
         settled = true;
         if (upload != null) {
             upload = null;
-            goOn();
+            resumeReading();
         }
         activeAtNanos = System.nanoTime();
         // What was read ahead has been taken, and is answered before the connection ends.
-        if (!keepAlive || owner.drains() && waiting.isEmpty()) {
+        if (!keepAlive || owner.isDraining() && waiting.isEmpty()) {
             keepAlive = false;
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
@@ -520,7 +523,7 @@
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (answering != null && channel.isWritable() && stalledSinceNanos != 0) {
             stalledSinceNanos = 0;
-            answering.goOn();
+            answering.resumeReading();
         }
     }
 
@@ -534,8 +537,8 @@
         if (lingering != null) {
             lingering.cancel(false);
         }
-        tellIfLeft();
-        owner.closed(this);
+        notifyIfClosed();
+        owner.onClosed(this);
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/upstream/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -18,9 +18,10 @@
 import loadbalancer.common.SocketBudget;
 import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
+import loadbalancer.http.StrictClientCodec;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.ServerState;
-import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.TransferLimits;
 
 /** The connections to servers: one exchange at a time on each, the most recently used first. */
 public final class ServerPool {
@@ -45,22 +46,22 @@
         dialer = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
+                .option(ChannelOption.ALLOCATOR, TransferLimits.ALLOCATOR)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.SO_SNDBUF, FlowControl.SYSTEM_BUFFER)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, FlowControl.WATER_MARK)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, FlowControl.parts())
+                .option(ChannelOption.SO_SNDBUF, TransferLimits.SOCKET_SEND_BUFFER_BYTES)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, TransferLimits.WRITE_WATER_MARK)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, TransferLimits.newReadAllocator())
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         channel.pipeline().addLast(new StrictClientCodec());
                     }
                 });
-        tune(connectTimeoutUs, connIdleUs);
+        setTimeouts(connectTimeoutUs, connIdleUs);
     }
 
     /** New connections may take this long to open, and idle ones are closed before the servers do it. */
-    public void tune(long connectTimeoutUs, long idleUs) {
+    public void setTimeouts(long connectTimeoutUs, long idleUs) {
         dialer.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1_000));
         connIdleUs = idleUs;
     }
@@ -170,12 +171,12 @@
     }
 
     /** How many servers are listed, whatever their state. */
-    public int listed() {
+    public int serverCount() {
         return upstreams.size();
     }
 
     /** These and no others are kept out by hand: as with a drain, also what awaits a connection is freed. */
-    public void cordon(Set<String> ids) {
+    public void setCordoned(Set<String> ids) {
         cordoned = ids;
         for (Upstream upstream : upstreams.values()) {
             upstream.ready = upstream.listedReady && !ids.contains(upstream.id);
@@ -280,7 +281,7 @@
     }
 
     /** Closes what has been idle for half of what servers allow: a request that met their close resets. */
-    public void closeOld() {
+    public void evictIdle() {
         long before = clock.nowUs() - connIdleUs / 2;
         for (Upstream upstream : upstreams.values()) {
             while (!upstream.idle.isEmpty() && upstream.idle.peekLast().idleSinceUs() < before) {
