--- a/node/src/main/java/loadbalancer/membership/MembershipConfig.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipConfig.java
@@ -52,11 +52,11 @@
         String member = reader.name("member", defaultMember);
         InetSocketAddress bind = reader.address("bind", null);
         requireLoopback(bind, reader.flag("beyondLoopback"));
-        InetSocketAddress advertised = reader.address("advertise", SocketAddresses.text(bind));
+        InetSocketAddress advertised = reader.address("advertise", SocketAddresses.format(bind));
         List<String> seeds = reader.addresses("seeds");
         MembershipSettings defaults = MembershipSettings.of(
                 member,
-                SocketAddresses.text(advertised),
+                SocketAddresses.format(advertised),
                 reader.name("zone", DEFAULT_ZONE),
                 reader.name("role", DEFAULT_ROLE),
                 seeds);
@@ -70,7 +70,7 @@
     private static void requireLoopback(InetSocketAddress bind, boolean beyondLoopback) {
         if (!beyondLoopback && !bind.getAddress().isLoopbackAddress()) {
             throw MembershipConfigException.invalid(
-                    "bind", SocketAddresses.text(bind), "a loopback address, or \"beyondLoopback\": true beside it");
+                    "bind", SocketAddresses.format(bind), "a loopback address, or \"beyondLoopback\": true beside it");
         }
     }
 
--- a/node/src/main/java/loadbalancer/membership/MembershipConfigReader.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipConfigReader.java
@@ -62,13 +62,13 @@
         }
         if (value != null) {
             value.forEach(entry -> addresses.add(
-                    SocketAddresses.text(parse(key, entry.asText(), "a list of address:port, with a port above 0"))));
+                    SocketAddresses.format(parse(key, entry.asText(), "a list of address:port, with a port above 0"))));
         }
         return addresses;
     }
 
     private static InetSocketAddress parse(String key, String text, String allowed) {
-        InetSocketAddress address = SocketAddresses.parse(text);
+        InetSocketAddress address = SocketAddresses.parseOrNull(text);
         if (address == null || address.getPort() == 0) {
             throw MembershipConfigException.invalid(key, text, allowed);
         }
--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.config.ConfigAddresses;
+import loadbalancer.net.SocketAddresses;
 import loadbalancer.process.FakeServer;
 import loadbalancer.process.Http;
 import loadbalancer.process.NodeHarness;
@@ -58,7 +58,7 @@
                 new EndpointWatcher.Listener() {
                     @Override
                     public void listed(EndpointList list) {
-                        told.add(Long.toString(list.rev()));
+                        told.add(Long.toString(list.version()));
                     }
 
                     @Override
@@ -79,7 +79,7 @@
     }
 
     private void moveTo(String endpoint) throws Exception {
-        var to = ConfigAddresses.parse("discovery", endpoint);
+        var to = SocketAddresses.parseOrNull(endpoint);
         harness.loop.execute(() -> discovery.moveTo(to));
     }
 
