--- a/node/src/main/java/loadbalancer/client/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -27,7 +27,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.common.Log;
-import loadbalancer.eventloop.LoopLag;
+import loadbalancer.eventloop.LoopLagMeter;
 import loadbalancer.http.TransferCodings;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
@@ -47,7 +47,7 @@
     /** Whoever has accepted the connection. */
     interface Owner {
         /** How far what is read is behind what has come. */
-        LoopLag lag();
+        LoopLagMeter lagMeter();
 
         /** What requests are read by now. */
         RequestReader reader();
@@ -135,8 +135,8 @@
         this.channel = channel;
         this.codec = codec;
         this.owner = owner;
-        acceptedInTurn = owner.lag().turn();
-        openedAtNanos = owner.lag().earliestArrivalNanos();
+        acceptedInTurn = owner.lagMeter().turnNumber();
+        openedAtNanos = owner.lagMeter().earliestArrivalNanos();
     }
 
     /** Whether it is open and nothing is owed on it; one that is being closed gives no room by it again. */
@@ -223,8 +223,8 @@
 
     /** What is read in the first turn after the accept may have come with the connection. */
     private long earliestArrivalNanos() {
-        long arrivalNanos = owner.lag().earliestArrivalNanos();
-        boolean cameWithConnection = owner.lag().turn() <= acceptedInTurn + 1;
+        long arrivalNanos = owner.lagMeter().earliestArrivalNanos();
+        boolean cameWithConnection = owner.lagMeter().turnNumber() <= acceptedInTurn + 1;
         return cameWithConnection ? Math.min(arrivalNanos, openedAtNanos) : arrivalNanos;
     }
 
--- a/node/src/main/java/loadbalancer/client/ClientServer.java
+++ b/node/src/main/java/loadbalancer/client/ClientServer.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.common.SocketBudget;
-import loadbalancer.eventloop.LoopLag;
+import loadbalancer.eventloop.LoopLagMeter;
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.transfer.TransferLimits;
 
@@ -175,8 +175,8 @@
     // ---------------------------------------------------------------- what connections ask of their owner
 
     @Override
-    public LoopLag lag() {
-        return loop.lag();
+    public LoopLagMeter lagMeter() {
+        return loop.lagMeter();
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/eventloop/MeasuredEventLoop.java
+++ b/node/src/main/java/loadbalancer/eventloop/MeasuredEventLoop.java
@@ -7,22 +7,29 @@
 import io.netty.util.concurrent.ThreadAwareExecutor;
 import java.nio.channels.spi.SelectorProvider;
 
-/** An event loop over NIO channels that sleeps until its timers are due and knows its own lag. */
+/**
+ * An event loop over NIO channels that sleeps until its timers are due and measures its own lag.
+ *
+ * <p>All of a node runs on one such loop: what its parts share needs no lock.
+ */
 public final class MeasuredEventLoop extends SingleThreadIoEventLoop {
-    /** A loop whose thread has this name. */
+    /**
+     * @param threadName the name of its one thread
+     * @param daemon whether the process may end while the loop runs
+     */
     public MeasuredEventLoop(String threadName, boolean daemon) {
         super(null, new DefaultThreadFactory(threadName, daemon), MeasuredEventLoop::handlerFor);
     }
 
     private static IoHandler handlerFor(ThreadAwareExecutor executor) {
-        LoopLag lag = new LoopLag(System::nanoTime);
-        lag.measure(
-                NioIoHandler.newFactory(SelectorProvider.provider(), () -> lag).newHandler(executor));
-        return lag;
+        LoopLagMeter lagMeter = new LoopLagMeter(System::nanoTime);
+        lagMeter.measure(NioIoHandler.newFactory(SelectorProvider.provider(), () -> lagMeter)
+                .newHandler(executor));
+        return lagMeter;
     }
 
-    /** How far this loop is behind what has come to its sockets; to be asked from the loop itself. */
-    public LoopLag lag() {
-        return (LoopLag) ioHandler();
+    /** Measures how far this loop lags behind its sockets; to be used on the loop itself. */
+    public LoopLagMeter lagMeter() {
+        return (LoopLagMeter) ioHandler();
     }
 }
--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -15,15 +15,15 @@
 import loadbalancer.admin.RejectedCallException;
 import loadbalancer.client.ClientServer;
 import loadbalancer.client.RequestReader;
-import loadbalancer.common.Clock;
 import loadbalancer.common.Log;
+import loadbalancer.common.MonotonicWallClock;
 import loadbalancer.common.SocketBudget;
 import loadbalancer.config.ClassRegistry;
 import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointWatcher;
-import loadbalancer.eventloop.LoopLag;
+import loadbalancer.eventloop.LoopLagMeter;
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.net.SocketAddresses;
 import loadbalancer.policy.Balancer;
@@ -59,7 +59,7 @@
     private final NodeConfig config;
     private ClassRegistry tuning;
     private final MeasuredEventLoop loop;
-    private final Clock clock = new Clock();
+    private final MonotonicWallClock clock = new MonotonicWallClock();
     private final Metrics counters = new Metrics();
     private final CordonStore cordons;
     private final ControlServer control;
@@ -154,7 +154,7 @@
                 () -> {
                     long lateUs = clock.nowUs() - housekeptUs - HOUSEKEEPING_MS * 1_000;
                     housekeptUs = clock.nowUs();
-                    LoopLag.Activity activity = loop.lag().takeActivity();
+                    LoopLagMeter.LoopActivity activity = loop.lagMeter().takeLoopActivity();
                     if (lateUs > HELD_UP_US) {
                         Log.warn(
                                 "event_loop_stalled",
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -70,7 +70,7 @@
 
     /** When it arrived, at the earliest: before it was read, where the loop was held up. */
     long arrivedAtUs() {
-        return services.clock().atUs(request.arrivedAtNanos());
+        return services.clock().unixMicrosOf(request.arrivedAtNanos());
     }
 
     long deadlineUs() {
--- a/node/src/main/java/loadbalancer/request/RequestServices.java
+++ b/node/src/main/java/loadbalancer/request/RequestServices.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 import loadbalancer.admin.Metrics;
-import loadbalancer.common.Clock;
+import loadbalancer.common.MonotonicWallClock;
 import loadbalancer.policy.LoadReportField;
 import loadbalancer.upstream.ServerPool;
 
@@ -15,7 +15,7 @@
  */
 public record RequestServices(
         EventLoop loop,
-        Clock clock,
+        MonotonicWallClock clock,
         ServerPool pool,
         Metrics metrics,
         List<LoadReportField> loadReportFields,
--- a/node/src/main/java/loadbalancer/upstream/ServerConnection.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerConnection.java
@@ -20,8 +20,8 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.common.Clock;
 import loadbalancer.common.Log;
+import loadbalancer.common.MonotonicWallClock;
 import loadbalancer.http.TransferCodings;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.transfer.FlowControl;
@@ -64,7 +64,7 @@
     private final Home home;
     private final InetSocketAddress endpoint;
     private final Channel channel;
-    private final Clock clock;
+    private final MonotonicWallClock clock;
     private final long openedAtUs;
     private UpstreamExchange exchange;
     private boolean written;
@@ -80,7 +80,7 @@
 
     private boolean answered;
 
-    ServerConnection(Home home, InetSocketAddress endpoint, Channel channel, Clock clock) {
+    ServerConnection(Home home, InetSocketAddress endpoint, Channel channel, MonotonicWallClock clock) {
         this.home = home;
         this.endpoint = endpoint;
         this.channel = channel;
--- a/node/src/main/java/loadbalancer/upstream/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.common.Clock;
+import loadbalancer.common.MonotonicWallClock;
 import loadbalancer.common.SocketBudget;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.http.StrictClientCodec;
@@ -30,7 +30,7 @@
     private final EventLoop loop;
     private final SocketBudget sockets;
     private long connIdleUs;
-    private final Clock clock;
+    private final MonotonicWallClock clock;
     private final Map<String, Upstream> upstreams = new HashMap<>();
     /** The connections that carry an exchange. */
     private final Map<UpstreamExchange, ServerConnection> carriers = new HashMap<>();
@@ -38,7 +38,8 @@
     private Set<String> cordoned = Set.of();
 
     /** A pool without servers. */
-    public ServerPool(EventLoop loop, SocketBudget sockets, Clock clock, long connectTimeoutUs, long connIdleUs) {
+    public ServerPool(
+            EventLoop loop, SocketBudget sockets, MonotonicWallClock clock, long connectTimeoutUs, long connIdleUs) {
         this.loop = loop;
         this.sockets = sockets;
         this.clock = clock;
@@ -246,10 +247,10 @@
 
     private void dial(Upstream upstream) {
         upstream.dialing++;
-        sockets.opened();
+        sockets.serverOpened();
         InetSocketAddress to = upstream.endpoint;
         ChannelFuture opening = dialer.connect(to);
-        opening.channel().closeFuture().addListener(closed -> sockets.closed());
+        opening.channel().closeFuture().addListener(closed -> sockets.serverClosed());
         // Also a dial that fails on the spot is heard of from the loop, never from inside this call.
         opening.addListener(done -> loop.execute(() -> dialed(upstream, to, opening)));
     }
--- a/node/src/test/java/loadbalancer/eventloop/MeasuredEventLoopTest.java
+++ b/node/src/test/java/loadbalancer/eventloop/MeasuredEventLoopTest.java
@@ -25,10 +25,10 @@
     @Test
     void sleepsUntilATimerIsDueInsteadOfPollingOverAndOver() throws Exception {
         CountDownLatch left = new CountDownLatch(TIMERS);
-        long before = loop.submit(() -> loop.lag().turn()).get();
+        long before = loop.submit(() -> loop.lagMeter().turnNumber()).get();
         loop.schedule(() -> next(left), DELAY_US, TimeUnit.MICROSECONDS);
         assertTrue(left.await(30, TimeUnit.SECONDS));
-        long turns = loop.submit(() -> loop.lag().turn()).get() - before;
+        long turns = loop.submit(() -> loop.lagMeter().turnNumber()).get() - before;
         assertTrue(turns <= MOST_TURNS_PER_TIMER * TIMERS, turns + " turns for " + TIMERS + " timers");
     }
 
