--- /dev/null
+++ b/node/src/main/java/loadbalancer/process/NodeActions.java
@@ -0,0 +1,78 @@
+package loadbalancer.process;
+
+import io.netty.handler.codec.http.HttpResponseStatus;
+import loadbalancer.common.Log;
+import loadbalancer.discovery.EndpointWatcher;
+import loadbalancer.policy.BalancerActions;
+import loadbalancer.request.HealthCheck;
+import loadbalancer.request.RequestServices;
+import loadbalancer.request.RequestTable;
+
+/**
+ * Carries out on sockets and timers what the balancer decides. It decides nothing itself.
+ *
+ * <p>Called by the balancer, on the event loop, from inside an event that it handles.
+ */
+final class NodeActions implements BalancerActions {
+    private final RequestServices services;
+    private final RequestTable requests;
+    private final EndpointWatcher discovery;
+    private final WakeTimer wakeTimer;
+
+    NodeActions(RequestServices services, RequestTable requests, EndpointWatcher discovery, WakeTimer wakeTimer) {
+        this.services = services;
+        this.requests = requests;
+        this.discovery = discovery;
+        this.wakeTimer = wakeTimer;
+    }
+
+    @Override
+    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+        requests.startAttempt(requestId, serverId, beginByUs, untilUs);
+    }
+
+    @Override
+    public void cancel(long requestId, int attempt) {
+        requests.cancelAttempt(requestId, attempt);
+    }
+
+    @Override
+    public void reject(long requestId, long retryAfterUs) {
+        requests.respond(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterUs);
+    }
+
+    @Override
+    public void fail(long requestId) {
+        requests.respond(requestId, HttpResponseStatus.BAD_GATEWAY, 0);
+    }
+
+    @Override
+    public void wakeAt(long atUs) {
+        wakeTimer.schedule(atUs);
+    }
+
+    @Override
+    public void probe(String serverId) {
+        new HealthCheck(serverId, services).start();
+    }
+
+    @Override
+    public void closeIdle(String serverId) {
+        services.pool().closeIdle(serverId);
+    }
+
+    @Override
+    public void subscribe() {
+        discovery.subscribe();
+    }
+
+    @Override
+    public void ejected(String serverId, int failures, String className) {
+        Log.info("server_ejected", "server", serverId, "failures", failures, "class", className);
+    }
+
+    @Override
+    public void restored(String serverId, String className) {
+        Log.info("server_restored", "server", serverId, "class", className);
+    }
+}
--- a/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -35,14 +35,14 @@
         Runnable leave = config.fleet() == null
                 ? null
                 : MembershipService.join(
-                        config.fleet(), text -> Log.info("membership", "text", text), node::alsoReport);
+                        config.fleet(), text -> Log.info("membership", "text", text), node::setExtraMetrics);
         ChannelFuture control = node.startControl();
         if (control != null) {
             awaitListening("control " + config.operators().control(), control);
             Log.info("control_listening", "address", text(control));
         }
         // Ahead of the rehearsal, which takes longer than discovery to answer.
-        node.watch();
+        node.followEndpointList();
         long rehearsed = WarmUp.play(config, loop);
         if (rehearsed < WarmUp.REQUESTS) {
             Log.warn("warm_up_incomplete", "requests", rehearsed, "of", WarmUp.REQUESTS);
--- a/node/src/test/java/loadbalancer/process/ControlServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ControlServerTest.java
@@ -221,7 +221,9 @@
             long calledAt = System.nanoTime();
             assertEquals("YES\n", second.controlCall("cordon s1\n"));
             long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt);
-            assertTrue(tookMs >= Node.HEEDED_MS, "no yes before the other process has looked: " + tookMs);
+            assertTrue(
+                    tookMs >= ServerListUpdater.CORDON_PROPAGATION_MILLIS,
+                    "no yes before the other process has looked: " + tookMs);
             first.awaitMetric("node_skipped_app_servers 1");
             assertEquals("one", first.exchange(Http.pageRequest("u")).body());
         }
--- a/node/src/test/java/loadbalancer/process/NodeTest.java
+++ b/node/src/test/java/loadbalancer/process/NodeTest.java
@@ -144,7 +144,7 @@
             harness.hasControl = true;
             harness.createNode(NodeHarness.endpointList(
                     1, true, "s0=" + one.endpoint() + "=Ready", "s1=" + two.endpoint() + "=Ready"));
-            harness.node.watch();
+            harness.node.followEndpointList();
             FakeServer.awaitNext(harness.discovery.answeredConnections)
                     .write(NodeHarness.chunk(
                             NodeHarness.endpointList(2, false, "s0=" + one.endpoint() + "=Gone") + "\n"));
