--- a/node/src/main/java/loadbalancer/client/RequestReader.java
+++ b/node/src/main/java/loadbalancer/client/RequestReader.java
@@ -17,10 +17,10 @@
 
     private static final double MOST_LEFT_US = 3.6e9;
 
-    private final ClassRegistry tuning;
+    private final ClassRegistry registry;
 
-    public RequestReader(ClassRegistry tuning) {
-        this.tuning = tuning;
+    public RequestReader(ClassRegistry registry) {
+        this.registry = registry;
     }
 
     /** Path and query of what is asked for, which a client may write with the host that it asks. */
@@ -59,7 +59,7 @@
                 txn,
                 idempotencyKey,
                 classIndex,
-                tenant == null ? -1 : tuning.tenants().getOrDefault(tenant, -1),
+                tenant == null ? -1 : registry.tenantIndices().getOrDefault(tenant, -1),
                 parseRemainingUs(need(message, "X-Remaining")),
                 work(one(message, "X-Estimate")),
                 "1".equals(one(message, "X-Resent")),
@@ -73,16 +73,16 @@
      */
     private int classIndex(String name, HttpMethod method, boolean keyed) throws BadRequestException {
         boolean methodFits = false;
-        for (int place : tuning.asked().getOrDefault(name, Set.of())) {
-            Idempotency repeat = tuning.known().get(place).idempotency();
+        for (int classIndex : registry.acceptedIndices().getOrDefault(name, Set.of())) {
+            Idempotency repeat = registry.classes().get(classIndex).idempotency();
             boolean fits = method.equals(repeat == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST);
             if (fits && repeat == Idempotency.IDEMPOTENT_WITH_KEY == keyed) {
-                return place;
+                return classIndex;
             }
             methodFits |= fits;
         }
         throw new BadRequestException(
-                !tuning.asked().containsKey(name)
+                !registry.acceptedIndices().containsKey(name)
                         ? "X-Lane names no class"
                         : methodFits
                                 ? "Idempotency-Key does not go with the class"
--- a/node/src/main/java/loadbalancer/config/ClassRegistry.java
+++ b/node/src/main/java/loadbalancer/config/ClassRegistry.java
@@ -11,116 +11,128 @@
 import loadbalancer.policy.Tenant;
 
 /**
- * Settings as the module has them, and the names by which clients ask for what is in them. Open requests know
- * their class by its place, so each keeps its place for good, and one that comes with other rules gets a new
- * one. What is no longer in the file is worth nothing.
+ * The request classes and tenants of a node over all reloads of its configuration. Immutable, but for the settings,
+ * which the balancer only reads.
  *
- * @param settings with every class and tenant that there has been
- * @param known these classes as they were read
- * @param current the place of each class that is in the file
- * @param asked the places that clients may mean by each name: the current one first, then those which were
- *     current until lately, as requests by the rules before are still under way and clients repeat theirs
- * @param tenants places by name
+ * <p>An open request refers to its class by index, so an index never changes its meaning: a class that comes back with
+ * other rules gets a new index, and a class that is no longer configured stays in the list with a weight of 0.
+ *
+ * @param settings the current settings, with every class and tenant that there has been
+ * @param classes by index, every class that there has been, with the rules that it was configured with
+ * @param configuredIndices by name, the index of each class in the current configuration
+ * @param acceptedIndices by name, the indices that a client's request may mean: the configured one first, then those
+ *     of earlier configurations, since clients repeat requests that began by the earlier rules
+ * @param tenantIndices by name, the index of each tenant
  */
 public record ClassRegistry(
         BalancerSettings settings,
-        List<RequestClass> known,
-        Map<String, Integer> current,
-        Map<String, Set<Integer>> asked,
-        Map<String, Integer> tenants) {
+        List<RequestClass> classes,
+        Map<String, Integer> configuredIndices,
+        Map<String, Set<Integer>> acceptedIndices,
+        Map<String, Integer> tenantIndices) {
 
-    public static ClassRegistry first(BalancerSettings settings) {
-        return new ClassRegistry(new BalancerSettings(), List.of(), Map.of(), Map.of(), Map.of()).with(settings);
+    /** The registry of a node that starts with these settings. */
+    public static ClassRegistry initial(BalancerSettings settings) {
+        ClassRegistry empty = new ClassRegistry(new BalancerSettings(), List.of(), Map.of(), Map.of(), Map.of());
+        return empty.with(settings);
     }
 
-    /** These settings from now on, but for what only a restart takes: the node's place and reports' form. */
-    public ClassRegistry then(BalancerSettings read) {
-        read.nodes = settings.nodes;
-        read.nodeIndex = settings.nodeIndex;
-        read.localZone = settings.localZone;
-        read.zones.clear();
-        read.zones.addAll(settings.zones);
-        read.reportFields.clear();
-        read.reportFields.addAll(settings.reportFields);
-        read.pollsEndpointList = settings.pollsEndpointList;
-        return with(read);
+    /**
+     * The registry once these settings have been loaded. The place of the node in its fleet and the form of load
+     * reports stay as they are: they change only by a restart.
+     *
+     * @param loaded is completed by what the running settings hold, and belongs to the new registry from now on
+     */
+    public ClassRegistry reloaded(BalancerSettings loaded) {
+        loaded.nodes = settings.nodes;
+        loaded.nodeIndex = settings.nodeIndex;
+        loaded.localZone = settings.localZone;
+        loaded.zones.clear();
+        loaded.zones.addAll(settings.zones);
+        loaded.reportFields.clear();
+        loaded.reportFields.addAll(settings.reportFields);
+        loaded.pollsEndpointList = settings.pollsEndpointList;
+        return with(loaded);
     }
 
-    private ClassRegistry with(BalancerSettings read) {
-        List<RequestClass> all = new ArrayList<>(known);
-        Map<String, Integer> inFile = new HashMap<>();
-        for (RequestClass c : read.classes) {
-            if (!all.contains(c)) {
-                all.add(c);
+    private ClassRegistry with(BalancerSettings loaded) {
+        List<RequestClass> allClasses = new ArrayList<>(classes);
+        Map<String, Integer> configured = new HashMap<>();
+        for (RequestClass requestClass : loaded.classes) {
+            if (!allClasses.contains(requestClass)) {
+                allClasses.add(requestClass);
             }
-            inFile.put(c.name(), all.indexOf(c));
+            configured.put(requestClass.name(), allClasses.indexOf(requestClass));
         }
-        read.classes.clear();
-        for (RequestClass c : all) {
-            read.classes.add(inFile.containsValue(read.classes.size()) ? c : worthless(c));
+        loaded.classes.clear();
+        for (int index = 0; index < allClasses.size(); index++) {
+            RequestClass requestClass = allClasses.get(index);
+            loaded.classes.add(configured.containsValue(index) ? requestClass : withoutWeight(requestClass));
         }
-        Map<String, Set<Integer>> names = alone(inFile);
-        asked.forEach((name, places) ->
-                names.computeIfAbsent(name, n -> new LinkedHashSet<>()).addAll(places));
-        return new ClassRegistry(read, all, inFile, names, allTenants(read.tenants));
+        Map<String, Set<Integer>> accepted = onlyConfigured(configured);
+        acceptedIndices.forEach((name, indices) ->
+                accepted.computeIfAbsent(name, n -> new LinkedHashSet<>()).addAll(indices));
+        return new ClassRegistry(loaded, allClasses, configured, accepted, mergeTenants(loaded.tenants));
     }
 
-    private static Map<String, Set<Integer>> alone(Map<String, Integer> places) {
-        Map<String, Set<Integer>> names = new HashMap<>();
-        places.forEach((name, place) -> names.put(name, new LinkedHashSet<>(List.of(place))));
-        return names;
+    private static Map<String, Set<Integer>> onlyConfigured(Map<String, Integer> configured) {
+        Map<String, Set<Integer>> accepted = new HashMap<>();
+        configured.forEach((name, index) -> accepted.put(name, new LinkedHashSet<>(List.of(index))));
+        return accepted;
     }
 
-    private static RequestClass worthless(RequestClass c) {
+    private static RequestClass withoutWeight(RequestClass requestClass) {
         return new RequestClass(
-                c.name(),
-                c.latencyObjectiveUs(),
-                c.objectiveStretch(),
-                c.deadlineUs(),
+                requestClass.name(),
+                requestClass.latencyObjectiveUs(),
+                requestClass.objectiveStretch(),
+                requestClass.deadlineUs(),
                 0,
                 0,
-                c.idempotency(),
-                c.deduplicationScope(),
-                c.deduplicationWindowUs(),
-                c.streaming());
+                requestClass.idempotency(),
+                requestClass.deduplicationScope(),
+                requestClass.deduplicationWindowUs(),
+                requestClass.streaming());
     }
 
-    private Map<String, Integer> allTenants(List<Tenant> read) {
-        List<Tenant> all = new ArrayList<>(settings.tenants);
-        Map<String, Integer> places = new HashMap<>(tenants);
-        for (Tenant tenant : read) {
-            Integer place = places.putIfAbsent(tenant.name(), all.size());
-            if (place == null) {
-                all.add(tenant);
+    /** Completes the loaded tenants by those of earlier configurations, and returns the index of each by name. */
+    private Map<String, Integer> mergeTenants(List<Tenant> loaded) {
+        List<Tenant> allTenants = new ArrayList<>(settings.tenants);
+        Map<String, Integer> indices = new HashMap<>(tenantIndices);
+        for (Tenant tenant : loaded) {
+            Integer index = indices.putIfAbsent(tenant.name(), allTenants.size());
+            if (index == null) {
+                allTenants.add(tenant);
             } else {
-                all.set(place, tenant);
+                allTenants.set(index, tenant);
             }
         }
-        read.clear();
-        read.addAll(all);
-        return places;
+        loaded.clear();
+        loaded.addAll(allTenants);
+        return indices;
     }
 
-    /** What the platform reckons with at a planned end: it knows the file as it is, not those before. */
+    /** The longest deadline of a configured class: the platform grants a draining process this long. */
     public long longestDeadlineUs() {
-        return current.values().stream()
-                .mapToLong(place -> known.get(place).deadlineUs())
+        return configuredIndices.values().stream()
+                .mapToLong(index -> classes.get(index).deadlineUs())
                 .max()
                 .orElse(0);
     }
 
-    /** How long clients may still ask by rules that are no longer in the file. */
-    public long settlesAfterUs() {
-        return asked.values().stream()
+    /** For how long clients may still repeat requests by rules that are no longer configured. */
+    public long retirementDelayUs() {
+        return acceptedIndices.values().stream()
                 .flatMap(Set::stream)
-                .filter(place -> !current.containsValue(place))
-                .mapToLong(place -> known.get(place).deadlineUs())
+                .filter(index -> !configuredIndices.containsValue(index))
+                .mapToLong(index -> classes.get(index).deadlineUs())
                 .max()
                 .orElse(0);
     }
 
-    /** The same once nobody can be asking by those. */
-    public ClassRegistry settled() {
-        return new ClassRegistry(settings, known, current, alone(current), tenants);
+    /** The same registry once {@link #retirementDelayUs} is over: only configured classes are accepted. */
+    public ClassRegistry withoutRetiredClasses() {
+        return new ClassRegistry(
+                settings, classes, configuredIndices, onlyConfigured(configuredIndices), tenantIndices);
     }
 }
--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -58,7 +58,7 @@
     private static final long LAST_ASKED_US = 800_000;
 
     private final NodeConfig config;
-    private ClassRegistry tuning;
+    private ClassRegistry registry;
     private final MeasuredEventLoop loop;
     private final Clock clock = new Clock();
     private final Metrics counters = new Metrics();
@@ -93,11 +93,11 @@
         counters.report(config.settings().classes);
         SocketBudget sockets = new SocketBudget(config.sockets(), operated ? ControlServer.SOCKETS : 0);
         pool = new ServerPool(loop, sockets, clock, config.settings().connectTimeoutUs, config.connIdleUs());
-        tuning = ClassRegistry.first(config.settings());
+        registry = ClassRegistry.initial(config.settings());
         means = new RequestServices(
                 loop, clock, pool, counters, config.settings().reportFields, module, new HashSet<>());
-        requests = new RequestTable(means, () -> tuning);
-        clients = new ClientServer(loop, new RequestReader(tuning), sockets, requests);
+        requests = new RequestTable(means, () -> registry);
+        clients = new ClientServer(loop, new RequestReader(registry), sockets, requests);
         discovery = new EndpointWatcher(loop, config, EndpointWatcher.Patience.USUAL, new EndpointWatcher.Listener() {
             @Override
             public void listed(EndpointList list) {
@@ -184,7 +184,7 @@
         loop.execute(() -> {
             serves = false;
             Log.info("draining", "open_requests", requests.pendingCount());
-            long remainingUs = Math.min(MOST_DEADLINE_US, tuning.longestDeadlineUs()) + KILL_US - ROOM_US;
+            long remainingUs = Math.min(MOST_DEADLINE_US, registry.longestDeadlineUs()) + KILL_US - ROOM_US;
             requests.setShutdownDeadline(clock.nowUs() + remainingUs);
             loop.schedule(requests::failPending, remainingUs, TimeUnit.MICROSECONDS);
             if (config.operators().inherits()) {
@@ -269,8 +269,8 @@
         Log.info("reloaded", "discovery", read.discovery() == null ? null : SocketAddresses.format(read.discovery()));
         counters.loaded();
         counters.report(read.settings().classes);
-        ClassRegistry next = tuning.then(read.settings());
-        tuning = next;
+        ClassRegistry next = registry.reloaded(read.settings());
+        registry = next;
         module.submit(balancer -> balancer.onSettings(clock.nowUs(), next.settings()));
         clients.setRequestReader(new RequestReader(next));
         pool.setTimeouts(next.settings().connectTimeoutUs, read.connIdleUs());
@@ -278,12 +278,12 @@
         loop.schedule(
                 () -> {
                     // Unless another file has been taken since.
-                    if (tuning == next) {
-                        tuning = next.settled();
-                        clients.setRequestReader(new RequestReader(tuning));
+                    if (registry == next) {
+                        registry = next.withoutRetiredClasses();
+                        clients.setRequestReader(new RequestReader(registry));
                     }
                 },
-                next.settlesAfterUs(),
+                next.retirementDelayUs(),
                 TimeUnit.MICROSECONDS);
     }
 
--- a/node/src/main/java/loadbalancer/request/RequestTable.java
+++ b/node/src/main/java/loadbalancer/request/RequestTable.java
@@ -17,7 +17,7 @@
     private static final long LATE_US = 250_000;
 
     private final RequestServices services;
-    private final Supplier<ClassRegistry> tuning;
+    private final Supplier<ClassRegistry> registry;
     private final Map<Long, ProxiedRequest> held = new HashMap<>();
     /** How many of these have come whole and not had the end of their final answer. */
     private int open;
@@ -25,10 +25,10 @@
     private long lastId;
     private long endsAtUs = Long.MAX_VALUE;
 
-    /** @param tuning the classes as they are when a request comes */
-    public RequestTable(RequestServices services, Supplier<ClassRegistry> tuning) {
+    /** @param registry the classes as they are when a request comes */
+    public RequestTable(RequestServices services, Supplier<ClassRegistry> registry) {
         this.services = services;
-        this.tuning = tuning;
+        this.registry = registry;
     }
 
     /** How many have come whole and wait for the end of their answer. */
@@ -48,13 +48,13 @@
 
     @Override
     public void onRequest(ClientConnection client, ClientRequest request) {
-        ClassRegistry now = tuning.get();
+        ClassRegistry now = registry.get();
         ClientRequest.Head head = request.head();
         ProxiedRequest taken = new ProxiedRequest(
                 ++lastId,
                 request,
                 client,
-                now.known().get(head.classIndex()).name(),
+                now.classes().get(head.classIndex()).name(),
                 now.settings().maxAttempts,
                 this,
                 services);
