--- a/node/src/main/java/loadbalancer/admin/ControlServer.java
+++ b/node/src/main/java/loadbalancer/admin/ControlServer.java
@@ -23,42 +23,29 @@
 import loadbalancer.common.Log;
 import loadbalancer.transfer.TransferLimits;
 
-/** The address for operators: one call, a line, to a connection. */
+/**
+ * The server at the control address: accepts operators' connections, each of which carries one call, a line, and its
+ * answer. All of it runs on the event loop of the node.
+ */
 public final class ControlServer {
-    /** What the node does for operators. */
-    public interface Operated {
-        /** Whether this process can serve clients. */
-        boolean serves();
-
-        /** All figures, a line each. */
-        String figures();
-
-        /**
-         * Keeps a server out, or lets it in again.
-         *
-         * @return after how many milliseconds all processes of the node do so
-         */
-        long cordon(String serverId, boolean out) throws RejectedCallException;
-    }
-
-    /** Descriptors that callers may hold, and the listener. */
-    public static final int SOCKETS = 17;
+    private static final int MAX_CONNECTIONS = 16;
+    /** File descriptors that the server may hold: its connections, and the one that it listens on. */
+    public static final int MAX_SOCKETS = MAX_CONNECTIONS + 1;
 
-    private static final int MOST_CALLERS = SOCKETS - 1;
-    private static final int MOST_LINE = 1 << 10;
-    /** Whoever has not made its call by then, or not read its answer, is closed. */
-    private static final long MOST_CALL_MS = 3_000;
+    private static final int MAX_LINE_BYTES = 1 << 10;
+    /** After so long a connection is closed, whether its call has come and its answer has been read or not. */
+    private static final long CONNECTION_TIMEOUT_MILLIS = 3_000;
 
     private final EventLoop loop;
-    private final Operated node;
-    /** Callers, the longest connected first. */
-    private final ArrayDeque<Caller> callers = new ArrayDeque<>();
+    private final ControlCallHandler callHandler;
+    /** The open connections, the oldest first. */
+    private final ArrayDeque<Connection> connections = new ArrayDeque<>();
 
-    private Channel listening;
+    private Channel listener;
 
-    public ControlServer(EventLoop loop, Operated node) {
+    public ControlServer(EventLoop loop, NodeOperations node) {
         this.loop = loop;
-        this.node = node;
+        callHandler = new ControlCallHandler(node);
     }
 
     /** Listens on this address; the future is done once operators can connect. */
@@ -71,108 +58,82 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        if (callers.size() == MOST_CALLERS) {
-                            // Most likely one that says nothing: it must not keep others out.
-                            callers.poll().channel.close();
-                        }
-                        Caller caller = new Caller(channel);
-                        callers.add(caller);
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(MOST_LINE, true, true), caller);
+                        accept(channel);
                     }
                 })
                 .bind(address);
-        listening = opening.channel();
+        listener = opening.channel();
         return opening;
     }
 
-    public void close() {
-        listening.close();
-        callers.forEach(caller -> caller.channel.close());
-    }
-
-    /** What is said, and in how many milliseconds. */
-    private record Answer(String text, long inMs) {}
-
-    private Answer answer(String line) {
-        String[] words = line.strip().split("\\s+");
-        String call = words[0];
-        try {
-            switch (call) {
-                case "health", "counters" -> takes(words, 1);
-                case "cordon", "uncordon" -> takes(words, 2);
-                default -> throw new RejectedCallException("unknown call");
-            }
-            if (call.equals("counters")) {
-                return new Answer(node.figures() + "END", 0);
-            }
-            if (!call.equals("health")) {
-                return new Answer("YES", node.cordon(words[1], call.equals("cordon")));
-            }
-            if (!node.serves()) {
-                throw new RejectedCallException("not serving");
-            }
-            return new Answer("YES", 0);
-        } catch (RejectedCallException e) {
-            return new Answer("NO " + e.getMessage(), 0);
-        } catch (RuntimeException e) {
-            Log.error("control_call_error", e, "call", call);
-            return new Answer("NO defect in the node", 0);
+    private void accept(SocketChannel channel) {
+        if (connections.size() == MAX_CONNECTIONS) {
+            // The oldest most likely stays silent. It must not keep other operators out.
+            connections.poll().channel.close();
         }
+        Connection connection = new Connection(channel);
+        connections.add(connection);
+        channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true), connection);
     }
 
-    private static void takes(String[] words, int number) throws RejectedCallException {
-        if (words.length != number) {
-            throw new RejectedCallException(words[0] + (number == 1 ? " takes no word more" : " takes one id"));
-        }
+    /** Stops listening and closes all connections. */
+    public void close() {
+        listener.close();
+        connections.forEach(connection -> connection.channel.close());
     }
 
-    /** A caller's connection. */
-    private final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
+    /** An operator's connection. */
+    private final class Connection extends SimpleChannelInboundHandler<ByteBuf> {
         private final SocketChannel channel;
-        private final Future<?> end;
-        private Future<?> due;
-        private boolean answered;
+        private final Future<?> timeout;
+        /** Writes an answer that is delayed; null if none is. */
+        private Future<?> delayedAnswer;
+
+        private boolean called;
 
-        Caller(SocketChannel channel) {
+        Connection(SocketChannel channel) {
             this.channel = channel;
-            end = loop.schedule(() -> channel.close(), MOST_CALL_MS, TimeUnit.MILLISECONDS);
+            timeout = loop.schedule(() -> channel.close(), CONNECTION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
-            if (answered) {
+            if (called) {
                 return;
             }
-            answered = true;
-            Answer answer = answer(line.toString(StandardCharsets.UTF_8));
-            if (answer.inMs == 0) {
-                say(answer.text);
+            called = true;
+            ControlAnswer answer = callHandler.handle(line.toString(StandardCharsets.UTF_8));
+            if (answer.delayMillis() == 0) {
+                write(answer);
             } else {
-                due = loop.schedule(() -> say(answer.text), answer.inMs, TimeUnit.MILLISECONDS);
+                delayedAnswer = loop.schedule(() -> write(answer), answer.delayMillis(), TimeUnit.MILLISECONDS);
             }
         }
 
-        private void say(String answer) {
-            // Not closed yet: with more of the caller's unread, that would break the answer off.
-            channel.writeAndFlush(Unpooled.copiedBuffer(answer + "\n", StandardCharsets.UTF_8))
+        private void write(ControlAnswer answer) {
+            // Only the output is shut down: a close while bytes of the caller are unread would reset the connection,
+            // and the caller could lose the answer.
+            channel.writeAndFlush(Unpooled.copiedBuffer(answer.text() + "\n", StandardCharsets.UTF_8))
                     .addListener(written -> channel.shutdownOutput());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            end.cancel(false);
-            if (due != null) {
-                due.cancel(false);
+            timeout.cancel(false);
+            if (delayedAnswer != null) {
+                delayedAnswer.cancel(false);
             }
-            callers.remove(this);
+            connections.remove(this);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            if (cause instanceof TooLongFrameException && !answered) {
-                answered = true;
-                say("NO line too long");
-            } else if (!(cause instanceof IOException) && !(cause instanceof TooLongFrameException)) {
+            if (cause instanceof TooLongFrameException) {
+                if (!called) {
+                    called = true;
+                    write(ControlAnswer.rejected("line too long"));
+                }
+            } else if (!(cause instanceof IOException)) {
                 Log.error("control_connection_error", cause);
                 channel.close();
             }
--- a/node/src/main/java/loadbalancer/admin/CordonStore.java
+++ b/node/src/main/java/loadbalancer/admin/CordonStore.java
@@ -1,127 +1,132 @@
 package loadbalancer.admin;
 
 import java.io.IOException;
-import java.nio.channels.FileChannel;
-import java.nio.channels.FileLock;
 import java.nio.channels.OverlappingFileLockException;
-import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
-import java.nio.file.StandardOpenOption;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 import loadbalancer.common.Log;
+import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
 
 /**
- * The servers that operators keep out by hand. They stand in a file that all processes of this node share: a
- * call to either of two counts for both, and a new process begins with them.
+ * The servers that operators have cordoned. They are kept in a {@link CordonFile}, which all processes of a node share:
+ * a call to one process binds all of them, and a new process starts with the cordons of the old one. Without a shared
+ * folder they are kept in memory only. Used on the event loop of the node only; the file is small.
  */
 public final class CordonStore {
-    /** Ids that are remembered as once listed: many times what any fleet holds, but bounded. */
-    private static final int MOST_REMEMBERED = 50_000;
+    /** How many ids of listed servers are remembered: many times the size of any fleet, but bounded. */
+    private static final int MAX_LISTED_IDS = 50_000;
 
-    private final Path file;
-    private final Path lock;
-    /** The file as it was last read, so that each state is told once. */
-    private List<String> lines = List.of();
+    /** Null if cordons are kept in memory only. */
+    private final CordonFile file;
 
-    private Set<String> out = Set.of();
-    private boolean unreadable;
-    private final Map<String, Boolean> listed = new LinkedHashMap<>() {
+    private Set<String> cordonedIds = Set.of();
+    /** The file as it was read or written last: while it is the same, nothing has to be done. */
+    private List<String> lastFileLines = List.of();
+
+    private boolean unreadableLogged;
+    /** The ids that have been listed since the start; the map is used as a set. */
+    private final Map<String, Boolean> listedIds = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MOST_REMEMBERED;
+            return size() > MAX_LISTED_IDS;
         }
     };
 
-    /** Kept in this folder, or only in memory where it is null. */
+    /** @param folder the folder that the processes of this node share; null if there is none */
     public CordonStore(Path folder) {
-        file = folder == null ? null : folder.resolve("kitemux.cordons");
-        lock = folder == null ? null : folder.resolve("kitemux.cordons.lock");
+        file = folder == null ? null : new CordonFile(folder);
     }
 
-    public Set<String> out() {
-        return out;
+    /** The ids of the cordoned servers; immutable. */
+    public Set<String> cordonedIds() {
+        return cordonedIds;
     }
 
-    /** Whether other processes of this node may go by them too. */
-    public boolean areShared() {
+    /** Whether other processes of this node may follow the same cordons. */
+    public boolean isShared() {
         return file != null;
     }
 
-    public void listed(EndpointList list) {
-        list.endpoints().forEach(endpoint -> listed.put(endpoint.server().id(), true));
+    /** Remembers the listed servers: only these can be cordoned. */
+    public void onEndpointList(EndpointList list) {
+        for (Endpoint endpoint : list.endpoints()) {
+            listedIds.put(endpoint.server().id(), true);
+        }
     }
 
-    /** Reads what any process of this node has written; true if that changed what is out. */
+    /** Reads what any process of this node has written; true if that changed which servers are cordoned. */
     public boolean refresh() {
         if (file == null) {
             return false;
         }
         try {
-            List<String> read = Files.readAllLines(file);
-            unreadable = false;
-            if (read.equals(lines)) {
+            List<String> lines = file.read();
+            unreadableLogged = false;
+            if (lines.equals(lastFileLines)) {
                 return false;
             }
-            lines = read;
-            return set(read);
+            lastFileLines = lines;
+            return replaceCordons(lines);
         } catch (NoSuchFileException e) {
             return false;
         } catch (IOException e) {
-            if (!unreadable) {
-                unreadable = true;
-                Log.warn("cordons_unreadable", "file", file, "cause", e);
+            if (!unreadableLogged) {
+                unreadableLogged = true;
+                Log.warn("cordons_unreadable", "file", file.path(), "cause", e);
             }
             return false;
         }
     }
 
-    private boolean set(List<String> ids) {
-        Set<String> before = out;
-        out = Set.copyOf(ids);
-        return !out.equals(before);
-    }
-
-    /** Changes one server's cordon, in the file first: what is answered with yes outlives this process. */
-    public void change(String serverId, boolean keepOut) throws RejectedCallException {
-        if (!listed.containsKey(serverId) && !out.contains(serverId)) {
+    /**
+     * Cordons a server or ends its cordon. The file is written first, so that an accepted call outlives this process.
+     *
+     * @throws RejectedCallException if the server was never listed or the file cannot be written; nothing has changed
+     */
+    public void setCordoned(String serverId, boolean cordoned) throws RejectedCallException {
+        if (!listedIds.containsKey(serverId) && !cordonedIds.contains(serverId)) {
             throw new RejectedCallException("never listed: " + serverId);
         }
         if (file == null) {
-            set(List.copyOf(changed(serverId, keepOut)));
+            replaceCordons(idsWith(serverId, cordoned));
             return;
         }
-        try (FileChannel guard = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-                FileLock held = guard.tryLock()) {
-            if (held == null) {
-                throw new RejectedCallException("another process is changing cordons, call again");
-            }
-            refresh();
-            List<String> ids = List.copyOf(changed(serverId, keepOut));
-            Path whole = Files.write(file.resolveSibling(file.getFileName() + ".new"), ids);
-            Files.move(whole, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-            lines = ids;
-            set(ids);
+        try {
+            file.withLock(() -> {
+                // Another process may have written since the last look; its change must not be lost.
+                refresh();
+                List<String> lines = idsWith(serverId, cordoned);
+                file.write(lines);
+                lastFileLines = lines;
+                replaceCordons(lines);
+            });
         } catch (IOException | OverlappingFileLockException e) {
             throw new RejectedCallException("cordons cannot be kept: " + e);
         }
     }
 
-    private TreeSet<String> changed(String serverId, boolean keepOut) {
-        TreeSet<String> ids = new TreeSet<>(out);
-        if (keepOut) {
-            ids.add(serverId);
+    private boolean replaceCordons(List<String> serverIds) {
+        Set<String> before = cordonedIds;
+        cordonedIds = Set.copyOf(serverIds);
+        return !cordonedIds.equals(before);
+    }
+
+    /** The cordoned ids in order, once this server is or is no longer among them. */
+    private List<String> idsWith(String serverId, boolean cordoned) {
+        TreeSet<String> serverIds = new TreeSet<>(cordonedIds);
+        if (cordoned) {
+            serverIds.add(serverId);
         } else {
-            ids.remove(serverId);
+            serverIds.remove(serverId);
         }
-        return ids;
+        return List.copyOf(serverIds);
     }
 }
--- a/node/src/main/java/loadbalancer/admin/Metrics.java
+++ b/node/src/main/java/loadbalancer/admin/Metrics.java
@@ -2,85 +2,76 @@
 
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import loadbalancer.policy.RequestClass;
 
 /**
- * What this process has done since it started, for operators. Each thing is counted once, where it happens,
- * and on the loop; what stands now is read from its owner when it is asked for.
+ * Counts what this process has done since its start. Each event is counted once, where it happens. Not thread-safe:
+ * used on the event loop of the node only. {@link MetricsRenderer} writes the counters as text.
  */
 public final class Metrics {
-    /** How a request ended; written in small letters. */
-    public enum Ending {
-        PASSED,
-        DROPPED,
-        BAD_GATEWAY
-    }
+    /**
+     * Values that are read from their owners when the metrics are written.
+     *
+     * @param openRequests requests that are complete and have no complete answer
+     * @param listedServers app servers in the endpoint list
+     * @param excludedServers of these, the ones that are cordoned or ejected
+     */
+    public record Gauges(int openRequests, int listedServers, int excludedServers) {}
+
+    private static final RequestOutcome[] OUTCOMES = RequestOutcome.values();
 
-    /** Figures that stand now, each told by its owner. */
-    public record Gauges(int inProgress, int knownServers, int skippedServers) {}
+    /** By class name, then by outcome. A class that is no longer configured keeps its counts. */
+    private final Map<String, long[]> finishedRequests = new LinkedHashMap<>();
 
-    private static final String PREFIX = "node_";
+    private long attempts;
+    private long configLoads;
+    private long configErrors;
 
-    /** By class and ending; a class that has been dropped keeps its figures. */
-    private final Map<String, long[]> handled = new LinkedHashMap<>();
+    /** Adds these classes, with counts of 0; a class that is there already keeps its counts. */
+    public void register(List<RequestClass> classes) {
+        for (RequestClass requestClass : classes) {
+            finishedRequests.putIfAbsent(requestClass.name(), new long[OUTCOMES.length]);
+        }
+    }
 
-    private long tries;
-    private long loads;
-    private long loadErrors;
+    /** Counts a request whose final answer has ended; its class must have been registered. */
+    public void onRequestFinished(String className, RequestOutcome outcome) {
+        finishedRequests.get(className)[outcome.ordinal()]++;
+    }
 
-    /** These classes are reported from now on, from 0. */
-    public void report(List<RequestClass> classes) {
-        classes.forEach(c -> handled.computeIfAbsent(c.name(), name -> new long[Ending.values().length]));
+    /** Counts an attempt that has been written completely to a server. */
+    public void onAttemptWritten() {
+        attempts++;
     }
 
-    /** A request has got the end of its final answer. */
-    public void handled(String className, Ending ending) {
-        handled.get(className)[ending.ordinal()]++;
+    /** Counts a configuration file that was loaded. */
+    public void onConfigLoaded() {
+        configLoads++;
     }
 
-    /** An attempt has been written whole to a server. */
-    public void tried() {
-        tries++;
+    /** Counts a configuration file that was rejected. */
+    public void onConfigRejected() {
+        configErrors++;
     }
 
-    /** A configuration file has been taken. */
-    public void loaded() {
-        loads++;
+    Iterable<String> classNames() {
+        return finishedRequests.keySet();
     }
 
-    /** A configuration file has been turned down. */
-    public void loadFailed() {
-        loadErrors++;
+    long finishedRequests(String className, RequestOutcome outcome) {
+        return finishedRequests.get(className)[outcome.ordinal()];
     }
 
-    /** All figures, a line each. */
-    public String text(Gauges now) {
-        StringBuilder text = new StringBuilder();
-        handled.forEach((name, counts) -> {
-            for (Ending ending : Ending.values()) {
-                line(
-                        text,
-                        "handled{category=\"" + escaped(name) + "\",outcome=\""
-                                + ending.name().toLowerCase(Locale.ROOT) + "\"}",
-                        counts[ending.ordinal()]);
-            }
-        });
-        line(text, "upstream_tries", tries);
-        line(text, "in_progress", now.inProgress);
-        line(text, "known_app_servers", now.knownServers);
-        line(text, "skipped_app_servers", now.skippedServers);
-        line(text, "loads", loads);
-        line(text, "load_errors", loadErrors);
-        return text.toString();
+    long attempts() {
+        return attempts;
     }
 
-    private static void line(StringBuilder text, String name, long value) {
-        text.append(PREFIX).append(name).append(' ').append(value).append('\n');
+    long configLoads() {
+        return configLoads;
     }
 
-    private static String escaped(String label) {
-        return label.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
+    long configErrors() {
+        return configErrors;
     }
 }
--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -12,6 +12,8 @@
 import loadbalancer.admin.ControlServer;
 import loadbalancer.admin.CordonStore;
 import loadbalancer.admin.Metrics;
+import loadbalancer.admin.MetricsRenderer;
+import loadbalancer.admin.NodeOperations;
 import loadbalancer.admin.RejectedCallException;
 import loadbalancer.client.ClientServer;
 import loadbalancer.client.RequestReader;
@@ -61,7 +63,7 @@
     private ClassRegistry registry;
     private final MeasuredEventLoop loop;
     private final Clock clock = new Clock();
-    private final Metrics counters = new Metrics();
+    private final Metrics metrics = new Metrics();
     private final CordonStore cordons;
     private final ControlServer control;
     private boolean watching;
@@ -90,12 +92,12 @@
         boolean operated = config.operators().control() != null;
         cordons = new CordonStore(operated ? config.operators().folder() : null);
         control = operated ? new ControlServer(loop, new Operators()) : null;
-        counters.report(config.settings().classes);
-        SocketBudget sockets = new SocketBudget(config.sockets(), operated ? ControlServer.SOCKETS : 0);
+        metrics.register(config.settings().classes);
+        SocketBudget sockets = new SocketBudget(config.sockets(), operated ? ControlServer.MAX_SOCKETS : 0);
         pool = new ServerPool(loop, sockets, clock, config.settings().connectTimeoutUs, config.connIdleUs());
         registry = ClassRegistry.initial(config.settings());
         means = new RequestServices(
-                loop, clock, pool, counters, config.settings().reportFields, module, new HashSet<>());
+                loop, clock, pool, metrics, config.settings().reportFields, module, new HashSet<>());
         requests = new RequestTable(means, () -> registry);
         clients = new ClientServer(loop, new RequestReader(registry), sockets, requests);
         discovery = new EndpointWatcher(loop, config, EndpointWatcher.Patience.USUAL, new EndpointWatcher.Listener() {
@@ -214,26 +216,27 @@
     // ---------------------------------------------------------------- operators
 
     /** What operators call for. */
-    private final class Operators implements ControlServer.Operated {
+    private final class Operators implements NodeOperations {
         @Override
-        public boolean serves() {
+        public boolean isServing() {
             return serves;
         }
 
         @Override
-        public String figures() {
-            return counters.text(
+        public String metrics() {
+            return MetricsRenderer.render(
+                            metrics,
                             new Metrics.Gauges(requests.pendingCount(), pool.serverCount(), module.excludedServers()))
                     + (moreFigures == null ? "" : moreFigures.get());
         }
 
         @Override
-        public long cordon(String serverId, boolean out) throws RejectedCallException {
-            cordons.change(serverId, out);
-            Log.info(out ? "server_cordoned" : "server_uncordoned", "server", serverId);
+        public long setCordoned(String serverId, boolean cordoned) throws RejectedCallException {
+            cordons.setCordoned(serverId, cordoned);
+            Log.info(cordoned ? "server_cordoned" : "server_uncordoned", "server", serverId);
             Node.this.cordon();
             // The yes binds every process of the node, and another one learns of it by looking.
-            return out && cordons.areShared() ? HEEDED_MS : 0;
+            return cordoned && cordons.isShared() ? HEEDED_MS : 0;
         }
     }
 
@@ -246,8 +249,8 @@
 
     private void cordon() {
         module.submit(balancer -> {
-            pool.setCordoned(cordons.out());
-            balancer.onCordoned(clock.nowUs(), cordons.out());
+            pool.setCordoned(cordons.cordonedIds());
+            balancer.onCordoned(clock.nowUs(), cordons.cordonedIds());
         });
     }
 
@@ -261,14 +264,14 @@
             loop.execute(() -> retune(read));
         } catch (ConfigException e) {
             Log.warn("reload_failed", "reason", e.getMessage());
-            loop.execute(counters::loadFailed);
+            loop.execute(metrics::onConfigRejected);
         }
     }
 
     private void retune(NodeConfig read) {
         Log.info("reloaded", "discovery", read.discovery() == null ? null : SocketAddresses.format(read.discovery()));
-        counters.loaded();
-        counters.report(read.settings().classes);
+        metrics.onConfigLoaded();
+        metrics.register(read.settings().classes);
         ClassRegistry next = registry.reloaded(read.settings());
         registry = next;
         module.submit(balancer -> balancer.onSettings(clock.nowUs(), next.settings()));
@@ -292,7 +295,7 @@
             // The pool first, as the module sends to new servers at once. What it frees from a draining
             // server is told after the list: the module would else send it there again.
             pool.update(list);
-            cordons.listed(list);
+            cordons.onEndpointList(list);
             balancer.onServers(
                     clock.nowUs(),
                     kind,
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.admin.Metrics.Ending;
+import loadbalancer.admin.RequestOutcome;
 import loadbalancer.client.ClientConnection;
 import loadbalancer.client.ClientRequest;
 import loadbalancer.common.Log;
@@ -233,7 +233,9 @@
             } else {
                 client.abortResponse();
             }
-            services.metrics().handled(className, result == AttemptResult.OK ? Ending.PASSED : Ending.BAD_GATEWAY);
+            services.metrics()
+                    .onRequestFinished(
+                            className, result == AttemptResult.OK ? RequestOutcome.SERVED : RequestOutcome.FAILED);
             end();
         } else if (result == AttemptResult.OK && !ended && answering == null) {
             answer(HttpResponseStatus.OK, body, 0);
@@ -255,12 +257,12 @@
         }
         end();
         services.metrics()
-                .handled(
+                .onRequestFinished(
                         className,
                         switch (status.code()) {
-                            case 200 -> Ending.PASSED;
-                            case 503 -> Ending.DROPPED;
-                            default -> Ending.BAD_GATEWAY;
+                            case 200 -> RequestOutcome.SERVED;
+                            case 503 -> RequestOutcome.REJECTED;
+                            default -> RequestOutcome.FAILED;
                         });
         client.sendResponse(status, body, retryAfterUs);
         forgetIfOver();
--- a/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -119,7 +119,7 @@
 
     @Override
     public void written() {
-        services.metrics().tried();
+        services.metrics().onAttemptWritten();
     }
 
     void begin() {
--- a/node/src/test/java/loadbalancer/admin/ControlAnswersTest.java
+++ b/node/src/test/java/loadbalancer/admin/ControlServerTest.java
@@ -20,27 +20,27 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The answers to operators' calls, byte for byte, of a server whose node is a fake. */
-class ControlAnswersTest {
+class ControlServerTest {
     private static final long DELAY_MS = 150;
 
     /** Notes what it is called for. */
-    private static final class FakeNode implements ControlServer.Operated {
+    private static final class FakeNode implements NodeOperations {
         private final List<String> calls = new CopyOnWriteArrayList<>();
-        private volatile boolean serves = true;
+        private volatile boolean serving = true;
 
         @Override
-        public boolean serves() {
-            return serves;
+        public boolean isServing() {
+            return serving;
         }
 
         @Override
-        public String figures() {
+        public String metrics() {
             return "node_loads 1\n";
         }
 
         @Override
-        public long cordon(String serverId, boolean out) throws RejectedCallException {
-            calls.add(serverId + " " + out);
+        public long setCordoned(String serverId, boolean cordoned) throws RejectedCallException {
+            calls.add(serverId + " " + cordoned);
             if (serverId.equals("none")) {
                 throw new RejectedCallException("never listed: none");
             }
@@ -115,7 +115,7 @@
 
     @Test
     void aNodeThatDoesNotServeIsNotHealthy() throws Exception {
-        node.serves = false;
+        node.serving = false;
         assertEquals("NO not serving\n", call("health\n"));
     }
 
--- a/node/src/test/java/loadbalancer/admin/CordonStoreTest.java
+++ b/node/src/test/java/loadbalancer/admin/CordonStoreTest.java
@@ -27,7 +27,7 @@
 
     private CordonStore store() {
         CordonStore store = new CordonStore(folder);
-        store.listed(new EndpointList(
+        store.onEndpointList(new EndpointList(
                 1,
                 true,
                 List.of(
@@ -47,25 +47,25 @@
     @Test
     void theFileHoldsOneIdALineInOrder() throws Exception {
         CordonStore store = store();
-        store.change("s-2", true);
-        store.change("s-1", true);
+        store.setCordoned("s-2", true);
+        store.setCordoned("s-1", true);
         assertEquals("s-1\ns-2\n", Files.readString(folder.resolve("kitemux.cordons")));
         assertEquals(Set.of("kitemux.cordons", "kitemux.cordons.lock"), fileNames());
         assertEquals(0, Files.size(folder.resolve("kitemux.cordons.lock")));
-        store.change("s-1", false);
-        store.change("s-2", false);
+        store.setCordoned("s-1", false);
+        store.setCordoned("s-2", false);
         assertEquals("", Files.readString(folder.resolve("kitemux.cordons")));
-        assertEquals(Set.of(), store.out());
+        assertEquals(Set.of(), store.cordonedIds());
     }
 
     @Test
     void anotherProcessLearnsOfAChangeByReading() throws Exception {
         CordonStore first = store();
         CordonStore second = store();
-        first.change("s-1", true);
-        assertEquals(Set.of(), second.out());
+        first.setCordoned("s-1", true);
+        assertEquals(Set.of(), second.cordonedIds());
         assertTrue(second.refresh());
-        assertEquals(Set.of("s-1"), second.out());
+        assertEquals(Set.of("s-1"), second.cordonedIds());
         assertFalse(second.refresh(), "nothing has changed since");
     }
 
@@ -76,14 +76,14 @@
         try (FileChannel other = FileChannel.open(
                 folder.resolve("kitemux.cordons.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
             other.lock();
-            RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.change("s-1", true));
+            RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.setCordoned("s-1", true));
             // A lock in the same process shows as an exception, one of another process as no lock.
             assertEquals("cordons cannot be kept: java.nio.channels.OverlappingFileLockException", e.getMessage());
         }
-        assertEquals(Set.of(), store.out());
+        assertEquals(Set.of(), store.cordonedIds());
         assertEquals(Set.of("kitemux.cordons.lock"), fileNames());
-        store.change("s-1", true);
-        assertEquals(Set.of("s-1"), store.out());
+        store.setCordoned("s-1", true);
+        assertEquals(Set.of("s-1"), store.cordonedIds());
     }
 
     /** The disk fails amid a change. The answer is no, so the server must still be used. */
@@ -91,21 +91,21 @@
     void aChangeThatCannotBeWrittenChangesNothing() throws Exception {
         CordonStore store = store();
         Files.createDirectory(folder.resolve("kitemux.cordons.new"));
-        RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.change("s-1", true));
+        RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.setCordoned("s-1", true));
         assertTrue(e.getMessage().startsWith("cordons cannot be kept: java.nio.file."), e.getMessage());
-        assertEquals(Set.of(), store.out());
+        assertEquals(Set.of(), store.cordonedIds());
     }
 
     @Test
     void withoutAFolderCordonsAreInMemoryOnly() throws Exception {
         CordonStore store = new CordonStore(null);
-        RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.change("s-1", true));
+        RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.setCordoned("s-1", true));
         assertEquals("never listed: s-1", e.getMessage());
-        store.listed(new EndpointList(
+        store.onEndpointList(new EndpointList(
                 1, true, List.of(new Endpoint(new ServerEntry("s-1", 0, 0, ServerState.READY, 1, 0), null))));
-        store.change("s-1", true);
-        assertEquals(Set.of("s-1"), store.out());
-        assertFalse(store.areShared());
+        store.setCordoned("s-1", true);
+        assertEquals(Set.of("s-1"), store.cordonedIds());
+        assertFalse(store.isShared());
         assertFalse(store.refresh());
     }
 }
--- a/node/src/test/java/loadbalancer/admin/MetricsTest.java
+++ b/node/src/test/java/loadbalancer/admin/MetricsTest.java
@@ -18,17 +18,17 @@
     @Test
     void everyMetricHasItsLine() {
         Metrics metrics = new Metrics();
-        metrics.report(List.of(requestClass("page"), requestClass("a\"b\\c\nd")));
-        metrics.handled("page", Metrics.Ending.PASSED);
-        metrics.handled("page", Metrics.Ending.PASSED);
-        metrics.handled("page", Metrics.Ending.DROPPED);
-        metrics.handled("a\"b\\c\nd", Metrics.Ending.BAD_GATEWAY);
-        metrics.tried();
-        metrics.loaded();
-        metrics.loaded();
-        metrics.loadFailed();
+        metrics.register(List.of(requestClass("page"), requestClass("a\"b\\c\nd")));
+        metrics.onRequestFinished("page", RequestOutcome.SERVED);
+        metrics.onRequestFinished("page", RequestOutcome.SERVED);
+        metrics.onRequestFinished("page", RequestOutcome.REJECTED);
+        metrics.onRequestFinished("a\"b\\c\nd", RequestOutcome.FAILED);
+        metrics.onAttemptWritten();
+        metrics.onConfigLoaded();
+        metrics.onConfigLoaded();
+        metrics.onConfigRejected();
         // A class keeps its counts when the settings are read again.
-        metrics.report(List.of(requestClass("page"), requestClass("new")));
+        metrics.register(List.of(requestClass("page"), requestClass("new")));
         assertEquals("""
                 node_handled{category="page",outcome="passed"} 2
                 node_handled{category="page",outcome="dropped"} 1
@@ -45,6 +45,6 @@
                 node_skipped_app_servers 3
                 node_loads 2
                 node_load_errors 1
-                """, metrics.text(new Metrics.Gauges(7, 5, 3)));
+                """, MetricsRenderer.render(metrics, new Metrics.Gauges(7, 5, 3)));
     }
 }
