--- a/node/src/main/java/loadbalancer/config/NodeConfig.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfig.java
@@ -18,7 +18,7 @@
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointListDecoder;
 import loadbalancer.discovery.InvalidEndpointListException;
-import loadbalancer.membership.MembersConfig;
+import loadbalancer.membership.MembershipConfig;
 import loadbalancer.net.SocketAddresses;
 import loadbalancer.policy.BalancerSettings;
 import loadbalancer.policy.RequestClass;
@@ -48,7 +48,7 @@
         BalancerSettings settings,
         Set<String> keys,
         Operators operators,
-        MembersConfig fleet) {
+        MembershipConfig fleet) {
 
     /** A file that cannot be taken is looked at again for so long, this often: figures may be 0.5 s late. */
     private static final long SETTLES_MS = 200;
@@ -270,12 +270,12 @@
         }
     }
 
-    private static MembersConfig fleet(JsonNode json) throws ConfigException {
+    private static MembershipConfig fleet(JsonNode json) throws ConfigException {
         if (!json.hasNonNull("fleet")) {
             return null;
         }
         try {
-            return MembersConfig.read(json.get("fleet"), json.path("name").asText());
+            return MembershipConfig.read(json.get("fleet"), json.path("name").asText());
         } catch (IllegalArgumentException e) {
             throw new ConfigException("configuration:", e.getMessage());
         }
