--- a/node/src/main/java/loadbalancer/process/ConfigReloader.java
+++ b/node/src/main/java/loadbalancer/process/ConfigReloader.java
@@ -58,7 +58,7 @@
             services.loop().execute(() -> apply(config));
         } catch (ConfigException e) {
             Log.warn("reload_failed", "reason", e.getMessage());
-            services.loop().execute(services.metrics()::loadFailed);
+            services.loop().execute(services.metrics()::onConfigRejected);
         }
     }
 
@@ -67,22 +67,22 @@
                 "reloaded",
                 "discovery",
                 config.discovery() == null ? null : SocketAddresses.format(config.discovery()));
-        services.metrics().loaded();
-        services.metrics().report(config.settings().classes);
-        ClassRegistry next = classes.then(config.settings());
+        services.metrics().onConfigLoaded();
+        services.metrics().register(config.settings().classes);
+        ClassRegistry next = classes.reloaded(config.settings());
         classes = next;
         services.events()
                 .submit(balancer -> balancer.onSettings(services.clock().nowUs(), next.settings()));
         clients.setRequestReader(new RequestReader(next));
         services.pool().setTimeouts(next.settings().connectTimeoutUs, config.connIdleUs());
         discovery.moveTo(config.discovery());
-        services.loop().schedule(() -> forgetClassesBefore(next), next.settlesAfterUs(), TimeUnit.MICROSECONDS);
+        services.loop().schedule(() -> retireClassesBefore(next), next.retirementDelayUs(), TimeUnit.MICROSECONDS);
     }
 
     /** Forgets the classes that are no longer in the file, unless another file has been applied since. */
-    private void forgetClassesBefore(ClassRegistry applied) {
+    private void retireClassesBefore(ClassRegistry applied) {
         if (classes == applied) {
-            classes = applied.settled();
+            classes = applied.withoutRetiredClasses();
             clients.setRequestReader(new RequestReader(classes));
         }
     }
--- a/node/src/main/java/loadbalancer/process/ControlCalls.java
+++ b/node/src/main/java/loadbalancer/process/ControlCalls.java
@@ -1,8 +1,9 @@
 package loadbalancer.process;
 
 import java.util.function.Supplier;
-import loadbalancer.admin.ControlServer;
 import loadbalancer.admin.Metrics;
+import loadbalancer.admin.MetricsRenderer;
+import loadbalancer.admin.NodeOperations;
 import loadbalancer.admin.RejectedCallException;
 import loadbalancer.request.RequestServices;
 import loadbalancer.request.RequestTable;
@@ -12,7 +13,7 @@
  *
  * <p>Used on the event loop only, but for {@link #setExtraMetrics}, which is called before the node starts.
  */
-final class ControlCalls implements ControlServer.Operated {
+final class ControlCalls implements NodeOperations {
     private final RequestServices services;
     private final RequestTable requests;
     private final ServerListUpdater serverList;
@@ -37,21 +38,21 @@
     }
 
     @Override
-    public boolean serves() {
+    public boolean isServing() {
         return ready;
     }
 
     @Override
-    public String figures() {
+    public String metrics() {
         Metrics.Gauges gauges = new Metrics.Gauges(
                 requests.pendingCount(),
                 services.pool().serverCount(),
                 services.events().excludedServers());
-        return services.metrics().text(gauges) + (extraMetrics == null ? "" : extraMetrics.get());
+        return MetricsRenderer.render(services.metrics(), gauges) + (extraMetrics == null ? "" : extraMetrics.get());
     }
 
     @Override
-    public long cordon(String serverId, boolean cordoned) throws RejectedCallException {
+    public long setCordoned(String serverId, boolean cordoned) throws RejectedCallException {
         return serverList.setCordoned(serverId, cordoned);
     }
 }
--- a/node/src/main/java/loadbalancer/process/GracefulShutdown.java
+++ b/node/src/main/java/loadbalancer/process/GracefulShutdown.java
@@ -13,10 +13,10 @@
  * retried and hedged as ever, and gets its one response. What changes for it:
  *
  * <ul>
- * <li>Its response says {@code Connection: close} and ends the client's connection.
- * <li>A request that arrives after SIGTERM has the shutdown deadline for its deadline, if its own is later.
- * <li>At the shutdown deadline every request that has no response yet fails: with 503 if nothing of it was sent to a
- * server, with 502 if it may have run. A response that is being transferred goes on.
+ *   <li>Its response says {@code Connection: close} and ends the client's connection.
+ *   <li>If it arrives after SIGTERM, the shutdown deadline is its deadline where its own is later.
+ *   <li>At the shutdown deadline it fails, if it has no response yet: with 503 if no attempt was started, with 502 if a
+ *       server may have run it. A response that is being transferred goes on.
  * </ul>
  *
  * <p>The shutdown deadline guards against the kill: the platform sends SIGKILL at a fixed time after SIGTERM, and a
--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -62,12 +62,12 @@
         this.config = config;
         this.loop = loop;
         boolean hasControl = config.operators().control() != null;
-        SocketBudget sockets = new SocketBudget(config.sockets(), hasControl ? ControlServer.SOCKETS : 0);
+        SocketBudget sockets = new SocketBudget(config.sockets(), hasControl ? ControlServer.MAX_SOCKETS : 0);
         MonotonicWallClock clock = new MonotonicWallClock();
         Metrics metrics = new Metrics();
-        metrics.report(config.settings().classes);
+        metrics.register(config.settings().classes);
         pool = new ServerPool(loop, sockets, clock, config.settings().connectTimeoutUs, config.connIdleUs());
-        ClassRegistry classes = ClassRegistry.first(config.settings());
+        ClassRegistry classes = ClassRegistry.initial(config.settings());
         PolicyEventQueue events = new PolicyEventQueue();
         RequestServices services = new RequestServices(
                 loop, clock, pool, metrics, config.settings().reportFields, events, new HashSet<>());
--- a/node/src/main/java/loadbalancer/process/ServerListUpdater.java
+++ b/node/src/main/java/loadbalancer/process/ServerListUpdater.java
@@ -52,7 +52,7 @@
     private void update(EndpointList list, ListKind kind) {
         services.events().submit(balancer -> {
             services.pool().update(list);
-            cordons.listed(list);
+            cordons.onEndpointList(list);
             balancer.onServers(
                     services.clock().nowUs(),
                     kind,
@@ -68,10 +68,10 @@
      * @throws RejectedCallException if the change cannot be made; nothing has changed then
      */
     long setCordoned(String serverId, boolean cordoned) throws RejectedCallException {
-        cordons.change(serverId, cordoned);
+        cordons.setCordoned(serverId, cordoned);
         Log.info(cordoned ? "server_cordoned" : "server_uncordoned", "server", serverId);
         publishCordons();
-        return cordoned && cordons.areShared() ? CORDON_PROPAGATION_MILLIS : 0;
+        return cordoned && cordons.isShared() ? CORDON_PROPAGATION_MILLIS : 0;
     }
 
     /** Follows the cordons that another process of this node has changed. */
@@ -83,8 +83,8 @@
 
     private void publishCordons() {
         services.events().submit(balancer -> {
-            services.pool().setCordoned(cordons.out());
-            balancer.onCordoned(services.clock().nowUs(), cordons.out());
+            services.pool().setCordoned(cordons.cordonedIds());
+            balancer.onCordoned(services.clock().nowUs(), cordons.cordonedIds());
         });
     }
 }
