--- a/cli/src/main/java/loadbalancer/cli/FleetMembers.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetMembers.java
@@ -89,7 +89,7 @@
 
     private static String state(Member member) {
         return member.state().name().toLowerCase(Locale.ROOT) + " "
-                + member.incarnation().birth() + "." + member.incarnation().count();
+                + member.incarnation().generation() + "." + member.incarnation().refutations();
     }
 
     private static void print(PrintWriter out, String address, MembershipClient.View view) {
@@ -117,8 +117,8 @@
                     .put("zone", m.zone())
                     .put("role", m.role())
                     .put("state", m.state().name().toLowerCase(Locale.ROOT))
-                    .put("birth", m.incarnation().birth())
-                    .put("count", m.incarnation().count());
+                    .put("birth", m.incarnation().generation())
+                    .put("count", m.incarnation().refutations());
         }
         ObjectNode figures = tree.putObject("figures");
         view.figures().forEach(figures::put);
--- a/node/src/main/java/loadbalancer/membership/Codec.java
+++ b/node/src/main/java/loadbalancer/membership/Codec.java
@@ -18,7 +18,7 @@
 import loadbalancer.membership.core.Incarnation;
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MemberState;
-import loadbalancer.membership.core.Message;
+import loadbalancer.membership.core.MembershipMessage;
 
 /**
  * Messages as bytes: "KM", the version of the format, the kind, CRC32C over version, kind and what follows,
@@ -99,33 +99,33 @@
     }
 
     /** As one datagram. */
-    public byte[] encode(Message message) {
-        if (message instanceof Message.Ping ping) {
+    public byte[] encode(MembershipMessage message) {
+        if (message instanceof MembershipMessage.Ping ping) {
             return frame(Kind.PING, to -> {
-                to.writeNumber(ping.number());
-                to.writeString(ping.to());
-                write(to, ping.from(), ping.rumors());
+                to.writeNumber(ping.sequence());
+                to.writeString(ping.targetName());
+                write(to, ping.sender(), ping.updates());
             });
-        } else if (message instanceof Message.PingRequest request) {
+        } else if (message instanceof MembershipMessage.PingRequest request) {
             return frame(Kind.PING_REQUEST, to -> {
-                to.writeNumber(request.number());
-                to.writeString(request.to());
-                to.writeString(request.address());
-                write(to, request.from(), request.rumors());
+                to.writeNumber(request.sequence());
+                to.writeString(request.targetName());
+                to.writeString(request.targetAddress());
+                write(to, request.sender(), request.updates());
             });
-        } else if (message instanceof Message.Ack ack) {
+        } else if (message instanceof MembershipMessage.Ack ack) {
             return frame(Kind.ACK, to -> {
-                to.writeNumber(ack.number());
-                write(to, ack.from(), ack.rumors());
+                to.writeNumber(ack.sequence());
+                write(to, ack.sender(), ack.updates());
             });
-        } else if (message instanceof Message.Nack nack) {
+        } else if (message instanceof MembershipMessage.Nack nack) {
             return frame(Kind.NACK, to -> {
-                to.writeNumber(nack.number());
-                write(to, nack.from(), nack.rumors());
+                to.writeNumber(nack.sequence());
+                write(to, nack.sender(), nack.updates());
             });
         }
-        Message.Gossip gossip = (Message.Gossip) message;
-        return frame(Kind.GOSSIP, to -> write(to, gossip.from(), gossip.rumors()));
+        MembershipMessage.Gossip gossip = (MembershipMessage.Gossip) message;
+        return frame(Kind.GOSSIP, to -> write(to, gossip.sender(), gossip.updates()));
     }
 
     /** All that a member knows, for an exchange. */
@@ -157,16 +157,16 @@
         });
     }
 
-    private static void write(CBORGenerator to, Member from, List<GossipUpdate> rumors) throws IOException {
+    private static void write(CBORGenerator to, Member from, List<GossipUpdate> updates) throws IOException {
         write(to, from);
-        write(to, rumors);
+        write(to, updates);
     }
 
-    private static void write(CBORGenerator to, List<GossipUpdate> rumors) throws IOException {
+    private static void write(CBORGenerator to, List<GossipUpdate> updates) throws IOException {
         to.writeStartArray();
-        for (GossipUpdate rumor : rumors) {
-            write(to, rumor.member());
-            to.writeString(rumor.by());
+        for (GossipUpdate update : updates) {
+            write(to, update.member());
+            to.writeString(update.reporter());
         }
         to.writeEndArray();
     }
@@ -176,8 +176,8 @@
         to.writeString(member.address());
         to.writeString(member.zone());
         to.writeString(member.role());
-        to.writeNumber(member.incarnation().birth());
-        to.writeNumber(member.incarnation().count());
+        to.writeNumber(member.incarnation().generation());
+        to.writeNumber(member.incarnation().refutations());
         to.writeNumber(member.state().ordinal());
     }
 
@@ -224,22 +224,22 @@
     }
 
     /** A message that came as one datagram. */
-    Message decode(byte[] frame) throws BadFrameException {
+    MembershipMessage decode(byte[] frame) throws BadFrameException {
         Kind kind = kind(frame);
         return read(frame, false, from -> switch (kind) {
-            case PING -> new Message.Ping(number(from), name(from), member(from), rumors(from));
+            case PING -> new MembershipMessage.Ping(number(from), name(from), member(from), updates(from));
             case PING_REQUEST ->
-                new Message.PingRequest(number(from), name(from), name(from), member(from), rumors(from));
-            case ACK -> new Message.Ack(number(from), member(from), rumors(from));
-            case NACK -> new Message.Nack(number(from), member(from), rumors(from));
-            case GOSSIP -> new Message.Gossip(member(from), rumors(from));
+                new MembershipMessage.PingRequest(number(from), name(from), name(from), member(from), updates(from));
+            case ACK -> new MembershipMessage.Ack(number(from), member(from), updates(from));
+            case NACK -> new MembershipMessage.Nack(number(from), member(from), updates(from));
+            case GOSSIP -> new MembershipMessage.Gossip(member(from), updates(from));
             default -> throw new BadFrameException(Reason.MALFORMED);
         });
     }
 
     List<GossipUpdate> decodeState(byte[] frame) throws BadFrameException {
         require(kind(frame) == Kind.STATE);
-        return read(frame, false, Codec::rumors);
+        return read(frame, false, Codec::updates);
     }
 
     MembershipClient.View decodeView(byte[] frame) throws BadFrameException {
@@ -260,20 +260,20 @@
                     digest,
                     health,
                     member(from),
-                    rumors(from).stream().map(GossipUpdate::member).toList(),
+                    updates(from).stream().map(GossipUpdate::member).toList(),
                     figures);
         });
     }
 
-    private static List<GossipUpdate> rumors(JsonParser from) throws IOException, BadFrameException {
+    private static List<GossipUpdate> updates(JsonParser from) throws IOException, BadFrameException {
         require(from.nextToken() == JsonToken.START_ARRAY);
-        List<GossipUpdate> rumors = new ArrayList<>();
+        List<GossipUpdate> updates = new ArrayList<>();
         while (from.nextToken() == JsonToken.VALUE_STRING) {
             Member member = member(from, checked(from.getText()));
-            rumors.add(new GossipUpdate(member, name(from)));
+            updates.add(new GossipUpdate(member, name(from)));
         }
         require(from.currentToken() == JsonToken.END_ARRAY);
-        return rumors;
+        return updates;
     }
 
     private static Member member(JsonParser from) throws IOException, BadFrameException {
--- a/node/src/main/java/loadbalancer/membership/MembershipMetrics.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipMetrics.java
@@ -18,7 +18,7 @@
     private long exchanges;
     private long exchangesFailed;
     private final long[] bad = new long[Reason.values().length];
-    private final long[] changes = new long[MembershipChange.Kind.values().length];
+    private final long[] changes = new long[MembershipChange.Type.values().length];
     private final long[] roundTrips = new long[BUCKETS];
 
     void sent(int bytes) {
@@ -41,7 +41,7 @@
         return ++bad[reason.ordinal()];
     }
 
-    void changed(MembershipChange.Kind kind) {
+    void changed(MembershipChange.Type kind) {
         changes[kind.ordinal()]++;
     }
 
@@ -77,14 +77,30 @@
         for (Reason reason : Reason.values()) {
             all.put("dropped_" + lower(reason), bad[reason.ordinal()]);
         }
-        for (MembershipChange.Kind kind : MembershipChange.Kind.values()) {
-            all.put("changes_" + lower(kind), changes[kind.ordinal()]);
+        for (MembershipChange.Type type : MembershipChange.Type.values()) {
+            all.put("changes_" + metricName(type), changes[type.ordinal()]);
         }
         all.put("round_trip_p50_us", roundTripUs(0.5));
         all.put("round_trip_p99_us", roundTripUs(0.99));
         return all;
     }
 
+    /** The name on dashboards, which stays where the code's changes. */
+    private static String metricName(MembershipChange.Type type) {
+        return switch (type) {
+            case JOINED -> "joined";
+            case UPDATED -> "updated";
+            case SUSPECTED -> "suspected";
+            case REFUTED -> "cleared";
+            case FAILED -> "died";
+            case LEFT -> "left";
+            case FORGOTTEN -> "forgotten";
+            case NAME_YIELDED -> "gave_way";
+            case NAME_TAKEN_OVER -> "taken_over";
+            case REJECTED -> "turned_away";
+        };
+    }
+
     private static String lower(Enum<?> name) {
         return name.name().toLowerCase(Locale.ROOT);
     }
--- a/node/src/main/java/loadbalancer/membership/MembershipService.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipService.java
@@ -28,9 +28,10 @@
 import loadbalancer.membership.core.GossipUpdate;
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MemberState;
-import loadbalancer.membership.core.Membership;
+import loadbalancer.membership.core.MembershipActions;
 import loadbalancer.membership.core.MembershipChange;
-import loadbalancer.membership.core.Message;
+import loadbalancer.membership.core.MembershipMessage;
+import loadbalancer.membership.core.MembershipProtocol;
 import loadbalancer.net.SocketAddresses;
 
 /**
@@ -47,7 +48,7 @@
     private final MembershipMetrics figures = new MembershipMetrics();
     private StateSync exchanges;
     private Channel datagrams;
-    private Membership core;
+    private MembershipProtocol core;
     private Future<?> wake;
     private boolean toldBusy;
     /** What {@link #figures} says; written by the loop. */
@@ -132,7 +133,7 @@
     }
 
     private void begin() {
-        core = new Membership(
+        core = new MembershipProtocol(
                 config.settings(),
                 new SplittableRandom().nextLong(),
                 ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now()),
@@ -147,7 +148,7 @@
         try {
             loop.submit(() -> {
                         if (core != null) {
-                            core.leave(nowUs());
+                            core.leave();
                         }
                         close();
                     })
@@ -172,12 +173,12 @@
     }
 
     /** Gives the core an event, and looks whether that was its last. */
-    private void tell(Consumer<Membership> event) {
-        if (core == null || core.isOver()) {
+    private void tell(Consumer<MembershipProtocol> event) {
+        if (core == null || core.isEnded()) {
             return;
         }
         event.accept(core);
-        if (core.isOver()) {
+        if (core.isEnded()) {
             close();
         }
     }
@@ -185,9 +186,9 @@
     private void onWake() {
         tell(told -> told.onWake(nowUs()));
         StringBuilder lines = new StringBuilder();
-        lines.append("members_live ").append(core.live()).append('\n');
+        lines.append("members_live ").append(core.liveCount()).append('\n');
         lines.append("members_view_version ").append(core.version()).append('\n');
-        lines.append("members_health ").append(core.health()).append('\n');
+        lines.append("members_health ").append(core.localHealth()).append('\n');
         figures.all()
                 .forEach((name, value) -> lines.append("members_")
                         .append(name)
@@ -199,9 +200,9 @@
 
     // ---------------------------------------------------------------- what the core wants done
 
-    private final class Actions implements Membership.Actions {
+    private final class Actions implements MembershipActions {
         @Override
-        public void send(String address, Message message) {
+        public void send(String address, MembershipMessage message) {
             InetSocketAddress to = SocketAddresses.parseOrNull(address);
             if (to == null || to.getPort() == 0) {
                 // Another's word, for which nobody listens.
@@ -214,7 +215,7 @@
         }
 
         @Override
-        public void exchange(String address) {
+        public void startStateSync(String address) {
             InetSocketAddress to = SocketAddresses.parseOrNull(address);
             if (to != null && to.getPort() != 0) {
                 exchanges.begin(to);
@@ -222,22 +223,22 @@
         }
 
         @Override
-        public void changed(MembershipChange change) {
-            figures.changed(change.kind());
+        public void onChange(MembershipChange change) {
+            figures.changed(change.type());
             Member member = change.member();
-            say(change.kind().name().toLowerCase(Locale.ROOT) + " " + member.name() + " at "
+            say(change.type().name().toLowerCase(Locale.ROOT) + " " + member.name() + " at "
                     + member.address() + ", zone " + member.zone() + ", role " + member.role()
-                    + ", incarnation " + member.incarnation().birth() + "."
-                    + member.incarnation().count());
+                    + ", incarnation " + member.incarnation().generation() + "."
+                    + member.incarnation().refutations());
         }
 
         @Override
-        public void roundTrip(long us) {
+        public void onRoundTrip(long us) {
             figures.roundTrip(us);
         }
 
         @Override
-        public void wakeAt(long atUs) {
+        public void scheduleWake(long atUs) {
             if (wake != null) {
                 wake.cancel(false);
             }
@@ -260,7 +261,7 @@
             byte[] bytes = ByteBufUtil.getBytes(packet.content());
             figures.received(bytes.length);
             try {
-                Message message = codec.decode(bytes);
+                MembershipMessage message = codec.decode(bytes);
                 tell(told -> told.onMessage(nowUs(), message));
             } catch (BadFrameException e) {
                 bad(e.reason());
@@ -276,24 +277,24 @@
     private final class Peers implements StateSync.Owner {
         @Override
         public byte[] state() {
-            return codec.encodeState(core == null ? List.of() : core.state());
+            return codec.encodeState(core == null ? List.of() : core.stateSnapshot());
         }
 
         @Override
         public byte[] view() {
-            List<GossipUpdate> all = core.state();
+            List<GossipUpdate> all = core.stateSnapshot();
             return codec.encodeView(new MembershipClient.View(
                     core.version(),
                     core.digest(),
-                    core.health(),
-                    core.isOver() ? core.self().in(MemberState.LEFT) : core.self(),
+                    core.localHealth(),
+                    core.isEnded() ? core.self().withState(MemberState.LEFT) : core.self(),
                     all.stream().skip(1).map(GossipUpdate::member).toList(),
                     figures.all()));
         }
 
         @Override
         public void heard(List<GossipUpdate> all) {
-            tell(told -> told.onState(nowUs(), all));
+            tell(told -> told.onStateSync(nowUs(), all));
         }
 
         @Override
--- a/node/src/main/java/loadbalancer/membership/core/BroadcastQueue.java
+++ b/node/src/main/java/loadbalancer/membership/core/BroadcastQueue.java
@@ -8,80 +8,73 @@
 import java.util.TreeSet;
 
 /**
- * What is still to be passed on: of each name the newest only, each a bounded number of times, the freshest
- * first.
+ * Gossip updates that are still to be disseminated: of each name the newest only, each a bounded number of times, the
+ * least often sent first.
  */
 final class BroadcastQueue {
-    /** A member in a datagram beside its texts: numbers, lengths and the state. */
-    private static final int OVERHEAD = 48;
-
-    private final Map<String, Queued> byName = new HashMap<>();
+    private final Map<String, Broadcast> byName = new HashMap<>();
     /** The least often sent first, of these the newest. */
-    private final TreeSet<Queued> inTurn = new TreeSet<>(Comparator.comparingInt((Queued queued) -> queued.sent)
-            .thenComparing(queued -> queued.number, Comparator.reverseOrder()));
+    private final TreeSet<Broadcast> bySendOrder =
+            new TreeSet<>(Comparator.comparingInt((Broadcast broadcast) -> broadcast.transmissions)
+                    .thenComparing(broadcast -> broadcast.number, Comparator.reverseOrder()));
 
-    private long added;
+    private long nextNumber;
 
-    private static final class Queued {
-        private final GossipUpdate rumor;
+    private static final class Broadcast {
+        private final GossipUpdate update;
         private final long number;
-        private int sent;
+        private int transmissions;
 
-        Queued(GossipUpdate rumor, long number) {
-            this.rumor = rumor;
+        Broadcast(GossipUpdate update, long number) {
+            this.update = update;
             this.number = number;
         }
+
+        String name() {
+            return update.member().name();
+        }
     }
 
-    /** Passes this on from now on, and nothing older of that name. */
-    void add(GossipUpdate rumor) {
-        forget(rumor.member().name());
-        Queued queued = new Queued(rumor, added++);
-        byName.put(rumor.member().name(), queued);
-        inTurn.add(queued);
+    /** Disseminates this from now on, and no older update of the same name. */
+    void add(GossipUpdate update) {
+        String name = update.member().name();
+        remove(name);
+        Broadcast broadcast = new Broadcast(update, nextNumber++);
+        byName.put(name, broadcast);
+        bySendOrder.add(broadcast);
     }
 
-    void forget(String name) {
-        Queued before = byName.remove(name);
-        if (before != null) {
-            inTurn.remove(before);
+    void remove(String name) {
+        Broadcast removed = byName.remove(name);
+        if (removed != null) {
+            bySendOrder.remove(removed);
         }
     }
 
-    int size() {
-        return byName.size();
+    boolean isEmpty() {
+        return byName.isEmpty();
     }
 
-    /** What fits into so many bytes; each that has been taken so often goes. */
-    List<GossipUpdate> take(int room, int times) {
-        List<GossipUpdate> taken = new ArrayList<>();
-        List<Queued> again = new ArrayList<>();
-        int left = room;
-        while (!inTurn.isEmpty() && size(inTurn.first().rumor) <= left) {
-            Queued queued = inTurn.pollFirst();
-            left -= size(queued.rumor);
-            taken.add(queued.rumor);
-            queued.sent++;
-            again.add(queued);
+    /** Takes the updates that fit into so many bytes, and drops those that have been taken so often. */
+    List<GossipUpdate> take(int budgetBytes, int maxTransmissions) {
+        List<Broadcast> taken = new ArrayList<>();
+        int leftBytes = budgetBytes;
+        // Out of the order first: an update must not be taken twice for one message.
+        while (!bySendOrder.isEmpty() && bySendOrder.first().update.maxEncodedBytes() <= leftBytes) {
+            Broadcast broadcast = bySendOrder.pollFirst();
+            leftBytes -= broadcast.update.maxEncodedBytes();
+            taken.add(broadcast);
         }
-        for (Queued queued : again) {
-            if (queued.sent < times) {
-                inTurn.add(queued);
+        List<GossipUpdate> updates = new ArrayList<>(taken.size());
+        for (Broadcast broadcast : taken) {
+            updates.add(broadcast.update);
+            broadcast.transmissions++;
+            if (broadcast.transmissions < maxTransmissions) {
+                bySendOrder.add(broadcast);
             } else {
-                byName.remove(queued.rumor.member().name());
+                byName.remove(broadcast.name());
             }
         }
-        return taken;
-    }
-
-    /** At least as many bytes as a codec needs. */
-    static int size(GossipUpdate rumor) {
-        Member m = rumor.member();
-        return OVERHEAD
-                + m.name().length()
-                + m.address().length()
-                + m.zone().length()
-                + m.role().length()
-                + rumor.by().length();
+        return updates;
     }
 }
--- /dev/null
+++ b/node/src/main/java/loadbalancer/membership/core/ChangeNotifier.java
@@ -0,0 +1,25 @@
+package loadbalancer.membership.core;
+
+/** Notifies the listener of changes, and counts the version of this process's view. */
+final class ChangeNotifier {
+    private final MembershipActions actions;
+    private long version;
+
+    ChangeNotifier(MembershipActions actions) {
+        this.actions = actions;
+    }
+
+    void notify(MembershipChange.Type type, Member member) {
+        version++;
+        actions.onChange(new MembershipChange(type, member, version));
+    }
+
+    /** What this process announces of itself has changed, of which its own listener is not notified. */
+    void onSelfChanged() {
+        version++;
+    }
+
+    long version() {
+        return version;
+    }
+}
--- a/node/src/main/java/loadbalancer/membership/core/Member.java
+++ b/node/src/main/java/loadbalancer/membership/core/Member.java
@@ -1,11 +1,11 @@
 package loadbalancer.membership.core;
 
 /**
- * A member as somebody holds it.
+ * A member as some process holds it.
  *
  * @param name the same after a restart
- * @param address where it is spoken to, as its driver writes addresses
- * @param zone where it is
+ * @param address where others reach it, in the form that the driver of the protocol uses
+ * @param zone where it runs
  * @param role what it does
  */
 public record Member(
@@ -23,17 +23,22 @@
                 && text.chars().allMatch(c -> c > ' ' && c < 0x7f);
     }
 
-    /** The same in another state. */
-    public Member in(MemberState other) {
+    public Member withState(MemberState other) {
         return new Member(name, address, zone, role, incarnation, other);
     }
 
-    Member with(Incarnation other, MemberState otherState) {
-        return new Member(name, address, zone, role, other, otherState);
+    /** The same, alive in another incarnation. */
+    Member aliveIn(Incarnation other) {
+        return new Member(name, address, zone, role, other, MemberState.ALIVE);
     }
 
-    /** Whether this says more than the other about the same name. */
-    boolean overrides(Member other) {
+    /** Whether address, zone and role are the same. */
+    boolean hasSameAttributes(Member other) {
+        return address.equals(other.address) && zone.equals(other.zone) && role.equals(other.role);
+    }
+
+    /** Whether this is to be held in place of the other record of the same name. */
+    boolean supersedes(Member other) {
         int byIncarnation = incarnation.compareTo(other.incarnation);
         if (byIncarnation != 0) {
             return byIncarnation > 0;
@@ -41,7 +46,7 @@
         if (state != other.state) {
             return state.compareTo(other.state) > 0;
         }
-        // Two processes that took one name within the same microsecond: all have to choose alike.
+        // Two processes may take one name within the same microsecond. All have to choose alike, or views never agree.
         return address.compareTo(other.address) > 0;
     }
 }
--- a/node/src/main/java/loadbalancer/membership/core/MemberState.java
+++ b/node/src/main/java/loadbalancer/membership/core/MemberState.java
@@ -1,14 +1,17 @@
 package loadbalancer.membership.core;
 
-/** What is held of a member. At the same incarnation a later one here goes before an earlier one. */
+/**
+ * What a process holds of a member. At the same incarnation a later constant supersedes an earlier one, and the
+ * ordinal is the number on the wire. {@link MemberTransition} says what follows from a change.
+ */
 public enum MemberState {
-    /** It answers, or somebody whom it answered says so. */
+    /** It has acknowledged a ping, or another member says so. */
     ALIVE,
-    /** It has not answered, and has time to contradict. */
+    /** It has not acknowledged a ping, and has until the suspicion timeout to refute that. */
     SUSPECT,
-    /** It has not contradicted in time. */
+    /** It has not refuted the suspicion in time. */
     DEAD,
-    /** It has said itself that it goes. */
+    /** It has announced that it leaves. */
     LEFT;
 
     /** Whether it still takes part. */
--- a/node/src/main/java/loadbalancer/membership/core/MembershipChange.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipChange.java
@@ -1,31 +1,32 @@
 package loadbalancer.membership.core;
 
 /**
- * Something that a listener hears, in order.
+ * A notification of the listener; they come in order.
  *
  * @param member as it is held from now on
  * @param version of this process's view, which grows with each change
  */
-public record MembershipChange(Kind kind, Member member, long version) {
+public record MembershipChange(Type type, Member member, long version) {
 
     /** What has happened. */
-    public enum Kind {
-        /** Seen for the first time, or again after its end. */
+    public enum Type {
+        /** Seen for the first time, or again after it was dead or had left. */
         JOINED,
-        /** Lives on by other data: another address, zone, role or life. */
+        /** Still live, with another address, zone, role or generation. */
         UPDATED,
         SUSPECTED,
-        /** A suspicion was contradicted. */
-        CLEARED,
-        DIED,
+        /** The member has refuted a suspicion. */
+        REFUTED,
+        /** The suspicion timeout of the member is over: it is dead. */
+        FAILED,
         LEFT,
-        /** No longer remembered. */
+        /** The tombstone of a dead or left member has been dropped. */
         FORGOTTEN,
-        /** Another process has this one's name and keeps it: this one gives way, and takes part no more. */
-        GAVE_WAY,
-        /** Another process has this one's name and gives way. */
-        TAKEN_OVER,
-        /** Turned away, as all places are taken. */
-        TURNED_AWAY
+        /** Another process has this one's name and keeps it: this one takes part no more. */
+        NAME_YIELDED,
+        /** Another process has this one's name and has to yield it. */
+        NAME_TAKEN_OVER,
+        /** Not admitted, as all places are taken by live members. */
+        REJECTED
     }
 }
--- /dev/null
+++ b/node/src/main/java/loadbalancer/membership/core/PartitionRepair.java
@@ -0,0 +1,68 @@
+package loadbalancer.membership.core;
+
+import java.util.List;
+
+/**
+ * Contacts one dead member in each period, or a seed whose address no member has. Guards against a network partition
+ * that stays after the network is whole again: both halves hold each other for dead, and nobody probes the dead. Dead
+ * members are contacted until their tombstones expire, seeds for ever.
+ */
+final class PartitionRepair {
+    private final MembershipSettings settings;
+    private final MembershipActions actions;
+    private final ProtocolRandom random;
+    private final MemberTable table;
+    private final PingSender pings;
+    private long nextAtUs = Long.MAX_VALUE;
+
+    PartitionRepair(
+            MembershipSettings settings,
+            MembershipActions actions,
+            ProtocolRandom random,
+            MemberTable table,
+            PingSender pings) {
+        this.settings = settings;
+        this.actions = actions;
+        this.random = random;
+        this.table = table;
+        this.pings = pings;
+    }
+
+    void start(long nowUs) {
+        nextAtUs = nowUs + settings.probePeriodUs();
+    }
+
+    long nextUs() {
+        return nextAtUs;
+    }
+
+    void onTime(long nowUs) {
+        if (nowUs < nextAtUs) {
+            return;
+        }
+        nextAtUs = nowUs + random.aroundMean(settings.probePeriodUs());
+        List<Member> dead = table.members()
+                .filter(member -> member.state() == MemberState.DEAD)
+                .toList();
+        List<String> seeds = missingSeeds();
+        int candidates = dead.size() + seeds.size();
+        if (candidates == 0) {
+            return;
+        }
+        int choice = random.nextInt(candidates);
+        if (choice < dead.size()) {
+            pings.ping(dead.get(choice));
+        } else if (table.liveCount() > 0) {
+            // While nobody else is live, the state sync scheduler contacts the seeds.
+            actions.startStateSync(seeds.get(choice - dead.size()));
+        }
+    }
+
+    private List<String> missingSeeds() {
+        return settings.seeds().stream()
+                .filter(seed -> !seed.equals(settings.address()))
+                .filter(seed ->
+                        table.members().noneMatch(member -> member.address().equals(seed)))
+                .toList();
+    }
+}
--- a/node/src/main/java/loadbalancer/membership/core/Suspicion.java
+++ b/node/src/main/java/loadbalancer/membership/core/Suspicion.java
@@ -4,40 +4,41 @@
 import java.util.Set;
 
 /**
- * How long a member has to contradict: long while one alone suspects it, shorter with each other member that
- * does. A slow process that suspects everybody then harms nobody, as it stays alone.
+ * How long a suspected member has to refute: long while a single member suspects it, shorter with each other member
+ * that confirms. A slow process that suspects everybody then harms nobody, as no other member confirms.
  */
 final class Suspicion {
-    private long startedUs;
-    private final long leastUs;
-    private final long mostUs;
-    private final int wanted;
-    private final Set<String> by = new HashSet<>();
+    private long startedAtUs;
+    private final long minTimeoutUs;
+    private final long maxTimeoutUs;
+    private final int requiredConfirmations;
+    private final Set<String> reporters = new HashSet<>();
 
-    Suspicion(long nowUs, long leastUs, long mostUs, int wanted, String first) {
-        startedUs = nowUs;
-        this.leastUs = leastUs;
-        this.mostUs = mostUs;
-        this.wanted = wanted;
-        by.add(first);
+    Suspicion(long nowUs, long minTimeoutUs, long maxTimeoutUs, int requiredConfirmations, String firstReporter) {
+        startedAtUs = nowUs;
+        this.minTimeoutUs = minTimeoutUs;
+        this.maxTimeoutUs = maxTimeoutUs;
+        this.requiredConfirmations = requiredConfirmations;
+        reporters.add(firstReporter);
     }
 
-    /** Another holds it too; true if that was news. */
-    boolean confirm(String who) {
-        return by.size() <= wanted && by.add(who);
+    /** Another member suspects it too; true if that is new and still counts. */
+    boolean confirm(String reporter) {
+        return reporters.size() <= requiredConfirmations && reporters.add(reporter);
     }
 
-    /** Time that this process stood still is none that the other had. */
-    void putOff(long us) {
-        startedUs += us;
+    /** Moves the timeout: a time in which this process was paused is none in which it could hear a refutation. */
+    void postpone(long us) {
+        startedAtUs += us;
     }
 
-    /** When it is over. */
-    long endsUs() {
-        if (wanted == 0) {
-            return startedUs + leastUs;
+    /** The end of the timeout. */
+    long endsAtUs() {
+        if (requiredConfirmations == 0) {
+            return startedAtUs + minTimeoutUs;
         }
-        double shorter = Math.log(by.size()) / Math.log(wanted + 1);
-        return startedUs + Math.max(leastUs, Math.round(mostUs - (mostUs - leastUs) * shorter));
+        double confirmed = Math.log(reporters.size()) / Math.log(requiredConfirmations + 1);
+        long timeoutUs = Math.round(maxTimeoutUs - (maxTimeoutUs - minTimeoutUs) * confirmed);
+        return startedAtUs + Math.max(minTimeoutUs, timeoutUs);
     }
 }
--- a/node/src/test/java/loadbalancer/membership/CodecBytesTest.java
+++ b/node/src/test/java/loadbalancer/membership/CodecBytesTest.java
@@ -10,7 +10,7 @@
 import loadbalancer.membership.core.Incarnation;
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MemberState;
-import loadbalancer.membership.core.Message;
+import loadbalancer.membership.core.MembershipMessage;
 import org.junit.jupiter.api.Test;
 
 /** Frames as they go between processes, byte for byte: processes of two versions run side by side. */
@@ -36,7 +36,7 @@
                 "4b4d01000b1951ad9f65666c65657411626e32626e316e3132372e302e302e313a3730303162"
                         + "7a31646e6f64650501009f626e326e3132372e302e302e313a37303032627a32646e6f646506"
                         + "19012c01626e31626e336e3132372e302e302e313a37303033627a31646e6f6465070002626e" + "33ffff",
-                codec.encode(new Message.Ping(17, "n2", self, updates)));
+                codec.encode(new MembershipMessage.Ping(17, "n2", self, updates)));
     }
 
     @Test
@@ -45,7 +45,7 @@
                 "4b4d0101797cae169f65666c65657411626e316e3132372e302e302e313a37303031627a3164"
                         + "6e6f64650501009f626e326e3132372e302e302e313a37303032627a32646e6f64650619012c"
                         + "01626e31626e336e3132372e302e302e313a37303033627a31646e6f6465070002626e33ffff",
-                codec.encode(new Message.Ack(17, self, updates)));
+                codec.encode(new MembershipMessage.Ack(17, self, updates)));
     }
 
     @Test
@@ -55,7 +55,7 @@
                         + "3132372e302e302e313a37303031627a31646e6f64650501009f626e326e3132372e302e302e"
                         + "313a37303032627a32646e6f64650619012c01626e31626e336e3132372e302e302e313a3730"
                         + "3033627a31646e6f6465070002626e33ffff",
-                codec.encode(new Message.PingRequest(18, "n2", "127.0.0.1:7002", self, updates)));
+                codec.encode(new MembershipMessage.PingRequest(18, "n2", "127.0.0.1:7002", self, updates)));
     }
 
     @Test
@@ -64,14 +64,14 @@
                 "4b4d0103c2c6d4fa9f65666c656574626e316e3132372e302e302e313a37303031627a31646e"
                         + "6f64650501009f626e326e3132372e302e302e313a37303032627a32646e6f64650619012c01"
                         + "626e31626e336e3132372e302e302e313a37303033627a31646e6f6465070002626e33ffff",
-                codec.encode(new Message.Gossip(self, updates)));
+                codec.encode(new MembershipMessage.Gossip(self, updates)));
     }
 
     @Test
     void negativeAcknowledgement() {
         assertBytes(
                 "4b4d0104622a604f9f65666c65657412626e316e3132372e302e302e313a37303031627a3164" + "6e6f64650501009fffff",
-                codec.encode(new Message.Nack(18, self, List.of())));
+                codec.encode(new MembershipMessage.Nack(18, self, List.of())));
     }
 
     @Test
--- a/node/src/test/java/loadbalancer/membership/CodecTest.java
+++ b/node/src/test/java/loadbalancer/membership/CodecTest.java
@@ -18,10 +18,11 @@
 import loadbalancer.membership.core.Incarnation;
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MemberState;
-import loadbalancer.membership.core.Membership;
+import loadbalancer.membership.core.MembershipActions;
 import loadbalancer.membership.core.MembershipChange;
+import loadbalancer.membership.core.MembershipMessage;
+import loadbalancer.membership.core.MembershipProtocol;
 import loadbalancer.membership.core.MembershipSettings;
-import loadbalancer.membership.core.Message;
 import org.junit.jupiter.api.Test;
 
 class CodecTest {
@@ -48,19 +49,19 @@
                 MemberState.values()[random.nextInt(4)]);
     }
 
-    private static Message message(SplittableRandom random, int most) {
-        List<GossipUpdate> rumors = new ArrayList<>();
+    private static MembershipMessage message(SplittableRandom random, int most) {
+        List<GossipUpdate> updates = new ArrayList<>();
         for (int i = random.nextInt(6); i > 0; i--) {
-            rumors.add(new GossipUpdate(member(random, most), name(random, most)));
+            updates.add(new GossipUpdate(member(random, most), name(random, most)));
         }
         Member from = member(random, most);
         long number = random.nextLong(1L << 40);
         return switch (random.nextInt(5)) {
-            case 0 -> new Message.Ping(number, name(random, most), from, rumors);
-            case 1 -> new Message.Ack(number, from, rumors);
-            case 2 -> new Message.PingRequest(number, name(random, most), name(random, most), from, rumors);
-            case 3 -> new Message.Nack(number, from, rumors);
-            default -> new Message.Gossip(from, rumors);
+            case 0 -> new MembershipMessage.Ping(number, name(random, most), from, updates);
+            case 1 -> new MembershipMessage.Ack(number, from, updates);
+            case 2 -> new MembershipMessage.PingRequest(number, name(random, most), name(random, most), from, updates);
+            case 3 -> new MembershipMessage.Nack(number, from, updates);
+            default -> new MembershipMessage.Gossip(from, updates);
         };
     }
 
@@ -68,9 +69,9 @@
     void whatIsWrittenIsRead() throws Exception {
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 2_000; i++) {
-            Message message = message(random, 64);
+            MembershipMessage message = message(random, 64);
             assertEquals(message, codec.decode(codec.encode(message)));
-            assertEquals(message.rumors(), codec.decodeState(codec.encodeState(message.rumors())));
+            assertEquals(message.updates(), codec.decodeState(codec.encodeState(message.updates())));
         }
         MembershipClient.View view =
                 new MembershipClient.View(7, -3, 2, member(random, 64), List.of(member(random, 64)), Map.of("a", 1L));
@@ -82,17 +83,18 @@
         String longest = "x".repeat(64);
         Member member =
                 new Member(longest, longest, longest, longest, new Incarnation(1L << 62, 1L << 62), MemberState.LEFT);
-        GossipUpdate rumor = new GossipUpdate(member, longest);
-        // What the core reckons a rumor to need, and not less, is what it may fill its room with.
-        List<GossipUpdate> rumors = new ArrayList<>();
+        GossipUpdate update = new GossipUpdate(member, longest);
+        // What the core reckons a update to need, and not less, is what it may fill its room with.
+        List<GossipUpdate> updates = new ArrayList<>();
         for (int bytes = 48 + 5 * 64; bytes <= MembershipSettings.MAX_GOSSIP_BUDGET_BYTES; bytes += 48 + 5 * 64) {
-            rumors.add(rumor);
+            updates.add(update);
         }
-        int length =
-                new Codec(longest).encode(new Message.PingRequest(1L << 62, longest, longest, member, rumors)).length;
+        int length = new Codec(longest)
+                .encode(new MembershipMessage.PingRequest(1L << 62, longest, longest, member, updates))
+                .length;
         assertTrue(length <= Codec.MOST_DATAGRAM, "bytes: " + length);
-        int more = codec.encode(new Message.Gossip(member, List.of(rumor, rumor))).length
-                - codec.encode(new Message.Gossip(member, List.of(rumor))).length;
+        int more = codec.encode(new MembershipMessage.Gossip(member, List.of(update, update))).length
+                - codec.encode(new MembershipMessage.Gossip(member, List.of(update))).length;
         assertTrue(more <= 48 + 5 * 64, "bytes of a rumor: " + more);
     }
 
@@ -154,31 +156,31 @@
     }
 
     /** What the core wants done, of which only the last message matters here. */
-    private static final class Quiet implements Membership.Actions {
-        private Message last;
+    private static final class Quiet implements MembershipActions {
+        private MembershipMessage last;
 
         @Override
-        public void send(String address, Message message) {
+        public void send(String address, MembershipMessage message) {
             last = message;
         }
 
         @Override
-        public void exchange(String address) {
+        public void startStateSync(String address) {
             // Nobody is there.
         }
 
         @Override
-        public void changed(MembershipChange change) {
+        public void onChange(MembershipChange change) {
             // The view tells.
         }
 
         @Override
-        public void roundTrip(long us) {
+        public void onRoundTrip(long us) {
             // None is measured.
         }
 
         @Override
-        public void wakeAt(long atUs) {
+        public void scheduleWake(long atUs) {
             // The test keeps the time.
         }
     }
@@ -190,7 +192,7 @@
                 .maxMembers(MOST_HELD)
                 .build();
         Quiet out = new Quiet();
-        Membership core = new Membership(small, 1, 1L << 62, out);
+        MembershipProtocol core = new MembershipProtocol(small, 1, 1L << 62, out);
         core.start(0);
         Map<Reason, Integer> dropped = new EnumMap<>(Reason.class);
         int taken = 0;
@@ -199,7 +201,7 @@
             byte[] other = frame;
             frame = i % 16 == 0 ? codec.encode(message(random, 12)) : frame;
             try {
-                Message message = codec.decode(spoilt(frame, other, random));
+                MembershipMessage message = codec.decode(spoilt(frame, other, random));
                 taken++;
                 core.onMessage(i * 1_000L, message);
             } catch (BadFrameException e) {
@@ -211,11 +213,13 @@
         }
         assertTrue(
                 taken > FUZZED / 100 && dropped.size() == Reason.values().length, taken + " taken, dropped " + dropped);
-        assertTrue(core.state().size() <= MOST_HELD, "held: " + core.state().size());
+        assertTrue(
+                core.stateSnapshot().size() <= MOST_HELD,
+                "held: " + core.stateSnapshot().size());
         Member asking = new Member("asking", "127.0.0.1:2", "z", "node", new Incarnation(1, 0), MemberState.ALIVE);
-        core.onMessage(FUZZED * 1_000L, new Message.Ping(77, "me", asking, List.of()));
+        core.onMessage(FUZZED * 1_000L, new MembershipMessage.Ping(77, "me", asking, List.of()));
         assertTrue(
-                core.isOver() || out.last instanceof Message.Ack ack && ack.number() == 77,
+                core.isEnded() || out.last instanceof MembershipMessage.Ack ack && ack.sequence() == 77,
                 "answers no more: " + out.last);
         assertArrayEquals(codec.encode(out.last), codec.encode(codec.decode(codec.encode(out.last))));
     }
--- a/node/src/test/java/loadbalancer/membership/MembershipMetricsTest.java
+++ b/node/src/test/java/loadbalancer/membership/MembershipMetricsTest.java
@@ -25,7 +25,7 @@
                 metrics.bad(reason);
             }
         }
-        for (MembershipChange.Kind kind : MembershipChange.Kind.values()) {
+        for (MembershipChange.Type kind : MembershipChange.Type.values()) {
             for (int i = 0; i <= kind.ordinal(); i++) {
                 metrics.changed(kind);
             }
--- a/rig/src/main/java/loadbalancer/rig/members/DatagramNet.java
+++ b/rig/src/main/java/loadbalancer/rig/members/DatagramNet.java
@@ -4,7 +4,7 @@
 import java.util.function.BiPredicate;
 import java.util.zip.CRC32C;
 import loadbalancer.membership.Codec;
-import loadbalancer.membership.core.Message;
+import loadbalancer.membership.core.MembershipMessage;
 import loadbalancer.rig.time.Timeline;
 
 /**
@@ -59,7 +59,7 @@
     }
 
     /** A datagram goes out, wherever it ends. */
-    void count(Message message) {
+    void count(MembershipMessage message) {
         byte[] frame = codec.encode(message);
         sent++;
         sentBytes += frame.length;
--- a/rig/src/main/java/loadbalancer/rig/members/MembersStudy.java
+++ b/rig/src/main/java/loadbalancer/rig/members/MembersStudy.java
@@ -11,7 +11,7 @@
  * each.
  */
 public final class MembersStudy {
-    /** Views have to be alike, and rumors to have gone quiet, before anything is measured. */
+    /** Views have to be alike, and updates to have gone quiet, before anything is measured. */
     private static final int SETTLE_PERIODS = 60;
 
     private static final int LOAD_PERIODS = 60;
@@ -112,7 +112,7 @@
 
     private static long suspicions(MembersWorld world) {
         return world.members().stream()
-                .mapToLong(m -> m.count(MembershipChange.Kind.SUSPECTED))
+                .mapToLong(m -> m.count(MembershipChange.Type.SUSPECTED))
                 .sum();
     }
 
--- a/rig/src/main/java/loadbalancer/rig/members/MembersWorld.java
+++ b/rig/src/main/java/loadbalancer/rig/members/MembersWorld.java
@@ -104,7 +104,7 @@
     }
 
     void changed(SimMember at, MembershipChange change) {
-        if (change.kind() == MembershipChange.Kind.DIED) {
+        if (change.type() == MembershipChange.Type.FAILED) {
             SimMember who = members.stream()
                     .filter(m -> m.name().equals(change.member().name()) && m.isUp())
                     .findFirst()
@@ -114,8 +114,8 @@
                     at.name(),
                     change.member().name(),
                     who == null
-                            || who.core().self().incarnation().birth()
-                                    != change.member().incarnation().birth()));
+                            || who.core().self().incarnation().generation()
+                                    != change.member().incarnation().generation()));
         }
         viewed(at);
     }
@@ -161,7 +161,7 @@
         return !up.isEmpty()
                 && members.stream()
                         .filter(SimMember::isUp)
-                        .allMatch(member -> member.core().members().stream()
+                        .allMatch(member -> member.core().liveMembers().stream()
                                 .map(m -> m.name())
                                 .toList()
                                 .equals(up));
--- a/rig/src/main/java/loadbalancer/rig/members/ModelCheck.java
+++ b/rig/src/main/java/loadbalancer/rig/members/ModelCheck.java
@@ -11,10 +11,11 @@
 import loadbalancer.membership.core.Incarnation;
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MemberState;
-import loadbalancer.membership.core.Membership;
+import loadbalancer.membership.core.MembershipActions;
 import loadbalancer.membership.core.MembershipChange;
+import loadbalancer.membership.core.MembershipMessage;
+import loadbalancer.membership.core.MembershipProtocol;
 import loadbalancer.membership.core.MembershipSettings;
-import loadbalancer.membership.core.Message;
 
 /**
  * All orders of events of a very small fleet, up to a depth: any message on its way may come next or get
@@ -112,7 +113,7 @@
         private boolean mayCrash = true;
         private boolean mayLeave = true;
 
-        private record Sent(int from, String to, Message message) {}
+        private record Sent(int from, String to, MembershipMessage message) {}
 
         World() {
             for (int i = 0; i < processes; i++) {
@@ -122,7 +123,7 @@
             for (Process a : fleet) {
                 for (Process b : fleet) {
                     if (a != b) {
-                        a.event("state of " + b.number, core -> core.onState(a.nowUs, b.core.state()));
+                        a.event("state of " + b.number, core -> core.onStateSync(a.nowUs, b.core.stateSnapshot()));
                     }
                 }
             }
@@ -174,7 +175,7 @@
                 mayLeave = false;
                 Process leaving = fleet[processes - 1];
                 if (leaving.up) {
-                    leaving.event("leave", core -> core.leave(leaving.nowUs));
+                    leaving.event("leave", core -> core.leave());
                     leaving.up = false;
                 }
             } else {
@@ -198,10 +199,10 @@
         private void exchange(Process from, String address) {
             for (Process to : fleet) {
                 if (to.address().equals(address) && to.up && from.up && comesThrough(from.number, to.number)) {
-                    List<GossipUpdate> mine = from.core.state();
-                    List<GossipUpdate> theirs = to.core.state();
-                    to.event("exchange " + mine, core -> core.onState(to.nowUs, mine));
-                    from.event("exchange " + theirs, core -> core.onState(from.nowUs, theirs));
+                    List<GossipUpdate> mine = from.core.stateSnapshot();
+                    List<GossipUpdate> theirs = to.core.stateSnapshot();
+                    to.event("exchange " + mine, core -> core.onStateSync(to.nowUs, mine));
+                    from.event("exchange " + theirs, core -> core.onStateSync(from.nowUs, theirs));
                 }
             }
         }
@@ -236,8 +237,8 @@
                 }
             }
             for (Process process : fleet) {
-                if (process.up && (digests.size() != 1 || process.core.live() != up)) {
-                    return "process " + process.number + " holds " + process.core.state() + " in the end";
+                if (process.up && (digests.size() != 1 || process.core.liveCount() != up)) {
+                    return "process " + process.number + " holds " + process.core.stateSnapshot() + " in the end";
                 }
             }
             return null;
@@ -245,10 +246,10 @@
     }
 
     /** One process, with a clock of its own: how fast it runs against the others' is part of the order. */
-    private final class Process implements Membership.Actions {
+    private final class Process implements MembershipActions {
         private final int number;
         private final World world;
-        private final Membership core;
+        private final MembershipProtocol core;
         /** What it has been given, summed up in order. */
         private long events = 1;
 
@@ -274,7 +275,7 @@
                     .maxLocalHealth(1)
                     .retransmitFactor(2)
                     .build();
-            core = new Membership(small, number + 1, BIRTH + number, this);
+            core = new MembershipProtocol(small, number + 1, BIRTH + number, this);
             core.start(0);
         }
 
@@ -290,7 +291,7 @@
         }
 
         private interface Event {
-            void giveTo(Membership core);
+            void giveTo(MembershipProtocol core);
         }
 
         void event(String what, Event event) {
@@ -312,9 +313,9 @@
         /** No word about a name may go behind one that was held before, and who has left stays so. */
         private void look() {
             Map<String, Member> now = new TreeMap<>();
-            core.state().stream()
+            core.stateSnapshot().stream()
                     .skip(1)
-                    .forEach(rumor -> now.put(rumor.member().name(), rumor.member()));
+                    .forEach(update -> now.put(update.member().name(), update.member()));
             now.forEach((name, member) -> {
                 Member before = held.get(name);
                 if (member.state() == MemberState.LEFT) {
@@ -335,27 +336,27 @@
         }
 
         @Override
-        public void send(String address, Message message) {
+        public void send(String address, MembershipMessage message) {
             world.underWay.add(new World.Sent(number, address, message));
         }
 
         @Override
-        public void exchange(String address) {
+        public void startStateSync(String address) {
             later.add(() -> world.exchange(this, address));
         }
 
         @Override
-        public void changed(MembershipChange change) {
+        public void onChange(MembershipChange change) {
             // The views tell.
         }
 
         @Override
-        public void roundTrip(long us) {
+        public void onRoundTrip(long us) {
             // Clocks of their own make no sense of it.
         }
 
         @Override
-        public void wakeAt(long atUs) {
+        public void scheduleWake(long atUs) {
             wakeAtUs = atUs;
         }
     }
--- a/rig/src/main/java/loadbalancer/rig/members/SimMember.java
+++ b/rig/src/main/java/loadbalancer/rig/members/SimMember.java
@@ -7,10 +7,11 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import loadbalancer.membership.core.GossipUpdate;
-import loadbalancer.membership.core.Membership;
+import loadbalancer.membership.core.MembershipActions;
 import loadbalancer.membership.core.MembershipChange;
+import loadbalancer.membership.core.MembershipMessage;
+import loadbalancer.membership.core.MembershipProtocol;
 import loadbalancer.membership.core.MembershipSettings;
-import loadbalancer.membership.core.Message;
 import loadbalancer.rig.history.Event.Kind;
 import loadbalancer.rig.time.Timeline.Timer;
 
@@ -25,7 +26,7 @@
     private final String name;
     private final String address;
     private final MembershipSettings settings;
-    private Membership core;
+    private MembershipProtocol core;
     private boolean up;
     private boolean paused;
     /** What has come while it stood still; the system keeps it. */
@@ -35,7 +36,7 @@
     private int life;
     private long clockOffUs;
     private final Map<String, Long> heard = new HashMap<>();
-    private final Map<MembershipChange.Kind, Integer> changes = new EnumMap<>(MembershipChange.Kind.class);
+    private final Map<MembershipChange.Type, Integer> changes = new EnumMap<>(MembershipChange.Type.class);
 
     SimMember(MembersWorld world, MembershipSettings settings) {
         this.world = world;
@@ -53,7 +54,7 @@
     }
 
     /** The core of its present life. */
-    public Membership core() {
+    public MembershipProtocol core() {
         return core;
     }
 
@@ -71,7 +72,7 @@
     }
 
     /** How often something of this kind was told to its listener. */
-    public int count(MembershipChange.Kind kind) {
+    public int count(MembershipChange.Type kind) {
         return changes.getOrDefault(kind, 0);
     }
 
@@ -92,7 +93,7 @@
         // A day into the run, so that a clock may be behind and its time is still one.
         long birthUs = 86_400_000_000L + world.time().nowUs() + clockOffUs;
         world.history().add(name, Kind.STARTED);
-        core = new Membership(settings, world.random().nextLong(), birthUs, new Actions(of));
+        core = new MembershipProtocol(settings, world.random().nextLong(), birthUs, new Actions(of));
         core.start(world.time().nowUs());
         world.viewed(this);
     }
@@ -106,7 +107,7 @@
 
     /** Says that it goes, and goes. */
     public void leave() {
-        core.leave(world.time().nowUs());
+        core.leave();
         life++;
         up = false;
         world.history().add(name, Kind.KILLED, "left", true);
@@ -134,7 +135,7 @@
             return;
         }
         what.run();
-        if (core.isOver()) {
+        if (core.isEnded()) {
             up = false;
             world.history().add(name, Kind.KILLED, "gave_way", true);
         }
@@ -142,7 +143,7 @@
 
     // ---------------------------------------------------------------- what it hears
 
-    void deliver(int of, Consumer<Membership> event) {
+    void deliver(int of, Consumer<MembershipProtocol> event) {
         run(of, () -> event.accept(core));
     }
 
@@ -150,7 +151,7 @@
         return life;
     }
 
-    private final class Actions implements Membership.Actions {
+    private final class Actions implements MembershipActions {
         private final int of;
 
         Actions(int of) {
@@ -158,7 +159,7 @@
         }
 
         @Override
-        public void send(String to, Message message) {
+        public void send(String to, MembershipMessage message) {
             world.net().count(message);
             world.net().send(name, world.nameAt(to), () -> {
                 SimMember target = world.at(to);
@@ -170,8 +171,8 @@
         }
 
         @Override
-        public void exchange(String to) {
-            List<GossipUpdate> mine = core.state();
+        public void startStateSync(String to) {
+            List<GossipUpdate> mine = core.stateSnapshot();
             world.time().after(world.net().delay(), () -> {
                 SimMember target = world.at(to);
                 if (target == null
@@ -181,35 +182,36 @@
                         || world.net().isCut(target.name, name)) {
                     return;
                 }
-                List<GossipUpdate> theirs = target.core.state();
-                target.deliver(target.life, core -> core.onState(world.time().nowUs(), mine));
+                List<GossipUpdate> theirs = target.core.stateSnapshot();
+                target.deliver(
+                        target.life, core -> core.onStateSync(world.time().nowUs(), mine));
                 world.time().after(world.net().delay(), () -> {
                     if (!world.net().isCut(target.name, name)) {
-                        deliver(of, core -> core.onState(world.time().nowUs(), theirs));
+                        deliver(of, core -> core.onStateSync(world.time().nowUs(), theirs));
                     }
                 });
             });
         }
 
         @Override
-        public void changed(MembershipChange change) {
-            changes.merge(change.kind(), 1, Integer::sum);
-            switch (change.kind()) {
-                case SUSPECTED, DIED ->
+        public void onChange(MembershipChange change) {
+            changes.merge(change.type(), 1, Integer::sum);
+            switch (change.type()) {
+                case SUSPECTED, FAILED ->
                     heard.putIfAbsent(change.member().name(), world.time().nowUs());
-                case CLEARED, JOINED -> heard.remove(change.member().name());
+                case REFUTED, JOINED -> heard.remove(change.member().name());
                 default -> {}
             }
             world.changed(SimMember.this, change);
         }
 
         @Override
-        public void roundTrip(long us) {
+        public void onRoundTrip(long us) {
             // Its distribution is the network's, which is a model here.
         }
 
         @Override
-        public void wakeAt(long atUs) {
+        public void scheduleWake(long atUs) {
             if (wake != null) {
                 wake.cancel();
             }
--- a/rig/src/test/java/loadbalancer/rig/members/MembershipDeterminismTest.java
+++ b/rig/src/test/java/loadbalancer/rig/members/MembershipDeterminismTest.java
@@ -26,7 +26,7 @@
 
     /** Changes of each kind in the order of the kinds, the time, then datagrams, bytes and their checksum. */
     private static String trace(MembersWorld world) {
-        long[] changes = Arrays.stream(MembershipChange.Kind.values())
+        long[] changes = Arrays.stream(MembershipChange.Type.values())
                 .mapToLong(kind -> world.members().stream()
                         .mapToLong(member -> member.count(kind))
                         .sum())
--- a/rig/src/test/java/loadbalancer/rig/members/MembershipTest.java
+++ b/rig/src/test/java/loadbalancer/rig/members/MembershipTest.java
@@ -51,7 +51,7 @@
         trials.put("one leaves", new Trial(30, 10, false, world -> {
             world.member(7).leave();
             pass(world, 10);
-            assertTrue(world.member(3).count(MembershipChange.Kind.LEFT) == 1
+            assertTrue(world.member(3).count(MembershipChange.Type.LEFT) == 1
                     && world.deaths().isEmpty());
         }));
         trials.put("cut in two and healed", new Trial(20, 15, true, world -> {
@@ -158,7 +158,7 @@
             twin.start();
             pass(world, 15);
             assertTrue(twin.isUp() && !world.member(5).isUp(), "the one that began first gives way");
-            assertEquals(1, world.member(5).count(MembershipChange.Kind.GAVE_WAY));
+            assertEquals(1, world.member(5).count(MembershipChange.Type.NAME_YIELDED));
         }));
         return trials;
     }
