--- a/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -12,11 +12,27 @@
 import loadbalancer.membership.MembershipService;
 import loadbalancer.net.SocketAddresses;
 
-/** The life of the process in which a node runs: its start, its signals and its end. */
+/**
+ * The process in which a node runs: the steps of its start, its signals and its exit codes.
+ *
+ * <p>SIGHUP reloads the configuration ({@link ReloadSignal}). SIGTERM runs the shutdown hook, which waits until the
+ * node has drained ({@link GracefulShutdown}); the process then ends with 143, the JVM's code for SIGTERM. A process
+ * that cannot start writes one line to standard error and ends with {@value #EXIT_CANNOT_START}.
+ */
 public final class ProcessLifecycle {
-    private ProcessLifecycle() {}
+    /** The configuration is not valid, or an address cannot be listened on. */
+    private static final int EXIT_CANNOT_START = 2;
 
-    /** Runs a node until SIGTERM; a bad configuration ends it with one line and exit code 2. */
+    private final NodeConfig config;
+    private final MeasuredEventLoop loop = new MeasuredEventLoop("node", false);
+    private final Node node;
+
+    private ProcessLifecycle(NodeConfig config) {
+        this.config = config;
+        node = new Node(config, loop);
+    }
+
+    /** Starts a node by this environment; it runs until SIGTERM. Returns once it listens. */
     public static void run(Map<String, String> env) {
         NodeConfig config;
         ServerSocketChannel inherited;
@@ -24,59 +40,84 @@
             config = NodeConfig.read(env);
             inherited = config.operators().inherits() ? InheritedListener.open() : null;
         } catch (ConfigException e) {
-            System.err.println("load-balancer: " + e.getMessage());
-            System.exit(2);
+            exitCannotStart(e.getMessage());
             return;
         }
-        MeasuredEventLoop loop = new MeasuredEventLoop("node", false);
-        Node node = new Node(config, loop);
+        new ProcessLifecycle(config).start(env, inherited);
+    }
+
+    /** The list is followed ahead of the warm-up, which takes longer than discovery to answer. */
+    private void start(Map<String, String> env, ServerSocketChannel inherited) {
         ReloadSignal.handle(() -> node.reload(env));
-        // By an interface of the JDK's, so that a node of no fleet need not load what one is made of.
-        Runnable leave = config.fleet() == null
-                ? null
-                : MembershipService.join(
-                        config.fleet(), text -> Log.info("membership", "text", text), node::setExtraMetrics);
+        Runnable leaveMembership = joinMembership();
+        startControl();
+        node.followEndpointList();
+        warmUp();
+        ChannelFuture listening = node.start(inherited);
+        awaitListening("listen " + config.listen(), listening);
+        drainOnSigterm(leaveMembership);
+        Log.info("listening", "address", addressOf(listening));
+    }
+
+    /**
+     * Joins the membership of the fleet, if the node takes part in one.
+     *
+     * @return leaves it again; null where there is nothing to leave. An interface of the JDK's, so that a node
+     *     without a fleet does not load the classes of the membership.
+     */
+    private Runnable joinMembership() {
+        if (config.fleet() == null) {
+            return null;
+        }
+        return MembershipService.join(
+                config.fleet(), text -> Log.info("membership", "text", text), node::setExtraMetrics);
+    }
+
+    private void startControl() {
         ChannelFuture control = node.startControl();
         if (control != null) {
             awaitListening("control " + config.operators().control(), control);
-            Log.info("control_listening", "address", text(control));
+            Log.info("control_listening", "address", addressOf(control));
         }
-        // Ahead of the rehearsal, which takes longer than discovery to answer.
-        node.followEndpointList();
-        long rehearsed = WarmUp.play(config, loop);
-        if (rehearsed < WarmUp.REQUESTS) {
-            Log.warn("warm_up_incomplete", "requests", rehearsed, "of", WarmUp.REQUESTS);
+    }
+
+    private void warmUp() {
+        long served = WarmUp.run(config, loop);
+        if (served < WarmUp.REQUESTS) {
+            Log.warn("warm_up_incomplete", "requests", served, "of", WarmUp.REQUESTS);
         }
-        ChannelFuture listening = node.start(inherited);
-        awaitListening("listen " + config.listen(), listening);
-        Runtime.getRuntime()
-                .addShutdownHook(new Thread(
-                        () -> {
-                            if (leave != null) {
-                                // First: the process that follows this one waits for the address.
-                                leave.run();
-                            }
-                            CountDownLatch empty = new CountDownLatch(1);
-                            node.drain(empty::countDown);
-                            try {
-                                empty.await();
-                            } catch (InterruptedException e) {
-                                Thread.currentThread().interrupt();
-                            }
-                        },
-                        "drain"));
-        Log.info("listening", "address", text(listening));
     }
 
-    private static String text(ChannelFuture listening) {
+    private void drainOnSigterm(Runnable leaveMembership) {
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> leaveAndDrain(leaveMembership), "drain"));
+    }
+
+    /** Leaves the membership first: the process that follows this one waits for its address. */
+    private void leaveAndDrain(Runnable leaveMembership) {
+        if (leaveMembership != null) {
+            leaveMembership.run();
+        }
+        CountDownLatch drained = new CountDownLatch(1);
+        node.drain(drained::countDown);
+        try {
+            drained.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private static String addressOf(ChannelFuture listening) {
         return SocketAddresses.format((InetSocketAddress) listening.channel().localAddress());
     }
 
     private static void awaitListening(String where, ChannelFuture listening) {
         if (!listening.awaitUninterruptibly().isSuccess()) {
-            System.err.println(
-                    "load-balancer: " + where + ": " + listening.cause().getMessage());
-            System.exit(2);
+            exitCannotStart(where + ": " + listening.cause().getMessage());
         }
     }
+
+    private static void exitCannotStart(String reason) {
+        System.err.println("load-balancer: " + reason);
+        System.exit(EXIT_CANNOT_START);
+    }
 }
--- a/node/src/main/java/loadbalancer/process/WarmUp.java
+++ b/node/src/main/java/loadbalancer/process/WarmUp.java
@@ -38,37 +38,59 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * Warms a starting process before it listens: a node apart serves requests between a client and a server of
- * its own, on the address that it may listen on. Cold code under full load stood still for up to 90 ms at a
- * time in the first second, and requests ran out of time unanswered.
+ * The warm-up traffic of a starting process: before it listens to clients, a second node in the same process serves
+ * requests from a client of its own to a server of its own, on the address that the node may listen on.
+ *
+ * <p>What it warms: the classes of the request path are loaded and initialized, its lambdas are linked, its methods are
+ * compiled, and the buffer pool has its first chunks. The second node shares the event loop and the code, and nothing
+ * else: no metric, no record of a server, and no connection of it outlasts the warm-up.
+ *
+ * <p>Guards against a restart under full load: there, cold code stalled the event loop for up to 90 ms at a time in the
+ * first second, and requests ran out of time. It shows as time-outs in the first second after a start.
+ *
+ * <p>{@link #run} blocks the calling thread, which must not be the event loop; the handlers run on the event loop.
  */
 final class WarmUp {
     /** Enough that what each request calls is compiled; with 600 a restart took over a second longer. */
     static final int REQUESTS = 200;
 
-    private static final int CLIENTS = 4;
+    private static final int CONNECTIONS = 4;
     /**
-     * A start must not wait for longer, however little CPU there is: cold, half a core serves 35 requests
-     * in 500 ms, and a node that listens before it is warm does the same with clients waiting.
+     * A start must not wait for longer, however little processor time there is: cold, half a core serves 35 requests in
+     * 500 ms, and a node that listens before it is warm does the same with clients waiting.
      */
-    private static final long MOST_MS = 6_000;
+    private static final long MAX_DURATION_MILLIS = 6_000;
+
+    private static final String NAME = "warm-up";
+    private static final int BODY_BYTES = 64;
 
     private final MeasuredEventLoop loop;
     private final List<RequestClass> classes;
-    private final CountDownLatch left = new CountDownLatch(REQUESTS);
+    private final CountDownLatch unanswered = new CountDownLatch(REQUESTS);
 
     private WarmUp(MeasuredEventLoop loop, List<RequestClass> classes) {
         this.loop = loop;
         this.classes = classes;
     }
 
-    /** Plays until enough has been served or the time is up, and tells how many; it leaves nothing open. */
-    static long play(NodeConfig config, MeasuredEventLoop loop) {
-        return new WarmUp(loop, config.settings().classes).play(config);
+    /** Serves requests until there were {@link #REQUESTS} or the time is up; returns how many there were. */
+    static long run(NodeConfig config, MeasuredEventLoop loop) {
+        return new WarmUp(loop, config.settings().classes).run(config);
     }
 
-    private long play(NodeConfig config) {
-        Channel server = new ServerBootstrap()
+    private long run(NodeConfig config) {
+        Channel server = startServer(config);
+        Node node = new Node(config.apart(listOf(server)), loop);
+        Channel listener = node.start().syncUninterruptibly().channel();
+        connectClients((InetSocketAddress) listener.localAddress());
+        awaitAnswers();
+        node.close();
+        server.close();
+        return REQUESTS - unanswered.getCount();
+    }
+
+    private Channel startServer(NodeConfig config) {
+        return new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.ALLOCATOR, TransferLimits.ALLOCATOR)
@@ -76,26 +98,31 @@
                 .bind(new InetSocketAddress(config.listen().getAddress(), 0))
                 .syncUninterruptibly()
                 .channel();
-        Endpoint endpoint = new Endpoint(
-                new ServerEntry("rehearsal", 0, 0, ServerState.READY, 1, 0), (InetSocketAddress) server.localAddress());
-        Node node = new Node(config.apart(new EndpointList(0, true, List.of(endpoint))), loop);
-        Channel listening = node.start().syncUninterruptibly().channel();
+    }
+
+    private static EndpointList listOf(Channel server) {
+        ServerEntry entry = new ServerEntry(NAME, 0, 0, ServerState.READY, 1, 0);
+        Endpoint endpoint = new Endpoint(entry, (InetSocketAddress) server.localAddress());
+        return new EndpointList(0, true, List.of(endpoint));
+    }
+
+    private void connectClients(InetSocketAddress address) {
         Bootstrap client = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, TransferLimits.ALLOCATOR)
                 .handler(pipeline(false));
-        for (int i = 0; i < CLIENTS; i++) {
-            client.connect(listening.localAddress());
+        for (int i = 0; i < CONNECTIONS; i++) {
+            client.connect(address);
         }
+    }
+
+    private void awaitAnswers() {
         try {
-            left.await(MOST_MS, TimeUnit.MILLISECONDS);
+            unanswered.await(MAX_DURATION_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        node.close();
-        server.close();
-        return REQUESTS - left.getCount();
     }
 
     private ChannelInitializer<SocketChannel> pipeline(boolean server) {
@@ -107,61 +134,63 @@
                         .addLast(
                                 codec,
                                 new HttpObjectAggregator(TransferLimits.MAX_BUFFERED_BYTES),
-                                server ? new FarServer() : new FarClient());
+                                server ? new ServerHandler() : new ClientHandler());
             }
         };
     }
 
-    /** A far side of the rehearsal, whose connections break as the node closes amid what it is asked. */
-    private abstract static class Far<T> extends SimpleChannelInboundHandler<T> {
+    /** A connection of the warm-up, which may break when the node closes in the middle of a request. */
+    private abstract static class ConnectionHandler<T> extends SimpleChannelInboundHandler<T> {
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
         }
     }
 
-    /** Answers all that it is asked. */
-    private static final class FarServer extends Far<FullHttpRequest> {
+    /** Answers every request with a small body. */
+    private static final class ServerHandler extends ConnectionHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             FullHttpResponse response = new DefaultFullHttpResponse(
-                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(new byte[64]));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 64);
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(new byte[BODY_BYTES]));
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY_BYTES);
             context.writeAndFlush(response);
         }
     }
 
-    /** Asks for each class in turn, the next once the last is answered, until the node closes. */
-    private final class FarClient extends Far<FullHttpResponse> {
+    /** Sends requests of each class in turn, the next one once the last is answered. */
+    private final class ClientHandler extends ConnectionHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            ask(context);
+            sendRequest(context);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            left.countDown();
-            if (left.getCount() > 0) {
-                ask(context);
+            unanswered.countDown();
+            if (unanswered.getCount() > 0) {
+                sendRequest(context);
             }
         }
 
-        private void ask(ChannelHandlerContext context) {
-            RequestClass asked = classes.get((int) (left.getCount() % classes.size()));
-            boolean safe = asked.idempotency() == Idempotency.IDEMPOTENT;
+        private void sendRequest(ChannelHandlerContext context) {
+            long number = unanswered.getCount();
+            RequestClass requestClass = classes.get((int) (number % classes.size()));
+            boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
+            int bodyBytes = idempotent ? 0 : BODY_BYTES;
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
-                    safe ? HttpMethod.GET : HttpMethod.POST,
-                    "/api/rehearsal",
-                    Unpooled.wrappedBuffer(new byte[safe ? 0 : 64]));
+                    idempotent ? HttpMethod.GET : HttpMethod.POST,
+                    "/api/" + NAME,
+                    Unpooled.wrappedBuffer(new byte[bodyBytes]));
             request.headers()
-                    .set(HttpHeaderNames.HOST, "rehearsal")
-                    .set("X-Txn", Long.toString(left.getCount()))
-                    .set("X-Lane", asked.name())
+                    .set(HttpHeaderNames.HOST, NAME)
+                    .set("X-Txn", Long.toString(number))
+                    .set("X-Lane", requestClass.name())
                     .set("X-Remaining", "1000m")
-                    .set(HttpHeaderNames.CONTENT_LENGTH, safe ? 0 : 64);
-            if (asked.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
-                request.headers().set("Idempotency-Key", "rehearsal");
+                    .set(HttpHeaderNames.CONTENT_LENGTH, bodyBytes);
+            if (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
+                request.headers().set("Idempotency-Key", NAME);
             }
             context.writeAndFlush(request);
         }
--- a/node/src/test/java/loadbalancer/process/WarmUpTest.java
+++ b/node/src/test/java/loadbalancer/process/WarmUpTest.java
@@ -14,7 +14,7 @@
     @Test
     void requestsAreServedWithNoWordToDiscovery() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            assertTrue(WarmUp.play(harness.config(NodeHarness.endpointList(1, true)), harness.loop) > 0);
+            assertTrue(WarmUp.run(harness.config(NodeHarness.endpointList(1, true)), harness.loop) > 0);
             assertEquals(0, harness.discovery.connectionCount.get());
         }
     }
@@ -24,7 +24,7 @@
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             // The loop stands still for most of the time, as it does where the process has a part of a core.
             harness.loop.scheduleWithFixedDelay(() -> LockSupport.parkNanos(2_000_000), 0, 1, TimeUnit.MICROSECONDS);
-            assertEquals(WarmUp.REQUESTS, WarmUp.play(harness.config(NodeHarness.endpointList(1, true)), harness.loop));
+            assertEquals(WarmUp.REQUESTS, WarmUp.run(harness.config(NodeHarness.endpointList(1, true)), harness.loop));
         }
     }
 
