--- /dev/null
+++ b/node/src/test/java/loadbalancer/client/RequestReaderTest.java
@@ -0,0 +1,67 @@
+package loadbalancer.client;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import io.netty.handler.codec.http.DefaultHttpRequest;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpVersion;
+import loadbalancer.config.ClassRegistry;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.RequestClass;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** The header fields of a request, and what a client is told of one that cannot be used. */
+class RequestReaderTest {
+    private static RequestClass requestClass(String name, Idempotency idempotency) {
+        return new RequestClass(name, 100_000, 0, 500_000, 1, 0, idempotency, DeduplicationScope.CELL, 900_000, false);
+    }
+
+    private static ClientRequest.Head read(HttpMethod method, String fields) throws BadRequestException {
+        BalancerSettings settings = new BalancerSettings();
+        settings.classes.add(requestClass("page", Idempotency.IDEMPOTENT));
+        settings.classes.add(requestClass("photo", Idempotency.IDEMPOTENT_WITH_KEY));
+        HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, "/api/7f3a?x=1");
+        for (String field : fields.split("\\|")) {
+            request.headers().add(field.substring(0, field.indexOf(':')), field.substring(field.indexOf(':') + 1));
+        }
+        return new RequestReader(ClassRegistry.first(settings)).read(request);
+    }
+
+    @Test
+    void readsEachHeaderField() throws Exception {
+        ClientRequest.Head head = read(
+                HttpMethod.POST,
+                "X-Txn:9b1f|X-Lane:photo|X-Remaining:480m|Idempotency-Key:5c0f|X-Estimate:250|X-Resent:1|X-Org:o");
+        assertEquals(
+                new ClientRequest.Head(
+                        HttpMethod.POST, "/api/7f3a?x=1", "9b1f", "5c0f", 1, -1, 479_000, 250, true, "7f3a", true),
+                head);
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "GET,X-Lane:page|X-Remaining:4m,X-Txn is missing",
+        "GET,X-Txn:|X-Lane:page|X-Remaining:4m,X-Txn is missing",
+        "GET,X-Txn:t|X-Txn:u|X-Lane:page|X-Remaining:4m,X-Txn is given twice",
+        "GET,X-Txn:t|X-Remaining:4m,X-Lane is missing",
+        "GET,X-Txn:t|X-Lane:none|X-Remaining:4m,X-Lane names no class",
+        "POST,X-Txn:t|X-Lane:page|X-Remaining:4m,the class does not go with the method",
+        "POST,X-Txn:t|X-Lane:photo|X-Remaining:4m,Idempotency-Key does not go with the class",
+        "GET,X-Txn:t|X-Lane:page,X-Remaining is missing",
+        "GET,X-Txn:t|X-Lane:page|X-Remaining:4,X-Remaining cannot be read",
+        "GET,X-Txn:t|X-Lane:page|X-Remaining:0x1p3m,X-Remaining cannot be read",
+        "GET,X-Txn:t|X-Lane:page|X-Remaining:..m,X-Remaining cannot be read",
+        "GET,X-Txn:t|X-Lane:page|X-Remaining:4m|X-Estimate:NaN,X-Estimate cannot be read",
+    })
+    void saysWhyARequestCannotBeUsed(String method, String fields, String message) {
+        BadRequestException rejection =
+                assertThrows(BadRequestException.class, () -> read(HttpMethod.valueOf(method), fields));
+        assertEquals(message, rejection.getMessage());
+    }
+}
