--- a/node/src/main/java/loadbalancer/client/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -1,555 +1,318 @@
 package loadbalancer.client;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.DefaultHttpContent;
-import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
-import io.netty.util.concurrent.Future;
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
-import java.util.concurrent.TimeUnit;
 import loadbalancer.common.Log;
 import loadbalancer.eventloop.LoopLag;
-import loadbalancer.http.TransferCodings;
 import loadbalancer.transfer.FlowControl;
-import loadbalancer.transfer.RequestBody;
-import loadbalancer.transfer.TransferLimits;
 
 /**
- * A client's connection: one request at a time, further ones wait their turn. It is long because reading,
- * answering and closing share one state, which would otherwise only be passed about.
+ * The last handler of a client's connection. It serves one request at a time; pipelined ones wait their turn.
+ *
+ * <p>{@link RequestAssembler} reads requests, {@link ResponseWriter} writes responses, {@link LingeringClose} ends the
+ * connection, and {@link ConnectionState} is what they share. Whoever handles a request owes it exactly one response,
+ * by {@link #sendResponse} or by {@link #startResponse} and what follows it.
+ *
+ * <p>All methods run on the event loop. Parts of requests are released by this handler, parts of responses that are
+ * given to it by the channel.
  */
-public final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements FlowControl {
-    /** What becomes of a request; told once. */
+public final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
+    /** Learns that the client of an open request is gone. */
     public interface CloseListener {
-        /** The client has closed before it had its answer, or lost the right to one. */
+        /** Called once if the client has closed before it had its response, or has lost the right to one. */
         void onClientGone();
     }
 
-    /** Whoever has accepted the connection. */
+    /** The server that has accepted the connection. */
     interface Owner {
-        /** How far what is read is behind what has come. */
+        /** How far what is read is behind what has arrived. */
         LoopLag lag();
 
-        /** What requests are read by now. */
+        /** The reader for requests that begin now. */
         RequestReader reader();
 
-        /** Whether every answer is to end its connection. */
+        /** Whether every response is to end its connection. */
         boolean isDraining();
 
-        /** What {@code GET /up} is answered. */
+        /** The status that a readiness check gets. */
         HttpResponseStatus readiness();
 
-        /** It has begun to ask: others have been idle for longer. */
+        /** The client has begun a request: others have been idle for longer. */
         void onRequestStarted(ClientConnection client);
 
-        /** A whole request that can be read; it is owed one {@link #sendResponse}. */
+        /** A request can be served; it is owed one {@link #sendResponse}. */
         void onRequest(ClientConnection client, ClientRequest request);
 
-        /** It is closed. */
+        /** The connection is closed. */
         void onClosed(ClientConnection client);
     }
 
     private static final byte[] NO_BODY = {};
-    /** A client that has asked nothing for so long makes room for others. */
-    private static final long MOST_IDLE_NANOS = TimeUnit.SECONDS.toNanos(120);
-    /** Whoever connects and asks nothing is owed an end within 3 s, but a head may take 2 s. */
-    private static final long MOST_UNPROVEN_NANOS = TimeUnit.MILLISECONDS.toNanos(2_300);
-    /** From then on a first request must come on: no longer pauses, and half the rate of the slowest. */
-    private static final long MOST_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
-
-    private static final double LEAST_BYTES_PER_NANO = 32e3 / 1e9;
-    /** Whoever has begun a request and sends no more of it holds a socket and memory for nothing. */
-    private static final long MOST_READING_NANOS = TimeUnit.SECONDS.toNanos(10);
-    /** So does whoever takes nothing more of an answer, and a connection to a server with it. */
-    private static final long MOST_STALL_NANOS = TimeUnit.SECONDS.toNanos(20);
-
-    /** How long what a client still sends is read after the node has ended its side. */
-    private static final long LINGER_MS = 2_000;
 
     private final Owner owner;
     private final SocketChannel channel;
     private final StrictServerCodec codec;
-    /** What was sent ahead of the answer that is due. */
-    private final PipelinedMessages waiting = new PipelinedMessages();
-
-    private final long connectedAtNanos = System.nanoTime();
-    private long activeAtNanos = connectedAtNanos;
-    /** The turn of the loop in which it was accepted, and when it may have been opened. */
+    private final ConnectionState state = new ConnectionState();
+    private final PipelinedMessages pipelined = new PipelinedMessages();
+    private final RequestAssembler assembler;
+    private final ResponseWriter writer;
+    private final ConnectionTimeouts timeouts;
+    private final LingeringClose lingeringClose;
+
+    /** The turn of the loop in which the connection was accepted, and when it may have been opened. */
     private final long acceptedInTurn;
 
     private final long openedAtNanos;
-    /** When, at the earliest, the part came that is taken now. */
-    private long partArrivedAtNanos;
-    /** Whether it has asked a request that could be read: it is a client, not just any peer. */
-    private boolean proven;
-
-    private boolean keepAlive = true;
-
-    /** From a request's first part until its answer is written. */
-    private boolean busy;
-    /** Whether it has come to its end, or nobody wants the rest. */
-    private boolean whole = true;
-    /** Whether its answer has begun, and whether it is written. */
-    private boolean settled;
-
-    private boolean written;
-    private ClientRequest.Head head;
-    /** The answer to what is no request that can be taken, once it has come to its end. */
-    private Verdict verdict;
-
-    private ByteBuf gathered;
-    private long length;
-    private long came;
-    private RequestBody upload;
-    private boolean heldBack;
-    /** The end of the time in which what still comes is dropped; null until the node ends its side. */
-    private Future<?> lingering;
-    /** The request that is open, as its owner knows it. */
-    private CloseListener held;
-
-    /** A server's answer that flows to the client, and since when the client takes no more of it. */
-    private FlowControl answering;
-
-    private long stalledSinceNanos;
+
+    /** The request that is open, as its handler knows it; null where no response is due to one. */
+    private CloseListener closeListener;
 
     ClientConnection(SocketChannel channel, StrictServerCodec codec, Owner owner) {
         this.channel = channel;
         this.codec = codec;
         this.owner = owner;
+        assembler = new RequestAssembler(channel, state, pipelined, owner, new AssembledRequests());
+        writer = new ResponseWriter(channel, state, written -> onResponseWritten());
+        timeouts = new ConnectionTimeouts(state, assembler, writer);
+        lingeringClose = new LingeringClose(channel);
         acceptedInTurn = owner.lag().turn();
         openedAtNanos = owner.lag().earliestArrivalNanos();
     }
 
-    /** Whether it is open and nothing is owed on it; one that is being closed gives no room by it again. */
+    /** Whether it is open and nothing is owed on it. One that is being closed is not idle: it frees no room again. */
     boolean isIdle() {
-        return !busy && waiting.isEmpty() && channel.isOpen();
+        return !state.isServing() && pipelined.isEmpty() && channel.isOpen();
     }
 
-    /** Whether it is idle and no part of a request has come either: its client has been promised nothing. */
-    boolean isResting() {
+    /** Whether it is idle and no part of a request has arrived either: its client has been promised nothing. */
+    boolean isQuiescent() {
         return isIdle() && !codec.isAmidMessage();
     }
 
-    /** Whether it has been waited for too long: for a request, for the rest of one, or to read. */
-    boolean isOverdue(long now) {
-        if (answering != null) {
-            return stalledSinceNanos != 0 && now - stalledSinceNanos > MOST_STALL_NANOS;
-        }
-        if (held != null && upload == null || heldBack && !settled) {
-            return false;
-        }
-        long silence = now - activeAtNanos;
-        if (proven) {
-            return silence > (busy && !whole ? MOST_READING_NANOS : MOST_IDLE_NANOS);
-        }
-        long since = now - connectedAtNanos;
-        // What flows is no slower than the server that takes it.
-        boolean slow = upload == null
-                && came + TransferLimits.MAX_READ_BYTES < LEAST_BYTES_PER_NANO * (since - MOST_UNPROVEN_NANOS);
-        return since > MOST_UNPROVEN_NANOS && (silence > MOST_PAUSE_NANOS || head == null || slow);
+    /** Whether the client has let it wait for too long. */
+    boolean isOverdue(long nowNanos) {
+        return timeouts.isOverdue(nowNanos, closeListener != null);
     }
 
-    /** Nobody waits any more for what it may ask. */
+    /** Closes it at once. */
     void close() {
         channel.close();
     }
 
-    /**
-     * Ends the node's side alone, and reads and drops what still comes until the client ends its own: closing
-     * over unread bytes would reset the connection, and with it go answers that are still on their way.
-     */
+    /** Closes it such that responses on their way still arrive. */
     void shutDown() {
-        keepAlive = false;
-        if (lingering == null && channel.isActive()) {
-            waiting.release();
-            channel.shutdownOutput();
-            channel.config().setAutoRead(true);
-            lingering = channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
-        }
+        state.disableKeepAlive();
+        lingeringClose.start(pipelined::release);
     }
 
-    /** Tells that the client has left, once, if its end has been read; else that is told a little later. */
+    /** Notifies the listener, once, if the client's end has been read; else that happens a little later. */
     public void notifyIfClosed() {
-        CloseListener open = held;
-        if (!channel.isActive() && open != null) {
-            held = null;
-            open.onClientGone();
+        CloseListener listener = closeListener;
+        if (!channel.isActive() && listener != null) {
+            closeListener = null;
+            listener.onClientGone();
         }
     }
 
-    /** What is told if the client leaves. */
-    public void setCloseListener(CloseListener request) {
-        held = request;
+    /** Sets who is notified if the client leaves before the response to the open request has ended. */
+    public void setCloseListener(CloseListener listener) {
+        closeListener = listener;
     }
 
-    // ---------------------------------------------------------------- what it asks
+    // ---------------------------------------------------------------- requests
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-        if (!keepAlive && whole) {
+        if (!state.isKeepAlive() && !state.isReceiving()) {
             return;
         }
-        partArrivedAtNanos = earliestArrivalNanos();
-        if (busy && whole) {
-            // Sent ahead of the answer. Read on as long as it may wait here: that its client has left is
-            // only heard of by reading.
-            waiting.add(part, partArrivedAtNanos);
-            if (waiting.isFull()) {
+        long arrivedAtNanos = earliestArrivalNanos();
+        if (state.isRequestReceived()) {
+            // Pipelined. Reading goes on as long as there is room: that the client has left shows only by reading.
+            pipelined.add(part, arrivedAtNanos);
+            if (pipelined.isFull()) {
                 channel.config().setAutoRead(false);
             }
             return;
         }
-        take(part);
+        assembler.read(part, arrivedAtNanos);
     }
 
-    /** What is read in the first turn after the accept may have come with the connection. */
+    /** What is read in the first turn after the accept may have arrived with the connection. */
     private long earliestArrivalNanos() {
-        long arrivalNanos = owner.lag().earliestArrivalNanos();
-        boolean cameWithConnection = owner.lag().turn() <= acceptedInTurn + 1;
-        return cameWithConnection ? Math.min(arrivalNanos, openedAtNanos) : arrivalNanos;
+        long arrivedAtNanos = owner.lag().earliestArrivalNanos();
+        boolean arrivedWithConnection = owner.lag().turn() <= acceptedInTurn + 1;
+        return arrivedWithConnection ? Math.min(arrivedAtNanos, openedAtNanos) : arrivedAtNanos;
     }
 
-    private void take(HttpObject part) {
-        activeAtNanos = proven || head != null ? System.nanoTime() : activeAtNanos;
-        if (part.decoderResult().isFailure()) {
-            reject(HttpResponseStatus.BAD_REQUEST);
-            return;
-        }
-        if (part instanceof HttpRequest request) {
-            begin(request);
-        }
-        if (part instanceof HttpContent content && !whole) {
-            if (settled) {
-                drop(content);
-            } else {
-                add(content);
-            }
-        }
+    @Override
+    public void channelReadComplete(ChannelHandlerContext context) {
+        assembler.flush();
     }
 
-    /** The rest of a request that has its answer: read to its end, as the client may read only then. */
-    private void drop(HttpContent content) {
-        came += content.content().readableBytes();
-        if (came > TransferLimits.MAX_BODY_BYTES) {
-            channel.close();
-        } else if (content instanceof LastHttpContent) {
-            whole = true;
-            next();
+    /** What the assembler makes of the parts that it is given. */
+    private final class AssembledRequests implements RequestAssembler.Listener {
+        @Override
+        public void onRequestStarted() {
+            owner.onRequestStarted(ClientConnection.this);
         }
-    }
 
-    private void begin(HttpRequest request) {
-        busy = true;
-        whole = false;
-        settled = false;
-        written = false;
-        keepAlive = HttpUtil.isKeepAlive(request);
-        owner.onRequestStarted(this);
-        came = 0;
-        length = HttpUtil.getContentLength(request, -1L);
-        try {
-            request.setUri(RequestReader.target(request.uri()));
-            String path = RequestReader.path(request.uri());
-            if (path.equals("/up")) {
-                verdict = new Verdict(owner.readiness(), NO_BODY);
-            } else if (RequestReader.isRequestPath(path)) {
-                head = owner.reader().read(request);
-            } else {
-                verdict = new Verdict(HttpResponseStatus.NOT_FOUND, NO_BODY);
+        @Override
+        public void onRequest(ClientRequest request) {
+            try {
+                owner.onRequest(ClientConnection.this, request);
+            } catch (RuntimeException e) {
+                // A programming error that one request meets must not leave the request without a response.
+                Log.error("request_error", e, "uri", request.head().uri());
+                if (closeListener == null) {
+                    sendResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
+                }
             }
-        } catch (BadRequestException e) {
-            boolean bodiless = request.method().equals(HttpMethod.HEAD);
-            verdict = new Verdict(
-                    HttpResponseStatus.BAD_REQUEST,
-                    bodiless ? NO_BODY : (e.getMessage() + "\n").getBytes(StandardCharsets.UTF_8));
-        }
-        if (!TransferCodings.isChunkedAtMost(request)) {
-            reject(HttpResponseStatus.BAD_REQUEST);
-        } else if (length > (head == null ? TransferLimits.MAX_BUFFERED_BYTES : TransferLimits.MAX_BODY_BYTES)) {
-            reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-        } else if (request.headers().contains(HttpHeaderNames.EXPECT)) {
-            meet(request);
         }
-    }
-
-    private void meet(HttpRequest expecting) {
-        if (!HttpUtil.is100ContinueExpected(expecting)) {
-            reject(HttpResponseStatus.EXPECTATION_FAILED);
-        } else if (head != null) {
-            channel.writeAndFlush(new DefaultFullHttpResponse(
-                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
-        }
-    }
-
-    private void add(HttpContent content) {
-        came += content.content().readableBytes();
-        if (came > (head == null ? TransferLimits.MAX_BUFFERED_BYTES : TransferLimits.MAX_BODY_BYTES)) {
-            reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-            return;
-        }
-        boolean last = content instanceof LastHttpContent;
-        if (upload != null) {
-            upload.add(content.content().retain());
-        } else if (head != null) {
-            gather(content.content());
-        }
-        if (last) {
-            whole = true;
-            resumeReading();
-            end();
-        } else if (came > TransferLimits.MAX_BUFFERED_BYTES && upload == null) {
-            upload = new RequestBody(this, length, gathered);
-            gathered = null;
-            ask(NO_BODY);
-        }
-    }
-
-    private void gather(ByteBuf bytes) {
-        if (gathered == null) {
-            // Not for what is announced, which may never come.
-            gathered = TransferLimits.ALLOCATOR.buffer(bytes.readableBytes());
-        }
-        gathered.writeBytes(bytes);
-    }
 
-    private void end() {
-        if (verdict != null) {
-            sendResponse(verdict.status, verdict.body, 0);
-        } else if (upload != null) {
-            proven = true;
-            upload.end();
-        } else {
-            byte[] body = gathered == null ? NO_BODY : ByteBufUtil.getBytes(gathered);
-            letGo();
-            ask(body);
+        @Override
+        public void onLocalResponse(HttpResponseStatus status, byte[] body) {
+            sendResponse(status, body, 0);
         }
-    }
 
-    private void ask(byte[] body) {
-        proven |= whole;
-        try {
-            owner.onRequest(this, new ClientRequest(head, body, upload, partArrivedAtNanos));
-        } catch (RuntimeException e) {
-            // A defect met by one request must not leave it without an answer.
-            Log.error("request_error", e, "uri", head.uri());
-            if (held == null) {
-                sendResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
+        @Override
+        public void onUnreadable(HttpResponseStatus status) {
+            state.disableKeepAlive();
+            if (state.isServing() && state.isResponseStarted()) {
+                channel.close();
+                return;
+            }
+            state.requestRejected();
+            CloseListener listener = closeListener;
+            sendResponse(status, NO_BODY, 0);
+            if (listener != null) {
+                listener.onClientGone();
             }
         }
-    }
-
-    /** Answers what cannot be read and closes: where the next request would begin is not known. */
-    private void reject(HttpResponseStatus status) {
-        keepAlive = false;
-        if (busy && settled) {
-            channel.close();
-            return;
-        }
-        busy = true;
-        whole = true;
-        written = false;
-        CloseListener open = held;
-        sendResponse(status, NO_BODY, 0);
-        if (open != null) {
-            open.onClientGone();
-        }
-    }
-
-    @Override
-    public void pauseReading() {
-        if (!settled) {
-            heldBack = true;
-            channel.config().setAutoRead(false);
-        }
-    }
-
-    @Override
-    public void resumeReading() {
-        heldBack = false;
-        activeAtNanos = System.nanoTime();
-        if (!waiting.isFull()) {
-            channel.config().setAutoRead(true);
-        }
-    }
 
-    @Override
-    public void channelReadComplete(ChannelHandlerContext context) {
-        if (upload != null) {
-            upload.flush();
+        @Override
+        public void onRestDiscarded() {
+            endExchangeIfDone();
         }
     }
 
-    // ---------------------------------------------------------------- what it is answered
+    // ---------------------------------------------------------------- responses
 
-    /** The one answer to the request that is open; {@code retryAfterUs} of 0 gives no advice. */
+    /** Sends the whole response to the open request; {@code retryAfterUs} of 0 gives no advice on when to retry. */
     public void sendResponse(HttpResponseStatus status, byte[] body, long retryAfterUs) {
-        FullHttpResponse response =
-                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        if (retryAfterUs > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterUs / 1e6);
-        }
-        held = null;
-        settle(response);
-        channel.writeAndFlush(response).addListener(written -> answered());
+        FullHttpResponse response = ResponseWriter.fullResponse(status, body, retryAfterUs);
+        closeListener = null;
+        onResponseStarted(response);
+        writer.write(response);
     }
 
-    /** The beginning of a server's answer of this length, or of -1 where it is not known. */
-    public void startResponse(long answerLength, FlowControl from) {
-        HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        if (answerLength >= 0) {
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answerLength);
-        } else if (head.knowsChunks()) {
-            HttpUtil.setTransferEncodingChunked(response, true);
-        } else {
-            keepAlive = false;
-        }
-        settle(response);
-        answering = from;
-        channel.write(response);
+    /** Starts a streamed response of this length, or of -1 where the length is not known. */
+    public void startResponse(long length, FlowControl source) {
+        HttpResponse response = writer.streamedResponse(length, assembler.head());
+        onResponseStarted(response);
+        writer.start(response, source);
     }
 
-    /** The answer's next part, which is taken over. */
+    /** Writes the next part of a streamed response; takes the part over. */
     public void writeResponsePart(ByteBuf part) {
-        channel.write(new DefaultHttpContent(part));
-        if (!channel.isWritable() && stalledSinceNanos == 0) {
-            stalledSinceNanos = System.nanoTime();
-            answering.pauseReading();
-        }
+        writer.writePart(part);
     }
 
+    /** Flushes what has been written of a streamed response. */
     public void flushResponse() {
-        channel.flush();
+        writer.flush();
     }
 
-    /** Writes the end of an answer that was sent in parts, and goes on to the next request. */
+    /** Ends a streamed response and goes on to the next request. */
     public void endResponse() {
-        held = null;
-        answering = null;
-        stalledSinceNanos = 0;
-        channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(written -> answered());
+        closeListener = null;
+        writer.end();
     }
 
-    /** The rest will not come; by the connection's end the client can tell. */
+    /** Breaks off a streamed response whose rest will not come, so that the client can tell. */
     public void abortResponse() {
-        held = null;
-        answering = null;
-        // Where nothing but the end tells that an answer is whole, it must be no orderly one.
-        channel.config().setSoLinger(0);
-        channel.close();
-    }
-
-    /** Its answer has begun: what the client still sends of the request is of no more use. */
-    private void settle(HttpResponse response) {
-        letGo();
-        verdict = null;
-        settled = true;
-        if (upload != null) {
-            upload = null;
-            resumeReading();
-        }
-        activeAtNanos = System.nanoTime();
-        // What was read ahead has been taken, and is answered before the connection ends.
-        if (!keepAlive || owner.isDraining() && waiting.isEmpty()) {
-            keepAlive = false;
-            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        }
-    }
-
-    private void letGo() {
-        if (gathered != null) {
-            gathered.release();
-            gathered = null;
+        closeListener = null;
+        writer.abort();
+    }
+
+    /** What the client still sends of the request is of no more use. */
+    private void onResponseStarted(HttpResponse response) {
+        assembler.discardBuffered();
+        assembler.cancelLocalResponse();
+        state.responseStarted();
+        assembler.stopStreaming();
+        state.touch();
+        // Pipelined requests have been accepted, and are answered before the connection ends.
+        boolean last = !state.isKeepAlive() || owner.isDraining() && pipelined.isEmpty();
+        if (last) {
+            writer.markLast(response);
         }
     }
 
-    /** Only once an answer is written is it the next one's turn: a client may ask and never read. */
-    private void answered() {
-        written = true;
-        next();
+    /** The next request is served only once a response is written out: a client may send requests and never read. */
+    private void onResponseWritten() {
+        state.responseWritten();
+        endExchangeIfDone();
     }
 
-    private void next() {
-        if (!whole || !written) {
+    private void endExchangeIfDone() {
+        if (!state.endExchangeIfDone()) {
             return;
         }
-        busy = false;
-        head = null;
-        if (!keepAlive) {
+        assembler.forgetHead();
+        if (!state.isKeepAlive()) {
             shutDown();
-        } else if (!waiting.isEmpty()) {
-            channel.eventLoop().execute(this::serveNext);
+        } else if (!pipelined.isEmpty()) {
+            channel.eventLoop().execute(this::servePipelined);
         }
     }
 
-    private void serveNext() {
-        while (!waiting.isEmpty() && !(busy && whole)) {
-            PipelinedMessages.Part next = waiting.poll();
-            partArrivedAtNanos = next.arrivedAtNanos();
+    private void servePipelined() {
+        while (!pipelined.isEmpty() && !state.isRequestReceived()) {
+            PipelinedMessages.Part next = pipelined.poll();
             try {
-                take(next.part());
+                assembler.read(next.message(), next.arrivedAtNanos());
             } finally {
-                ReferenceCountUtil.release(next.part());
+                ReferenceCountUtil.release(next.message());
             }
         }
-        if (!waiting.isFull() && !heldBack) {
+        if (!pipelined.isFull() && !assembler.isReadingPaused()) {
             channel.config().setAutoRead(true);
         }
-        if (upload != null) {
-            upload.flush();
-        }
+        assembler.flush();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        if (answering != null && channel.isWritable() && stalledSinceNanos != 0) {
-            stalledSinceNanos = 0;
-            answering.resumeReading();
-        }
+        writer.onWritabilityChanged();
     }
 
+    // ---------------------------------------------------------------- the end
+
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        keepAlive = false;
-        whole = true;
-        busy = true;
-        letGo();
-        waiting.release();
-        if (lingering != null) {
-            lingering.cancel(false);
-        }
+        state.connectionClosed();
+        assembler.discardBuffered();
+        pipelined.release();
+        lingeringClose.cancel();
         notifyIfClosed();
         owner.onClosed(this);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // A client that leaves amid its request is no defect of ours either.
+        // An I/O error is the client's, who may leave amid a request; anything else is a programming error.
         if (!(cause instanceof IOException)) {
             Log.error("client_connection_error", cause);
         }
         channel.close();
     }
-
-    /** What a request that cannot be taken is answered. */
-    private record Verdict(HttpResponseStatus status, byte[] body) {}
 }
--- a/node/src/main/java/loadbalancer/client/ClientServer.java
+++ b/node/src/main/java/loadbalancer/client/ClientServer.java
@@ -133,13 +133,13 @@
         onDrained = drained;
         // Not closed: with an inherited socket the JDK would end the standard streams, and with them the log.
         listening.config().setAutoRead(false);
-        loop.schedule(this::shutDownResting, idleMs, TimeUnit.MILLISECONDS);
+        loop.schedule(this::shutDownQuiescent, idleMs, TimeUnit.MILLISECONDS);
         notifyIfDrained();
     }
 
     /** What has begun to come is waited for, and its answer ends the connection. */
-    private void shutDownResting() {
-        new ArrayList<>(clients).stream().filter(ClientConnection::isResting).forEach(ClientConnection::shutDown);
+    private void shutDownQuiescent() {
+        new ArrayList<>(clients).stream().filter(ClientConnection::isQuiescent).forEach(ClientConnection::shutDown);
     }
 
     /**
@@ -154,7 +154,7 @@
         loop.schedule(
                 () -> listening.close().addListener(done -> {
                     closed = true;
-                    shutDownResting();
+                    shutDownQuiescent();
                     notifyIfDrained();
                 }),
                 ARRIVING_MS,
--- a/node/src/main/java/loadbalancer/client/RequestReader.java
+++ b/node/src/main/java/loadbalancer/client/RequestReader.java
@@ -5,35 +5,48 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
 import java.util.Set;
+import java.util.regex.Pattern;
 import loadbalancer.config.ClassRegistry;
+import loadbalancer.http.ProtocolHeaders;
 import loadbalancer.policy.Idempotency;
 
-/** Reads a client's request by the protocol; what does not keep to it is turned down here. */
+/**
+ * Reads the head of a client's request by the protocol and rejects what does not keep to it.
+ *
+ * <p>Immutable; a new configuration gets a new reader.
+ */
 public final class RequestReader {
-    private static final String PREFIX = "/api/";
+    private static final String REQUEST_ROOT = "/api";
     private static final String SCHEME = "http://";
-    /** The way from the client, by which its time is shorter than it says. */
-    private static final long WAY_US = 1_000;
+    private static final int UNKNOWN_TENANT = -1;
 
-    private static final double MOST_LEFT_US = 3.6e9;
+    /** Time that a request takes from the client to the node, which its remaining time does not count. */
+    private static final long CLIENT_TO_NODE_US = 1_000;
 
-    private final ClassRegistry tuning;
+    private static final double MAX_REMAINING_US = 3.6e9;
+    private static final double MICROS_PER_MILLI = 1_000;
 
-    public RequestReader(ClassRegistry tuning) {
-        this.tuning = tuning;
+    /** Narrower than {@link Double#parseDouble}, which also reads {@code 1f}, {@code 0x1p3}, NaN and blanks. */
+    private static final Pattern DECIMAL = Pattern.compile("[0-9.]{1,20}");
+
+    private final ClassRegistry classes;
+
+    /** Creates a reader for the classes and tenants of a configuration. */
+    public RequestReader(ClassRegistry classes) {
+        this.classes = classes;
     }
 
-    /** Path and query of what is asked for, which a client may write with the host that it asks. */
+    /** Returns path and query of a request target, which a client may write with scheme and host in front. */
     static String target(String uri) {
         if (!uri.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
             return uri;
         }
-        String behind = uri.substring(SCHEME.length());
-        int host = 0;
-        while (host < behind.length() && "/?".indexOf(behind.charAt(host)) < 0) {
-            host++;
+        String authorityAndTarget = uri.substring(SCHEME.length());
+        int targetStart = 0;
+        while (targetStart < authorityAndTarget.length() && "/?".indexOf(authorityAndTarget.charAt(targetStart)) < 0) {
+            targetStart++;
         }
-        String target = behind.substring(host);
+        String target = authorityAndTarget.substring(targetStart);
         return target.startsWith("/") ? target : "/" + target;
     }
 
@@ -42,92 +55,110 @@
         return end < 0 ? uri : uri.substring(0, end);
     }
 
+    /** Whether requests to this path go on to a server. */
     static boolean isRequestPath(String path) {
-        return path.startsWith(PREFIX) || path.equals("/api");
+        return path.startsWith(REQUEST_ROOT + "/") || path.equals(REQUEST_ROOT);
     }
 
+    /** Reads the head of a request whose target is a request path. */
     ClientRequest.Head read(HttpRequest message) throws BadRequestException {
-        String txn = need(message, "X-Txn");
-        String idempotencyKey = one(message, "Idempotency-Key");
-        int classIndex = classIndex(need(message, "X-Lane"), message.method(), idempotencyKey != null);
-        String tenant = one(message, "X-Org");
-        String path = path(message.uri());
-        String key = path.substring(path.lastIndexOf('/') + 1);
+        String requestId = required(message, ProtocolHeaders.REQUEST_ID);
+        String idempotencyKey = optional(message, ProtocolHeaders.IDEMPOTENCY_KEY);
+        int classIndex =
+                classIndex(required(message, ProtocolHeaders.REQUEST_CLASS), message.method(), idempotencyKey != null);
+        String tenant = optional(message, ProtocolHeaders.TENANT);
         return new ClientRequest.Head(
                 message.method(),
                 message.uri(),
-                txn,
+                requestId,
                 idempotencyKey,
                 classIndex,
-                tenant == null ? -1 : tuning.tenants().getOrDefault(tenant, -1),
-                parseRemainingUs(need(message, "X-Remaining")),
-                work(one(message, "X-Estimate")),
-                "1".equals(one(message, "X-Resent")),
-                key.isEmpty() ? null : key,
+                tenant == null ? UNKNOWN_TENANT : classes.tenants().getOrDefault(tenant, UNKNOWN_TENANT),
+                parseRemainingUs(required(message, ProtocolHeaders.REMAINING_TIME)),
+                parseEstimatedWorkUs(optional(message, ProtocolHeaders.ESTIMATED_WORK)),
+                ProtocolHeaders.TRUE.equals(optional(message, ProtocolHeaders.CLIENT_RETRY)),
+                affinityKey(path(message.uri())),
                 message.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0);
     }
 
+    /** The last segment of the path, or null where it is empty. */
+    private static String affinityKey(String path) {
+        String lastSegment = path.substring(path.lastIndexOf('/') + 1);
+        return lastSegment.isEmpty() ? null : lastSegment;
+    }
+
     /**
-     * The class that the client means. A class stands for one way to repeat: were another asked for, an
-     * effect could happen twice. While its rules change, how a client asks tells by which of them.
+     * Returns the class that the client means. A class has one rule of idempotency: under another class's rule a
+     * request could be repeated that must not run twice. For a while after a reload a name may stand for several
+     * classes; method and idempotency key then tell by which rule the client asks.
      */
-    private int classIndex(String name, HttpMethod method, boolean keyed) throws BadRequestException {
-        boolean methodFits = false;
-        for (int place : tuning.asked().getOrDefault(name, Set.of())) {
-            Idempotency repeat = tuning.known().get(place).idempotency();
-            boolean fits = method.equals(repeat == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST);
-            if (fits && repeat == Idempotency.IDEMPOTENT_WITH_KEY == keyed) {
-                return place;
+    private int classIndex(String name, HttpMethod method, boolean hasIdempotencyKey) throws BadRequestException {
+        boolean anyMethodFits = false;
+        for (int index : classes.asked().getOrDefault(name, Set.of())) {
+            Idempotency idempotency = classes.known().get(index).idempotency();
+            boolean methodFits =
+                    method.equals(idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST);
+            boolean keyFits = (idempotency == Idempotency.IDEMPOTENT_WITH_KEY) == hasIdempotencyKey;
+            if (methodFits && keyFits) {
+                return index;
             }
-            methodFits |= fits;
+            anyMethodFits |= methodFits;
+        }
+        if (!classes.asked().containsKey(name)) {
+            throw BadRequestException.unknownClass(ProtocolHeaders.REQUEST_CLASS);
         }
-        throw new BadRequestException(
-                !tuning.asked().containsKey(name)
-                        ? "X-Lane names no class"
-                        : methodFits
-                                ? "Idempotency-Key does not go with the class"
-                                : "the class does not go with the method");
+        throw anyMethodFits
+                ? BadRequestException.idempotencyKeyMismatch(ProtocolHeaders.IDEMPOTENCY_KEY)
+                : BadRequestException.methodMismatch();
     }
 
-    private static String need(HttpRequest message, String name) throws BadRequestException {
-        String value = one(message, name);
+    private static String required(HttpRequest message, String name) throws BadRequestException {
+        String value = optional(message, name);
         if (value == null || value.isEmpty()) {
-            throw new BadRequestException(name + " is missing");
+            throw BadRequestException.missingHeader(name);
         }
         return value;
     }
 
-    private static String one(HttpRequest message, String name) throws BadRequestException {
+    private static String optional(HttpRequest message, String name) throws BadRequestException {
         List<String> values = message.headers().getAll(name);
         if (values.size() > 1) {
-            throw new BadRequestException(name + " is given twice");
+            throw BadRequestException.duplicateHeader(name);
         }
         return values.isEmpty() ? null : values.get(0);
     }
 
-    /** Time left by X-Remaining, a number and a unit. */
+    /** Parses a remaining time, a number and a unit, and takes off the time from the client to the node. */
     public static long parseRemainingUs(String text) throws BadRequestException {
-        double unit = text.endsWith("m") ? 1_000 : text.endsWith("u") ? 1 : 0;
-        double us = unit * number(text.substring(0, text.length() - 1), "X-Remaining");
-        if (unit == 0 || us > MOST_LEFT_US) {
-            throw new BadRequestException("X-Remaining cannot be read");
+        double microsPerUnit = microsPerUnit(text);
+        double remainingUs =
+                microsPerUnit * parseNumber(text.substring(0, text.length() - 1), ProtocolHeaders.REMAINING_TIME);
+        if (microsPerUnit == 0 || remainingUs > MAX_REMAINING_US) {
+            throw BadRequestException.unreadableHeader(ProtocolHeaders.REMAINING_TIME);
         }
-        return Math.max(0, (long) us - WAY_US);
+        return Math.max(0, (long) remainingUs - CLIENT_TO_NODE_US);
     }
 
-    private static long work(String text) throws BadRequestException {
-        return text == null ? 0 : (long) number(text, "X-Estimate");
+    /** The unit at the end of a time, or 0 where there is none. */
+    private static double microsPerUnit(String text) {
+        if (text.endsWith("m")) {
+            return MICROS_PER_MILLI;
+        }
+        return text.endsWith("u") ? 1 : 0;
     }
 
-    private static double number(String text, String name) throws BadRequestException {
-        // Not all that Double.parseDouble takes: it reads 1f, 0x1p3, NaN and blanks too.
-        if (text.matches("[0-9.]{1,20}")) {
-            try {
-                return Double.parseDouble(text);
-            } catch (NumberFormatException e) {
-                // Named below.
-            }
+    private static long parseEstimatedWorkUs(String text) throws BadRequestException {
+        return text == null ? 0 : (long) parseNumber(text, ProtocolHeaders.ESTIMATED_WORK);
+    }
+
+    private static double parseNumber(String text, String headerName) throws BadRequestException {
+        if (!DECIMAL.matcher(text).matches()) {
+            throw BadRequestException.unreadableHeader(headerName);
+        }
+        try {
+            return Double.parseDouble(text);
+        } catch (NumberFormatException e) {
+            throw BadRequestException.unreadableHeader(headerName);
         }
-        throw new BadRequestException(name + " cannot be read");
     }
 }
--- a/node/src/main/java/loadbalancer/client/StrictServerCodec.java
+++ b/node/src/main/java/loadbalancer/client/StrictServerCodec.java
@@ -12,44 +12,46 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * HTTP as a node speaks it to clients. A request whose end could be read in two ways is none: Netty drops the
- * length where there are chunks too, and another on the way may have gone by it.
+ * The HTTP codec towards clients. It rejects a request whose end could be read in two ways.
+ *
+ * <p>This guards against request smuggling: Netty drops the length where a message has chunks too, while a proxy in
+ * front may have gone by the length. The two would then disagree on where the next request begins.
  */
 public final class StrictServerCodec extends CombinedChannelDuplexHandler<HttpRequestDecoder, HttpResponseEncoder> {
     /** HTTP wants at least 8,000 bytes of a request's first line to be understood. */
-    private static final int MOST_LINE = 8 << 10;
+    private static final int MAX_REQUEST_LINE_BYTES = 8 << 10;
 
     StrictServerCodec() {
         super(new Decoder(), new HttpResponseEncoder());
     }
 
-    /** Whether a part of a message has come and its end has not. */
+    /** Whether a part of a message has arrived and its end has not. */
     boolean isAmidMessage() {
         return ((Decoder) inboundHandler()).isAmidMessage();
     }
 
     private static final class Decoder extends HttpRequestDecoder {
-        private boolean begun;
+        private boolean amidMessage;
 
         Decoder() {
             super(new HttpDecoderConfig()
                     .setMaxChunkSize(TransferLimits.MAX_READ_BYTES)
-                    .setMaxInitialLineLength(MOST_LINE));
+                    .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES));
         }
 
         @Override
-        protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-            int before = in.readableBytes();
-            super.decode(context, in, out);
-            if (!out.isEmpty()) {
-                begun = !(out.get(out.size() - 1) instanceof LastHttpContent);
+        protected void decode(ChannelHandlerContext context, ByteBuf input, List<Object> decoded) throws Exception {
+            int readableBefore = input.readableBytes();
+            super.decode(context, input, decoded);
+            if (!decoded.isEmpty()) {
+                amidMessage = !(decoded.get(decoded.size() - 1) instanceof LastHttpContent);
             } else {
-                begun |= in.readableBytes() < before;
+                amidMessage |= input.readableBytes() < readableBefore;
             }
         }
 
         boolean isAmidMessage() {
-            return begun || actualReadableBytes() > 0;
+            return amidMessage || actualReadableBytes() > 0;
         }
 
         @Override
--- a/node/src/main/java/loadbalancer/client/package-info.java
+++ b/node/src/main/java/loadbalancer/client/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Accepted client connections: HTTP decoding, pipelining, answers. Owns the listening socket and its connections.
+ * Accepted client connections: HTTP decoding, pipelining, responses. It owns the listening socket and the client's
+ * connections. It must not know of servers, attempts or the balancer: whoever handles a request is an interface here.
  */
 package loadbalancer.client;
--- a/node/src/main/java/loadbalancer/request/HealthCheck.java
+++ b/node/src/main/java/loadbalancer/request/HealthCheck.java
@@ -1,12 +1,7 @@
 package loadbalancer.request;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.policy.AttemptResult;
@@ -16,89 +11,84 @@
 import loadbalancer.upstream.LoadReportDecoder;
 import loadbalancer.upstream.UpstreamExchange;
 
-/** A check of one server. */
+/**
+ * A health check of one server, whose result goes to the balancer. It ends once: with the server's response, with its
+ * connection, or by its timeout. Runs on the event loop.
+ */
 public final class HealthCheck implements UpstreamExchange {
     private static final byte[] NO_BODY = {};
-    private static final long MOST_US = 1_000_000;
+    private static final long TIMEOUT_US = 1_000_000;
 
     private final String serverId;
     private final RequestServices services;
     private final long sentAtUs;
-    private Future<?> expiry;
-    private LoadReport report;
+    private Future<?> timeout;
+    private LoadReport loadReport;
 
-    /** A probe of this server. */
+    /** Creates a check of this server. */
     public HealthCheck(String serverId, RequestServices services) {
         this.serverId = serverId;
         this.services = services;
         sentAtUs = services.clock().nowUs();
     }
 
-    /** Sends the probe. */
+    /** Sends the check. */
     public void start() {
-        expiry = services.loop()
-                .schedule(
-                        () -> {
-                            services.pool().giveUp(serverId, this);
-                            ended(AttemptResult.TIMEOUT, NO_BODY);
-                        },
-                        MOST_US,
-                        TimeUnit.MICROSECONDS);
+        timeout = services.loop().schedule(this::onTimeout, TIMEOUT_US, TimeUnit.MICROSECONDS);
         services.pool().start(serverId, this);
     }
 
+    private void onTimeout() {
+        services.pool().abort(serverId, this);
+        onEnded(AttemptResult.TIMEOUT, NO_BODY);
+    }
+
     @Override
-    public boolean mayBegin() {
+    public boolean mayStart() {
         return true;
     }
 
     @Override
-    public FullHttpRequest message() {
-        FullHttpRequest message =
-                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/alive", Unpooled.EMPTY_BUFFER);
-        message.headers().set(HttpHeaderNames.HOST, "backend.local");
-        return message;
+    public FullHttpRequest createMessage() {
+        return UpstreamMessageFactory.healthCheck();
     }
 
     @Override
-    public RequestBody upload() {
+    public RequestBody streamedBody() {
         return null;
     }
 
     @Override
-    public void written() {
-        // No client's request: it counts for nothing.
+    public void onRequestWritten() {
+        // Not an attempt of a client's request, so no metric counts it.
     }
 
     @Override
-    public void begun(long length, FlowControl from) {
-        // That it answers is all that is asked.
+    public void onResponseStarted(long length, FlowControl source) {
+        // The body does not matter.
     }
 
     @Override
-    public void part(ByteBuf part) {
+    public void onResponsePart(ByteBuf part) {
         part.release();
     }
 
     @Override
-    public void partsRead() {
-        // Nobody to pass them to.
+    public void onResponseReadComplete() {
+        // Nobody to pass the parts to.
     }
 
     @Override
-    public void reported(String load) {
-        report = LoadReportDecoder.decode(load, services.loadReportFields());
+    public void onLoadReport(String report) {
+        loadReport = LoadReportDecoder.decode(report, services.loadReportFields());
     }
 
     @Override
-    public void ended(AttemptResult result, byte[] body) {
-        expiry.cancel(false);
-        services.events()
-                .submit(module -> module.onProbe(
-                        services.clock().nowUs(),
-                        serverId,
-                        result,
-                        services.clock().nowUs() - sentAtUs,
-                        report));
+    public void onEnded(AttemptResult result, byte[] body) {
+        timeout.cancel(false);
+        services.events().submit(balancer -> {
+            long nowUs = services.clock().nowUs();
+            balancer.onProbe(nowUs, serverId, result, services.clock().nowUs() - sentAtUs, loadReport);
+        });
     }
 }
--- a/node/src/main/java/loadbalancer/request/PolicyEventQueue.java
+++ b/node/src/main/java/loadbalancer/request/PolicyEventQueue.java
@@ -6,35 +6,37 @@
 import loadbalancer.policy.Balancer;
 
 /**
- * What the module is told, one event after the other: nothing is fed back into it from inside one of its
- * events.
+ * The queue of events to the balancer. Events are delivered one after the other: what happens inside one is delivered
+ * once that one is over, so the balancer is never re-entered.
+ *
+ * <p>An exception of the balancer is logged and ends neither the node nor the queue. Runs on the event loop.
  */
 public final class PolicyEventQueue {
-    /** What an event is about, where something is owed to it. */
+    /** What an event is about, where a response is owed to it. */
     public interface FailureHandler {
-        /** The module has failed on an event about it. */
+        /** The balancer has thrown an exception on an event about this. */
         void onBalancerFailure();
     }
 
-    private record Event(FailureHandler about, Consumer<Balancer> call) {}
+    private record Event(FailureHandler failureHandler, Consumer<Balancer> delivery) {}
 
     private final ArrayDeque<Event> events = new ArrayDeque<>();
-    private Balancer module;
+    private Balancer balancer;
     private boolean delivering;
 
-    /** Whom to tell; once, before the first event. */
-    public void setBalancer(Balancer balancer) {
-        module = balancer;
+    /** Sets who gets the events; once, before the first one. */
+    public void setBalancer(Balancer receiver) {
+        balancer = receiver;
     }
 
-    /** Tells it now, or once the event is over in which the module is. */
-    public void submit(Consumer<Balancer> call) {
-        submit(null, call);
+    /** Delivers an event now, or once the event is over that is being delivered. */
+    public void submit(Consumer<Balancer> delivery) {
+        submit(null, delivery);
     }
 
-    /** The same for an event about a request, which is to have its answer even if the module fails on it. */
-    public void submit(FailureHandler about, Consumer<Balancer> call) {
-        events.add(new Event(about, call));
+    /** Delivers an event about a request, which is to have its response even if the balancer fails on the event. */
+    public void submit(FailureHandler failureHandler, Consumer<Balancer> delivery) {
+        events.add(new Event(failureHandler, delivery));
         if (delivering) {
             return;
         }
@@ -51,18 +53,18 @@
 
     private void deliver(Event event) {
         try {
-            event.call.accept(module);
+            event.delivery.accept(balancer);
         } catch (RuntimeException e) {
-            // A defect met by one request must neither end the node nor leave it without an answer.
+            // A programming error that one request meets must neither end the node nor leave it without a response.
             Log.error("balancer_error", e);
-            if (event.about != null) {
-                event.about.onBalancerFailure();
+            if (event.failureHandler != null) {
+                event.failureHandler.onBalancerFailure();
             }
         }
     }
 
-    /** A figure of the module's, for operators. */
+    /** How many servers the balancer excludes now, for the metrics. */
     public int excludedServers() {
-        return module.excludedServers();
+        return balancer.excludedServers();
     }
 }
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -12,40 +12,61 @@
 import loadbalancer.policy.BalancerRequest;
 import loadbalancer.transfer.RequestBody;
 
-/** A client's request from its coming until its last attempt has ended. */
+/**
+ * A client's request from its arrival until it is finished: it has ended, and the balancer has heard of the end of each
+ * attempt.
+ *
+ * <p>It owns the one final response. It ends by that response, or when its client is gone, and only once; whatever
+ * comes later, from attempts or from the balancer, sends nothing. Each attempt that it has started ends once and is
+ * then counted down. Runs on the event loop.
+ */
 final class ProxiedRequest implements ClientConnection.CloseListener, PolicyEventQueue.FailureHandler {
     private static final byte[] NO_BODY = {};
 
-    /** Whoever keeps all requests. */
-    interface Keeper {
-        /** All of a request has come. */
-        void cameWhole(ProxiedRequest request);
+    /** Follows the life of requests. */
+    interface Listener {
+        /** All of the request has arrived. */
+        void onReceived(ProxiedRequest request);
 
-        /** It has its final answer, or needs none any more. */
-        void ended(ProxiedRequest request);
+        /** The request is about to end: it has its final response, or needs none any more. Called once. */
+        void onEnding(ProxiedRequest request);
 
-        /** Nothing will be heard of it any more. */
-        void over(ProxiedRequest request);
+        /** Nothing will happen to the request any more. */
+        void onFinished(ProxiedRequest request);
     }
 
-    final long id;
-    final ClientRequest request;
+    /** How far a request is. */
+    private enum State {
+        /** Its body is still arriving. */
+        RECEIVING,
+        /** It has arrived in full; its time runs. */
+        RECEIVED,
+        /** It has ended before it had arrived in full. */
+        ENDED_AMID_BODY,
+        /** It has arrived in full and ended. */
+        ENDED
+    }
+
+    private final long id;
+    private final ClientRequest request;
     private final ClientConnection client;
     private final String className;
     private final int maxAttempts;
-    private final Keeper keeper;
+    private final Listener listener;
     private final RequestServices services;
-    /** By when it wants its answer; not known until all of it has come. */
+
+    private State state = State.RECEIVING;
+    /** By when the client wants its response; not known until all of the request has arrived. */
     private long deadlineUs = Long.MAX_VALUE;
 
     private final List<UpstreamAttempt> attempts = new ArrayList<>(1);
-    private int outstanding;
-    /** The attempt whose message is on a connection, and the one whose answer flows to the client. */
-    private UpstreamAttempt carried;
+    /** How many attempts there are of whose end the balancer has not heard. */
+    private int openAttempts;
 
-    private UpstreamAttempt answering;
-    private boolean whole;
-    private boolean ended;
+    /** The attempt whose message was last written to a connection. */
+    private UpstreamAttempt writing;
+    /** The attempt whose response is streamed to the client. */
+    private UpstreamAttempt streaming;
 
     ProxiedRequest(
             long id,
@@ -53,17 +74,25 @@
             ClientConnection client,
             String className,
             int maxAttempts,
-            Keeper keeper,
+            Listener listener,
             RequestServices services) {
         this.id = id;
         this.request = request;
         this.client = client;
         this.className = className;
         this.maxAttempts = maxAttempts;
-        this.keeper = keeper;
+        this.listener = listener;
         this.services = services;
     }
 
+    long id() {
+        return id;
+    }
+
+    ClientRequest clientRequest() {
+        return request;
+    }
+
     String className() {
         return className;
     }
@@ -77,221 +106,229 @@
         return deadlineUs;
     }
 
-    boolean isWhole() {
-        return whole;
+    boolean isReceived() {
+        return state == State.RECEIVED || state == State.ENDED;
     }
 
     boolean isEnded() {
-        return ended;
+        return state == State.ENDED || state == State.ENDED_AMID_BODY;
     }
 
-    /** Logs that it ended this much after its deadline. */
+    /** Logs that it ended this long after its deadline. */
     void logLate(long lateUs) {
         Log.warn(
                 "request_late",
                 "txn",
-                request.head().txn(),
+                request.head().requestId(),
                 "late_ms",
                 lateUs / 1_000,
                 "attempts",
                 attempts.size(),
                 "in_flight",
-                outstanding,
+                openAttempts,
                 "streaming",
-                answering != null);
+                streaming != null);
     }
 
-    /** Whether nothing will be heard of it any more. */
-    boolean isOver() {
-        return ended && outstanding == 0;
+    // ---------------------------------------------------------------- its arrival
+
+    /** Follows a body that is still arriving; without one the request has arrived in full. */
+    void start() {
+        if (request.streamedBody() == null) {
+            listener.onReceived(this);
+        } else {
+            request.streamedBody().setListener(new BodyListener());
+        }
     }
 
-    // ---------------------------------------------------------------- its client
+    private final class BodyListener implements RequestBody.Listener {
+        @Override
+        public void onCommitted() {
+            int attempt = writing.number();
+            services.events()
+                    .submit(
+                            ProxiedRequest.this,
+                            balancer -> balancer.onFirstByte(services.clock().nowUs(), id, attempt));
+        }
 
-    /** Follows the body that flows behind it, or takes it for whole. */
-    void begin() {
-        if (request.upload() == null) {
-            keeper.cameWhole(this);
-            return;
+        @Override
+        public void onReceived() {
+            listener.onReceived(ProxiedRequest.this);
         }
-        request.upload().follow(new RequestBody.Listener() {
-            @Override
-            public void bound() {
-                int attempt = carried.number();
-                services.events()
-                        .submit(
-                                ProxiedRequest.this,
-                                module -> module.onFirstByte(services.clock().nowUs(), id, attempt));
-            }
-
-            @Override
-            public void whole() {
-                keeper.cameWhole(ProxiedRequest.this);
-            }
-        });
     }
 
-    /** Tells the module of it, and that its client wants the answer by then. */
-    void ask(long wantedUs) {
+    /** Submits it to the balancer, with the time by which its client wants the response. */
+    void submitToBalancer(long clientDeadlineUs) {
         ClientRequest.Head head = request.head();
-        services.events().submit(this, module -> {
+        services.events().submit(this, balancer -> {
             long nowUs = services.clock().nowUs();
             long waitedUs = Math.max(0, nowUs - arrivedAtUs());
-            module.onRequest(
+            balancer.onRequest(
                     nowUs,
                     new BalancerRequest(
                             id,
                             head.classIndex(),
-                            head.tenant(),
-                            Math.max(0, wantedUs - nowUs + waitedUs),
-                            head.workUs(),
+                            head.tenantIndex(),
+                            Math.max(0, clientDeadlineUs - nowUs + waitedUs),
+                            head.estimatedWorkUs(),
                             head.retry(),
-                            head.key(),
+                            head.affinityKey(),
                             waitedUs));
         });
     }
 
-    /** All of it has come: its time runs. */
-    void wholeUntil(long atUs) {
-        whole = true;
+    /** All of it has arrived: its time runs until this deadline. Not called once it has ended. */
+    void setReceived(long atUs) {
+        state = State.RECEIVED;
         deadlineUs = atUs;
-        attempts.stream().filter(attempt -> !attempt.isOver()).forEach(UpstreamAttempt::cameWhole);
+        attempts.stream().filter(attempt -> !attempt.isEnded()).forEach(UpstreamAttempt::onRequestReceived);
     }
 
     @Override
     public void onClientGone() {
-        services.events().submit(this, module -> {
+        services.events().submit(this, balancer -> {
             end();
-            module.onClientGone(services.clock().nowUs(), id);
-            forgetIfOver();
+            balancer.onClientGone(services.clock().nowUs(), id);
+            notifyIfFinished();
         });
     }
 
     @Override
     public void onBalancerFailure() {
-        if (!ended) {
-            answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
-            services.events()
-                    .submit(module -> module.onClientGone(services.clock().nowUs(), id));
+        if (!isEnded()) {
+            respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
+            withdrawFromBalancer();
         }
     }
 
     // ---------------------------------------------------------------- its attempts
 
     /** Whether an attempt of this number may still go out. */
-    boolean admits(int number) {
+    boolean admitsAttempt(int number) {
         return number < maxAttempts
-                && !ended
-                && (request.upload() == null || request.upload().isFree());
+                && !isEnded()
+                && (request.streamedBody() == null || request.streamedBody().isReplayable());
     }
 
-    void send(String serverId, long beginByUs, long untilUs) {
+    void startAttempt(String serverId, long beginByUs, long untilUs) {
         UpstreamAttempt attempt = new UpstreamAttempt(this, attempts.size(), serverId, beginByUs, untilUs, services);
         attempts.add(attempt);
-        outstanding++;
-        // Behind all that has come by this turn of the loop, and behind all timers that are due: where those
-        // came late, the client may have left since it asked, the server been told to drain, or time run out.
+        openAttempts++;
+        // Behind all that has arrived by this turn of the loop and all timers that are due. Where the loop was held up,
+        // the client may have left, the server been told to drain, or time run out; started at once, the attempt would
+        // go out all the same.
         services.loop()
                 .schedule(
                         () -> {
                             client.notifyIfClosed();
-                            attempt.begin();
+                            attempt.start();
                         },
                         0,
                         TimeUnit.NANOSECONDS);
     }
 
-    void cancel(int attempt) {
-        attempts.get(attempt).cancel();
+    void cancelAttempt(int number) {
+        attempts.get(number).cancel();
     }
 
-    /** An attempt's message is on a connection. */
-    void carriedBy(UpstreamAttempt attempt) {
-        carried = attempt;
+    /** An attempt's message is being written to a connection. */
+    void onAttemptWriting(UpstreamAttempt attempt) {
+        writing = attempt;
     }
 
-    /** The answer to an attempt flows; true if it flows to the client, as the first one does. */
-    boolean beginAnswer(long length, UpstreamAttempt by) {
-        if (ended || answering != null) {
+    /** The response to an attempt is streamed. Returns whether it goes to the client, as the first one does. */
+    boolean startResponse(long length, UpstreamAttempt attempt) {
+        if (isEnded() || streaming != null) {
             return false;
         }
-        answering = by;
-        client.startResponse(length, by);
+        streaming = attempt;
+        client.startResponse(length, attempt);
         return true;
     }
 
-    /** The client, where this attempt's answer flows to it; null where nobody wants what comes. */
-    ClientConnection takes(UpstreamAttempt by) {
-        return answering == by && !ended ? client : null;
+    /** The client, where this attempt's response is streamed to it; null where nobody wants the response. */
+    ClientConnection receiverOf(UpstreamAttempt attempt) {
+        return streaming == attempt && !isEnded() ? client : null;
     }
 
-    /** An attempt has ended; its answer may be the final one. */
-    void attemptEnded(UpstreamAttempt attempt, AttemptResult result, byte[] body) {
-        if (answering == attempt && !ended) {
-            if (result == AttemptResult.OK) {
-                client.endResponse();
-            } else {
-                client.abortResponse();
-            }
-            services.metrics().handled(className, result == AttemptResult.OK ? Ending.PASSED : Ending.BAD_GATEWAY);
-            end();
-        } else if (result == AttemptResult.OK && !ended && answering == null) {
-            answer(HttpResponseStatus.OK, body, 0);
+    /** An attempt has ended; its response may be the final one. */
+    void onAttemptEnded(UpstreamAttempt attempt, AttemptResult result, byte[] body) {
+        if (isEnded()) {
+            return;
+        }
+        if (streaming == attempt) {
+            endStreamedResponse(result);
+        } else if (result == AttemptResult.OK && streaming == null) {
+            respond(HttpResponseStatus.OK, body, 0);
         }
     }
 
-    /** The module is about to hear of an attempt's end. */
-    void attemptTold() {
-        outstanding--;
-        forgetIfOver();
+    private void endStreamedResponse(AttemptResult result) {
+        boolean complete = result == AttemptResult.OK;
+        if (complete) {
+            client.endResponse();
+        } else {
+            client.abortResponse();
+        }
+        services.metrics().handled(className, complete ? Ending.PASSED : Ending.BAD_GATEWAY);
+        end();
+    }
+
+    /** The balancer is about to hear of an attempt's end. */
+    void onAttemptReported() {
+        openAttempts--;
+        notifyIfFinished();
     }
 
     // ---------------------------------------------------------------- its end
 
-    /** The one final answer; nothing is sent for the request after it. */
-    void answer(HttpResponseStatus status, byte[] body, long retryAfterUs) {
-        if (ended) {
+    /** Sends the one final response, unless the request has ended. */
+    void respond(HttpResponseStatus status, byte[] body, long retryAfterUs) {
+        if (isEnded()) {
             return;
         }
         end();
-        services.metrics()
-                .handled(
-                        className,
-                        switch (status.code()) {
-                            case 200 -> Ending.PASSED;
-                            case 503 -> Ending.DROPPED;
-                            default -> Ending.BAD_GATEWAY;
-                        });
+        services.metrics().handled(className, ending(status));
         client.sendResponse(status, body, retryAfterUs);
-        forgetIfOver();
+        notifyIfFinished();
+    }
+
+    private static Ending ending(HttpResponseStatus status) {
+        return switch (status.code()) {
+            case 200 -> Ending.PASSED;
+            case 503 -> Ending.DROPPED;
+            default -> Ending.BAD_GATEWAY;
+        };
     }
 
-    /** Answers it without waiting any longer, as the process ends; an answer that flows goes on. */
+    /** Answers it without waiting any longer, as the process ends; a response that is streamed goes on. */
     void failPending() {
-        if (!ended && answering == null) {
-            answer(
-                    attempts.isEmpty() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.BAD_GATEWAY,
-                    NO_BODY,
-                    0);
-            services.events()
-                    .submit(module -> module.onClientGone(services.clock().nowUs(), id));
+        if (!isEnded() && streaming == null) {
+            boolean neverSent = attempts.isEmpty();
+            respond(neverSent ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.BAD_GATEWAY, NO_BODY, 0);
+            withdrawFromBalancer();
         }
     }
 
+    private void withdrawFromBalancer() {
+        services.events()
+                .submit(balancer -> balancer.onClientGone(services.clock().nowUs(), id));
+    }
+
     private void end() {
-        if (!ended) {
-            keeper.ended(this);
+        if (!isEnded()) {
+            listener.onEnding(this);
+            state = isReceived() ? State.ENDED : State.ENDED_AMID_BODY;
         }
-        ended = true;
-        if (!whole && carried != null) {
-            // The rest of what the server was to get will not come.
-            carried.cancel();
+        if (state == State.ENDED_AMID_BODY && writing != null) {
+            // The rest of what the server was to get will not arrive.
+            writing.cancel();
         }
     }
 
-    private void forgetIfOver() {
-        if (isOver()) {
-            keeper.over(this);
+    private void notifyIfFinished() {
+        if (isEnded() && openAttempts == 0) {
+            listener.onFinished(this);
         }
     }
 }
--- a/node/src/main/java/loadbalancer/request/RequestServices.java
+++ b/node/src/main/java/loadbalancer/request/RequestServices.java
@@ -9,9 +9,11 @@
 import loadbalancer.upstream.ServerPool;
 
 /**
- * What requests and their attempts are carried with, the same for all of a node.
+ * What requests and their attempts are carried out with, the same for all of a node. Used on the event loop only.
  *
- * @param streaming attempts of which something flows that is too large to be gathered
+ * @param loadReportFields what servers report of their load, in the order of the settings
+ * @param events the way to the balancer
+ * @param streaming the attempts with a streamed request or response, which are checked for stalls
  */
 public record RequestServices(
         EventLoop loop,
--- a/node/src/main/java/loadbalancer/request/RequestTable.java
+++ b/node/src/main/java/loadbalancer/request/RequestTable.java
@@ -10,90 +10,103 @@
 import loadbalancer.client.ClientServer;
 import loadbalancer.config.ClassRegistry;
 
-/** All requests that a node holds. */
-public final class RequestTable implements ClientServer.RequestHandler, ProxiedRequest.Keeper {
+/**
+ * The table of all requests that a node holds, by id.
+ *
+ * <p>A request is entered when its head and the beginning of its body are known, and removed once it has its final
+ * response and the balancer has heard of the end of each attempt. What the balancer asks for is passed to the request
+ * here; a request that is no longer held ignores it. Runs on the event loop.
+ */
+public final class RequestTable implements ClientServer.RequestHandler, ProxiedRequest.Listener {
     private static final byte[] NO_BODY = {};
-    /** Clients take an answer for lost that comes half a second after its time. */
-    private static final long LATE_US = 250_000;
+
+    /** Clients take a response for lost that comes half a second after its deadline; half of that is logged. */
+    private static final long LOGGED_LATENESS_US = 250_000;
 
     private final RequestServices services;
-    private final Supplier<ClassRegistry> tuning;
-    private final Map<Long, ProxiedRequest> held = new HashMap<>();
-    /** How many of these have come whole and not had the end of their final answer. */
-    private int open;
+    private final Supplier<ClassRegistry> classes;
+    private final Map<Long, ProxiedRequest> requests = new HashMap<>();
+
+    /** How many requests have arrived in full and have not had the end of their final response. */
+    private int pendingCount;
 
     private long lastId;
-    private long endsAtUs = Long.MAX_VALUE;
+    private long shutdownDeadlineUs = Long.MAX_VALUE;
 
-    /** @param tuning the classes as they are when a request comes */
-    public RequestTable(RequestServices services, Supplier<ClassRegistry> tuning) {
+    /** @param classes the classes as they are when a request arrives */
+    public RequestTable(RequestServices services, Supplier<ClassRegistry> classes) {
         this.services = services;
-        this.tuning = tuning;
+        this.classes = classes;
     }
 
-    /** How many have come whole and wait for the end of their answer. */
+    /** How many requests have arrived in full and wait for the end of their response. */
     public int pendingCount() {
-        return open;
+        return pendingCount;
     }
 
-    /** What comes from now on is to have its answer by then, when {@link #failPending} is due. */
+    /**
+     * Sets by when requests that arrive from now on are to have their response, as {@link #failPending} is due then.
+     */
     public void setShutdownDeadline(long atUs) {
-        endsAtUs = atUs;
+        shutdownDeadlineUs = atUs;
     }
 
-    /** Answers whatever has no answer yet: the process will be killed soon. */
+    /** Answers all requests that have no response yet: the process is about to be killed. */
     public void failPending() {
-        List.copyOf(held.values()).forEach(ProxiedRequest::failPending);
+        List.copyOf(requests.values()).forEach(ProxiedRequest::failPending);
     }
 
+    // ---------------------------------------------------------------- the life of a request
+
     @Override
-    public void onRequest(ClientConnection client, ClientRequest request) {
-        ClassRegistry now = tuning.get();
-        ClientRequest.Head head = request.head();
-        ProxiedRequest taken = new ProxiedRequest(
+    public void onRequest(ClientConnection client, ClientRequest arrived) {
+        ClassRegistry current = classes.get();
+        ClientRequest.Head head = arrived.head();
+        ProxiedRequest request = new ProxiedRequest(
                 ++lastId,
-                request,
+                arrived,
                 client,
-                now.known().get(head.classIndex()).name(),
-                now.settings().maxAttempts,
+                current.known().get(head.classIndex()).name(),
+                current.settings().maxAttempts,
                 this,
                 services);
-        client.setCloseListener(taken);
-        held.put(taken.id, taken);
-        taken.begin();
-        taken.ask(Math.min(endsAtUs, taken.arrivedAtUs() + head.remainingUs()));
+        client.setCloseListener(request);
+        requests.put(request.id(), request);
+        request.start();
+        request.submitToBalancer(Math.min(shutdownDeadlineUs, request.arrivedAtUs() + head.remainingUs()));
     }
 
     @Override
-    public void cameWhole(ProxiedRequest request) {
+    public void onReceived(ProxiedRequest request) {
         if (!request.isEnded()) {
-            open++;
-            long wholeAtUs = request.request.upload() == null
+            pendingCount++;
+            ClientRequest received = request.clientRequest();
+            long receivedAtUs = received.streamedBody() == null
                     ? request.arrivedAtUs()
                     : services.clock().nowUs();
-            request.wholeUntil(
-                    Math.min(endsAtUs, wholeAtUs + request.request.head().remainingUs()));
+            request.setReceived(
+                    Math.min(shutdownDeadlineUs, receivedAtUs + received.head().remainingUs()));
         }
     }
 
     @Override
-    public void ended(ProxiedRequest request) {
-        open -= request.isWhole() ? 1 : 0;
+    public void onEnding(ProxiedRequest request) {
+        pendingCount -= request.isReceived() ? 1 : 0;
         long lateUs = services.clock().nowUs() - request.deadlineUs();
-        if (lateUs > LATE_US) {
+        if (lateUs > LOGGED_LATENESS_US) {
             request.logLate(lateUs);
         }
     }
 
     @Override
-    public void over(ProxiedRequest request) {
-        held.remove(request.id);
-        if (request.request.upload() != null) {
-            request.request.upload().release();
+    public void onFinished(ProxiedRequest request) {
+        requests.remove(request.id());
+        if (request.clientRequest().streamedBody() != null) {
+            request.clientRequest().streamedBody().release();
         }
     }
 
-    /** Gives up attempts whose servers neither take nor give anything of what flows. */
+    /** Ends the attempts whose servers neither take nor send anything of what is streamed. */
     public void expireStalled() {
         long nowUs = services.clock().nowUs();
         List.copyOf(services.streaming()).stream()
@@ -101,29 +114,29 @@
                 .forEach(UpstreamAttempt::expire);
     }
 
-    // ---------------------------------------------------------------- what the module asks for
+    // ---------------------------------------------------------------- what the balancer asks for
 
-    /** Starts an attempt of a request. */
+    /** Starts an attempt of a request, which must be held; {@code untilUs} of 0 sets no time limit of its own. */
     public void startAttempt(long requestId, String serverId, long beginByUs, long untilUs) {
-        ProxiedRequest request = held.get(requestId);
-        // Where the body flows, the module does not know yet by when the client wants its answer.
-        boolean known = untilUs != 0 && request.request.upload() == null;
-        request.send(serverId, beginByUs, known ? untilUs : Long.MAX_VALUE);
+        ProxiedRequest request = requests.get(requestId);
+        // While a body is streamed, the balancer does not know yet by when the client wants its response.
+        boolean limited = untilUs != 0 && request.clientRequest().streamedBody() == null;
+        request.startAttempt(serverId, beginByUs, limited ? untilUs : Long.MAX_VALUE);
     }
 
     /** Cancels an attempt of a request; unknown ids are ignored. */
     public void cancelAttempt(long requestId, int attempt) {
-        ProxiedRequest request = held.get(requestId);
+        ProxiedRequest request = requests.get(requestId);
         if (request != null) {
-            request.cancel(attempt);
+            request.cancelAttempt(attempt);
         }
     }
 
-    /** The final answer that no server made: refused or failed. */
+    /** Sends the final response that no server has made: rejected or failed. Unknown ids are ignored. */
     public void respond(long requestId, HttpResponseStatus status, long retryAfterUs) {
-        ProxiedRequest request = held.get(requestId);
+        ProxiedRequest request = requests.get(requestId);
         if (request != null) {
-            request.answer(status, NO_BODY, retryAfterUs);
+            request.respond(status, NO_BODY, retryAfterUs);
         }
     }
 }
--- a/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -1,17 +1,10 @@
 package loadbalancer.request;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.client.ClientConnection;
-import loadbalancer.client.ClientRequest;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.LoadReport;
@@ -21,184 +14,167 @@
 import loadbalancer.upstream.LoadReportDecoder;
 import loadbalancer.upstream.UpstreamExchange;
 
-/** One attempt of a request at one server, gathered or flowing. */
+/**
+ * One attempt of a request at one server, buffered or streamed.
+ *
+ * <p>It ends once, by {@link #onEnded}: by the pool, by its timeout, or because it is cancelled. From then on the
+ * timer is cancelled, the pool no longer has it, and the balancer is to hear of its outcome. Parts of a response that
+ * nobody wants are released here. Runs on the event loop.
+ */
 final class UpstreamAttempt implements UpstreamExchange, FlowControl {
     private static final byte[] NO_BODY = {};
-    /** A server that neither takes nor gives anything for so long, amid something that flows, is gone. */
-    private static final long MOST_SILENCE_US = 10_000_000;
+
+    /** A server that takes and sends nothing for this long, amid something that is streamed, has failed. */
+    private static final long STREAM_STALL_TIMEOUT_US = 10_000_000;
+
     /**
-     * The same for an answer of no told length once its time is up, as long as it may be one whose last byte
-     * is owed by then: a client takes an answer for lost that comes half a second after its time.
+     * The same for a streamed response of unknown length after the deadline, as long as it may be one whose last byte
+     * is due by then: a client takes a response for lost that comes half a second after its deadline.
      */
-    private static final long MOST_LATE_SILENCE_US = 400_000;
+    private static final long LATE_STALL_TIMEOUT_US = 400_000;
 
-    private final ProxiedRequest of;
+    private static final long NOT_STARTED = 0;
+
+    private final ProxiedRequest request;
     private final int number;
     private final String serverId;
     private final RequestServices services;
-    private final long sentAtUs;
-    private final long beginByUs;
+    private final long createdAtUs;
+    private final long startByUs;
     private final long untilUs;
-    /** From when the server could work on it, and when it began to answer; 0 until then. */
-    private long wholeAtUs;
 
-    private long begunAtUs;
-    /** When last something of it went on. */
+    /** From when the server could work on the request, and when it began to respond. */
+    private long requestReceivedAtUs;
+
+    private long responseStartedAtUs = NOT_STARTED;
+
+    /** When something of it last moved. */
     private long movedAtUs;
 
-    private long passed;
-    private FlowControl answer;
-    /** How much of the answer has come. */
-    private long given;
+    /** How much of a streamed request had been forwarded when it was last checked for a stall. */
+    private long checkedForwardedBytes;
+
+    /** Where a streamed response comes from; null until there is one. */
+    private FlowControl responseSource;
 
-    private boolean heldBack;
-    private Future<?> expiry;
-    private LoadReport report;
-    private boolean over;
+    private long responseBytes;
+    private boolean responsePaused;
+    private Future<?> timeout;
+    private LoadReport loadReport;
+    private boolean ended;
 
+    /**
+     * Creates an attempt.
+     *
+     * @param startByUs the latest time at which it may start on a connection
+     * @param untilUs the latest time at which it may end
+     */
     UpstreamAttempt(
-            ProxiedRequest of, int number, String serverId, long beginByUs, long untilUs, RequestServices services) {
-        this.of = of;
+            ProxiedRequest request,
+            int number,
+            String serverId,
+            long startByUs,
+            long untilUs,
+            RequestServices services) {
+        this.request = request;
         this.number = number;
         this.serverId = serverId;
-        this.beginByUs = beginByUs;
+        this.startByUs = startByUs;
         this.untilUs = untilUs;
         this.services = services;
-        sentAtUs = services.clock().nowUs();
-        wholeAtUs = sentAtUs;
-        movedAtUs = sentAtUs;
+        createdAtUs = services.clock().nowUs();
+        requestReceivedAtUs = createdAtUs;
+        movedAtUs = createdAtUs;
     }
 
     int number() {
         return number;
     }
 
-    boolean isOver() {
-        return over;
+    boolean isEnded() {
+        return ended;
     }
 
-    private long endsUs() {
-        return Math.min(untilUs, of.deadlineUs());
+    private long deadlineUs() {
+        return Math.min(untilUs, request.deadlineUs());
     }
 
-    @Override
-    public boolean mayBegin() {
-        return services.clock().nowUs() <= beginByUs;
-    }
-
-    @Override
-    public FullHttpRequest message() {
-        of.carriedBy(this);
-        ClientRequest.Head head = of.request.head();
-        byte[] body = of.request.body();
-        FullHttpRequest message = new DefaultFullHttpRequest(
-                HttpVersion.HTTP_1_1, head.method(), head.uri(), Unpooled.wrappedBuffer(body));
-        long remainingUs = of.isWhole() ? endsUs() - services.clock().nowUs() : head.remainingUs();
-        message.headers()
-                .set(HttpHeaderNames.HOST, "backend.local")
-                .set("X-Txn", head.txn())
-                .set("X-Lane", of.className())
-                .set("X-Remaining", Math.max(1, remainingUs) + "u");
-        if (head.idempotencyKey() != null) {
-            message.headers().set("Idempotency-Key", head.idempotencyKey());
-        }
-        if (upload() != null && upload().length() < 0) {
-            HttpUtil.setTransferEncodingChunked(message, true);
-        } else if (upload() != null) {
-            message.headers().set(HttpHeaderNames.CONTENT_LENGTH, upload().length());
-        } else if (body.length > 0 || !head.method().equals(HttpMethod.GET)) {
-            message.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        }
-        return message;
-    }
+    // ---------------------------------------------------------------- the request
 
-    @Override
-    public RequestBody upload() {
-        return of.request.upload();
-    }
-
-    @Override
-    public void written() {
-        services.metrics().tried();
-    }
-
-    void begin() {
-        if (over) {
+    /** Starts it, unless it has ended or is moot by now. */
+    void start() {
+        if (ended) {
             return;
         }
-        if (endsUs() <= sentAtUs || !of.admits(number)) {
-            ended(AttemptResult.MOOT, NO_BODY);
+        if (deadlineUs() <= createdAtUs || !request.admitsAttempt(number)) {
+            onEnded(AttemptResult.MOOT, NO_BODY);
             return;
         }
-        if (of.isWhole()) {
-            awaitEnd();
+        if (request.isReceived()) {
+            scheduleTimeout();
         }
-        if (upload() != null) {
+        if (streamedBody() != null) {
             services.streaming().add(this);
         }
         services.pool().start(serverId, this);
     }
 
-    /** All of the request has come: its time runs. */
-    void cameWhole() {
-        wholeAtUs = services.clock().nowUs();
-        awaitEnd();
+    /** All of the request has arrived: its time runs. */
+    void onRequestReceived() {
+        requestReceivedAtUs = services.clock().nowUs();
+        scheduleTimeout();
     }
 
-    private void awaitEnd() {
-        if (expiry != null) {
-            expiry.cancel(false);
-        }
-        expireAt(endsUs(), this::expire);
+    @Override
+    public boolean mayStart() {
+        return services.clock().nowUs() <= startByUs;
     }
 
-    private void expireAt(long atUs, Runnable expiring) {
-        expiry = services.loop().schedule(expiring, atUs - services.clock().nowUs(), TimeUnit.MICROSECONDS);
+    @Override
+    public FullHttpRequest createMessage() {
+        request.onAttemptWriting(this);
+        long remainingUs = request.isReceived()
+                ? deadlineUs() - services.clock().nowUs()
+                : request.clientRequest().head().remainingUs();
+        return UpstreamMessageFactory.attempt(request.clientRequest(), request.className(), remainingUs);
     }
 
-    private void expireIfSilent() {
-        if (given > TransferLimits.MAX_BUFFERED_BYTES) {
-            // One whose first bytes were owed in time, and its rest for as long as the server gives it.
-            return;
-        }
-        long nowUs = services.clock().nowUs();
-        if (!heldBack && nowUs - movedAtUs >= MOST_LATE_SILENCE_US) {
-            expire();
-        } else {
-            expireAt((heldBack ? nowUs : movedAtUs) + MOST_LATE_SILENCE_US, this::expireIfSilent);
-        }
+    @Override
+    public RequestBody streamedBody() {
+        return request.clientRequest().streamedBody();
     }
 
-    /** Whether the server has neither taken nor given anything for too long. */
-    boolean isStalled(long nowUs) {
-        boolean onServer = answer == null ? upload().awaitsServer() && upload().passed() == passed : !heldBack;
-        passed = answer == null ? upload().passed() : 0;
-        movedAtUs = onServer ? movedAtUs : nowUs;
-        return nowUs - movedAtUs > MOST_SILENCE_US;
+    @Override
+    public void onRequestWritten() {
+        services.metrics().tried();
     }
 
+    // ---------------------------------------------------------------- the response
+
     @Override
-    public void begun(long length, FlowControl from) {
-        answer = from;
-        begunAtUs = services.clock().nowUs();
+    public void onResponseStarted(long length, FlowControl source) {
+        responseSource = source;
+        responseStartedAtUs = services.clock().nowUs();
         services.streaming().add(this);
-        if (expiry != null) {
-            expiry.cancel(false);
+        if (timeout != null) {
+            timeout.cancel(false);
             if (length < 0) {
-                expireAt(endsUs() + MOST_LATE_SILENCE_US, this::expireIfSilent);
+                scheduleAt(deadlineUs() + LATE_STALL_TIMEOUT_US, this::expireIfStalled);
             }
         }
-        if (of.beginAnswer(length, this)) {
+        if (request.startResponse(length, this)) {
             services.events()
-                    .submit(of, module -> module.onFirstByte(services.clock().nowUs(), of.id, number));
+                    .submit(
+                            request,
+                            balancer -> balancer.onFirstByte(services.clock().nowUs(), request.id(), number));
         }
     }
 
     @Override
-    public void part(ByteBuf part) {
+    public void onResponsePart(ByteBuf part) {
         movedAtUs = services.clock().nowUs();
-        given += part.readableBytes();
-        ClientConnection client = of.takes(this);
+        responseBytes += part.readableBytes();
+        ClientConnection client = request.receiverOf(this);
         if (client != null) {
             client.writeResponsePart(part);
         } else {
@@ -207,63 +183,109 @@
     }
 
     @Override
-    public void partsRead() {
-        ClientConnection client = of.takes(this);
+    public void onResponseReadComplete() {
+        ClientConnection client = request.receiverOf(this);
         if (client != null) {
             client.flushResponse();
         }
     }
 
+    @Override
+    public void onLoadReport(String report) {
+        loadReport = LoadReportDecoder.decode(report, services.loadReportFields());
+    }
+
     @Override
     public void pauseReading() {
-        heldBack = true;
-        answer.pauseReading();
+        responsePaused = true;
+        responseSource.pauseReading();
     }
 
     @Override
     public void resumeReading() {
-        heldBack = false;
+        responsePaused = false;
         movedAtUs = services.clock().nowUs();
-        answer.resumeReading();
+        responseSource.resumeReading();
     }
 
-    /** Its time is up. */
-    void expire() {
-        // What never left for want of a connection is known not to have run.
-        ended(services.pool().giveUp(serverId, this) ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, NO_BODY);
+    // ---------------------------------------------------------------- timeouts
+
+    private void scheduleTimeout() {
+        if (timeout != null) {
+            timeout.cancel(false);
+        }
+        scheduleAt(deadlineUs(), this::expire);
     }
 
-    void cancel() {
-        if (!over) {
-            services.pool().giveUp(serverId, this);
-            ended(AttemptResult.CANCELLED, NO_BODY);
+    private void scheduleAt(long atUs, Runnable task) {
+        timeout = services.loop().schedule(task, atUs - services.clock().nowUs(), TimeUnit.MICROSECONDS);
+    }
+
+    /** Ends a small late response that has stalled, or looks again later. */
+    private void expireIfStalled() {
+        if (responseBytes > TransferLimits.MAX_BUFFERED_BYTES) {
+            // A large response: its first bytes were due in time, and the rest for as long as the server sends it.
+            return;
+        }
+        long nowUs = services.clock().nowUs();
+        if (!responsePaused && nowUs - movedAtUs >= LATE_STALL_TIMEOUT_US) {
+            expire();
+        } else {
+            scheduleAt((responsePaused ? nowUs : movedAtUs) + LATE_STALL_TIMEOUT_US, this::expireIfStalled);
         }
     }
 
-    @Override
-    public void reported(String load) {
-        report = LoadReportDecoder.decode(load, services.loadReportFields());
+    /** Whether the server has neither taken nor sent anything for too long; called now and then while it streams. */
+    boolean isStalled(long nowUs) {
+        boolean serverBlocks;
+        if (responseSource == null) {
+            long forwardedBytes = streamedBody().forwardedBytes();
+            serverBlocks = streamedBody().awaitsServer() && forwardedBytes == checkedForwardedBytes;
+            checkedForwardedBytes = forwardedBytes;
+        } else {
+            serverBlocks = !responsePaused;
+            checkedForwardedBytes = 0;
+        }
+        movedAtUs = serverBlocks ? movedAtUs : nowUs;
+        return nowUs - movedAtUs > STREAM_STALL_TIMEOUT_US;
+    }
+
+    // ---------------------------------------------------------------- its end
+
+    /** Ends it as its time is up. What was not written in full is known not to have run. */
+    void expire() {
+        boolean mayHaveRun = services.pool().abort(serverId, this);
+        onEnded(mayHaveRun ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, NO_BODY);
+    }
+
+    /** Cancels it, unless it has ended. */
+    void cancel() {
+        if (!ended) {
+            services.pool().abort(serverId, this);
+            onEnded(AttemptResult.CANCELLED, NO_BODY);
+        }
     }
 
     @Override
-    public void ended(AttemptResult result, byte[] body) {
-        if (over) {
+    public void onEnded(AttemptResult result, byte[] body) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         services.streaming().remove(this);
-        if (expiry != null) {
-            expiry.cancel(false);
+        if (timeout != null) {
+            timeout.cancel(false);
         }
-        of.attemptEnded(this, result, body);
-        // Of what flowed it counts how long the server took, not how long the two ends did.
-        long answeredAtUs = begunAtUs == 0 ? services.clock().nowUs() : begunAtUs;
-        services.events().submit(of, module -> {
-            of.attemptTold();
-            module.onOutcome(
+        request.onAttemptEnded(this, result, body);
+        // Of a streamed response only the server's time counts, not how long client and server took to transfer it.
+        long respondedAtUs =
+                responseStartedAtUs == NOT_STARTED ? services.clock().nowUs() : responseStartedAtUs;
+        long latencyUs = Math.max(0, respondedAtUs - requestReceivedAtUs);
+        services.events().submit(request, balancer -> {
+            request.onAttemptReported();
+            balancer.onOutcome(
                     services.clock().nowUs(),
-                    new AttemptOutcome(
-                            of.id, number, result, Math.max(0, answeredAtUs - wholeAtUs), of.isEnded(), report));
+                    new AttemptOutcome(request.id(), number, result, latencyUs, request.isEnded(), loadReport));
         });
     }
 }
--- a/node/src/main/java/loadbalancer/transfer/RequestBody.java
+++ b/node/src/main/java/loadbalancer/transfer/RequestBody.java
@@ -4,47 +4,59 @@
 import java.util.ArrayDeque;
 
 /**
- * A request's body that is too large to be gathered, on its way from a client to a server. Its beginning is
- * held until more than that has gone on: up to then another server can have it from the start.
+ * A request's body that is too large to be buffered, streamed from a client to a server.
+ *
+ * <p>Its beginning is retained until a part beyond it has been forwarded. Up to then the body can be replayed to
+ * another server; from then on the request is committed to the server that has it.
+ *
+ * <p>It owns the beginning and the parts that wait for a server; {@link #release} drops both. Runs on the event loop.
  */
 public final class RequestBody {
-    /** Where it goes to. */
+    /** The server that the body is streamed to. */
     public interface Sink {
-        /** Takes a part over. */
+        /** Writes a part and takes it over. */
         void write(ByteBuf part);
 
-        /** All has been written. */
+        /** Writes the end of the body. */
         void finish();
 
+        /** Flushes what has been written. */
         void flush();
 
+        /** Whether more can be written without piling up. */
         boolean isWritable();
     }
 
-    /** Who follows it. */
+    /** Follows the progress of the body. */
     public interface Listener {
-        /** More has gone to a server than is still held here: no other can have it from the start. */
-        void bound();
+        /** More has been forwarded than is retained: the body can't be replayed to another server. */
+        void onCommitted();
 
         /** The client has sent all of it. */
-        void whole();
+        void onReceived();
     }
 
     private final FlowControl client;
-    /** What it says of its length, or -1 where it comes in chunks. */
     private final long length;
 
     private Listener listener;
+    /** What can be replayed; null once the body is committed. */
     private ByteBuf beginning;
-    /** What came behind the beginning before a server was there to take it. */
-    private final ArrayDeque<ByteBuf> behind = new ArrayDeque<>();
+    /** What has arrived behind the beginning while no server took it. */
+    private final ArrayDeque<ByteBuf> backlog = new ArrayDeque<>();
 
-    private boolean whole;
-    private boolean heldBack = true;
-    private long passed;
+    private boolean received;
+    private boolean clientPaused = true;
+    private long forwardedBytes;
     private Sink sink;
 
-    /** Takes the beginning over; nothing more is read from the client until a server takes it. */
+    /**
+     * Creates a body that waits for a server, and pauses the client until one takes it.
+     *
+     * @param client the source
+     * @param length the announced length, or -1 where the body comes in chunks
+     * @param beginning what has arrived, taken over
+     */
     public RequestBody(FlowControl client, long length, ByteBuf beginning) {
         this.client = client;
         this.length = length;
@@ -52,92 +64,94 @@
         client.pauseReading();
     }
 
-    public void follow(Listener by) {
-        listener = by;
+    /** Sets who follows the progress; before the body goes on. */
+    public void setListener(Listener follower) {
+        listener = follower;
     }
 
+    /** The announced length, or -1 where the body comes in chunks. */
     public long length() {
         return length;
     }
 
-    boolean isWhole() {
-        return whole;
-    }
-
-    /** Whether a server can have it from the start. */
-    public boolean isFree() {
+    /** Whether a server can be given the body from the start. */
+    public boolean isReplayable() {
         return beginning != null && sink == null;
     }
 
-    /** Whether it is the server that keeps it from going on. */
+    /** Whether it is the server that keeps the body from going on. */
     public boolean awaitsServer() {
-        return sink != null && heldBack && !whole;
+        return sink != null && clientPaused && !received;
+    }
+
+    /** How much has been forwarded to servers. */
+    public long forwardedBytes() {
+        return forwardedBytes;
     }
 
-    /** The client's next part, which is taken over. */
+    // ---------------------------------------------------------------- from the client
+
+    /** Adds the client's next part and takes it over. */
     public void add(ByteBuf part) {
         if (sink == null) {
-            behind.add(part);
+            backlog.add(part);
         } else {
-            pass(part);
-            keepPace();
+            forward(part);
+            updateBackpressure();
         }
     }
 
-    /** The client has sent all. */
+    /** The client has sent all of the body. */
     public void end() {
-        whole = true;
+        received = true;
         if (sink != null) {
             sink.finish();
         }
-        listener.whole();
+        listener.onReceived();
     }
 
-    /** Flushes what has been written to the server. */
+    /** Flushes what has been forwarded. */
     public void flush() {
         if (sink != null) {
             sink.flush();
         }
     }
 
-    /** A server takes it, from the start. */
-    public void flowTo(Sink to) {
-        sink = to;
+    // ---------------------------------------------------------------- to a server
+
+    /** Streams the body to a server, from the start; only where {@link #isReplayable}. */
+    public void streamTo(Sink server) {
+        sink = server;
         sink.write(beginning.retainedDuplicate());
-        while (!behind.isEmpty()) {
-            pass(behind.poll());
+        while (!backlog.isEmpty()) {
+            forward(backlog.poll());
         }
-        if (whole) {
+        if (received) {
             sink.finish();
         }
         sink.flush();
-        keepPace();
+        updateBackpressure();
     }
 
-    private void pass(ByteBuf part) {
+    private void forward(ByteBuf part) {
         if (beginning != null) {
             beginning.release();
             beginning = null;
-            listener.bound();
+            listener.onCommitted();
         }
-        passed += part.readableBytes();
+        forwardedBytes += part.readableBytes();
         sink.write(part);
     }
 
-    /** How much has gone to servers. */
-    public long passed() {
-        return passed;
-    }
-
-    /** Reads from the client as long as the server takes what is read. */
-    public void keepPace() {
-        if (sink == null || whole) {
+    /** Reads from the client only while the server takes what is read. */
+    public void updateBackpressure() {
+        if (sink == null || received) {
             return;
         }
-        boolean hold = !sink.isWritable();
-        if (hold != heldBack) {
-            heldBack = hold;
-            if (hold) {
+        boolean pause = !sink.isWritable();
+        if (pause != clientPaused) {
+            clientPaused = pause;
+            if (pause) {
                 client.pauseReading();
             } else {
                 client.resumeReading();
@@ -145,25 +159,25 @@
         }
     }
 
-    /** The server takes no more of it. */
-    public void stop(Sink from) {
-        if (sink == from) {
+    /** Stops streaming to a server, if it is the one that has the body. */
+    public void stop(Sink server) {
+        if (sink == server) {
             sink = null;
-            heldBack = true;
-            if (!whole) {
+            clientPaused = true;
+            if (!received) {
                 client.pauseReading();
             }
         }
     }
 
-    /** Nobody wants it any more. */
+    /** Drops all that is retained: nobody wants the body any more. */
     public void release() {
         sink = null;
         if (beginning != null) {
             beginning.release();
             beginning = null;
         }
-        behind.forEach(ByteBuf::release);
-        behind.clear();
+        backlog.forEach(ByteBuf::release);
+        backlog.clear();
     }
 }
--- a/node/src/main/java/loadbalancer/upstream/LoadReportDecoder.java
+++ b/node/src/main/java/loadbalancer/upstream/LoadReportDecoder.java
@@ -2,56 +2,61 @@
 
 import java.util.Arrays;
 import java.util.List;
+import java.util.Map;
 import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.LoadReportField;
 
 /**
- * Reads the load report that may come with an answer, such as {@code TEXT inflight=7, queue=2}: named figures
- * in any order, of which the settings say which count.
+ * Decodes the load report that may come with a response, such as {@code TEXT inflight=7, queue=2}: named values in any
+ * order, of which the settings say which count.
  */
 public final class LoadReportDecoder {
-    static final String HEADER = "X-Pressure";
-    private static final String FORM = "TEXT ";
+    private static final String TEXT_FORMAT = "TEXT ";
+    private static final String FIELD_SEPARATOR = ",";
+    private static final char VALUE_SEPARATOR = '=';
+
+    /** Names on the wire: servers write the settings' names, the protocol's example has others. */
+    private static final Map<String, LoadReportField> FIELDS_BY_WIRE_NAME = Map.ofEntries(
+            Map.entry("concurrent", LoadReportField.IN_FLIGHT),
+            Map.entry("inflight", LoadReportField.IN_FLIGHT),
+            Map.entry("depth", LoadReportField.QUEUED),
+            Map.entry("queue", LoadReportField.QUEUED),
+            Map.entry("load_share", LoadReportField.UTILISATION),
+            Map.entry("util", LoadReportField.UTILISATION),
+            Map.entry("mean_ms", LoadReportField.LATENCY_MS),
+            Map.entry("latency_ms", LoadReportField.LATENCY_MS),
+            Map.entry("tps", LoadReportField.SERVED_PER_S),
+            Map.entry("qps", LoadReportField.SERVED_PER_S),
+            Map.entry("err_ps", LoadReportField.ERRORS_PER_S),
+            Map.entry("eps", LoadReportField.ERRORS_PER_S));
 
     private LoadReportDecoder() {}
 
-    /** The figures in the order of the settings, NaN for one left out; null for what cannot be read. */
+    /** Returns the values in the order of the settings, NaN for one left out; null for what cannot be read. */
     public static LoadReport decode(String text, List<LoadReportField> fields) {
-        if (text == null || fields.isEmpty() || !text.startsWith(FORM)) {
+        if (text == null || fields.isEmpty() || !text.startsWith(TEXT_FORMAT)) {
             return null;
         }
         double[] values = new double[fields.size()];
         Arrays.fill(values, Double.NaN);
-        for (String part : text.substring(FORM.length()).split(",")) {
-            int equals = part.indexOf('=');
-            if (equals < 0) {
+        for (String part : text.substring(TEXT_FORMAT.length()).split(FIELD_SEPARATOR)) {
+            int separator = part.indexOf(VALUE_SEPARATOR);
+            if (separator < 0) {
                 return null;
             }
-            LoadReportField named = field(part.substring(0, equals).strip());
-            int at = named == null ? -1 : fields.indexOf(named);
-            if (at < 0) {
+            LoadReportField field =
+                    FIELDS_BY_WIRE_NAME.get(part.substring(0, separator).strip());
+            int index = field == null ? -1 : fields.indexOf(field);
+            if (index < 0) {
                 continue;
             }
             try {
-                values[at] = Double.parseDouble(part.substring(equals + 1).strip());
+                values[index] = Double.parseDouble(part.substring(separator + 1).strip());
             } catch (NumberFormatException e) {
-                // A report is only a hint: the answer that it came with counts all the same.
+                // A report is only a hint: the response that it came with counts all the same.
                 return null;
             }
         }
         return LoadReport.of(values);
     }
-
-    /** Servers write the settings' names; the protocol's example has others. */
-    private static LoadReportField field(String name) {
-        return switch (name) {
-            case "concurrent", "inflight" -> LoadReportField.IN_FLIGHT;
-            case "depth", "queue" -> LoadReportField.QUEUED;
-            case "load_share", "util" -> LoadReportField.UTILISATION;
-            case "mean_ms", "latency_ms" -> LoadReportField.LATENCY_MS;
-            case "tps", "qps" -> LoadReportField.SERVED_PER_S;
-            case "err_ps", "eps" -> LoadReportField.ERRORS_PER_S;
-            default -> null;
-        };
-    }
 }
--- a/node/src/main/java/loadbalancer/upstream/ServerConnection.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerConnection.java
@@ -1,7 +1,6 @@
 package loadbalancer.upstream;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
@@ -12,79 +11,75 @@
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpStatusClass;
-import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
-import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.concurrent.TimeUnit;
 import loadbalancer.common.Clock;
 import loadbalancer.common.Log;
-import loadbalancer.http.TransferCodings;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
-import loadbalancer.transfer.TransferLimits;
 
-/** A connection to a server, which carries one exchange at a time. */
+/**
+ * The last handler of a connection to a server, which carries one exchange at a time.
+ *
+ * <p>It is idle, or carries an exchange, or has carried one and reads on until nothing more is there, and becomes idle
+ * then. An exchange that it has taken ends here, once, unless {@link #detachExchange} takes it away. All methods run on
+ * the event loop. Messages that are read are released here.
+ */
 final class ServerConnection extends ChannelInboundHandlerAdapter implements FlowControl, RequestBody.Sink {
-    /** Where it is kept. */
-    interface Home {
-        /** Of which server, for the log. */
+    /** The part of the pool that keeps the connection. */
+    interface Owner {
+        /** The server's id, for the log. */
         String serverId();
 
-        /** Whether what was opened to this address at this time may carry anything new. */
-        boolean wants(InetSocketAddress endpoint, long openedAtUs);
+        /** Whether a connection that was opened to this address at this time may carry anything new. */
+        boolean accepts(InetSocketAddress endpoint, long openedAtUs);
 
-        /** It is usable and carries nothing: it may be given something at once. */
-        void free(ServerConnection connection);
+        /** The connection is usable and idle: it may be given an exchange at once. */
+        void onIdle(ServerConnection connection);
 
-        /** It has been opened, or has carried something, and is of no more use. */
-        void useless();
+        /** A connection has been opened, or has ended an exchange, and is of no more use. */
+        void onUnusable();
 
-        /** It carries this from now on. */
-        void carries(ServerConnection connection, UpstreamExchange exchange);
+        /** The connection carries this exchange from now on. */
+        void onExchangeStarted(ServerConnection connection, UpstreamExchange exchange);
 
-        /** This has ended, or was given up. */
-        void carried(UpstreamExchange exchange);
+        /** The connection no longer carries this exchange. */
+        void onExchangeEnded(UpstreamExchange exchange);
 
-        /** It ends. */
-        void ends(ServerConnection connection);
+        /** The connection is about to close, or has closed. */
+        void onClosed(ServerConnection connection);
     }
 
     private static final byte[] NO_BODY = {};
-    /**
-     * An answer that tells no length and takes longer is most likely a large one, whose first bytes count:
-     * long against what a server takes to write what it has ready, short against any aim.
-     */
-    private static final long MOST_GATHERING_MS = 50;
 
-    private final Home home;
+    private final Owner owner;
     private final InetSocketAddress endpoint;
     private final Channel channel;
     private final Clock clock;
+    private final ResponseReader reader;
     private final long openedAtUs;
-    private UpstreamExchange exchange;
-    private boolean written;
     private long idleSinceUs;
-    private HttpResponse head;
-    /** What has come of an answer that is gathered, and the end of its time where it tells no length. */
-    private ByteBuf body;
 
-    private Future<?> gathering;
-    private boolean flows;
-    /** It ends before its time: an end of the answer that comes with that is none. */
-    private boolean broken;
+    /** What is carried; null while idle. */
+    private UpstreamExchange exchange;
+
+    private boolean requestWritten;
 
-    private boolean answered;
+    /** Whether the node closes it: the end of a response that comes with such a close is none. */
+    private boolean closing;
 
-    ServerConnection(Home home, InetSocketAddress endpoint, Channel channel, Clock clock) {
-        this.home = home;
+    /** Whether its exchange has ended such that it can carry another, once all that has arrived is read. */
+    private boolean reusable;
+
+    ServerConnection(Owner owner, InetSocketAddress endpoint, Channel channel, Clock clock) {
+        this.owner = owner;
         this.endpoint = endpoint;
         this.channel = channel;
         this.clock = clock;
+        reader = new ResponseReader(channel.eventLoop(), this);
         openedAtUs = clock.nowUs();
     }
 
@@ -92,50 +87,60 @@
         return idleSinceUs;
     }
 
-    /** Whether its request may have been written whole. */
-    boolean isWritten() {
-        return written;
+    /** Whether the request may have been written in full. */
+    boolean isRequestWritten() {
+        return requestWritten;
     }
 
     boolean isUsable() {
-        return channel.isActive() && home.wants(endpoint, openedAtUs);
+        return channel.isActive() && owner.accepts(endpoint, openedAtUs);
     }
 
-    /** Takes up what awaits a connection, or stays idle. */
+    /** Gives the connection to its owner if it is usable, else closes it. */
     void offer() {
         if (!isUsable()) {
             close();
-            home.useless();
+            owner.onUnusable();
             return;
         }
         idleSinceUs = clock.nowUs();
-        home.free(this);
+        owner.onIdle(this);
+    }
+
+    void close() {
+        closing = true;
+        owner.onClosed(this);
+        channel.close();
     }
 
-    void carry(UpstreamExchange next) {
-        // First, as a message that cannot be made must not cost the connection.
-        FullHttpRequest message = next.message();
-        home.carries(this, next);
+    // ---------------------------------------------------------------- the request
+
+    /** Starts an exchange on an idle connection. */
+    void start(UpstreamExchange next) {
+        // First, as a message that can't be made must not cost the connection.
+        FullHttpRequest message = next.createMessage();
+        owner.onExchangeStarted(this, next);
         exchange = next;
-        written = false;
-        if (next.upload() == null) {
-            written(channel.writeAndFlush(message));
+        reader.start(next);
+        requestWritten = false;
+        if (next.streamedBody() == null) {
+            notifyOnceWritten(channel.writeAndFlush(message));
             return;
         }
-        // The head alone: what flows behind it is framed as the head says.
+        // The head alone: the streamed body is framed as the head says.
         DefaultHttpRequest head =
                 new DefaultHttpRequest(message.protocolVersion(), message.method(), message.uri(), message.headers());
         message.release();
         closeIfFailed(channel.write(head));
-        next.upload().flowTo(this);
+        next.streamedBody().streamTo(this);
     }
 
-    private void written(ChannelFuture last) {
-        UpstreamExchange of = exchange;
-        last.addListener(done -> {
+    private void notifyOnceWritten(ChannelFuture lastWrite) {
+        UpstreamExchange written = exchange;
+        lastWrite.addListener(done -> {
             if (done.isSuccess()) {
-                written |= exchange == of;
-                of.written();
+                requestWritten |= exchange == written;
+                written.onRequestWritten();
             } else {
                 close();
             }
@@ -157,7 +162,7 @@
 
     @Override
     public void finish() {
-        written(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
+        notifyOnceWritten(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
     }
 
     @Override
@@ -170,6 +175,15 @@
         return channel.isWritable();
     }
 
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext context) {
+        if (exchange != null && exchange.streamedBody() != null) {
+            exchange.streamedBody().updateBackpressure();
+        }
+    }
+
+    // ---------------------------------------------------------------- the response
+
     @Override
     public void pauseReading() {
         channel.config().setAutoRead(false);
@@ -180,19 +194,6 @@
         channel.config().setAutoRead(true);
     }
 
-    @Override
-    public void channelWritabilityChanged(ChannelHandlerContext context) {
-        if (exchange != null && exchange.upload() != null) {
-            exchange.upload().keepPace();
-        }
-    }
-
-    void close() {
-        broken = true;
-        home.ends(this);
-        channel.close();
-    }
-
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
@@ -203,159 +204,87 @@
     }
 
     private void read(HttpObject message) {
-        if (exchange == null || broken || message.decoderResult().isFailure()) {
-            // Unasked for, or not to be read: what follows cannot be told apart from an answer.
+        if (exchange == null || closing || message.decoderResult().isFailure()) {
+            // Unsolicited or unreadable: what follows can't be told apart from a response.
             fail();
             return;
         }
-        if (message instanceof HttpResponse response) {
-            head = response;
-            dropBody();
-            body = TransferLimits.ALLOCATOR.buffer(Math.max(
-                    0, (int) Math.min(TransferLimits.MAX_BUFFERED_BYTES, HttpUtil.getContentLength(response, 256L))));
-            // Where only the end of the connection ends a body, it must be an end that was announced:
-            // else one cut short would pass for whole.
-            if (!TransferCodings.isChunkedAtMost(response)
-                    || response.status().code() == 200
-                            && length() < 0
-                            && !HttpUtil.isTransferEncodingChunked(response)
-                            && HttpUtil.isKeepAlive(response)) {
-                fail();
-                return;
-            }
-        }
-        if (message instanceof HttpContent content && content.content().isReadable()) {
-            take(content.content());
-        }
-        if (message instanceof LastHttpContent && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-            answered();
-        }
-    }
-
-    private void stopGathering() {
-        if (gathering != null) {
-            gathering.cancel(false);
-            gathering = null;
-        }
-    }
-
-    private void dropBody() {
-        stopGathering();
-        if (body != null) {
-            body.release();
-            body = null;
-        }
-    }
-
-    private long length() {
-        return HttpUtil.getContentLength(head, -1L);
-    }
-
-    private void take(ByteBuf part) {
-        if (head.status().code() != 200) {
-            // Nobody is told what an error says.
+        if (message instanceof HttpResponse response && !reader.readHead(response)) {
+            fail();
             return;
         }
-        if (!flows
-                && Math.max(length(), body.readableBytes() + part.readableBytes())
-                        > TransferLimits.MAX_BUFFERED_BYTES) {
-            flow();
-        }
-        if (flows) {
-            exchange.part(part.retain());
-        } else {
-            body.writeBytes(part);
-            if (length() < 0 && gathering == null) {
-                gathering = channel.eventLoop().schedule(this::flow, MOST_GATHERING_MS, TimeUnit.MILLISECONDS);
-            }
+        if (message instanceof HttpContent content && content.content().isReadable()) {
+            reader.readContent(content.content());
         }
-    }
-
-    /** What has come goes to the client now, and the rest as it comes. */
-    private void flow() {
-        stopGathering();
-        flows = true;
-        report();
-        exchange.begun(length(), this);
-        exchange.part(body);
-        body = null;
-        exchange.partsRead();
-    }
-
-    private void report() {
-        String load = head.headers().get(LoadReportDecoder.HEADER);
-        if (load != null) {
-            exchange.reported(load);
+        if (message instanceof LastHttpContent && !reader.isInformational()) {
+            endResponse();
         }
     }
 
-    private void answered() {
-        byte[] bytes = flows ? NO_BODY : ByteBufUtil.getBytes(body);
-        int status = head.status().code();
-        AttemptResult result = status == 200
-                ? AttemptResult.OK
-                : (status == 503 || status == 504) && "1".equals(head.headers().get("X-Turned-Away"))
-                        ? AttemptResult.FULL
-                        : AttemptResult.ERROR;
-        report();
-        answered = written && HttpUtil.isKeepAlive(head);
-        if (!answered) {
+    private void endResponse() {
+        byte[] body = reader.bufferedBody();
+        AttemptResult result = reader.result();
+        reader.notifyOfLoadReport();
+        reusable = requestWritten && reader.keepsAlive();
+        if (!reusable) {
             channel.close();
         }
-        end(result, result == AttemptResult.OK ? bytes : NO_BODY);
+        endExchange(result, result == AttemptResult.OK ? body : NO_BODY);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (exchange != null && flows) {
-            exchange.partsRead();
+        if (exchange != null && reader.isStreaming()) {
+            exchange.onResponseReadComplete();
         }
-        // Not before all that came is read: what came behind the answer must not answer the next.
-        if (answered && exchange == null) {
-            answered = false;
+        // Offered only now: were the connection given an exchange before all that has arrived is read, stray bytes
+        // behind the last response would be taken for the next one. They meet no exchange this way and close it.
+        if (reusable && exchange == null) {
+            reusable = false;
             offer();
         }
     }
 
-    /** The answer cannot be used, nor anything behind it. */
+    // ---------------------------------------------------------------- the end of an exchange
+
+    /** The response can't be used, nor anything behind it. */
     private void fail() {
-        answered = false;
+        reusable = false;
         close();
-        end(AttemptResult.RESET, NO_BODY);
+        endExchange(AttemptResult.RESET, NO_BODY);
     }
 
-    private void end(AttemptResult result, byte[] bytes) {
-        UpstreamExchange over = exchange;
-        if (over != null) {
-            home.carried(over);
-            letGo();
-            over.ended(result, bytes);
+    private void endExchange(AttemptResult result, byte[] body) {
+        UpstreamExchange ended = exchange;
+        if (ended != null) {
+            owner.onExchangeEnded(ended);
+            detachExchange();
+            ended.onEnded(result, body);
         }
     }
 
-    /** Carries nothing from now on. */
-    void letGo() {
-        RequestBody upload = exchange.upload();
+    /** Carries nothing from now on; the exchange is not notified. */
+    void detachExchange() {
+        RequestBody streamedBody = exchange.streamedBody();
         exchange = null;
-        head = null;
-        dropBody();
-        flows = false;
+        reader.reset();
         resumeReading();
-        if (upload != null) {
-            upload.stop(this);
+        if (streamedBody != null) {
+            streamedBody.stop(this);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        home.ends(this);
-        end(written ? AttemptResult.RESET : AttemptResult.CONNECT_FAILED, NO_BODY);
+        owner.onClosed(this);
+        endExchange(requestWritten ? AttemptResult.RESET : AttemptResult.CONNECT_FAILED, NO_BODY);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        // An I/O error is the server's; anything else is a programming error.
         if (!(cause instanceof IOException)) {
-            Log.error("upstream_connection_error", cause, "server", home.serverId());
+            Log.error("upstream_connection_error", cause, "server", owner.serverId());
         }
         close();
     }
--- a/node/src/main/java/loadbalancer/upstream/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -8,8 +8,6 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -22,23 +20,30 @@
 import loadbalancer.policy.ServerState;
 import loadbalancer.transfer.TransferLimits;
 
-/** The connections to servers: one exchange at a time on each, the most recently used first. */
+/**
+ * The pool of connections to servers: one exchange at a time on each connection, the most recently used one first.
+ *
+ * <p>Every exchange that is started ends once: in the queue of its server, on its connection, or by {@link #abort},
+ * which hands it back. All methods run on the event loop.
+ */
 public final class ServerPool {
     private static final byte[] NO_BODY = {};
+    private static final long MICROS_PER_MILLI = 1_000;
 
     private final Bootstrap dialer;
     private final EventLoop loop;
     private final SocketBudget sockets;
-    private long connIdleUs;
     private final Clock clock;
-    private final Map<String, Upstream> upstreams = new HashMap<>();
+    private final Map<String, UpstreamServer> servers = new HashMap<>();
     /** The connections that carry an exchange. */
-    private final Map<UpstreamExchange, ServerConnection> carriers = new HashMap<>();
+    private final Map<UpstreamExchange, ServerConnection> active = new HashMap<>();
     /** Servers that get nothing new, whatever the list says of them. */
     private Set<String> cordoned = Set.of();
 
-    /** A pool without servers. */
-    public ServerPool(EventLoop loop, SocketBudget sockets, Clock clock, long connectTimeoutUs, long connIdleUs) {
+    private long idleTimeoutUs;
+
+    /** Creates a pool without servers. */
+    public ServerPool(EventLoop loop, SocketBudget sockets, Clock clock, long connectTimeoutUs, long idleTimeoutUs) {
         this.loop = loop;
         this.sockets = sockets;
         this.clock = clock;
@@ -56,91 +61,25 @@
                         channel.pipeline().addLast(new StrictClientCodec());
                     }
                 });
-        setTimeouts(connectTimeoutUs, connIdleUs);
+        setTimeouts(connectTimeoutUs, idleTimeoutUs);
     }
 
-    /** New connections may take this long to open, and idle ones are closed before the servers do it. */
+    /**
+     * Sets the timeouts from now on.
+     *
+     * @param connectTimeoutUs how long a connection may take to open
+     * @param idleUs for how long servers keep a connection open that is idle
+     */
     public void setTimeouts(long connectTimeoutUs, long idleUs) {
-        dialer.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1_000));
-        connIdleUs = idleUs;
+        dialer.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / MICROS_PER_MILLI));
+        idleTimeoutUs = idleUs;
     }
 
-    /** A server, at the address that discovery last gave. */
-    private final class Upstream implements ServerConnection.Home {
-        private final String id;
-        private final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
-        /** Exchanges for which a connection is being opened; they take the first that is free. */
-        private final ArrayDeque<UpstreamExchange> awaiting = new ArrayDeque<>();
-
-        private InetSocketAddress endpoint;
-        private long startedAtUs;
-        private boolean listedReady;
-        private boolean ready;
-        private int dialing;
-
-        Upstream(String id) {
-            this.id = id;
-        }
-
-        @Override
-        public String serverId() {
-            return id;
-        }
-
-        @Override
-        public boolean wants(InetSocketAddress opened, long openedAtUs) {
-            return ready && opened.equals(endpoint) && openedAtUs >= startedAtUs;
-        }
-
-        @Override
-        public void free(ServerConnection connection) {
-            idle.push(connection);
-            UpstreamExchange next;
-            while ((next = awaiting.poll()) != null && !next.mayBegin()) {
-                next.ended(AttemptResult.CONNECT_FAILED, NO_BODY);
-            }
-            if (next != null) {
-                connection.carry(next);
-            }
-        }
-
-        @Override
-        public void useless() {
-            // Its dial was for one that still waits, perhaps at an address that has changed since.
-            if (ready) {
-                failIfUndialed();
-            }
-        }
-
-        /** One dial was made for each that waits; some may have found a connection that came free. */
-        private void failIfUndialed() {
-            if (awaiting.size() > dialing) {
-                awaiting.poll().ended(AttemptResult.CONNECT_FAILED, NO_BODY);
-            }
-        }
-
-        @Override
-        public void carries(ServerConnection connection, UpstreamExchange exchange) {
-            idle.remove(connection);
-            carriers.put(exchange, connection);
-        }
-
-        @Override
-        public void carried(UpstreamExchange exchange) {
-            carriers.remove(exchange);
-        }
+    // ---------------------------------------------------------------- servers
 
-        @Override
-        public void ends(ServerConnection connection) {
-            idle.remove(connection);
-        }
-    }
-
-    // ---------------------------------------------------------------- the list
-
-    /** Follows the list. Word of a drain takes effect at once, also for what awaits a connection. */
+    /** Follows the endpoint list. A drain takes effect at once, also for exchanges that wait for a connection. */
     public void update(EndpointList list) {
-        Map<String, Upstream> missing = list.all() ? new HashMap<>(upstreams) : Map.of();
+        Map<String, UpstreamServer> missing = list.all() ? new HashMap<>(servers) : Map.of();
         for (EndpointList.Host host : list.hosts()) {
             String id = host.entry().id();
             if (list.all()) {
@@ -148,120 +87,89 @@
             }
             if (host.entry().state() == ServerState.GONE) {
                 remove(id);
-                continue;
-            }
-            Upstream upstream = upstreams.computeIfAbsent(id, Upstream::new);
-            // What was opened to another address, or to a process that has ended, is of no more use: a
-            // request written to it would end as a reset, which may not be repeated.
-            boolean moved =
-                    !host.endpoint().equals(upstream.endpoint) || host.entry().startedAtUs() > upstream.startedAtUs;
-            upstream.endpoint = host.endpoint();
-            upstream.startedAtUs = host.entry().startedAtUs();
-            upstream.listedReady = host.entry().state() == ServerState.READY;
-            upstream.ready = upstream.listedReady && !cordoned.contains(id);
-            if (moved || !upstream.ready) {
-                List.copyOf(upstream.idle).stream().filter(c -> !c.isUsable()).forEach(ServerConnection::close);
-            }
-            if (!upstream.ready) {
-                turnAway(upstream);
+            } else {
+                servers.computeIfAbsent(id, added -> new UpstreamServer(added, active))
+                        .update(host, cordoned.contains(id));
             }
         }
         missing.keySet().forEach(this::remove);
     }
 
+    private void remove(String id) {
+        UpstreamServer server = servers.remove(id);
+        if (server != null) {
+            server.remove();
+        }
+    }
+
     /** How many servers are listed, whatever their state. */
     public int serverCount() {
-        return upstreams.size();
+        return servers.size();
     }
 
-    /** These and no others are kept out by hand: as with a drain, also what awaits a connection is freed. */
+    /** Sets which servers operators keep out; as with a drain, also what waits for a connection to them ends. */
     public void setCordoned(Set<String> ids) {
         cordoned = ids;
-        for (Upstream upstream : upstreams.values()) {
-            upstream.ready = upstream.listedReady && !ids.contains(upstream.id);
-            if (!upstream.ready) {
-                closeAll(upstream.idle);
-                turnAway(upstream);
-            }
+        for (UpstreamServer server : servers.values()) {
+            server.setCordoned(ids.contains(server.id()));
         }
     }
 
-    private void remove(String id) {
-        Upstream upstream = upstreams.remove(id);
-        if (upstream != null) {
-            upstream.ready = false;
-            closeAll(upstream.idle);
-            turnAway(upstream);
-        }
-    }
-
-    /** Ends what awaits a connection to a server that wants nothing new: it never ran. */
-    private static void turnAway(Upstream upstream) {
-        UpstreamExchange exchange;
-        while ((exchange = upstream.awaiting.poll()) != null) {
-            exchange.ended(AttemptResult.MOOT, NO_BODY);
-        }
-    }
-
-    private static void closeAll(ArrayDeque<ServerConnection> idle) {
-        new ArrayList<>(idle).forEach(ServerConnection::close);
-    }
-
     // ---------------------------------------------------------------- exchanges
 
-    /** Starts an exchange; the connection that carries it tells its end. */
+    /** Starts an exchange with a server. It may end before this returns. */
     public void start(String serverId, UpstreamExchange exchange) {
-        Upstream upstream = upstreams.get(serverId);
-        if (upstream == null || !upstream.ready) {
-            exchange.ended(AttemptResult.MOOT, NO_BODY);
+        UpstreamServer server = servers.get(serverId);
+        if (server == null || !server.isReady()) {
+            exchange.onEnded(AttemptResult.MOOT, NO_BODY);
             return;
         }
-        ServerConnection free = upstream.idle.peek();
-        if (free != null) {
-            free.carry(exchange);
+        ServerConnection idle = server.newestIdle();
+        if (idle != null) {
+            idle.start(exchange);
             return;
         }
         if (!sockets.hasRoomForServer() && !closeOldestIdle()) {
-            exchange.ended(AttemptResult.CONNECT_FAILED, NO_BODY);
+            exchange.onEnded(AttemptResult.CONNECT_FAILED, NO_BODY);
             return;
         }
-        upstream.awaiting.add(exchange);
-        dial(upstream);
+        server.await(exchange);
+        dial(server);
     }
 
-    /** Gives an exchange up without telling its end. True if its request may have been written whole. */
-    public boolean giveUp(String serverId, UpstreamExchange exchange) {
-        Upstream upstream = upstreams.get(serverId);
-        if (upstream != null && upstream.awaiting.remove(exchange)) {
+    /** Takes an exchange back without ending it. Returns whether its request may have been written in full. */
+    public boolean abort(String serverId, UpstreamExchange exchange) {
+        UpstreamServer server = servers.get(serverId);
+        if (server != null && server.stopWaiting(exchange)) {
             return false;
         }
-        ServerConnection connection = carriers.remove(exchange);
+        ServerConnection connection = active.remove(exchange);
         if (connection == null) {
             return false;
         }
-        connection.letGo();
+        connection.detachExchange();
         connection.close();
-        return connection.isWritten();
+        return connection.isRequestWritten();
     }
 
-    private void dial(Upstream upstream) {
-        upstream.dialing++;
+    private void dial(UpstreamServer server) {
+        server.dialStarted();
         sockets.opened();
-        InetSocketAddress to = upstream.endpoint;
-        ChannelFuture opening = dialer.connect(to);
+        InetSocketAddress endpoint = server.endpoint();
+        ChannelFuture opening = dialer.connect(endpoint);
         opening.channel().closeFuture().addListener(closed -> sockets.closed());
-        // Also a dial that fails on the spot is heard of from the loop, never from inside this call.
-        opening.addListener(done -> loop.execute(() -> dialed(upstream, to, opening)));
+        // By way of the loop, as a dial that fails on the spot would else end the exchange from inside this call.
+        opening.addListener(done -> loop.execute(() -> dialed(server, endpoint, opening)));
     }
 
-    private void dialed(Upstream upstream, InetSocketAddress to, ChannelFuture opening) {
-        upstream.dialing--;
+    private void dialed(UpstreamServer server, InetSocketAddress endpoint, ChannelFuture opening) {
+        server.dialEnded();
         if (opening.isSuccess()) {
-            ServerConnection connection = new ServerConnection(upstream, to, opening.channel(), clock);
+            ServerConnection connection = new ServerConnection(server, endpoint, opening.channel(), clock);
             opening.channel().pipeline().addLast(connection);
             connection.offer();
         } else {
-            upstream.failIfUndialed();
+            server.failIfUndialed();
         }
     }
 
@@ -269,30 +177,33 @@
 
     /** Closes the idle connections to a server. */
     public void closeIdle(String serverId) {
-        Upstream upstream = upstreams.get(serverId);
-        if (upstream != null) {
-            closeAll(upstream.idle);
+        UpstreamServer server = servers.get(serverId);
+        if (server != null) {
+            server.closeIdle();
         }
     }
 
+    /** Removes all servers: closes idle connections and ends what waits for one. */
     public void close() {
-        List.copyOf(upstreams.keySet()).forEach(this::remove);
+        List.copyOf(servers.keySet()).forEach(this::remove);
     }
 
-    /** Closes what has been idle for half of what servers allow: a request that met their close resets. */
+    /**
+     * Closes the connections that have been idle for half of the idle timeout. A request that is written while the
+     * server closes the connection ends as a reset; the node closes long before the server does, so the two don't
+     * cross.
+     */
     public void evictIdle() {
-        long before = clock.nowUs() - connIdleUs / 2;
-        for (Upstream upstream : upstreams.values()) {
-            while (!upstream.idle.isEmpty() && upstream.idle.peekLast().idleSinceUs() < before) {
-                upstream.idle.peekLast().close();
-            }
+        long beforeUs = clock.nowUs() - idleTimeoutUs / 2;
+        for (UpstreamServer server : servers.values()) {
+            server.evictIdle(beforeUs);
         }
     }
 
     private boolean closeOldestIdle() {
         ServerConnection oldest = null;
-        for (Upstream upstream : upstreams.values()) {
-            ServerConnection last = upstream.idle.peekLast();
+        for (UpstreamServer server : servers.values()) {
+            ServerConnection last = server.oldestIdle();
             if (last != null && (oldest == null || last.idleSinceUs() < oldest.idleSinceUs())) {
                 oldest = last;
             }
--- a/node/src/main/java/loadbalancer/upstream/UpstreamExchange.java
+++ b/node/src/main/java/loadbalancer/upstream/UpstreamExchange.java
@@ -6,32 +6,43 @@
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
 
-/** What is sent to a server and waits for its answer. */
+/**
+ * A message to a server that waits for its response.
+ *
+ * <p>It is pending in one place at a time: in the queue for a connection, or on the connection that carries it. Whoever
+ * has it ends it once, by {@link #onEnded}, unless {@link ServerPool#abort} has taken it back before. All calls are
+ * made on the event loop.
+ */
 public interface UpstreamExchange {
-    /** Whether it may still begin; asked when it has waited for the connection that is to carry it. */
-    boolean mayBegin();
+    /** Whether it may still start; called when it has waited for the connection that is to carry it. */
+    boolean mayStart();
 
-    /** The message; asked for once, when a connection is there to carry it. */
-    FullHttpRequest message();
+    /** Makes the message; called once, when a connection is there to carry it. The caller releases it. */
+    FullHttpRequest createMessage();
 
-    /** What flows behind the message's head in place of a body, or null. */
-    RequestBody upload();
+    /** The body that is streamed behind the message's head, or null where the message has its body. */
+    RequestBody streamedBody();
 
-    /** The message has been written whole. */
-    void written();
+    /** The message has been written in full. */
+    void onRequestWritten();
 
-    /** What the server says of its load, as it is written; told ahead of the end it came with. */
-    void reported(String load);
+    /** The server has sent this load report; called ahead of the end of the response that it came with. */
+    void onLoadReport(String report);
 
-    /** An answer has begun that is too large to be gathered, of this length or of -1 if none is told. */
-    void begun(long length, FlowControl from);
+    /**
+     * A response has started that is too large to be buffered.
+     *
+     * @param length its announced length, or -1 where there is none
+     * @param source pauses and resumes it
+     */
+    void onResponseStarted(long length, FlowControl source);
 
-    /** The next part of such an answer, which is taken over. */
-    void part(ByteBuf part);
+    /** The next part of such a response, which is taken over. */
+    void onResponsePart(ByteBuf part);
 
-    /** No more of it is there for now. */
-    void partsRead();
+    /** All parts that were there to be read have been passed on. */
+    void onResponseReadComplete();
 
-    /** Its one end. The body is the server's where the result is OK and nothing flowed, else empty. */
-    void ended(AttemptResult result, byte[] body);
+    /** Its one end. The body is the server's where the result is OK and nothing was streamed, else empty. */
+    void onEnded(AttemptResult result, byte[] body);
 }
--- a/node/src/main/java/loadbalancer/upstream/package-info.java
+++ b/node/src/main/java/loadbalancer/upstream/package-info.java
@@ -1,2 +1,6 @@
-/** Connections to app servers: the pool, the codec and the load reports that come with answers. */
+/**
+ * Connections to app servers: the pool, one exchange at a time on each connection, and the load reports that come with
+ * responses. It owns those connections. It must not know of clients or of the requests that an exchange belongs to: an
+ * exchange is an interface here.
+ */
 package loadbalancer.upstream;
