--- a/node/src/main/java/loadbalancer/client/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -11,7 +11,7 @@
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 import loadbalancer.common.Log;
-import loadbalancer.eventloop.LoopLag;
+import loadbalancer.eventloop.LoopLagMeter;
 import loadbalancer.transfer.FlowControl;
 
 /**
@@ -34,7 +34,7 @@
     /** The server that has accepted the connection. */
     interface Owner {
         /** How far what is read is behind what has arrived. */
-        LoopLag lag();
+        LoopLagMeter lagMeter();
 
         /** The reader for requests that begin now. */
         RequestReader reader();
@@ -83,8 +83,8 @@
         writer = new ResponseWriter(channel, state, written -> onResponseWritten());
         timeouts = new ConnectionTimeouts(state, assembler, writer);
         lingeringClose = new LingeringClose(channel);
-        acceptedInTurn = owner.lag().turn();
-        openedAtNanos = owner.lag().earliestArrivalNanos();
+        acceptedInTurn = owner.lagMeter().turnNumber();
+        openedAtNanos = owner.lagMeter().earliestArrivalNanos();
     }
 
     /** Whether it is open and nothing is owed on it. One that is being closed is not idle: it frees no room again. */
@@ -148,8 +148,8 @@
 
     /** What is read in the first turn after the accept may have arrived with the connection. */
     private long earliestArrivalNanos() {
-        long arrivedAtNanos = owner.lag().earliestArrivalNanos();
-        boolean arrivedWithConnection = owner.lag().turn() <= acceptedInTurn + 1;
+        long arrivedAtNanos = owner.lagMeter().earliestArrivalNanos();
+        boolean arrivedWithConnection = owner.lagMeter().turnNumber() <= acceptedInTurn + 1;
         return arrivedWithConnection ? Math.min(arrivedAtNanos, openedAtNanos) : arrivedAtNanos;
     }
 
--- a/node/src/main/java/loadbalancer/client/RequestReader.java
+++ b/node/src/main/java/loadbalancer/client/RequestReader.java
@@ -29,11 +29,11 @@
     /** Narrower than {@link Double#parseDouble}, which also reads {@code 1f}, {@code 0x1p3}, NaN and blanks. */
     private static final Pattern DECIMAL = Pattern.compile("[0-9.]{1,20}");
 
-    private final ClassRegistry classes;
+    private final ClassRegistry registry;
 
     /** Creates a reader for the classes and tenants of a configuration. */
-    public RequestReader(ClassRegistry classes) {
-        this.classes = classes;
+    public RequestReader(ClassRegistry registry) {
+        this.registry = registry;
     }
 
     /** Returns path and query of a request target, which a client may write with scheme and host in front. */
@@ -73,7 +73,7 @@
                 requestId,
                 idempotencyKey,
                 classIndex,
-                tenant == null ? UNKNOWN_TENANT : classes.tenants().getOrDefault(tenant, UNKNOWN_TENANT),
+                tenant == null ? UNKNOWN_TENANT : registry.tenantIndices().getOrDefault(tenant, UNKNOWN_TENANT),
                 parseRemainingUs(required(message, ProtocolHeaders.REMAINING_TIME)),
                 parseEstimatedWorkUs(optional(message, ProtocolHeaders.ESTIMATED_WORK)),
                 ProtocolHeaders.TRUE.equals(optional(message, ProtocolHeaders.CLIENT_RETRY)),
@@ -94,8 +94,8 @@
      */
     private int classIndex(String name, HttpMethod method, boolean hasIdempotencyKey) throws BadRequestException {
         boolean anyMethodFits = false;
-        for (int index : classes.asked().getOrDefault(name, Set.of())) {
-            Idempotency idempotency = classes.known().get(index).idempotency();
+        for (int index : registry.acceptedIndices().getOrDefault(name, Set.of())) {
+            Idempotency idempotency = registry.classes().get(index).idempotency();
             boolean methodFits =
                     method.equals(idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST);
             boolean keyFits = (idempotency == Idempotency.IDEMPOTENT_WITH_KEY) == hasIdempotencyKey;
@@ -104,7 +104,7 @@
             }
             anyMethodFits |= methodFits;
         }
-        if (!classes.asked().containsKey(name)) {
+        if (!registry.acceptedIndices().containsKey(name)) {
             throw BadRequestException.unknownClass(ProtocolHeaders.REQUEST_CLASS);
         }
         throw anyMethodFits
--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -12,18 +12,21 @@
 import loadbalancer.admin.ControlServer;
 import loadbalancer.admin.CordonStore;
 import loadbalancer.admin.Metrics;
+import loadbalancer.admin.MetricsRenderer;
+import loadbalancer.admin.NodeOperations;
 import loadbalancer.admin.RejectedCallException;
 import loadbalancer.client.ClientServer;
 import loadbalancer.client.RequestReader;
-import loadbalancer.common.Clock;
 import loadbalancer.common.Log;
+import loadbalancer.common.MonotonicWallClock;
 import loadbalancer.common.SocketBudget;
 import loadbalancer.config.ClassRegistry;
 import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointWatcher;
-import loadbalancer.eventloop.LoopLag;
+import loadbalancer.eventloop.LoopLagMeter;
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.net.SocketAddresses;
 import loadbalancer.policy.Balancer;
@@ -57,10 +60,10 @@
     private static final long LAST_ASKED_US = 800_000;
 
     private final NodeConfig config;
-    private ClassRegistry tuning;
+    private ClassRegistry registry;
     private final MeasuredEventLoop loop;
-    private final Clock clock = new Clock();
-    private final Metrics counters = new Metrics();
+    private final MonotonicWallClock clock = new MonotonicWallClock();
+    private final Metrics metrics = new Metrics();
     private final CordonStore cordons;
     private final ControlServer control;
     private boolean watching;
@@ -89,18 +92,18 @@
         boolean operated = config.operators().control() != null;
         cordons = new CordonStore(operated ? config.operators().folder() : null);
         control = operated ? new ControlServer(loop, new Operators()) : null;
-        counters.report(config.settings().classes);
-        SocketBudget sockets = new SocketBudget(config.sockets(), operated ? ControlServer.SOCKETS : 0);
+        metrics.register(config.settings().classes);
+        SocketBudget sockets = new SocketBudget(config.sockets(), operated ? ControlServer.MAX_SOCKETS : 0);
         pool = new ServerPool(loop, sockets, clock, config.settings().connectTimeoutUs, config.connIdleUs());
-        tuning = ClassRegistry.first(config.settings());
+        registry = ClassRegistry.initial(config.settings());
         means = new RequestServices(
-                loop, clock, pool, counters, config.settings().reportFields, module, new HashSet<>());
-        requests = new RequestTable(means, () -> tuning);
-        clients = new ClientServer(loop, new RequestReader(tuning), sockets, requests);
+                loop, clock, pool, metrics, config.settings().reportFields, module, new HashSet<>());
+        requests = new RequestTable(means, () -> registry);
+        clients = new ClientServer(loop, new RequestReader(registry), sockets, requests);
         discovery = new EndpointWatcher(loop, config, EndpointWatcher.Patience.USUAL, new EndpointWatcher.Listener() {
             @Override
             public void listed(EndpointList list) {
-                list(list, list.all() ? ListKind.FULL : ListKind.CHANGES);
+                list(list, list.full() ? ListKind.FULL : ListKind.CHANGES);
             }
 
             @Override
@@ -154,7 +157,7 @@
                 () -> {
                     long lateUs = clock.nowUs() - housekeptUs - HOUSEKEEPING_MS * 1_000;
                     housekeptUs = clock.nowUs();
-                    LoopLag.Activity activity = loop.lag().takeActivity();
+                    LoopLagMeter.LoopActivity activity = loop.lagMeter().takeLoopActivity();
                     if (lateUs > HELD_UP_US) {
                         Log.warn(
                                 "event_loop_stalled",
@@ -183,7 +186,7 @@
         loop.execute(() -> {
             serves = false;
             Log.info("draining", "open_requests", requests.pendingCount());
-            long remainingUs = Math.min(MOST_DEADLINE_US, tuning.longestDeadlineUs()) + KILL_US - ROOM_US;
+            long remainingUs = Math.min(MOST_DEADLINE_US, registry.longestDeadlineUs()) + KILL_US - ROOM_US;
             requests.setShutdownDeadline(clock.nowUs() + remainingUs);
             loop.schedule(requests::failPending, remainingUs, TimeUnit.MICROSECONDS);
             if (config.operators().inherits()) {
@@ -213,26 +216,27 @@
     // ---------------------------------------------------------------- operators
 
     /** What operators call for. */
-    private final class Operators implements ControlServer.Operated {
+    private final class Operators implements NodeOperations {
         @Override
-        public boolean serves() {
+        public boolean isServing() {
             return serves;
         }
 
         @Override
-        public String figures() {
-            return counters.text(
+        public String metrics() {
+            return MetricsRenderer.render(
+                            metrics,
                             new Metrics.Gauges(requests.pendingCount(), pool.serverCount(), module.excludedServers()))
                     + (moreFigures == null ? "" : moreFigures.get());
         }
 
         @Override
-        public long cordon(String serverId, boolean out) throws RejectedCallException {
-            cordons.change(serverId, out);
-            Log.info(out ? "server_cordoned" : "server_uncordoned", "server", serverId);
+        public long setCordoned(String serverId, boolean cordoned) throws RejectedCallException {
+            cordons.setCordoned(serverId, cordoned);
+            Log.info(cordoned ? "server_cordoned" : "server_uncordoned", "server", serverId);
             Node.this.cordon();
             // The yes binds every process of the node, and another one learns of it by looking.
-            return out && cordons.areShared() ? HEEDED_MS : 0;
+            return cordoned && cordons.isShared() ? HEEDED_MS : 0;
         }
     }
 
@@ -245,8 +249,8 @@
 
     private void cordon() {
         module.submit(balancer -> {
-            pool.setCordoned(cordons.out());
-            balancer.onCordoned(clock.nowUs(), cordons.out());
+            pool.setCordoned(cordons.cordonedIds());
+            balancer.onCordoned(clock.nowUs(), cordons.cordonedIds());
         });
     }
 
@@ -260,16 +264,16 @@
             loop.execute(() -> retune(read));
         } catch (ConfigException e) {
             Log.warn("reload_failed", "reason", e.getMessage());
-            loop.execute(counters::loadFailed);
+            loop.execute(metrics::onConfigRejected);
         }
     }
 
     private void retune(NodeConfig read) {
-        Log.info("reloaded", "discovery", read.discovery() == null ? null : SocketAddresses.text(read.discovery()));
-        counters.loaded();
-        counters.report(read.settings().classes);
-        ClassRegistry next = tuning.then(read.settings());
-        tuning = next;
+        Log.info("reloaded", "discovery", read.discovery() == null ? null : SocketAddresses.format(read.discovery()));
+        metrics.onConfigLoaded();
+        metrics.register(read.settings().classes);
+        ClassRegistry next = registry.reloaded(read.settings());
+        registry = next;
         module.submit(balancer -> balancer.onSettings(clock.nowUs(), next.settings()));
         clients.setRequestReader(new RequestReader(next));
         pool.setTimeouts(next.settings().connectTimeoutUs, read.connIdleUs());
@@ -277,12 +281,12 @@
         loop.schedule(
                 () -> {
                     // Unless another file has been taken since.
-                    if (tuning == next) {
-                        tuning = next.settled();
-                        clients.setRequestReader(new RequestReader(tuning));
+                    if (registry == next) {
+                        registry = next.withoutRetiredClasses();
+                        clients.setRequestReader(new RequestReader(registry));
                     }
                 },
-                next.settlesAfterUs(),
+                next.retirementDelayUs(),
                 TimeUnit.MICROSECONDS);
     }
 
@@ -291,11 +295,11 @@
             // The pool first, as the module sends to new servers at once. What it frees from a draining
             // server is told after the list: the module would else send it there again.
             pool.update(list);
-            cordons.listed(list);
+            cordons.onEndpointList(list);
             balancer.onServers(
                     clock.nowUs(),
                     kind,
-                    list.hosts().stream().map(EndpointList.Host::entry).toList());
+                    list.endpoints().stream().map(Endpoint::server).toList());
         });
     }
 
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.admin.Metrics.Ending;
+import loadbalancer.admin.RequestOutcome;
 import loadbalancer.client.ClientConnection;
 import loadbalancer.client.ClientRequest;
 import loadbalancer.common.Log;
@@ -99,7 +99,7 @@
 
     /** When it arrived, at the earliest: before it was read, where the loop was held up. */
     long arrivedAtUs() {
-        return services.clock().atUs(request.arrivedAtNanos());
+        return services.clock().unixMicrosOf(request.arrivedAtNanos());
     }
 
     long deadlineUs() {
@@ -270,7 +270,7 @@
         } else {
             client.abortResponse();
         }
-        services.metrics().handled(className, complete ? Ending.PASSED : Ending.BAD_GATEWAY);
+        services.metrics().onRequestFinished(className, complete ? RequestOutcome.SERVED : RequestOutcome.FAILED);
         end();
     }
 
@@ -288,16 +288,16 @@
             return;
         }
         end();
-        services.metrics().handled(className, ending(status));
+        services.metrics().onRequestFinished(className, outcome(status));
         client.sendResponse(status, body, retryAfterUs);
         notifyIfFinished();
     }
 
-    private static Ending ending(HttpResponseStatus status) {
+    private static RequestOutcome outcome(HttpResponseStatus status) {
         return switch (status.code()) {
-            case 200 -> Ending.PASSED;
-            case 503 -> Ending.DROPPED;
-            default -> Ending.BAD_GATEWAY;
+            case 200 -> RequestOutcome.SERVED;
+            case 503 -> RequestOutcome.REJECTED;
+            default -> RequestOutcome.FAILED;
         };
     }
 
--- a/node/src/main/java/loadbalancer/request/RequestTable.java
+++ b/node/src/main/java/loadbalancer/request/RequestTable.java
@@ -24,7 +24,7 @@
     private static final long LOGGED_LATENESS_US = 250_000;
 
     private final RequestServices services;
-    private final Supplier<ClassRegistry> classes;
+    private final Supplier<ClassRegistry> registry;
     private final Map<Long, ProxiedRequest> requests = new HashMap<>();
 
     /** How many requests have arrived in full and have not had the end of their final response. */
@@ -33,10 +33,10 @@
     private long lastId;
     private long shutdownDeadlineUs = Long.MAX_VALUE;
 
-    /** @param classes the classes as they are when a request arrives */
-    public RequestTable(RequestServices services, Supplier<ClassRegistry> classes) {
+    /** @param registry the classes as they are when a request arrives */
+    public RequestTable(RequestServices services, Supplier<ClassRegistry> registry) {
         this.services = services;
-        this.classes = classes;
+        this.registry = registry;
     }
 
     /** How many requests have arrived in full and wait for the end of their response. */
@@ -60,13 +60,13 @@
 
     @Override
     public void onRequest(ClientConnection client, ClientRequest arrived) {
-        ClassRegistry current = classes.get();
+        ClassRegistry current = registry.get();
         ClientRequest.Head head = arrived.head();
         ProxiedRequest request = new ProxiedRequest(
                 ++lastId,
                 arrived,
                 client,
-                current.known().get(head.classIndex()).name(),
+                current.classes().get(head.classIndex()).name(),
                 current.settings().maxAttempts,
                 this,
                 services);
--- a/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -146,7 +146,7 @@
 
     @Override
     public void onRequestWritten() {
-        services.metrics().tried();
+        services.metrics().onAttemptWritten();
     }
 
     // ---------------------------------------------------------------- the response
--- a/node/src/main/java/loadbalancer/upstream/ServerConnection.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerConnection.java
@@ -15,8 +15,8 @@
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import loadbalancer.common.Clock;
 import loadbalancer.common.Log;
+import loadbalancer.common.MonotonicWallClock;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
@@ -35,7 +35,7 @@
         String serverId();
 
         /** Whether a connection that was opened to this address at this time may carry anything new. */
-        boolean accepts(InetSocketAddress endpoint, long openedAtUs);
+        boolean accepts(InetSocketAddress address, long openedAtUs);
 
         /** The connection is usable and idle: it may be given an exchange at once. */
         void onIdle(ServerConnection connection);
@@ -56,9 +56,9 @@
     private static final byte[] NO_BODY = {};
 
     private final Owner owner;
-    private final InetSocketAddress endpoint;
+    private final InetSocketAddress address;
     private final Channel channel;
-    private final Clock clock;
+    private final MonotonicWallClock clock;
     private final ResponseReader reader;
     private final long openedAtUs;
     private long idleSinceUs;
@@ -74,9 +74,9 @@
     /** Whether its exchange has ended such that it can carry another, once all that has arrived is read. */
     private boolean reusable;
 
-    ServerConnection(Owner owner, InetSocketAddress endpoint, Channel channel, Clock clock) {
+    ServerConnection(Owner owner, InetSocketAddress address, Channel channel, MonotonicWallClock clock) {
         this.owner = owner;
-        this.endpoint = endpoint;
+        this.address = address;
         this.channel = channel;
         this.clock = clock;
         reader = new ResponseReader(channel.eventLoop(), this);
@@ -93,7 +93,7 @@
     }
 
     boolean isUsable() {
-        return channel.isActive() && owner.accepts(endpoint, openedAtUs);
+        return channel.isActive() && owner.accepts(address, openedAtUs);
     }
 
     /** Gives the connection to its owner if it is usable, else closes it. */
--- a/node/src/main/java/loadbalancer/upstream/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -12,8 +12,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.common.Clock;
+import loadbalancer.common.MonotonicWallClock;
 import loadbalancer.common.SocketBudget;
+import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.http.StrictClientCodec;
 import loadbalancer.policy.AttemptResult;
@@ -33,7 +34,7 @@
     private final Bootstrap dialer;
     private final EventLoop loop;
     private final SocketBudget sockets;
-    private final Clock clock;
+    private final MonotonicWallClock clock;
     private final Map<String, UpstreamServer> servers = new HashMap<>();
     /** The connections that carry an exchange. */
     private final Map<UpstreamExchange, ServerConnection> active = new HashMap<>();
@@ -43,7 +44,8 @@
     private long idleTimeoutUs;
 
     /** Creates a pool without servers. */
-    public ServerPool(EventLoop loop, SocketBudget sockets, Clock clock, long connectTimeoutUs, long idleTimeoutUs) {
+    public ServerPool(
+            EventLoop loop, SocketBudget sockets, MonotonicWallClock clock, long connectTimeoutUs, long idleTimeoutUs) {
         this.loop = loop;
         this.sockets = sockets;
         this.clock = clock;
@@ -79,17 +81,17 @@
 
     /** Follows the endpoint list. A drain takes effect at once, also for exchanges that wait for a connection. */
     public void update(EndpointList list) {
-        Map<String, UpstreamServer> missing = list.all() ? new HashMap<>(servers) : Map.of();
-        for (EndpointList.Host host : list.hosts()) {
-            String id = host.entry().id();
-            if (list.all()) {
+        Map<String, UpstreamServer> missing = list.full() ? new HashMap<>(servers) : Map.of();
+        for (Endpoint endpoint : list.endpoints()) {
+            String id = endpoint.server().id();
+            if (list.full()) {
                 missing.remove(id);
             }
-            if (host.entry().state() == ServerState.GONE) {
+            if (endpoint.server().state() == ServerState.GONE) {
                 remove(id);
             } else {
                 servers.computeIfAbsent(id, added -> new UpstreamServer(added, active))
-                        .update(host, cordoned.contains(id));
+                        .update(endpoint, cordoned.contains(id));
             }
         }
         missing.keySet().forEach(this::remove);
@@ -154,18 +156,18 @@
 
     private void dial(UpstreamServer server) {
         server.dialStarted();
-        sockets.opened();
-        InetSocketAddress endpoint = server.endpoint();
-        ChannelFuture opening = dialer.connect(endpoint);
-        opening.channel().closeFuture().addListener(closed -> sockets.closed());
+        sockets.serverOpened();
+        InetSocketAddress address = server.address();
+        ChannelFuture opening = dialer.connect(address);
+        opening.channel().closeFuture().addListener(closed -> sockets.serverClosed());
         // By way of the loop, as a dial that fails on the spot would else end the exchange from inside this call.
-        opening.addListener(done -> loop.execute(() -> dialed(server, endpoint, opening)));
+        opening.addListener(done -> loop.execute(() -> dialed(server, address, opening)));
     }
 
-    private void dialed(UpstreamServer server, InetSocketAddress endpoint, ChannelFuture opening) {
+    private void dialed(UpstreamServer server, InetSocketAddress address, ChannelFuture opening) {
         server.dialEnded();
         if (opening.isSuccess()) {
-            ServerConnection connection = new ServerConnection(server, endpoint, opening.channel(), clock);
+            ServerConnection connection = new ServerConnection(server, address, opening.channel(), clock);
             opening.channel().pipeline().addLast(connection);
             connection.offer();
         } else {
--- a/node/src/main/java/loadbalancer/upstream/UpstreamServer.java
+++ b/node/src/main/java/loadbalancer/upstream/UpstreamServer.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.Endpoint;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.ServerState;
 
@@ -26,7 +26,7 @@
     private final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
     private final ArrayDeque<UpstreamExchange> waiting = new ArrayDeque<>();
 
-    private InetSocketAddress endpoint;
+    private InetSocketAddress address;
     private long startedAtUs;
     private boolean listedReady;
     private boolean ready;
@@ -40,13 +40,13 @@
     // ---------------------------------------------------------------- what is known of it
 
     /** Takes over what the endpoint list says. */
-    void update(EndpointList.Host host, boolean cordoned) {
+    void update(Endpoint listed, boolean cordoned) {
         // A connection to another address, or to a process that has ended, is of no more use: a request that is
         // written to it would end as a reset, after which a non-idempotent request may not be retried.
-        boolean moved = !host.endpoint().equals(endpoint) || host.entry().startedAtUs() > startedAtUs;
-        endpoint = host.endpoint();
-        startedAtUs = host.entry().startedAtUs();
-        listedReady = host.entry().state() == ServerState.READY;
+        boolean moved = !listed.address().equals(address) || listed.server().startedAtUs() > startedAtUs;
+        address = listed.address();
+        startedAtUs = listed.server().startedAtUs();
+        listedReady = listed.server().state() == ServerState.READY;
         ready = listedReady && !cordoned;
         if (moved || !ready) {
             List.copyOf(idle).stream()
@@ -83,8 +83,8 @@
         return id;
     }
 
-    InetSocketAddress endpoint() {
-        return endpoint;
+    InetSocketAddress address() {
+        return address;
     }
 
     /** Ends what waits for a connection to a server that takes nothing new: it has never run. */
@@ -157,7 +157,7 @@
 
     @Override
     public boolean accepts(InetSocketAddress openedTo, long openedAtUs) {
-        return ready && openedTo.equals(endpoint) && openedAtUs >= startedAtUs;
+        return ready && openedTo.equals(address) && openedAtUs >= startedAtUs;
     }
 
     @Override
--- a/node/src/test/java/loadbalancer/client/RequestReaderTest.java
+++ b/node/src/test/java/loadbalancer/client/RequestReaderTest.java
@@ -30,7 +30,7 @@
         for (String field : fields.split("\\|")) {
             request.headers().add(field.substring(0, field.indexOf(':')), field.substring(field.indexOf(':') + 1));
         }
-        return new RequestReader(ClassRegistry.first(settings)).read(request);
+        return new RequestReader(ClassRegistry.initial(settings)).read(request);
     }
 
     @Test
