--- /dev/null
+++ b/node/src/main/java/loadbalancer/policy/AttemptId.java
@@ -0,0 +1,4 @@
+package loadbalancer.policy;
+
+/** One attempt of a request. */
+record AttemptId(PendingRequest request, int attempt) {}
