--- a/node/src/main/java/loadbalancer/policy/PendingRequestFactory.java
+++ b/node/src/main/java/loadbalancer/policy/PendingRequestFactory.java
@@ -58,8 +58,8 @@
         if (!request.retry() || first.us <= 0) {
             first.us = Math.max(request.remainingUs(), first.us / REMAINING_TIME_DRIFT);
         }
-        boolean hasRestOfWholeTime = request.retry()
+        boolean showsElapsedTime = request.retry()
                 && Math.abs(request.remainingUs() - first.us) > REMAINING_TIME_SLACK * requestClass.deadlineUs();
-        return hasRestOfWholeTime ? Math.max(0, requestClass.deadlineUs() - request.remainingUs()) : 0;
+        return showsElapsedTime ? Math.max(0, requestClass.deadlineUs() - request.remainingUs()) : 0;
     }
 }
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -32,7 +32,7 @@
     private static final long MIN_SWEEP_US = 5_000;
     /** Share of a new value in a running mean, and in that of timely answers, which follows a jam. */
     private static final double TIMELY_GAIN = 1.0 / 8;
-    /** Share of timely answers under which a sparse node throttles, but for a part to learn of recovery. */
+    /** Share of timely answers under which a state.manyNodesPerServer node throttles, but for a part to learn of recovery. */
     private static final double THROTTLED_AT = 0.7;
 
     private static final double LEAST_ADMITTED = 0.05;
@@ -46,7 +46,7 @@
     private static final double FIRST_WARM_LIMIT = 64;
     /** Answers slower than this share of the aim say that a server is crowded: the rest is for chance. */
     private static final double CROWDED_AT = 0.35;
-    /** The same at a sparse node: what many send evens out badly, so servers with room are slow at times. */
+    /** The same at a state.manyNodesPerServer node: what many send evens out badly, so servers with room are slow at times. */
     private static final double SPARSE_CROWDED_AT = 0.7;
     /** Part of that growth that stays while half of the answers come late: some must, or none comes back. */
     private static final double LEAST_GROWTH = 0.1;
@@ -108,7 +108,7 @@
 
     /** Nodes that share a server in a large fleet: enough to even out what they send, few enough to learn. */
     private static final int SHARERS = 24;
-    /** Nodes that share a server from which on a node counts as sparse: with fewer it lost more. */
+    /** Nodes that share a server from which on a node counts as state.manyNodesPerServer: with fewer it lost more. */
     private static final double SPARSE_FROM = 20;
     /** Least servers that a node uses, where there are as many: one may fail and one hang. */
     private static final int LEAST_IN_USE = 4;
@@ -121,28 +121,20 @@
 
     private static final int KEYS_SWEPT = 64;
 
-    private BalancerSettings set;
+    private final BalancerState state = new BalancerState();
     private final BalancerActions out;
     private final SplittableRandom random;
     private long sweepUs;
     private double limitStep;
     private double limitCut;
-    /** Whether so many nodes share a server that own requests in flight tell little of its load. */
-    private boolean sparse;
 
     private double timely = 0.75;
 
     private final Map<String, ServerRecord> byId = new HashMap<>();
     private final Set<ServerRecord> listed = new LinkedHashSet<>();
-    /** The servers in use: all that are ready, or this node's part of them in a large fleet. */
-    private ServerRecord[] ready = new ServerRecord[0];
 
     private Map<String, Long> cordons = Map.of();
-    private double sharers;
     private int nearSize;
-    private WeightedServers everywhere = new WeightedServers(ready, new ServerRecord[0]);
-    private WeightedServers nearby = everywhere;
-    private boolean weightsStale;
     private double largestEffect = 1;
     private final List<ServerRecord> ejected = new ArrayList<>();
     private double hedgesLeft = MOST_HEDGES;
@@ -158,9 +150,6 @@
     private final PerClass<ClassLatency> latencies = new PerClass<>(ClassLatency::new);
     private final PerClass<ArrayDeque<AttemptId>> watched = new PerClass<>(ArrayDeque::new);
     private final PendingRequestFactory requestFactory = new PendingRequestFactory();
-    private int inFlight;
-    private double limits;
-    private double heldByAll;
     private final int heldField;
     private double leastAimUs;
     private double heldCostUs;
@@ -174,22 +163,22 @@
         random = new SplittableRandom(seed);
         heldField = settings.reportFields.indexOf(LoadReportField.IN_FLIGHT);
         follow(settings);
-        shareAmong(set.nodes);
+        shareAmong(state.settings.nodes);
     }
 
     private void follow(BalancerSettings settings) {
         settings.validate();
-        set = settings;
-        sweepUs = Math.max(MIN_SWEEP_US, 2 * set.tickUs);
-        leastAimUs = set.classes.stream()
+        state.settings = settings;
+        sweepUs = Math.max(MIN_SWEEP_US, 2 * state.settings.tickUs);
+        leastAimUs = state.settings.classes.stream()
                 .filter(c -> c.priorityWeight() > 0)
                 .mapToLong(RequestClass::latencyObjectiveUs)
                 .min()
                 .orElse(0);
-        latencies.extendTo(set.classes);
-        watched.extendTo(set.classes);
-        requestFactory.addClasses(set.classes);
-        byId.values().forEach(server -> server.classHealth.extendTo(set.classes));
+        latencies.extendTo(state.settings.classes);
+        watched.extendTo(state.settings.classes);
+        requestFactory.addClasses(state.settings.classes);
+        byId.values().forEach(server -> server.classHealth.extendTo(state.settings.classes));
     }
 
     @Override
@@ -201,12 +190,12 @@
     }
 
     private void shareAmong(double nodes) {
-        sharers = nodes;
+        state.nodesPerServer = nodes;
         // Both by the same factor: for all nodes together the balance between step and cut stays.
         double pace = Math.pow(nodes, LEARN_BY_NODES);
         limitStep = LIMIT_STEP / pace;
         limitCut = 1 - Math.pow(1 - LIMIT_CUT, pace);
-        sparse = nodes > SPARSE_FROM;
+        state.manyNodesPerServer = nodes > SPARSE_FROM;
     }
 
     // ---------------------------------------------------------------- the server list
@@ -220,7 +209,7 @@
         }
         for (ServerEntry entry : entries) {
             ServerRecord server = byId.computeIfAbsent(entry.id(), ServerRecord::new);
-            server.classHealth.extendTo(set.classes);
+            server.classHealth.extendTo(state.settings.classes);
             if (entry.state() == ServerState.GONE) {
                 listed.remove(server);
             } else {
@@ -240,7 +229,7 @@
         if (kind != ListKind.CACHED) {
             askListAt = Long.MAX_VALUE;
             listBackoffUs = LIST_BACKOFF_US;
-        } else if (set.pollsEndpointList) {
+        } else if (state.settings.pollsEndpointList) {
             askForList();
         }
         carryOn();
@@ -267,37 +256,38 @@
     }
 
     private void chooseServers() {
-        ServerRecord[] before = ready;
+        ServerRecord[] before = state.servers;
         // Gaps are counted from the first list on, not from the start of the clock.
         lastServedAt = lastServedAt == 0 ? now : lastServedAt;
-        ready = inUse(listed.stream()
+        state.servers = inUse(listed.stream()
                 .filter(s -> s.state == ServerState.READY && !cordons.containsKey(s.id))
                 .toArray(ServerRecord[]::new));
         Arrays.stream(before).forEach(server -> server.inUse = false);
-        for (int i = 0; i < ready.length; i++) {
-            ready[i].position = i;
-            ready[i].inUse = true;
+        for (int i = 0; i < state.servers.length; i++) {
+            state.servers[i].position = i;
+            state.servers[i].inUse = true;
             // Not before it is known how many nodes share it. Where keys are warm, what a server can hold
             // depends on the keys it knows: the first cut shows it. A cold one knows none; it gets too little
             // to be cut before it is warm, and then all nodes fill it.
-            ready[i].limit = ready[i].limit != 0
-                    ? ready[i].limit
-                    : (set.keyAffinity && !isCold(ready[i]) ? FIRST_WARM_LIMIT : FIRST_LIMIT) / sharers;
-            if (isCold(ready[i]) && ready[i].warmUpSlotAtUs == 0) {
+            state.servers[i].limit = state.servers[i].limit != 0
+                    ? state.servers[i].limit
+                    : (state.settings.keyAffinity && !isCold(state.servers[i]) ? FIRST_WARM_LIMIT : FIRST_LIMIT)
+                            / state.nodesPerServer;
+            if (isCold(state.servers[i]) && state.servers[i].warmUpSlotAtUs == 0) {
                 // All nodes hear of a start at once: their first sends together would be a burst.
-                ready[i].warmUpSlotAtUs = now - (long) (random.nextDouble() * coldGap(ready[i]));
+                state.servers[i].warmUpSlotAtUs = now - (long) (random.nextDouble() * coldGap(state.servers[i]));
             }
         }
         Arrays.stream(before).forEach(this::closeIfUnused);
-        everywhere = weighted(ready);
-        nearby = set.crossZoneCost == 0
-                ? everywhere
-                : weighted(Arrays.stream(ready).filter(this::isNear).toArray(ServerRecord[]::new));
+        state.allServers = weighted(state.servers);
+        state.localServers = state.settings.crossZoneCost == 0
+                ? state.allServers
+                : weighted(Arrays.stream(state.servers).filter(this::isNear).toArray(ServerRecord[]::new));
         countReady();
     }
 
     private WeightedServers weighted(ServerRecord[] servers) {
-        ServerRecord[] keyPlaces = !set.keyAffinity || servers.length == 0
+        ServerRecord[] keyPlaces = !state.settings.keyAffinity || servers.length == 0
                 ? new ServerRecord[0]
                 : MaglevTable.build(servers, KEY_PLACES * Integer.highestOneBit(servers.length), 1);
         return new WeightedServers(servers, keyPlaces);
@@ -305,7 +295,7 @@
 
     private void leave(ServerRecord server) {
         server.inFlight--;
-        inFlight -= isCounted(server) ? 1 : 0;
+        state.totalInFlight -= state.isCounted(server) ? 1 : 0;
         closeIfUnused(server);
     }
 
@@ -321,18 +311,18 @@
      * every node then keeps to a part of the servers, near ones first where crossing zones costs. */
     private ServerRecord[] inUse(ServerRecord[] all) {
         Set<ServerRecord> used = new HashSet<>(part(all));
-        shareAmong(Math.max(1, (double) set.nodes * used.size() / Math.max(1, all.length)));
+        shareAmong(Math.max(1, (double) state.settings.nodes * used.size() / Math.max(1, all.length)));
         return Arrays.stream(all).filter(used::contains).toArray(ServerRecord[]::new);
     }
 
     private List<ServerRecord> part(ServerRecord[] all) {
-        int zones = set.crossZoneCost == 0 ? 1 : Math.max(1, set.zones.size());
+        int zones = state.settings.crossZoneCost == 0 ? 1 : Math.max(1, state.settings.zones.size());
         ServerRecord[] near =
                 Arrays.stream(all).filter(s -> zones == 1 || isNear(s)).toArray(ServerRecord[]::new);
         ServerRecord[] far =
                 Arrays.stream(all).filter(s -> zones > 1 && !isNear(s)).toArray(ServerRecord[]::new);
-        int nearUsed = partOf(near.length, (double) set.nodes / zones, zones == 1 ? 2 : 1);
-        int farUsed = partOf(far.length, set.nodes, 1);
+        int nearUsed = partOf(near.length, (double) state.settings.nodes / zones, zones == 1 ? 2 : 1);
+        int farUsed = partOf(far.length, state.settings.nodes, 1);
         if (nearUsed == near.length && farUsed == far.length) {
             return Arrays.asList(all);
         }
@@ -344,7 +334,7 @@
     }
 
     private boolean isNear(ServerRecord server) {
-        return server.zone == set.localZone;
+        return server.zone == state.settings.localZone;
     }
 
     private static int partOf(int servers, double nodes, int atLeast) {
@@ -361,11 +351,11 @@
             return Arrays.asList(from);
         }
         int rows = 1;
-        while (2 * rows <= set.nodes && rows * size < ROW_PLACES * from.length) {
+        while (2 * rows <= state.settings.nodes && rows * size < ROW_PLACES * from.length) {
             rows *= 2;
         }
         ServerRecord[] table = MaglevTable.build(from, rows * size, size);
-        int first = set.nodeIndex % rows * size;
+        int first = state.settings.nodeIndex % rows * size;
         return Arrays.stream(table, first, first + size)
                 .filter(Objects::nonNull)
                 .toList();
@@ -374,17 +364,17 @@
     @Override
     public void onListFailed(long nowUs) {
         now = nowUs;
-        if (set.pollsEndpointList) {
+        if (state.settings.pollsEndpointList) {
             // Jittered backoff: nodes that failed together must not ask together again.
             askListAt = now + listBackoffUs / 2 + random.nextLong(listBackoffUs);
-            listBackoffUs = Math.min(2 * listBackoffUs, Math.max(1, set.pollIntervalUs / 4));
+            listBackoffUs = Math.min(2 * listBackoffUs, Math.max(1, state.settings.pollIntervalUs / 4));
             scheduleWake();
         }
     }
 
     private void askForList() {
         out.subscribe();
-        askListAt = now + Math.max(1, set.pollIntervalUs / 2);
+        askListAt = now + Math.max(1, state.settings.pollIntervalUs / 2);
     }
 
     // ---------------------------------------------------------------- requests and outcomes
@@ -393,15 +383,15 @@
     public void onRequest(long nowUs, BalancerRequest arrival) {
         now = nowUs;
         if (arrival.classIndex() < 0
-                || arrival.classIndex() >= set.classes.size()
-                || arrival.tenant() >= set.tenants.size()
+                || arrival.classIndex() >= state.settings.classes.size()
+                || arrival.tenant() >= state.settings.tenants.size()
                 || requests.containsKey(arrival.id())) {
             throw new IllegalArgumentException("unknown class or tenant, or an id that is held: " + arrival);
         }
-        PendingRequest request = requestFactory.create(arrival, set, now);
+        PendingRequest request = requestFactory.create(arrival, state.settings, now);
         requests.put(arrival.id(), request);
         request.value = forItsWork(request.requestClass.priorityWeight(), arrival.classIndex());
-        boolean turnedDown = sparse && random.nextDouble() >= admitted(request);
+        boolean turnedDown = state.manyNodesPerServer && random.nextDouble() >= admitted(request);
         // Nobody waits for the same server, or those who do are tried with each answer.
         boolean first = !turnedDown && (waiting.isEmpty() || request.hasKey() && !isLate(request));
         ServerRecord server = first && now < request.deadlineAtUs ? drawForFirstTry(request) : null;
@@ -435,7 +425,10 @@
         ServerHealth ofClass = server.classHealth.get(request.classIndex);
         if (result == AttemptResult.OK) {
             succeeded(
-                    server, ofClass, sparse && latencies.get(request.classIndex).isSlow(outcome.latencyUs()));
+                    server,
+                    ofClass,
+                    state.manyNodesPerServer
+                            && latencies.get(request.classIndex).isSlow(outcome.latencyUs()));
         } else if (result != AttemptResult.CANCELLED
                 && result != AttemptResult.MOOT
                 && !request.countedAsFailure[attempt]) {
@@ -524,7 +517,7 @@
     private void failed(ServerRecord server, ServerHealth ofClass, boolean ill) {
         server.errors++;
         server.lastAttemptAnswered = false;
-        weightsStale = true;
+        state.weightsStale = true;
         for (ServerHealth health : ill ? new ServerHealth[] {server.health, ofClass} : new ServerHealth[0]) {
             health.history = health.history << 1 | 1;
             health.trialsSucceeded = 0;
@@ -575,14 +568,15 @@
             }
         }
         if (!server.health.ejected) {
-            // Exception, slow answers: at a sparse node an answer slower than most of its class adds an error
+            // Exception, slow answers: at a state.manyNodesPerServer node an answer slower than most of its class adds
+            // an error
             // and any other takes one off, so the weights settle where all servers are about equally quick.
-            int errors = !sparse
+            int errors = !state.manyNodesPerServer
                     ? 0
                     : slow
                             ? Math.max(server.errors, Math.min(MOST_SLOW, server.errors + 1))
                             : Math.max(0, server.errors - 1);
-            weightsStale |= errors != server.errors;
+            state.weightsStale |= errors != server.errors;
             server.errors = errors;
         }
     }
@@ -600,7 +594,7 @@
             long many = ejected.stream()
                     .filter(s -> (c < 0 ? s.health : s.classHealth.get(c)).ejected)
                     .count();
-            if (2 * (many + 1) > ready.length) {
+            if (2 * (many + 1) > state.servers.length) {
                 return;
             }
             health.ejected = true;
@@ -613,7 +607,7 @@
     }
 
     private String className(ServerRecord server, ServerHealth ofClass) {
-        return set.classes.get(server.classHealth.indexOf(ofClass)).name();
+        return state.settings.classes.get(server.classHealth.indexOf(ofClass)).name();
     }
 
     /** Its last answers stand: until its failures among them are made up for, the next ejects it again. */
@@ -629,7 +623,7 @@
             restore(server.classHealth.get(c));
         }
         // What comes back may be a new process that the list is yet to tell of: with little, as a cold one.
-        server.limit = FIRST_LIMIT / sharers;
+        server.limit = FIRST_LIMIT / state.nodesPerServer;
         server.reportedLoad = 0;
         server.reportedAtUs = 0;
     }
@@ -677,29 +671,17 @@
         return null;
     }
 
-    /** Counts the servers in use anew: what hangs at one ejected or gone must not hold back the others. */
+    /** Counts the servers in use anew. */
     private void countReady() {
-        weightsStale = true;
-        limits = 0;
-        inFlight = 0;
-        heldByAll = 0;
+        state.recount();
         ejected.clear();
-        for (ServerRecord server : ready) {
-            if (isCounted(server)) {
-                limits += server.limit;
-                inFlight += server.inFlight;
-                heldByAll += server.reportedLoad;
-            }
+        for (ServerRecord server : state.servers) {
             if (server.health.ejected || isEjectedForAnyClass(server)) {
                 ejected.add(server);
             }
         }
     }
 
-    private static boolean isCounted(ServerRecord server) {
-        return server.inUse && !server.health.ejected;
-    }
-
     // ---------------------------------------------------------------- draws
 
     /** Two draws by weight; the one with fewer own requests in flight, ties at random. */
@@ -709,11 +691,12 @@
             trialsLeft--;
             return due;
         }
-        ServerRecord server = drawTwo(request, nearby);
+        ServerRecord server = drawTwo(request, state.localServers);
         // Exception, zones: where crossing costs, both draws are local, and two more from all servers win
         // only if the local choice is crowded, fails, or has at least two requests more in flight.
-        if (nearby != everywhere && (server == null || server.inFlight >= SPILL_AT || server.errors > 0)) {
-            ServerRecord other = drawTwo(request, everywhere);
+        if (state.localServers != state.allServers
+                && (server == null || server.inFlight >= SPILL_AT || server.errors > 0)) {
+            ServerRecord other = drawTwo(request, state.allServers);
             server = server == null
                             || other != null
                                     && (other.inFlight + SPILL_AT <= server.inFlight || other.errors < server.errors)
@@ -736,7 +719,7 @@
     /** One draw by weight among the servers that may be sent to, but for {@code except}; null if none may. */
     private ServerRecord draw(PendingRequest request, WeightedServers from, ServerRecord except) {
         ServerRecord[] servers = from.servers;
-        if (weightsStale) {
+        if (state.weightsStale) {
             weigh();
         }
         if (request.hasKey()) {
@@ -779,11 +762,14 @@
 
     /** The paper's weights, worked out anew only when a count or the list has changed. */
     private void weigh() {
-        int most = Arrays.stream(ready).mapToInt(server -> server.errors).max().orElse(0);
+        int most = Arrays.stream(state.servers)
+                .mapToInt(server -> server.errors)
+                .max()
+                .orElse(0);
         largestEffect = Math.floor(Math.pow(1 + most, 1.5));
-        sumUp(everywhere);
-        sumUp(nearby);
-        weightsStale = false;
+        sumUp(state.allServers);
+        sumUp(state.localServers);
+        state.weightsStale = false;
     }
 
     private void sumUp(WeightedServers pool) {
@@ -811,10 +797,10 @@
     private ServerRecord nextInTurn(PendingRequest request, ServerRecord failed) {
         List<ServerRecord> tried = Arrays.asList(request.servers);
         if (request.hasKey() && request.bindingAttempt() < 0) {
-            return drawByKey(request, everywhere, tried);
+            return drawByKey(request, state.allServers, tried);
         }
-        for (int i = 1; i <= ready.length; i++) {
-            ServerRecord next = ready[(failed.position + i) % ready.length];
+        for (int i = 1; i <= state.servers.length; i++) {
+            ServerRecord next = state.servers[(failed.position + i) % state.servers.length];
             if (!tried.contains(next) && maySend(request, next)) {
                 return next;
             }
@@ -850,7 +836,7 @@
     private long silentAfter(int classIndex) {
         return !latencies.get(classIndex).isKnown()
                 ? Long.MAX_VALUE / 4
-                : (long) (SILENT_BY * latencies.get(classIndex).meanUs()) + 2 * set.tickUs;
+                : (long) (SILENT_BY * latencies.get(classIndex).meanUs()) + 2 * state.settings.tickUs;
     }
 
     private void foundSilent(PendingRequest request, int attempt) {
@@ -860,7 +846,11 @@
             request.countedAsFailure[attempt] = true;
             failed(server, ofClass, true);
         }
-        if (set.hedging && !request.isQueued() && hedgesLeft >= 1 && mayTryAgain(request) && request.outstanding == 1) {
+        if (state.settings.hedging
+                && !request.isQueued()
+                && hedgesLeft >= 1
+                && mayTryAgain(request)
+                && request.outstanding == 1) {
             ServerRecord next = nextInTurn(request, server);
             if (next != null) {
                 hedgesLeft--;
@@ -881,7 +871,7 @@
         waiting.add(at, request);
         // Clients would soon find no connection to ask on: what is worth least makes room.
         PendingRequest least = waiting.get(waiting.size() - 1);
-        if (least.isQueued() && waiting.size() + inFlight > set.maxOpen) {
+        if (least.isQueued() && waiting.size() + state.totalInFlight > state.settings.maxOpen) {
             giveUp(least);
         }
     }
@@ -905,7 +895,7 @@
                 continue;
             }
             boolean late = isLate(request);
-            if (request.deadlineAtUs - now <= sweepUs + set.tickUs
+            if (request.deadlineAtUs - now <= sweepUs + state.settings.tickUs
                     || late && request.requestClass.lateWeight() == 0
                     || !mayTryAgain(request)) {
                 giveUp(request);
@@ -941,7 +931,7 @@
 
     /** What a request earns for its work, by which the queue is ordered: worth over usual latency. */
     private double forItsWork(double worth, int classIndex) {
-        return set.weightByWork
+        return state.settings.weightByWork
                 ? worth
                 : worth / Math.max(1, latencies.get(classIndex).meanUs());
     }
@@ -969,11 +959,13 @@
             known.record(outcome.latencyUs());
         }
         if (ok || left) {
-            boolean patient = set.keyAffinity || sparse && known.hasLeastMean();
+            boolean patient = state.settings.keyAffinity || state.manyNodesPerServer && known.hasLeastMean();
             double crowded = Math.min(
                     (patient ? SPARSE_CROWDED_AT : CROWDED_AT) * request.latencyObjectiveUs,
-                    set.keyAffinity ? Double.MAX_VALUE : (sparse ? 2 : 1) * CROWDED_BY * known.leastMeanUs());
-            double rank = sparse ? rank(request) : 1;
+                    state.settings.keyAffinity
+                            ? Double.MAX_VALUE
+                            : (state.manyNodesPerServer ? 2 : 1) * CROWDED_BY * known.leastMeanUs());
+            double rank = state.manyNodesPerServer ? rank(request) : 1;
             // Or what it holds says that a request of the class with the shortest aim would be late there.
             if (outcome.latencyUs() > crowded
                     || server.reportedAtUs == now && (server.reportedLoad + 1) * heldCostUs > HELD_AT * leastAimUs) {
@@ -982,22 +974,22 @@
                 // A cold server gets little and is quick with it: were its limit to pass the others', all
                 // nodes together would choke it as soon as slow start lets go.
                 // While answers come late everywhere, one in time says little: growth would hold the jam.
-                double ease = set.keyAffinity ? 1 : Math.max(LEAST_GROWTH, 2 * timely - 1);
+                double ease = state.settings.keyAffinity ? 1 : Math.max(LEAST_GROWTH, 2 * timely - 1);
                 server.limit += server.limitReachedAtUs >= request.sentAtUs[attempt]
-                                && (!isCold(server) || server.limit * ready.length < limits)
+                                && (!isCold(server) || server.limit * state.servers.length < state.totalLimit)
                         ? limitStep * rank * ease
                         : 0;
             }
         } else if (late) {
             // Where keys are warm a full server is cut to what it held: less would send its keys elsewhere.
-            cutLimit(request, attempt, set.keyAffinity && result == AttemptResult.FULL ? 0 : LIMIT_HARD_CUT);
+            cutLimit(request, attempt, state.settings.keyAffinity && result == AttemptResult.FULL ? 0 : LIMIT_HARD_CUT);
         }
         if (server.limit < 1) {
             // A part of a place is kept by time: in flight for that part of it only.
             server.pauseUs = Math.min(MOST_REST_US, (long) (outcome.latencyUs() / server.limit));
             server.pausedUntilUs = Math.max(server.pausedUntilUs, request.sentAtUs[attempt]) + server.pauseUs;
         }
-        limits += isCounted(server) ? server.limit - before : 0;
+        state.totalLimit += state.isCounted(server) ? server.limit - before : 0;
     }
 
     /** One cut for all that was sent before the last one. */
@@ -1005,8 +997,8 @@
         ServerRecord server = request.servers[attempt];
         if (request.sentAtUs[attempt] >= server.limitCutAtUs) {
             // A limit that was never met says nothing of what the server held.
-            double from = set.keyAffinity ? Math.min(server.limit, server.inFlight + 1) : server.limit;
-            server.limit = Math.max(1.0 / sharers, from * (1 - cut));
+            double from = state.settings.keyAffinity ? Math.min(server.limit, server.inFlight + 1) : server.limit;
+            server.limit = Math.max(1.0 / state.nodesPerServer, from * (1 - cut));
             server.limitCutAtUs = now;
         }
     }
@@ -1014,16 +1006,17 @@
     private boolean isCrowded(PendingRequest request, ServerRecord server) {
         // The sum guards against a stall: what many nodes may each have at every server is then out at once.
         // Lent by how timely answers are: in a jam it would keep choked servers choked.
-        double ease = sparse ? Math.max(0, 2 * timely - 1) : 0;
-        double ahead = sparse ? BURST * rank(request) : 0;
+        double ease = state.manyNodesPerServer ? Math.max(0, 2 * timely - 1) : 0;
+        double ahead = state.manyNodesPerServer ? BURST * rank(request) : 0;
         boolean atLimit = server.inFlight + 1 > server.limit
                 && (server.inFlight > ease * ahead || now < server.pausedUntilUs - ease * ahead * server.pauseUs);
-        boolean crowded = atLimit || inFlight > ease * (1 + ahead) && inFlight + 1 > limits;
+        boolean crowded =
+                atLimit || state.totalInFlight > ease * (1 + ahead) && state.totalInFlight + 1 > state.totalLimit;
         server.limitReachedAtUs = crowded ? now : server.limitReachedAtUs;
         return crowded;
     }
 
-    /** Exception, throttling: the chance with which a sparse node takes up a request; it falls as its answers
+    /** Exception, throttling: the chance with which a state.manyNodesPerServer node takes up a request; it falls as its answers
      * come late, first for what is worth little, so that choked servers come to the rest that they need. */
     private double admitted(PendingRequest request) {
         double part = timely / THROTTLED_AT;
@@ -1035,7 +1028,9 @@
         double top = request.value;
         for (int c = 0; c < latencies.size(); c++) {
             // A class that has not been answered yet has no measure of work; it must not outrank all others.
-            double worth = latencies.get(c).hasAnswers() ? set.classes.get(c).priorityWeight() : 0;
+            double worth = latencies.get(c).hasAnswers()
+                    ? state.settings.classes.get(c).priorityWeight()
+                    : 0;
             top = Math.max(top, forItsWork(worth, c));
         }
         return top > 0 ? request.value / top : 0;
@@ -1046,14 +1041,15 @@
      * passed over, as in consistent hashing with bounded loads; a key then goes on to its next draw. What was
      * told wears off in about the time in which it is worked off, else who is passed over once stays so. */
     private boolean isLaden(ServerRecord server) {
-        double mean = heldByAll / Math.max(1, ready.length);
+        double mean = state.totalReportedLoad / Math.max(1, state.servers.length);
         double fresh = Math.exp((server.reportedAtUs - now) / server.reportLatencyUs);
         return mean + (server.reportedLoad - mean) * fresh > LADEN_BY * mean + 1;
     }
 
     private void heed(ServerRecord server, AttemptOutcome outcome) {
         if (heldField >= 0 && outcome.report() != null && outcome.report().value(heldField) >= 0) {
-            heldByAll += isCounted(server) ? outcome.report().value(heldField) - server.reportedLoad : 0;
+            state.totalReportedLoad +=
+                    state.isCounted(server) ? outcome.report().value(heldField) - server.reportedLoad : 0;
             server.reportedLoad = outcome.report().value(heldField);
             server.reportedAtUs = now;
             server.reportLatencyUs = Math.max(1, outcome.latencyUs());
@@ -1076,7 +1072,7 @@
         trialsLeft = Math.min(MOST_TRIALS, trialsLeft + (attempt == 0 ? TRIAL_SHARE : 0));
         watched.get(request.classIndex).add(new AttemptId(request, attempt));
         server.inFlight++;
-        inFlight += isCounted(server) ? 1 : 0;
+        state.totalInFlight += state.isCounted(server) ? 1 : 0;
         if (isCold(server)) {
             // A turn waits for a request that draws the server; where traffic is thin that takes as long as
             // the gap, and if the next gap began only then, most of the budget would be lost.
@@ -1093,7 +1089,7 @@
                 || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || request.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && request.requestClass.deduplicationScope() == DeduplicationScope.ALL) {
-            out.reject(request.id, set.maxRetryAfterUs);
+            out.reject(request.id, state.settings.maxRetryAfterUs);
         } else {
             out.fail(request.id);
         }
@@ -1107,7 +1103,7 @@
     }
 
     private void cancel(PendingRequest request, int except) {
-        for (int i = 0; i < request.attempts && request.outstanding > 0 && set.cancellation; i++) {
+        for (int i = 0; i < request.attempts && request.outstanding > 0 && state.settings.cancellation; i++) {
             if (request.results[i] == null && i != except) {
                 out.cancel(request.id, i);
             }
@@ -1161,7 +1157,7 @@
     }
 
     private boolean isCold(ServerRecord server) {
-        return server.startedAtUs > 0 && now < server.startedAtUs + set.warmUpUs;
+        return server.startedAtUs > 0 && now < server.startedAtUs + state.settings.warmUpUs;
     }
 
     /** Exception, slow start (rule 4): the unit is an even part of what this node gets answered, times the
@@ -1169,16 +1165,18 @@
      * rule's multiple; each spends half of that, or all while it idles, so spaced that no burst does. Its
      * limit keeps a server slow besides below even that. Arrivals are no measure: jams add to them. */
     private long coldGap(ServerRecord server) {
-        double age = Math.max(0, now - server.startedAtUs) / (double) set.warmUpUs;
-        double share = set.warmUpInitialShare + (1 - set.warmUpInitialShare) * Math.min(1, age);
+        double age = Math.max(0, now - server.startedAtUs) / (double) state.settings.warmUpUs;
+        double share = state.settings.warmUpInitialShare + (1 - state.settings.warmUpInitialShare) * Math.min(1, age);
         // What unknown keys cost shows in its report: with no more than others it bears them.
-        double room = server.reportedAtUs > server.startedAtUs ? heldByAll / ready.length / server.reportedLoad : 0;
-        double units = Math.max(1, set.overloadMultiple / (room < 2 ? 2 : 1));
-        return (long) (evenGap() * (set.keyAffinity && room < 1 ? UNKNOWN_KEY_COST : 1) / (share * units));
+        double room = server.reportedAtUs > server.startedAtUs
+                ? state.totalReportedLoad / state.servers.length / server.reportedLoad
+                : 0;
+        double units = Math.max(1, state.settings.overloadMultiple / (room < 2 ? 2 : 1));
+        return (long) (evenGap() * (state.settings.keyAffinity && room < 1 ? UNKNOWN_KEY_COST : 1) / (share * units));
     }
 
     /** Time between two requests to a server that gets an even part of what this node gets answered. */
     private double evenGap() {
-        return Math.max(servedGapUs, RunningMean.GAIN * (now - lastServedAt)) * Math.max(1, ready.length);
+        return Math.max(servedGapUs, RunningMean.GAIN * (now - lastServedAt)) * Math.max(1, state.servers.length);
     }
 }
