--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -5,11 +5,9 @@
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
 import java.util.Set;
 import java.util.SplittableRandom;
 
@@ -106,14 +104,8 @@
     /** First wait before a failed list request is made again; doubled each time. */
     private static final long LIST_BACKOFF_US = 250_000;
 
-    /** Nodes that share a server in a large fleet: enough to even out what they send, few enough to learn. */
-    private static final int SHARERS = 24;
     /** Nodes that share a server from which on a node counts as state.manyNodesPerServer: with fewer it lost more. */
     private static final double SPARSE_FROM = 20;
-    /** Least servers that a node uses, where there are as many: one may fail and one hang. */
-    private static final int LEAST_IN_USE = 4;
-    /** Least places in the table of subsets for each server: all then have about equally many nodes. */
-    private static final int ROW_PLACES = 4;
     /** The same in the table that keys draw from; it changes only as the fleet doubles, as keys move then. */
     private static final int KEY_PLACES = 16;
     /** Waiting requests with a key drawn for in vain at each event and each sweep: more took too much CPU. */
@@ -134,7 +126,7 @@
     private final Set<ServerRecord> listed = new LinkedHashSet<>();
 
     private Map<String, Long> cordons = Map.of();
-    private int nearSize;
+    private final SubsetSelector subsetSelector = new SubsetSelector(state);
     private double largestEffect = 1;
     private final List<ServerRecord> ejected = new ArrayList<>();
     private double hedgesLeft = MOST_HEDGES;
@@ -306,30 +298,9 @@
         }
     }
 
-    /** Exception, subsets: acts when more than {@link #SHARERS} nodes would share each server. Connections
-     * are capped, cost work and are priced, and what a node sees is spread thinner with each server it uses:
-     * every node then keeps to a part of the servers, near ones first where crossing zones costs. */
     private ServerRecord[] inUse(ServerRecord[] all) {
-        Set<ServerRecord> used = new HashSet<>(part(all));
-        shareAmong(Math.max(1, (double) state.settings.nodes * used.size() / Math.max(1, all.length)));
-        return Arrays.stream(all).filter(used::contains).toArray(ServerRecord[]::new);
-    }
-
-    private List<ServerRecord> part(ServerRecord[] all) {
-        int zones = state.settings.crossZoneCost == 0 ? 1 : Math.max(1, state.settings.zones.size());
-        ServerRecord[] near =
-                Arrays.stream(all).filter(s -> zones == 1 || isNear(s)).toArray(ServerRecord[]::new);
-        ServerRecord[] far =
-                Arrays.stream(all).filter(s -> zones > 1 && !isNear(s)).toArray(ServerRecord[]::new);
-        int nearUsed = partOf(near.length, (double) state.settings.nodes / zones, zones == 1 ? 2 : 1);
-        int farUsed = partOf(far.length, state.settings.nodes, 1);
-        if (nearUsed == near.length && farUsed == far.length) {
-            return Arrays.asList(all);
-        }
-        // Sizes are kept through small changes of the list, since with them all places move.
-        nearSize = 2 * nearUsed > nearSize && nearUsed < 2 * nearSize ? nearSize : nearUsed;
-        List<ServerRecord> used = new ArrayList<>(subset(near, Math.min(near.length, nearSize)));
-        used.addAll(subset(far, Math.min(farUsed, Math.max(LEAST_IN_USE, nearSize / 2))));
+        ServerRecord[] used = subsetSelector.select(all);
+        shareAmong(Math.max(1, (double) state.settings.nodes * used.length / Math.max(1, all.length)));
         return used;
     }
 
@@ -337,30 +308,6 @@
         return server.zone == state.settings.localZone;
     }
 
-    private static int partOf(int servers, double nodes, int atLeast) {
-        // In a fleet that has shrunk, the least of all nodes would meet the cap on connections.
-        int least = (int) Math.max(atLeast, Math.min(LEAST_IN_USE, 2 * SHARERS * servers / nodes));
-        return Math.min(servers, Math.max(least, (int) Math.ceil(SHARERS * servers / nodes)));
-    }
-
-    /** This node's part of the servers. As in Maglev hashing, they take turns in claiming places from a table
-     * of rows, and node i has row i modulo their number: all get equally many, all find the same table, and
-     * a change of the list moves few places. A row for each node took too much CPU. */
-    private List<ServerRecord> subset(ServerRecord[] from, int size) {
-        if (size == from.length) {
-            return Arrays.asList(from);
-        }
-        int rows = 1;
-        while (2 * rows <= state.settings.nodes && rows * size < ROW_PLACES * from.length) {
-            rows *= 2;
-        }
-        ServerRecord[] table = MaglevTable.build(from, rows * size, size);
-        int first = state.settings.nodeIndex % rows * size;
-        return Arrays.stream(table, first, first + size)
-                .filter(Objects::nonNull)
-                .toList();
-    }
-
     @Override
     public void onListFailed(long nowUs) {
         now = nowUs;
