--- /dev/null
+++ b/node/src/main/java/loadbalancer/policy/EndpointListRefresh.java
@@ -0,0 +1,58 @@
+package loadbalancer.policy;
+
+import java.util.SplittableRandom;
+
+/**
+ * When the endpoint list is polled, where the settings say that it must be: at once after a cached list, again after
+ * half of the poll interval without an answer, and with jittered exponential backoff after a failure, so that nodes
+ * whose calls failed together don't repeat them together. A list that arrives ends the polling.
+ *
+ * <p>Single-threaded; the poll itself is {@link BalancerActions#subscribe}.
+ */
+final class EndpointListRefresh {
+    /** Mean pause after the first failed call; doubled with each further one, up to a quarter of the poll interval. */
+    private static final long INITIAL_BACKOFF_US = 250_000;
+
+    private final BalancerState state;
+    private final SplittableRandom random;
+    private final BalancerActions actions;
+    private long nextPollAtUs = Long.MAX_VALUE;
+    private long backoffUs = INITIAL_BACKOFF_US;
+
+    EndpointListRefresh(BalancerState state, SplittableRandom random, BalancerActions actions) {
+        this.state = state;
+        this.random = random;
+        this.actions = actions;
+    }
+
+    void onList(ListKind kind, long nowUs) {
+        if (kind != ListKind.CACHED) {
+            nextPollAtUs = Long.MAX_VALUE;
+            backoffUs = INITIAL_BACKOFF_US;
+        } else if (state.settings.pollsEndpointList) {
+            poll(nowUs);
+        }
+    }
+
+    /** Only called where the list is polled. */
+    void onListFailed(long nowUs) {
+        nextPollAtUs = nowUs + backoffUs / 2 + random.nextLong(backoffUs);
+        backoffUs = Math.min(2 * backoffUs, Math.max(1, state.settings.pollIntervalUs / 4));
+    }
+
+    void onWake(long nowUs) {
+        if (nowUs >= nextPollAtUs) {
+            poll(nowUs);
+        }
+    }
+
+    /** When {@link #onWake} has to be called next; Long.MAX_VALUE for never. */
+    long nextPollAtUs() {
+        return nextPollAtUs;
+    }
+
+    private void poll(long nowUs) {
+        actions.subscribe();
+        nextPollAtUs = nowUs + Math.max(1, state.settings.pollIntervalUs / 2);
+    }
+}
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -89,8 +89,6 @@
     private static final int RESTS_AFTER = ServerHealth.HISTORY_LENGTH / 2;
     /** Times the usual latency of its class after which an attempt is silent: one in fifty takes longer. */
     private static final double SILENT_BY = 4;
-    /** A node whose wake-up comes this much too late was paused itself. */
-    private static final long PAUSED_US = 50_000;
     /** Retry budget of hedges: this share of first tries, and so many at once. */
     private static final double HEDGE_SHARE = 0.2;
 
@@ -101,8 +99,6 @@
     private static final double LADEN_BY = 1.5;
     /** Shortest aims that what a server holds may take to be answered: at one, servers ran dry at times. */
     private static final double HELD_AT = 1.5;
-    /** First wait before a failed list request is made again; doubled each time. */
-    private static final long LIST_BACKOFF_US = 250_000;
 
     /** Nodes that share a server from which on a node counts as state.manyNodesPerServer: with fewer it lost more. */
     private static final double SPARSE_FROM = 20;
@@ -116,6 +112,8 @@
     private final BalancerState state = new BalancerState();
     private final BalancerActions out;
     private final SplittableRandom random;
+    private final EndpointListRefresh endpointListRefresh;
+    private final WakeUpTimer wakeUpTimer;
     private long sweepUs;
     private double limitStep;
     private double limitCut;
@@ -136,7 +134,6 @@
     private final ArrayList<PendingRequest> waiting = new ArrayList<>();
 
     private long now;
-    private long wakePending = Long.MAX_VALUE;
     private long lastServedAt;
     private double servedGapUs = FIRST_GAP_US;
     private final PerClass<ClassLatency> latencies = new PerClass<>(ClassLatency::new);
@@ -146,13 +143,13 @@
     private double leastAimUs;
     private double heldCostUs;
     private int heldAnswers;
-    private long askListAt = Long.MAX_VALUE;
-    private long listBackoffUs = LIST_BACKOFF_US;
 
     /** A node that has just started and knows nothing; throws IllegalArgumentException on bad settings. */
     public ServiceQBalancer(BalancerSettings settings, long seed, BalancerActions actions) {
         out = actions;
         random = new SplittableRandom(seed);
+        endpointListRefresh = new EndpointListRefresh(state, random, actions);
+        wakeUpTimer = new WakeUpTimer(actions);
         heldField = settings.reportFields.indexOf(LoadReportField.IN_FLIGHT);
         follow(settings);
         shareAmong(state.settings.nodes);
@@ -218,12 +215,7 @@
         chooseServers();
         // Servers come and go as long as a node runs: what is gone and holds nothing is forgotten.
         byId.values().removeIf(server -> server.state == ServerState.GONE && server.inFlight == 0);
-        if (kind != ListKind.CACHED) {
-            askListAt = Long.MAX_VALUE;
-            listBackoffUs = LIST_BACKOFF_US;
-        } else if (state.settings.pollsEndpointList) {
-            askForList();
-        }
+        endpointListRefresh.onList(kind, now);
         carryOn();
     }
 
@@ -312,18 +304,11 @@
     public void onListFailed(long nowUs) {
         now = nowUs;
         if (state.settings.pollsEndpointList) {
-            // Jittered backoff: nodes that failed together must not ask together again.
-            askListAt = now + listBackoffUs / 2 + random.nextLong(listBackoffUs);
-            listBackoffUs = Math.min(2 * listBackoffUs, Math.max(1, state.settings.pollIntervalUs / 4));
+            endpointListRefresh.onListFailed(now);
             scheduleWake();
         }
     }
 
-    private void askForList() {
-        out.subscribe();
-        askListAt = now + Math.max(1, state.settings.pollIntervalUs / 2);
-    }
-
     // ---------------------------------------------------------------- requests and outcomes
 
     @Override
@@ -427,11 +412,8 @@
     @Override
     public void onWake(long nowUs) {
         now = nowUs;
-        boolean paused = wakePending != Long.MAX_VALUE && now > wakePending + PAUSED_US;
-        wakePending = now >= wakePending ? Long.MAX_VALUE : wakePending;
-        if (now >= askListAt) {
-            askForList();
-        }
+        boolean paused = wakeUpTimer.onWake(now);
+        endpointListRefresh.onWake(now);
         if (!paused) {
             lookForSilence();
         }
@@ -445,17 +427,15 @@
     }
 
     private void scheduleWake() {
-        long at = waiting.isEmpty() ? askListAt : Math.min(askListAt, now + sweepUs);
+        long at = endpointListRefresh.nextPollAtUs();
+        at = waiting.isEmpty() ? at : Math.min(at, now + sweepUs);
         for (int c = 0; c < latencies.size(); c++) {
             AttemptId first = watched.get(c).peek();
             at = first == null
                     ? at
                     : Math.min(at, Math.max(now + sweepUs, first.request().sentAtUs[first.attempt()] + silentAfter(c)));
         }
-        if (at < wakePending) {
-            wakePending = Math.max(at, now + 1);
-            out.wakeAt(wakePending);
-        }
+        wakeUpTimer.schedule(at, now);
     }
 
     // ---------------------------------------------------------------- the mechanism
