--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -34,10 +34,6 @@
     private static final double THROTTLED_AT = 0.7;
 
     private static final double LEAST_ADMITTED = 0.05;
-    /** Cost of a request where no keys are known, against the mean: not told, so on the careful side. */
-    private static final double UNKNOWN_KEY_COST = 3;
-    /** Gap between answers that a node assumes before it has seen any: careful with cold servers. */
-    private static final double FIRST_GAP_US = 50_000;
     /** Requests in flight that all nodes together start with for each server: few enough for one core. */
     private static final double FIRST_LIMIT = 4;
     /** The same where keys are warm: past what a server holds, so that the first cut finds the limit. */
@@ -95,10 +91,6 @@
     private static final double MOST_HEDGES = 20;
     /** Own requests in flight from which on a local server is compared with those of other zones. */
     private static final int SPILL_AT = 2;
-    /** A server is laden that holds this many times what servers hold on average, and one request more. */
-    private static final double LADEN_BY = 1.5;
-    /** Shortest aims that what a server holds may take to be answered: at one, servers ran dry at times. */
-    private static final double HELD_AT = 1.5;
 
     /** Nodes that share a server from which on a node counts as state.manyNodesPerServer: with fewer it lost more. */
     private static final double SPARSE_FROM = 20;
@@ -114,6 +106,8 @@
     private final SplittableRandom random;
     private final EndpointListRefresh endpointListRefresh;
     private final WakeUpTimer wakeUpTimer;
+    private final LoadReports loadReports;
+    private final SlowStart slowStart;
     private long sweepUs;
     private double limitStep;
     private double limitCut;
@@ -134,15 +128,9 @@
     private final ArrayList<PendingRequest> waiting = new ArrayList<>();
 
     private long now;
-    private long lastServedAt;
-    private double servedGapUs = FIRST_GAP_US;
     private final PerClass<ClassLatency> latencies = new PerClass<>(ClassLatency::new);
     private final PerClass<ArrayDeque<AttemptId>> watched = new PerClass<>(ArrayDeque::new);
     private final PendingRequestFactory requestFactory = new PendingRequestFactory();
-    private final int heldField;
-    private double leastAimUs;
-    private double heldCostUs;
-    private int heldAnswers;
 
     /** A node that has just started and knows nothing; throws IllegalArgumentException on bad settings. */
     public ServiceQBalancer(BalancerSettings settings, long seed, BalancerActions actions) {
@@ -150,7 +138,8 @@
         random = new SplittableRandom(seed);
         endpointListRefresh = new EndpointListRefresh(state, random, actions);
         wakeUpTimer = new WakeUpTimer(actions);
-        heldField = settings.reportFields.indexOf(LoadReportField.IN_FLIGHT);
+        loadReports = new LoadReports(state, settings.reportFields.indexOf(LoadReportField.IN_FLIGHT));
+        slowStart = new SlowStart(state);
         follow(settings);
         shareAmong(state.settings.nodes);
     }
@@ -159,11 +148,7 @@
         settings.validate();
         state.settings = settings;
         sweepUs = Math.max(MIN_SWEEP_US, 2 * state.settings.tickUs);
-        leastAimUs = state.settings.classes.stream()
-                .filter(c -> c.priorityWeight() > 0)
-                .mapToLong(RequestClass::latencyObjectiveUs)
-                .min()
-                .orElse(0);
+        loadReports.applySettings(settings);
         latencies.extendTo(state.settings.classes);
         watched.extendTo(state.settings.classes);
         requestFactory.addClasses(state.settings.classes);
@@ -241,8 +226,7 @@
 
     private void chooseServers() {
         ServerRecord[] before = state.servers;
-        // Gaps are counted from the first list on, not from the start of the clock.
-        lastServedAt = lastServedAt == 0 ? now : lastServedAt;
+        slowStart.onServersChosen(now);
         state.servers = inUse(listed.stream()
                 .filter(s -> s.state == ServerState.READY && !cordons.containsKey(s.id))
                 .toArray(ServerRecord[]::new));
@@ -255,12 +239,11 @@
             // to be cut before it is warm, and then all nodes fill it.
             state.servers[i].limit = state.servers[i].limit != 0
                     ? state.servers[i].limit
-                    : (state.settings.keyAffinity && !isCold(state.servers[i]) ? FIRST_WARM_LIMIT : FIRST_LIMIT)
+                    : (state.settings.keyAffinity && !slowStart.isWarmingUp(state.servers[i], now)
+                                    ? FIRST_WARM_LIMIT
+                                    : FIRST_LIMIT)
                             / state.nodesPerServer;
-            if (isCold(state.servers[i]) && state.servers[i].warmUpSlotAtUs == 0) {
-                // All nodes hear of a start at once: their first sends together would be a burst.
-                state.servers[i].warmUpSlotAtUs = now - (long) (random.nextDouble() * coldGap(state.servers[i]));
-            }
+            slowStart.assignFirstSlot(state.servers[i], random, now);
         }
         Arrays.stream(before).forEach(this::closeIfUnused);
         state.allServers = weighted(state.servers);
@@ -353,7 +336,7 @@
         if (attempt != request.boundAttempt) {
             leave(server);
         }
-        heed(server, outcome);
+        loadReports.record(server, outcome, now);
         ServerHealth ofClass = server.classHealth.get(request.classIndex);
         if (result == AttemptResult.OK) {
             succeeded(
@@ -477,8 +460,7 @@
 
     /** A success clears the count; an ejected server has to succeed several times in a row. */
     private void succeeded(ServerRecord server, ServerHealth ofClass, boolean slow) {
-        servedGapUs += RunningMean.GAIN * (now - lastServedAt - servedGapUs);
-        lastServedAt = now;
+        slowStart.onSuccess(now);
         trialsLeft = Math.min(MOST_TRIALS, trialsLeft + (server.health.ejected || ofClass.ejected ? 1 : 0));
         for (ServerHealth health : new ServerHealth[] {server.health, ofClass}) {
             health.history <<= 1;
@@ -551,13 +533,12 @@
         }
         // What comes back may be a new process that the list is yet to tell of: with little, as a cold one.
         server.limit = FIRST_LIMIT / state.nodesPerServer;
-        server.reportedLoad = 0;
-        server.reportedAtUs = 0;
+        loadReports.reset(server);
     }
 
     private void startCold(ServerRecord server, long startedAt) {
         server.startedAtUs = startedAt;
-        server.warmUpSlotAtUs = 0;
+        slowStart.reset(server);
         server.health.history = 0;
         for (int c = 0; c < server.classHealth.size(); c++) {
             server.classHealth.get(c).history = 0;
@@ -894,8 +875,7 @@
                             : (state.manyNodesPerServer ? 2 : 1) * CROWDED_BY * known.leastMeanUs());
             double rank = state.manyNodesPerServer ? rank(request) : 1;
             // Or what it holds says that a request of the class with the shortest aim would be late there.
-            if (outcome.latencyUs() > crowded
-                    || server.reportedAtUs == now && (server.reportedLoad + 1) * heldCostUs > HELD_AT * leastAimUs) {
+            if (outcome.latencyUs() > crowded || loadReports.predictsLateAnswer(server, now)) {
                 cutLimit(request, attempt, limitCut * rank);
             } else if (!left) {
                 // A cold server gets little and is quick with it: were its limit to pass the others', all
@@ -903,7 +883,8 @@
                 // While answers come late everywhere, one in time says little: growth would hold the jam.
                 double ease = state.settings.keyAffinity ? 1 : Math.max(LEAST_GROWTH, 2 * timely - 1);
                 server.limit += server.limitReachedAtUs >= request.sentAtUs[attempt]
-                                && (!isCold(server) || server.limit * state.servers.length < state.totalLimit)
+                                && (!slowStart.isWarmingUp(server, now)
+                                        || server.limit * state.servers.length < state.totalLimit)
                         ? limitStep * rank * ease
                         : 0;
             }
@@ -963,30 +944,6 @@
         return top > 0 ? request.value / top : 0;
     }
 
-    /** Exception, load reports: acts where answers tell what a server holds for all nodes. Own requests in
-     * flight tell little of that where a node is one of many, so a server laden well beyond the others is
-     * passed over, as in consistent hashing with bounded loads; a key then goes on to its next draw. What was
-     * told wears off in about the time in which it is worked off, else who is passed over once stays so. */
-    private boolean isLaden(ServerRecord server) {
-        double mean = state.totalReportedLoad / Math.max(1, state.servers.length);
-        double fresh = Math.exp((server.reportedAtUs - now) / server.reportLatencyUs);
-        return mean + (server.reportedLoad - mean) * fresh > LADEN_BY * mean + 1;
-    }
-
-    private void heed(ServerRecord server, AttemptOutcome outcome) {
-        if (heldField >= 0 && outcome.report() != null && outcome.report().value(heldField) >= 0) {
-            state.totalReportedLoad +=
-                    state.isCounted(server) ? outcome.report().value(heldField) - server.reportedLoad : 0;
-            server.reportedLoad = outcome.report().value(heldField);
-            server.reportedAtUs = now;
-            server.reportLatencyUs = Math.max(1, outcome.latencyUs());
-            heldCostUs += outcome.result() != AttemptResult.OK
-                    ? 0
-                    : Math.max(RunningMean.GAIN, 1.0 / ++heldAnswers)
-                            * (outcome.latencyUs() / (server.reportedLoad + 1) - heldCostUs);
-        }
-    }
-
     // ---------------------------------------------------------------- sending
 
     private void send(PendingRequest request, ServerRecord server) {
@@ -1000,11 +957,7 @@
         watched.get(request.classIndex).add(new AttemptId(request, attempt));
         server.inFlight++;
         state.totalInFlight += state.isCounted(server) ? 1 : 0;
-        if (isCold(server)) {
-            // A turn waits for a request that draws the server; where traffic is thin that takes as long as
-            // the gap, and if the next gap began only then, most of the budget would be lost.
-            server.warmUpSlotAtUs = Math.max((long) (now - evenGap()), server.warmUpSlotAtUs + coldGap(server));
-        }
+        slowStart.onSent(server, now);
         out.send(request.id, server.id, beginBy, request.deadlineAtUs);
     }
 
@@ -1065,13 +1018,13 @@
     private boolean maySend(PendingRequest request, ServerRecord server) {
         return !server.health.ejected
                 && !server.classHealth.get(request.classIndex).ejected
-                && !isLaden(server)
+                && !loadReports.isOverloaded(server, now)
                 && !isCrowded(request, server)
                 && isAllowed(request, server);
     }
 
     private boolean isAllowed(PendingRequest request, ServerRecord server) {
-        if (server.state != ServerState.READY || isCold(server) && now < server.warmUpSlotAtUs + coldGap(server)) {
+        if (server.state != ServerState.READY || !slowStart.maySend(server, now)) {
             return false;
         }
         int binding =
@@ -1082,28 +1035,4 @@
                         ? server.zone == request.servers[binding].zone
                         : server.cell == request.servers[binding].cell);
     }
-
-    private boolean isCold(ServerRecord server) {
-        return server.startedAtUs > 0 && now < server.startedAtUs + state.settings.warmUpUs;
-    }
-
-    /** Exception, slow start (rule 4): the unit is an even part of what this node gets answered, times the
-     * share of its capacity that a cold server has at least. All nodes together may send so many units as the
-     * rule's multiple; each spends half of that, or all while it idles, so spaced that no burst does. Its
-     * limit keeps a server slow besides below even that. Arrivals are no measure: jams add to them. */
-    private long coldGap(ServerRecord server) {
-        double age = Math.max(0, now - server.startedAtUs) / (double) state.settings.warmUpUs;
-        double share = state.settings.warmUpInitialShare + (1 - state.settings.warmUpInitialShare) * Math.min(1, age);
-        // What unknown keys cost shows in its report: with no more than others it bears them.
-        double room = server.reportedAtUs > server.startedAtUs
-                ? state.totalReportedLoad / state.servers.length / server.reportedLoad
-                : 0;
-        double units = Math.max(1, state.settings.overloadMultiple / (room < 2 ? 2 : 1));
-        return (long) (evenGap() * (state.settings.keyAffinity && room < 1 ? UNKNOWN_KEY_COST : 1) / (share * units));
-    }
-
-    /** Time between two requests to a server that gets an even part of what this node gets answered. */
-    private double evenGap() {
-        return Math.max(servedGapUs, RunningMean.GAIN * (now - lastServedAt)) * Math.max(1, state.servers.length);
-    }
 }
