--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -28,38 +28,9 @@
     private static final int KEY_DRAWS = 8;
     /** Shortest sweep over waiting requests; long against the cost of a sweep, short against any aim. */
     private static final long MIN_SWEEP_US = 5_000;
-    /** Share of a new value in a running mean, and in that of timely answers, which follows a jam. */
-    private static final double TIMELY_GAIN = 1.0 / 8;
-    /** Share of timely answers under which a state.manyNodesPerServer node throttles, but for a part to learn of recovery. */
-    private static final double THROTTLED_AT = 0.7;
-
-    private static final double LEAST_ADMITTED = 0.05;
-    /** Requests in flight that all nodes together start with for each server: few enough for one core. */
-    private static final double FIRST_LIMIT = 4;
-    /** The same where keys are warm: past what a server holds, so that the first cut finds the limit. */
-    private static final double FIRST_WARM_LIMIT = 64;
-    /** Answers slower than this share of the aim say that a server is crowded: the rest is for chance. */
-    private static final double CROWDED_AT = 0.35;
-    /** The same at a state.manyNodesPerServer node: what many send evens out badly, so servers with room are slow at times. */
-    private static final double SPARSE_CROWDED_AT = 0.7;
-    /** Part of that growth that stays while half of the answers come late: some must, or none comes back. */
-    private static final double LEAST_GROWTH = 0.1;
-    /** Growth of a limit over all nodes for an answer in good time, and its cut for a slow one. */
-    private static final double LIMIT_STEP = 0.15;
-
-    private static final double LIMIT_CUT = 0.1;
-    /** Answers that take this many times the least mean of their class say so too, however far the aim is. */
-    private static final double CROWDED_BY = 3;
+
     /** Most errors that slow answers add up to: a server that is slower still has its limit. */
     private static final int MOST_SLOW = 8;
-    /** Longest time between two requests to a server whose limit is under one: one second kept it choked. */
-    private static final long MOST_REST_US = 2_000_000;
-    /** Requests that a node of many may send ahead of such a rest: arrivals come in bunches. */
-    private static final double BURST = 2;
-    /** Power of the number of nodes with which step and cut grow: at 0 slow to learn, at a half a swing. */
-    private static final double LEARN_BY_NODES = 0.25;
-    /** Cut of a limit for a request turned away or not answered in time, which is more than slow. */
-    private static final double LIMIT_HARD_CUT = 0.3;
     /** A waiting request is too late with so many usual latencies left to its aim, or this share at most. */
     private static final double TOO_LATE_AT = 2;
 
@@ -108,11 +79,11 @@
     private final WakeUpTimer wakeUpTimer;
     private final LoadReports loadReports;
     private final SlowStart slowStart;
+    private final RequestPriority priority;
+    private final OnTimeRatio onTimeRatio = new OnTimeRatio();
+    private final AdmissionController admissionController;
+    private final ConcurrencyLimiter limiter;
     private long sweepUs;
-    private double limitStep;
-    private double limitCut;
-
-    private double timely = 0.75;
 
     private final Map<String, ServerRecord> byId = new HashMap<>();
     private final Set<ServerRecord> listed = new LinkedHashSet<>();
@@ -140,6 +111,9 @@
         wakeUpTimer = new WakeUpTimer(actions);
         loadReports = new LoadReports(state, settings.reportFields.indexOf(LoadReportField.IN_FLIGHT));
         slowStart = new SlowStart(state);
+        priority = new RequestPriority(state, latencies);
+        admissionController = new AdmissionController(state, onTimeRatio, priority, random);
+        limiter = new ConcurrencyLimiter(state, latencies, priority, onTimeRatio, slowStart, loadReports);
         follow(settings);
         shareAmong(state.settings.nodes);
     }
@@ -165,10 +139,7 @@
 
     private void shareAmong(double nodes) {
         state.nodesPerServer = nodes;
-        // Both by the same factor: for all nodes together the balance between step and cut stays.
-        double pace = Math.pow(nodes, LEARN_BY_NODES);
-        limitStep = LIMIT_STEP / pace;
-        limitCut = 1 - Math.pow(1 - LIMIT_CUT, pace);
+        limiter.onNodesPerServer(nodes);
         state.manyNodesPerServer = nodes > SPARSE_FROM;
     }
 
@@ -234,15 +205,7 @@
         for (int i = 0; i < state.servers.length; i++) {
             state.servers[i].position = i;
             state.servers[i].inUse = true;
-            // Not before it is known how many nodes share it. Where keys are warm, what a server can hold
-            // depends on the keys it knows: the first cut shows it. A cold one knows none; it gets too little
-            // to be cut before it is warm, and then all nodes fill it.
-            state.servers[i].limit = state.servers[i].limit != 0
-                    ? state.servers[i].limit
-                    : (state.settings.keyAffinity && !slowStart.isWarmingUp(state.servers[i], now)
-                                    ? FIRST_WARM_LIMIT
-                                    : FIRST_LIMIT)
-                            / state.nodesPerServer;
+            limiter.assignFirstLimit(state.servers[i], now);
             slowStart.assignFirstSlot(state.servers[i], random, now);
         }
         Arrays.stream(before).forEach(this::closeIfUnused);
@@ -305,8 +268,8 @@
         }
         PendingRequest request = requestFactory.create(arrival, state.settings, now);
         requests.put(arrival.id(), request);
-        request.value = forItsWork(request.requestClass.priorityWeight(), arrival.classIndex());
-        boolean turnedDown = state.manyNodesPerServer && random.nextDouble() >= admitted(request);
+        request.value = priority.valueOf(request.requestClass.priorityWeight(), arrival.classIndex());
+        boolean turnedDown = admissionController.sheds(request);
         // Nobody waits for the same server, or those who do are tried with each answer.
         boolean first = !turnedDown && (waiting.isEmpty() || request.hasKey() && !isLate(request));
         ServerRecord server = first && now < request.deadlineAtUs ? drawForFirstTry(request) : null;
@@ -359,7 +322,7 @@
         server.health.answeredAtUs = answered ? now : server.health.answeredAtUs;
         server.lastAttemptAnswered |= answered;
         if (!request.isBound()) {
-            adaptLimit(request, attempt, outcome);
+            recordLoad(request, attempt, outcome);
         }
         if (outcome.requestEnded()) {
             end(request);
@@ -532,7 +495,7 @@
             restore(server.classHealth.get(c));
         }
         // What comes back may be a new process that the list is yet to tell of: with little, as a cold one.
-        server.limit = FIRST_LIMIT / state.nodesPerServer;
+        limiter.reset(server);
         loadReports.reset(server);
     }
 
@@ -769,6 +732,19 @@
 
     // ---------------------------------------------------------------- the deferred queue
 
+    private void recordLoad(PendingRequest request, int attempt, AttemptOutcome outcome) {
+        ClassLatency latency = latencies.get(request.classIndex);
+        LoadSignal signal = LoadSignal.of(request, outcome, latency);
+        if (signal != LoadSignal.NONE) {
+            boolean answered = signal == LoadSignal.ANSWERED;
+            onTimeRatio.record(answered && now <= request.arrivedAtUs + request.latencyObjectiveUs);
+        }
+        if (signal == LoadSignal.ANSWERED) {
+            latency.record(outcome.latencyUs());
+        }
+        limiter.onOutcome(request, attempt, outcome.latencyUs(), signal, now);
+    }
+
     /** Puts a request into the deferred queue: first come first served among those of equal value. */
     private void defer(PendingRequest request) {
         request.enqueue();
@@ -837,113 +813,8 @@
         }
     }
 
-    /** What a request earns for its work, by which the queue is ordered: worth over usual latency. */
-    private double forItsWork(double worth, int classIndex) {
-        return state.settings.weightByWork
-                ? worth
-                : worth / Math.max(1, latencies.get(classIndex).meanUs());
-    }
-
     // ---------------------------------------------------------------- concurrency limits
 
-    /** Exception, concurrency limits: a server's limit grows when it was met while a request was out that was
-     * answered well inside the aim, and falls when answers are slow or requests are turned away. Acts when a
-     * draw would exceed it, or the node the sum of all (with many nodes a server's part is under one). */
-    private void adaptLimit(PendingRequest request, int attempt, AttemptOutcome outcome) {
-        ServerRecord server = request.servers[attempt];
-        double before = server.limit;
-        int c = request.classIndex;
-        ClassLatency known = latencies.get(c);
-        AttemptResult result = outcome.result();
-        boolean ok = result == AttemptResult.OK;
-        // A client that leaves hides how long its answer would have taken, so that only quick ones stay in
-        // sight: after more than the usual time, what it has waited counts like an answer no quicker.
-        boolean left = result == AttemptResult.CANCELLED && request.clientGone && known.isSlow(outcome.latencyUs());
-        boolean late = result == AttemptResult.TIMEOUT || result == AttemptResult.FULL;
-        if (ok || late || left) {
-            timely += TIMELY_GAIN * ((ok && now <= request.arrivedAtUs + request.latencyObjectiveUs ? 1 : 0) - timely);
-        }
-        if (ok) {
-            known.record(outcome.latencyUs());
-        }
-        if (ok || left) {
-            boolean patient = state.settings.keyAffinity || state.manyNodesPerServer && known.hasLeastMean();
-            double crowded = Math.min(
-                    (patient ? SPARSE_CROWDED_AT : CROWDED_AT) * request.latencyObjectiveUs,
-                    state.settings.keyAffinity
-                            ? Double.MAX_VALUE
-                            : (state.manyNodesPerServer ? 2 : 1) * CROWDED_BY * known.leastMeanUs());
-            double rank = state.manyNodesPerServer ? rank(request) : 1;
-            // Or what it holds says that a request of the class with the shortest aim would be late there.
-            if (outcome.latencyUs() > crowded || loadReports.predictsLateAnswer(server, now)) {
-                cutLimit(request, attempt, limitCut * rank);
-            } else if (!left) {
-                // A cold server gets little and is quick with it: were its limit to pass the others', all
-                // nodes together would choke it as soon as slow start lets go.
-                // While answers come late everywhere, one in time says little: growth would hold the jam.
-                double ease = state.settings.keyAffinity ? 1 : Math.max(LEAST_GROWTH, 2 * timely - 1);
-                server.limit += server.limitReachedAtUs >= request.sentAtUs[attempt]
-                                && (!slowStart.isWarmingUp(server, now)
-                                        || server.limit * state.servers.length < state.totalLimit)
-                        ? limitStep * rank * ease
-                        : 0;
-            }
-        } else if (late) {
-            // Where keys are warm a full server is cut to what it held: less would send its keys elsewhere.
-            cutLimit(request, attempt, state.settings.keyAffinity && result == AttemptResult.FULL ? 0 : LIMIT_HARD_CUT);
-        }
-        if (server.limit < 1) {
-            // A part of a place is kept by time: in flight for that part of it only.
-            server.pauseUs = Math.min(MOST_REST_US, (long) (outcome.latencyUs() / server.limit));
-            server.pausedUntilUs = Math.max(server.pausedUntilUs, request.sentAtUs[attempt]) + server.pauseUs;
-        }
-        state.totalLimit += state.isCounted(server) ? server.limit - before : 0;
-    }
-
-    /** One cut for all that was sent before the last one. */
-    private void cutLimit(PendingRequest request, int attempt, double cut) {
-        ServerRecord server = request.servers[attempt];
-        if (request.sentAtUs[attempt] >= server.limitCutAtUs) {
-            // A limit that was never met says nothing of what the server held.
-            double from = state.settings.keyAffinity ? Math.min(server.limit, server.inFlight + 1) : server.limit;
-            server.limit = Math.max(1.0 / state.nodesPerServer, from * (1 - cut));
-            server.limitCutAtUs = now;
-        }
-    }
-
-    private boolean isCrowded(PendingRequest request, ServerRecord server) {
-        // The sum guards against a stall: what many nodes may each have at every server is then out at once.
-        // Lent by how timely answers are: in a jam it would keep choked servers choked.
-        double ease = state.manyNodesPerServer ? Math.max(0, 2 * timely - 1) : 0;
-        double ahead = state.manyNodesPerServer ? BURST * rank(request) : 0;
-        boolean atLimit = server.inFlight + 1 > server.limit
-                && (server.inFlight > ease * ahead || now < server.pausedUntilUs - ease * ahead * server.pauseUs);
-        boolean crowded =
-                atLimit || state.totalInFlight > ease * (1 + ahead) && state.totalInFlight + 1 > state.totalLimit;
-        server.limitReachedAtUs = crowded ? now : server.limitReachedAtUs;
-        return crowded;
-    }
-
-    /** Exception, throttling: the chance with which a state.manyNodesPerServer node takes up a request; it falls as its answers
-     * come late, first for what is worth little, so that choked servers come to the rest that they need. */
-    private double admitted(PendingRequest request) {
-        double part = timely / THROTTLED_AT;
-        return Math.max(LEAST_ADMITTED, part * part * (0.75 + rank(request) / 2));
-    }
-
-    /** The value of a request against that of the most valuable class, 1 at most. */
-    private double rank(PendingRequest request) {
-        double top = request.value;
-        for (int c = 0; c < latencies.size(); c++) {
-            // A class that has not been answered yet has no measure of work; it must not outrank all others.
-            double worth = latencies.get(c).hasAnswers()
-                    ? state.settings.classes.get(c).priorityWeight()
-                    : 0;
-            top = Math.max(top, forItsWork(worth, c));
-        }
-        return top > 0 ? request.value / top : 0;
-    }
-
     // ---------------------------------------------------------------- sending
 
     private void send(PendingRequest request, ServerRecord server) {
@@ -1019,7 +890,7 @@
         return !server.health.ejected
                 && !server.classHealth.get(request.classIndex).ejected
                 && !loadReports.isOverloaded(server, now)
-                && !isCrowded(request, server)
+                && !limiter.isAtLimit(request, server, now)
                 && isAllowed(request, server);
     }
 
