--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -83,6 +83,7 @@
     private final OnTimeRatio onTimeRatio = new OnTimeRatio();
     private final AdmissionController admissionController;
     private final ConcurrencyLimiter limiter;
+    private final ServerEligibility eligibility;
     private long sweepUs;
 
     private final Map<String, ServerRecord> byId = new HashMap<>();
@@ -114,6 +115,7 @@
         priority = new RequestPriority(state, latencies);
         admissionController = new AdmissionController(state, onTimeRatio, priority, random);
         limiter = new ConcurrencyLimiter(state, latencies, priority, onTimeRatio, slowStart, loadReports);
+        eligibility = new ServerEligibility(loadReports, limiter, slowStart);
         follow(settings);
         shareAmong(state.settings.nodes);
     }
@@ -535,7 +537,7 @@
                                     && now >= ofClass.trialAtUs + UNSAFE_TRIALS * ofClass.ejectionUs
                             : server.health.ejected && now >= server.health.trialAtUs
                                     || ofClass.ejected && now >= ofClass.trialAtUs;
-            if (due && server.inFlight == 0 && isAllowed(request, server)) {
+            if (due && server.inFlight == 0 && eligibility.isLawful(request, server, now)) {
                 return server;
             }
         }
@@ -598,7 +600,7 @@
         }
         for (int i = 0; i <= REDRAWS && servers.length > 0; i++) {
             ServerRecord server = servers[drawPosition(from)];
-            if (server != except && maySend(request, server)) {
+            if (server != except && eligibility.maySend(request, server, now)) {
                 return server;
             }
         }
@@ -624,7 +626,7 @@
             long hash = KeyAffinityPicker.mix(request.keySeed + i * 0x9E3779B97F4A7C15L);
             ServerRecord server = from.keyPlaces[(int) ((hash >>> 32) % from.keyPlaces.length)];
             boolean drawn = (hash & 0xFFFFFFFFL) * largestEffect < weight(server) * 0x1p32;
-            if (drawn && !except.contains(server) && maySend(request, server)) {
+            if (drawn && !except.contains(server) && eligibility.maySend(request, server, now)) {
                 return server;
             }
         }
@@ -655,10 +657,10 @@
 
     /** A failed request goes to the next server in list order, or waits, or has its final answer. */
     private void passOn(PendingRequest request, ServerRecord failed) {
-        ServerRecord next = mayTryAgain(request) ? nextInTurn(request, failed) : null;
+        ServerRecord next = RetryPolicy.mayRetry(request, now) ? nextInTurn(request, failed) : null;
         if (next != null) {
             send(request, next);
-        } else if (mayTryAgain(request)) {
+        } else if (RetryPolicy.mayRetry(request, now)) {
             defer(request);
         } else {
             giveUp(request);
@@ -672,7 +674,7 @@
         }
         for (int i = 1; i <= state.servers.length; i++) {
             ServerRecord next = state.servers[(failed.position + i) % state.servers.length];
-            if (!tried.contains(next) && maySend(request, next)) {
+            if (!tried.contains(next) && eligibility.maySend(request, next, now)) {
                 return next;
             }
         }
@@ -720,7 +722,7 @@
         if (state.settings.hedging
                 && !request.isQueued()
                 && hedgesLeft >= 1
-                && mayTryAgain(request)
+                && RetryPolicy.mayRetry(request, now)
                 && request.outstanding == 1) {
             ServerRecord next = nextInTurn(request, server);
             if (next != null) {
@@ -781,7 +783,7 @@
             boolean late = isLate(request);
             if (request.deadlineAtUs - now <= sweepUs + state.settings.tickUs
                     || late && request.requestClass.lateWeight() == 0
-                    || !mayTryAgain(request)) {
+                    || !RetryPolicy.mayRetry(request, now)) {
                 giveUp(request);
                 continue;
             }
@@ -818,7 +820,7 @@
     // ---------------------------------------------------------------- sending
 
     private void send(PendingRequest request, ServerRecord server) {
-        long beginBy = mayBeginUntil(request, request.bindingAttempt());
+        long beginBy = RetryPolicy.beginByUs(request);
         int attempt = request.attempts++;
         request.servers[attempt] = server;
         request.sentAtUs[attempt] = now;
@@ -836,10 +838,7 @@
 
     /** Rule 1: the one final answer, a refusal wherever that is known to be harmless. */
     private void giveUp(PendingRequest request) {
-        if (request.bindingAttempt() < 0
-                || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || request.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL) {
+        if (RetryPolicy.isRetryByClientHarmless(request)) {
             out.reject(request.id, state.settings.maxRetryAfterUs);
         } else {
             out.fail(request.id);
@@ -866,44 +865,4 @@
             requests.remove(request.id);
         }
     }
-
-    /** Rule 2: whether any further attempt could be lawful, wherever it goes. */
-    private boolean mayTryAgain(PendingRequest request) {
-        if (request.attempts >= request.servers.length || now >= request.deadlineAtUs || request.isBound()) {
-            return false;
-        }
-        int binding = request.bindingAttempt();
-        return binding < 0
-                || request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT
-                        && now <= mayBeginUntil(request, binding);
-    }
-
-    /** Rule 2: by when a further attempt has to begin, where this one may have run (-1: none has). */
-    private static long mayBeginUntil(PendingRequest request, int binding) {
-        return request.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && binding >= 0
-                ? request.sentAtUs[binding] + request.requestClass.deduplicationWindowUs()
-                : Long.MAX_VALUE;
-    }
-
-    /** Rules 2 to 4 for one server: the keyed group, the list's word, and a cold server's budget. */
-    private boolean maySend(PendingRequest request, ServerRecord server) {
-        return !server.health.ejected
-                && !server.classHealth.get(request.classIndex).ejected
-                && !loadReports.isOverloaded(server, now)
-                && !limiter.isAtLimit(request, server, now)
-                && isAllowed(request, server);
-    }
-
-    private boolean isAllowed(PendingRequest request, ServerRecord server) {
-        if (server.state != ServerState.READY || !slowStart.maySend(server, now)) {
-            return false;
-        }
-        int binding =
-                request.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? request.bindingAttempt() : -1;
-        return binding < 0
-                || request.requestClass.deduplicationScope() == DeduplicationScope.ALL
-                || (request.requestClass.deduplicationScope() == DeduplicationScope.ZONE
-                        ? server.zone == request.servers[binding].zone
-                        : server.cell == request.servers[binding].cell);
-    }
 }
