--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -29,21 +29,11 @@
     /** Shortest sweep over waiting requests; long against the cost of a sweep, short against any aim. */
     private static final long MIN_SWEEP_US = 5_000;
 
-    /** Most errors that slow answers add up to: a server that is slower still has its limit. */
-    private static final int MOST_SLOW = 8;
     /** A waiting request is too late with so many usual latencies left to its aim, or this share at most. */
     private static final double TOO_LATE_AT = 2;
 
     private static final double MOST_LATE_AT = 0.8;
-    /** Failures among a server's last {@link #ServerHealth.HISTORY_LENGTH} answers from which on it is ejected. */
-    private static final int EJECT_AT = 4;
 
-    /** Successes in a row that restore a server: one may be luck, three hardly. */
-    private static final int TRIALS = 3;
-    /** First time without requests for an ejected server, doubled with each failed trial, and the longest. */
-    private static final long EJECT_US = 250_000;
-
-    private static final long MOST_EJECT_US = 4_000_000;
     /** Failed trials of all ejected servers: this share of first tries, and so many at once. */
     private static final double TRIAL_SHARE = 0.05;
 
@@ -84,6 +74,8 @@
     private final AdmissionController admissionController;
     private final ConcurrencyLimiter limiter;
     private final ServerEligibility eligibility;
+    private final ErrorCounter errorCounter = new ErrorCounter(state);
+    private final OutlierDetector outlierDetector;
     private long sweepUs;
 
     private final Map<String, ServerRecord> byId = new HashMap<>();
@@ -92,7 +84,6 @@
     private Map<String, Long> cordons = Map.of();
     private final SubsetSelector subsetSelector = new SubsetSelector(state);
     private double largestEffect = 1;
-    private final List<ServerRecord> ejected = new ArrayList<>();
     private double hedgesLeft = MOST_HEDGES;
     private double trialsLeft = MOST_TRIALS;
 
@@ -116,6 +107,7 @@
         admissionController = new AdmissionController(state, onTimeRatio, priority, random);
         limiter = new ConcurrencyLimiter(state, latencies, priority, onTimeRatio, slowStart, loadReports);
         eligibility = new ServerEligibility(loadReports, limiter, slowStart);
+        outlierDetector = new OutlierDetector(state, random, actions);
         follow(settings);
         shareAmong(state.settings.nodes);
     }
@@ -164,7 +156,7 @@
             }
             if (entry.startedAtUs() > server.startedAtUs) {
                 // A new process: what was counted against the old one says nothing of it.
-                startCold(server, entry.startedAtUs());
+                onRestarted(server, entry.startedAtUs());
             }
             server.state = entry.state();
             server.zone = entry.zone();
@@ -185,7 +177,7 @@
         // What is back has most likely been restarted meanwhile: now, unless the list has told when.
         listed.stream()
                 .filter(s -> !since.containsKey(s.id) && s.startedAtUs < cordons.getOrDefault(s.id, 0L))
-                .forEach(server -> startCold(server, now));
+                .forEach(server -> onRestarted(server, now));
         cordons = since;
         chooseServers();
         carryOn();
@@ -193,7 +185,7 @@
 
     @Override
     public int excludedServers() {
-        return ejected.size()
+        return outlierDetector.ejectedServers().size()
                 + (int) listed.stream().filter(s -> cordons.containsKey(s.id)).count();
     }
 
@@ -215,7 +207,7 @@
         state.localServers = state.settings.crossZoneCost == 0
                 ? state.allServers
                 : weighted(Arrays.stream(state.servers).filter(this::isNear).toArray(ServerRecord[]::new));
-        countReady();
+        outlierDetector.refresh();
     }
 
     private WeightedServers weighted(ServerRecord[] servers) {
@@ -304,7 +296,7 @@
         loadReports.record(server, outcome, now);
         ServerHealth ofClass = server.classHealth.get(request.classIndex);
         if (result == AttemptResult.OK) {
-            succeeded(
+            onSuccess(
                     server,
                     ofClass,
                     state.manyNodesPerServer
@@ -313,7 +305,7 @@
                 && result != AttemptResult.MOOT
                 && !request.countedAsFailure[attempt]) {
             // A time-out of a server that has answered since tells of crowding, as being full does.
-            failed(
+            onFailure(
                     server,
                     ofClass,
                     result != AttemptResult.FULL
@@ -388,127 +380,40 @@
 
     // ---------------------------------------------------------------- the mechanism
 
-    /** A failure adds one; failures that say something of health, not of crowding, may eject the server. */
-    private void failed(ServerRecord server, ServerHealth ofClass, boolean ill) {
-        server.errors++;
-        server.lastAttemptAnswered = false;
-        state.weightsStale = true;
-        for (ServerHealth health : ill ? new ServerHealth[] {server.health, ofClass} : new ServerHealth[0]) {
-            health.history = health.history << 1 | 1;
-            health.trialsSucceeded = 0;
-            if (health.ejected
-                    || health.recentFailures() >= EJECT_AT && (health == ofClass || !servesOthers(server, ofClass))) {
-                eject(server, health);
-            }
-        }
-    }
-
-    /** Whether another class has been served since this one was, without a failure among its last answers. */
-    private static boolean servesOthers(ServerRecord server, ServerHealth ofClass) {
-        for (int c = 0; c < server.classHealth.size(); c++) {
-            ServerHealth other = server.classHealth.get(c);
-            if (other.succeededAtUs > ofClass.succeededAtUs && other.recentFailures() == 0) {
-                return true;
-            }
-        }
-        return false;
-    }
+    // ---------------------------------------------------------------- ejection
 
-    private static boolean isEjectedForAnyClass(ServerRecord server) {
-        for (int c = 0; c < server.classHealth.size(); c++) {
-            if (server.classHealth.get(c).ejected) {
-                return true;
-            }
-        }
-        return false;
+    /** A failure counts against its server; one that shows a fault of the server may eject it. */
+    private void onFailure(ServerRecord server, ServerHealth classHealth, boolean unhealthy) {
+        errorCounter.onFailure(server);
+        outlierDetector.onFailure(server, classHealth, unhealthy, now);
     }
 
-    /** A success clears the count; an ejected server has to succeed several times in a row. */
-    private void succeeded(ServerRecord server, ServerHealth ofClass, boolean slow) {
+    private void onSuccess(ServerRecord server, ServerHealth classHealth, boolean slow) {
         slowStart.onSuccess(now);
-        trialsLeft = Math.min(MOST_TRIALS, trialsLeft + (server.health.ejected || ofClass.ejected ? 1 : 0));
-        for (ServerHealth health : new ServerHealth[] {server.health, ofClass}) {
-            health.history <<= 1;
-            health.succeededAtUs = now;
-            health.trialAtUs = now;
-            if (health.ejected && ++health.trialsSucceeded >= TRIALS) {
-                out.restored(server.id, health == ofClass ? className(server, ofClass) : null);
-                restore(health);
-                if (health == server.health) {
-                    startAnew(server);
-                }
-                countReady();
-                return;
-            }
+        trialsLeft = Math.min(MOST_TRIALS, trialsLeft + (server.health.ejected || classHealth.ejected ? 1 : 0));
+        OutlierDetector.Recovery recovery = outlierDetector.onSuccess(server, classHealth, now);
+        if (recovery == OutlierDetector.Recovery.SERVER) {
+            forgetMeasurements(server);
         }
-        if (!server.health.ejected) {
-            // Exception, slow answers: at a state.manyNodesPerServer node an answer slower than most of its class adds
-            // an error
-            // and any other takes one off, so the weights settle where all servers are about equally quick.
-            int errors = !state.manyNodesPerServer
-                    ? 0
-                    : slow
-                            ? Math.max(server.errors, Math.min(MOST_SLOW, server.errors + 1))
-                            : Math.max(0, server.errors - 1);
-            state.weightsStale |= errors != server.errors;
-            server.errors = errors;
+        if (recovery != OutlierDetector.Recovery.NONE) {
+            outlierDetector.refresh();
+        } else if (!server.health.ejected) {
+            errorCounter.onSuccess(server, slow);
         }
     }
 
-    // ---------------------------------------------------------------- ejection
-
-    /** Exception, ejection: a server that failed {@link #EJECT_AT} of its last {@link #ServerHealth.HISTORY_LENGTH} answers,
-     * of all or of one class, gets nothing of these but single trials, further apart each time one fails.
-     * Never more than half of the servers are out: when most fail, the trouble is not theirs. By class, since
-     * a class that it serves would else hide one that it fails. Where many are out, the budget for failed
-     * trials paces them: trials of a lost zone, from every node, would else take up most safe requests. */
-    private void eject(ServerRecord server, ServerHealth health) {
-        if (!health.ejected) {
-            int c = server.classHealth.indexOf(health);
-            long many = ejected.stream()
-                    .filter(s -> (c < 0 ? s.health : s.classHealth.get(c)).ejected)
-                    .count();
-            if (2 * (many + 1) > state.servers.length) {
-                return;
-            }
-            health.ejected = true;
-            health.ejectionUs = EJECT_US / 2;
-            out.ejected(server.id, health.recentFailures(), c < 0 ? null : className(server, health));
-        }
-        health.ejectionUs = Math.min(MOST_EJECT_US, 2 * health.ejectionUs);
-        health.trialAtUs = now + health.ejectionUs / 2 + random.nextLong(health.ejectionUs);
-        countReady();
-    }
-
-    private String className(ServerRecord server, ServerHealth ofClass) {
-        return state.settings.classes.get(server.classHealth.indexOf(ofClass)).name();
-    }
-
-    /** Its last answers stand: until its failures among them are made up for, the next ejects it again. */
-    private static void restore(ServerHealth health) {
-        health.ejected = false;
-        health.trialsSucceeded = 0;
-    }
-
-    private void startAnew(ServerRecord server) {
-        server.errors = 0;
-        restore(server.health);
-        for (int c = 0; c < server.classHealth.size(); c++) {
-            restore(server.classHealth.get(c));
-        }
-        // What comes back may be a new process that the list is yet to tell of: with little, as a cold one.
+    /** A server that returns may be a new process that the list is yet to tell of. */
+    private void forgetMeasurements(ServerRecord server) {
+        errorCounter.reset(server);
         limiter.reset(server);
         loadReports.reset(server);
     }
 
-    private void startCold(ServerRecord server, long startedAt) {
-        server.startedAtUs = startedAt;
+    private void onRestarted(ServerRecord server, long startedAtUs) {
+        server.startedAtUs = startedAtUs;
         slowStart.reset(server);
-        server.health.history = 0;
-        for (int c = 0; c < server.classHealth.size(); c++) {
-            server.classHealth.get(c).history = 0;
-        }
-        startAnew(server);
+        outlierDetector.onRestarted(server);
+        forgetMeasurements(server);
     }
 
     /** An ejected server that is due for a trial with this request, or null. Exception, last resort: where
@@ -516,7 +421,7 @@
      * and not as the last attempt. Errors cost no work, so the rest of what it does is won; but the longer it
      * only fails, the longer it is left alone, else one that fails all at once would draw most requests. */
     private ServerRecord trial(PendingRequest request, boolean full) {
-        for (ServerRecord server : ejected) {
+        for (ServerRecord server : outlierDetector.ejectedServers()) {
             ServerHealth ofClass = server.classHealth.get(request.classIndex);
             // Unsafe requests are risked only where no other could tell: for a class of their own.
             boolean due = full
@@ -544,22 +449,11 @@
         return null;
     }
 
-    /** Counts the servers in use anew. */
-    private void countReady() {
-        state.recount();
-        ejected.clear();
-        for (ServerRecord server : state.servers) {
-            if (server.health.ejected || isEjectedForAnyClass(server)) {
-                ejected.add(server);
-            }
-        }
-    }
-
     // ---------------------------------------------------------------- draws
 
     /** Two draws by weight; the one with fewer own requests in flight, ties at random. */
     private ServerRecord drawForFirstTry(PendingRequest request) {
-        ServerRecord due = ejected.isEmpty() || trialsLeft < 1 ? null : trial(request, false);
+        ServerRecord due = outlierDetector.ejectedServers().isEmpty() || trialsLeft < 1 ? null : trial(request, false);
         if (due != null) {
             trialsLeft--;
             return due;
@@ -717,7 +611,7 @@
         ServerHealth ofClass = server.classHealth.get(request.classIndex);
         if (ofClass.answeredAtUs < request.sentAtUs[attempt]) {
             request.countedAsFailure[attempt] = true;
-            failed(server, ofClass, true);
+            onFailure(server, ofClass, true);
         }
         if (state.settings.hedging
                 && !request.isQueued()
