--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -22,10 +22,6 @@
  */
 public final class ServiceQBalancer implements Balancer {
 
-    /** How often a drawn server that may not be sent to is drawn again: to look through all took much CPU. */
-    private static final int REDRAWS = 15;
-    /** Draws by key, some turned down by weight: three left a burst waiting, sixteen spread it. */
-    private static final int KEY_DRAWS = 8;
     /** Shortest sweep over waiting requests; long against the cost of a sweep, short against any aim. */
     private static final long MIN_SWEEP_US = 5_000;
 
@@ -34,29 +30,15 @@
 
     private static final double MOST_LATE_AT = 0.8;
 
-    /** Failed trials of all ejected servers: this share of first tries, and so many at once. */
-    private static final double TRIAL_SHARE = 0.05;
-
-    private static final double MOST_TRIALS = 4;
-    /** Trials with unsafe requests are this much further apart: each that fails is lost. */
-    private static final int UNSAFE_TRIALS = 4;
-    /** Failures in a row from which on a last resort rests, up to about the time that an answer takes, as if
-     * it held its place so long: one that serves three in ten fails so many in one of seventeen runs, one
-     * that serves none always. */
-    private static final int RESTS_AFTER = ServerHealth.HISTORY_LENGTH / 2;
     /** Times the usual latency of its class after which an attempt is silent: one in fifty takes longer. */
     private static final double SILENT_BY = 4;
     /** Retry budget of hedges: this share of first tries, and so many at once. */
     private static final double HEDGE_SHARE = 0.2;
 
     private static final double MOST_HEDGES = 20;
-    /** Own requests in flight from which on a local server is compared with those of other zones. */
-    private static final int SPILL_AT = 2;
 
     /** Nodes that share a server from which on a node counts as state.manyNodesPerServer: with fewer it lost more. */
     private static final double SPARSE_FROM = 20;
-    /** The same in the table that keys draw from; it changes only as the fleet doubles, as keys move then. */
-    private static final int KEY_PLACES = 16;
     /** Waiting requests with a key drawn for in vain at each event and each sweep: more took too much CPU. */
     private static final int KEYS_TRIED = 4;
 
@@ -76,6 +58,9 @@
     private final ServerEligibility eligibility;
     private final ErrorCounter errorCounter = new ErrorCounter(state);
     private final OutlierDetector outlierDetector;
+    private final TrialRequests trialRequests;
+    private final FirstAttemptPicker firstAttemptPicker;
+    private final RetryPicker retryPicker;
     private long sweepUs;
 
     private final Map<String, ServerRecord> byId = new HashMap<>();
@@ -83,9 +68,7 @@
 
     private Map<String, Long> cordons = Map.of();
     private final SubsetSelector subsetSelector = new SubsetSelector(state);
-    private double largestEffect = 1;
     private double hedgesLeft = MOST_HEDGES;
-    private double trialsLeft = MOST_TRIALS;
 
     private final Map<Long, PendingRequest> requests = new HashMap<>();
     private final ArrayList<PendingRequest> waiting = new ArrayList<>();
@@ -108,6 +91,12 @@
         limiter = new ConcurrencyLimiter(state, latencies, priority, onTimeRatio, slowStart, loadReports);
         eligibility = new ServerEligibility(loadReports, limiter, slowStart);
         outlierDetector = new OutlierDetector(state, random, actions);
+        trialRequests = new TrialRequests(latencies, eligibility, outlierDetector.ejectedServers());
+        ServerWeights weights = new ServerWeights(state);
+        KeyAffinityPicker keyAffinityPicker = new KeyAffinityPicker(weights, eligibility);
+        WeightedServerPicker weightedPicker = new WeightedServerPicker(weights, keyAffinityPicker, eligibility, random);
+        firstAttemptPicker = new FirstAttemptPicker(state, trialRequests, weightedPicker);
+        retryPicker = new RetryPicker(state, keyAffinityPicker, eligibility);
         follow(settings);
         shareAmong(state.settings.nodes);
     }
@@ -211,10 +200,8 @@
     }
 
     private WeightedServers weighted(ServerRecord[] servers) {
-        ServerRecord[] keyPlaces = !state.settings.keyAffinity || servers.length == 0
-                ? new ServerRecord[0]
-                : MaglevTable.build(servers, KEY_PLACES * Integer.highestOneBit(servers.length), 1);
-        return new WeightedServers(servers, keyPlaces);
+        return new WeightedServers(
+                servers, state.settings.keyAffinity ? KeyAffinityPicker.placesOf(servers) : new ServerRecord[0]);
     }
 
     private void leave(ServerRecord server) {
@@ -266,7 +253,7 @@
         boolean turnedDown = admissionController.sheds(request);
         // Nobody waits for the same server, or those who do are tried with each answer.
         boolean first = !turnedDown && (waiting.isEmpty() || request.hasKey() && !isLate(request));
-        ServerRecord server = first && now < request.deadlineAtUs ? drawForFirstTry(request) : null;
+        ServerRecord server = first && now < request.deadlineAtUs ? firstAttemptPicker.pick(request, now) : null;
         if (server != null) {
             send(request, server);
         } else if (turnedDown) {
@@ -390,7 +377,7 @@
 
     private void onSuccess(ServerRecord server, ServerHealth classHealth, boolean slow) {
         slowStart.onSuccess(now);
-        trialsLeft = Math.min(MOST_TRIALS, trialsLeft + (server.health.ejected || classHealth.ejected ? 1 : 0));
+        trialRequests.onSuccess(server, classHealth);
         OutlierDetector.Recovery recovery = outlierDetector.onSuccess(server, classHealth, now);
         if (recovery == OutlierDetector.Recovery.SERVER) {
             forgetMeasurements(server);
@@ -416,142 +403,11 @@
         forgetMeasurements(server);
     }
 
-    /** An ejected server that is due for a trial with this request, or null. Exception, last resort: where
-     * the others are full, one that still answers, if with errors, gets what is safe to repeat, one at a time
-     * and not as the last attempt. Errors cost no work, so the rest of what it does is won; but the longer it
-     * only fails, the longer it is left alone, else one that fails all at once would draw most requests. */
-    private ServerRecord trial(PendingRequest request, boolean full) {
-        for (ServerRecord server : outlierDetector.ejectedServers()) {
-            ServerHealth ofClass = server.classHealth.get(request.classIndex);
-            // Unsafe requests are risked only where no other could tell: for a class of their own.
-            boolean due = full
-                    ? server.lastAttemptAnswered
-                            && now >= server.pausedUntilUs
-                            && now
-                                    >= server.health.answeredAtUs
-                                            + Math.max(0, server.health.consecutiveFailures() - RESTS_AFTER)
-                                                    * latencies
-                                                            .get(request.classIndex)
-                                                            .meanUs()
-                                                    / ServerHealth.HISTORY_LENGTH
-                            && request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                            && request.attempts < request.servers.length - 1
-                    : request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
-                            ? !server.health.ejected
-                                    && ofClass.ejected
-                                    && now >= ofClass.trialAtUs + UNSAFE_TRIALS * ofClass.ejectionUs
-                            : server.health.ejected && now >= server.health.trialAtUs
-                                    || ofClass.ejected && now >= ofClass.trialAtUs;
-            if (due && server.inFlight == 0 && eligibility.isLawful(request, server, now)) {
-                return server;
-            }
-        }
-        return null;
-    }
-
     // ---------------------------------------------------------------- draws
 
-    /** Two draws by weight; the one with fewer own requests in flight, ties at random. */
-    private ServerRecord drawForFirstTry(PendingRequest request) {
-        ServerRecord due = outlierDetector.ejectedServers().isEmpty() || trialsLeft < 1 ? null : trial(request, false);
-        if (due != null) {
-            trialsLeft--;
-            return due;
-        }
-        ServerRecord server = drawTwo(request, state.localServers);
-        // Exception, zones: where crossing costs, both draws are local, and two more from all servers win
-        // only if the local choice is crowded, fails, or has at least two requests more in flight.
-        if (state.localServers != state.allServers
-                && (server == null || server.inFlight >= SPILL_AT || server.errors > 0)) {
-            ServerRecord other = drawTwo(request, state.allServers);
-            server = server == null
-                            || other != null
-                                    && (other.inFlight + SPILL_AT <= server.inFlight || other.errors < server.errors)
-                    ? other
-                    : server;
-        }
-        return server == null ? trial(request, true) : server;
-    }
-
-    private ServerRecord drawTwo(PendingRequest request, WeightedServers from) {
-        ServerRecord first = draw(request, from, null);
-        ServerRecord second = first == null ? null : draw(request, from, first);
-        if (second == null || first.inFlight != second.inFlight) {
-            return second == null || first.inFlight < second.inFlight ? first : second;
-        }
-        // Draws are in random order, but by weight: a tie is broken by a toss of its own, or by the key.
-        return request.hasKey() || random.nextInt(2) == 0 ? first : second;
-    }
-
-    /** One draw by weight among the servers that may be sent to, but for {@code except}; null if none may. */
-    private ServerRecord draw(PendingRequest request, WeightedServers from, ServerRecord except) {
-        ServerRecord[] servers = from.servers;
-        if (state.weightsStale) {
-            weigh();
-        }
-        if (request.hasKey()) {
-            return drawByKey(request, from, Arrays.asList(except));
-        }
-        for (int i = 0; i <= REDRAWS && servers.length > 0; i++) {
-            ServerRecord server = servers[drawPosition(from)];
-            if (server != except && eligibility.maySend(request, server, now)) {
-                return server;
-            }
-        }
-        return null;
-    }
-
-    private int drawPosition(WeightedServers from) {
-        int last = from.servers.length - 1;
-        if (largestEffect == 1) {
-            return random.nextInt(last + 1);
-        }
-        int found = Arrays.binarySearch(from.cumulativeWeights, random.nextLong(from.cumulativeWeights[last]));
-        return found < 0 ? -1 - found : found + 1;
-    }
-
-    /** Exception, keys: acts where servers remember keys. The same weights, but the draws are fixed by the
-     * request's key, as in rendezvous hashing: nodes draw the same servers for a key, near ones first, and a
-     * server that gains errors loses keys to those drawn next, while the others stay where they are warm.
-     * When all draws are full the request waits: at just any server it would cost the work that memory saves,
-     * and a crowd would feed itself. Harm: a few hot keys may wait while other servers have room. */
-    private ServerRecord drawByKey(PendingRequest request, WeightedServers from, List<ServerRecord> except) {
-        for (int i = 0; i < KEY_DRAWS && from.keyPlaces.length > 0; i++) {
-            long hash = KeyAffinityPicker.mix(request.keySeed + i * 0x9E3779B97F4A7C15L);
-            ServerRecord server = from.keyPlaces[(int) ((hash >>> 32) % from.keyPlaces.length)];
-            boolean drawn = (hash & 0xFFFFFFFFL) * largestEffect < weight(server) * 0x1p32;
-            if (drawn && !except.contains(server) && eligibility.maySend(request, server, now)) {
-                return server;
-            }
-        }
-        return null;
-    }
-
-    /** The paper's weights, worked out anew only when a count or the list has changed. */
-    private void weigh() {
-        int most = Arrays.stream(state.servers)
-                .mapToInt(server -> server.errors)
-                .max()
-                .orElse(0);
-        largestEffect = Math.floor(Math.pow(1 + most, 1.5));
-        sumUp(state.allServers);
-        sumUp(state.localServers);
-        state.weightsStale = false;
-    }
-
-    private void sumUp(WeightedServers pool) {
-        for (int i = 0; i < pool.servers.length; i++) {
-            pool.cumulativeWeights[i] = weight(pool.servers[i]) + (i == 0 ? 0 : pool.cumulativeWeights[i - 1]);
-        }
-    }
-
-    private long weight(ServerRecord server) {
-        return server.health.ejected ? 1 : (long) Math.ceil(largestEffect / (1 + server.errors));
-    }
-
     /** A failed request goes to the next server in list order, or waits, or has its final answer. */
     private void passOn(PendingRequest request, ServerRecord failed) {
-        ServerRecord next = RetryPolicy.mayRetry(request, now) ? nextInTurn(request, failed) : null;
+        ServerRecord next = RetryPolicy.mayRetry(request, now) ? retryPicker.pick(request, failed, now) : null;
         if (next != null) {
             send(request, next);
         } else if (RetryPolicy.mayRetry(request, now)) {
@@ -561,20 +417,6 @@
         }
     }
 
-    private ServerRecord nextInTurn(PendingRequest request, ServerRecord failed) {
-        List<ServerRecord> tried = Arrays.asList(request.servers);
-        if (request.hasKey() && request.bindingAttempt() < 0) {
-            return drawByKey(request, state.allServers, tried);
-        }
-        for (int i = 1; i <= state.servers.length; i++) {
-            ServerRecord next = state.servers[(failed.position + i) % state.servers.length];
-            if (!tried.contains(next) && eligibility.maySend(request, next, now)) {
-                return next;
-            }
-        }
-        return null;
-    }
-
     // ---------------------------------------------------------------- silence
 
     /** Exception, silence: an attempt without an answer for {@link #SILENT_BY} times its class's usual time,
@@ -618,7 +460,7 @@
                 && hedgesLeft >= 1
                 && RetryPolicy.mayRetry(request, now)
                 && request.outstanding == 1) {
-            ServerRecord next = nextInTurn(request, server);
+            ServerRecord next = retryPicker.pick(request, server, now);
             if (next != null) {
                 hedgesLeft--;
                 send(request, next);
@@ -690,7 +532,7 @@
             }
             boolean unsafe = request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT;
             boolean barred = full || unsafe && fullForUnsafe;
-            ServerRecord server = barred ? null : drawForFirstTry(request);
+            ServerRecord server = barred ? null : firstAttemptPicker.pick(request, now);
             if (server != null) {
                 request.dequeue();
                 send(request, server);
@@ -720,7 +562,9 @@
         request.sentAtUs[attempt] = now;
         request.outstanding++;
         hedgesLeft = Math.min(MOST_HEDGES, hedgesLeft + (attempt == 0 ? HEDGE_SHARE : 0));
-        trialsLeft = Math.min(MOST_TRIALS, trialsLeft + (attempt == 0 ? TRIAL_SHARE : 0));
+        if (attempt == 0) {
+            trialRequests.onFirstAttemptSent();
+        }
         watched.get(request.classIndex).add(new AttemptId(request, attempt));
         server.inFlight++;
         state.totalInFlight += state.isCounted(server) ? 1 : 0;
