--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -1,6 +1,5 @@
 package loadbalancer.policy;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -30,13 +29,6 @@
 
     private static final double MOST_LATE_AT = 0.8;
 
-    /** Times the usual latency of its class after which an attempt is silent: one in fifty takes longer. */
-    private static final double SILENT_BY = 4;
-    /** Retry budget of hedges: this share of first tries, and so many at once. */
-    private static final double HEDGE_SHARE = 0.2;
-
-    private static final double MOST_HEDGES = 20;
-
     /** Nodes that share a server from which on a node counts as state.manyNodesPerServer: with fewer it lost more. */
     private static final double SPARSE_FROM = 20;
     /** Waiting requests with a key drawn for in vain at each event and each sweep: more took too much CPU. */
@@ -58,6 +50,7 @@
     private final ServerEligibility eligibility;
     private final ErrorCounter errorCounter = new ErrorCounter(state);
     private final OutlierDetector outlierDetector;
+    private final HedgingPolicy hedgingPolicy;
     private final TrialRequests trialRequests;
     private final FirstAttemptPicker firstAttemptPicker;
     private final RetryPicker retryPicker;
@@ -68,14 +61,12 @@
 
     private Map<String, Long> cordons = Map.of();
     private final SubsetSelector subsetSelector = new SubsetSelector(state);
-    private double hedgesLeft = MOST_HEDGES;
 
     private final Map<Long, PendingRequest> requests = new HashMap<>();
     private final ArrayList<PendingRequest> waiting = new ArrayList<>();
 
     private long now;
     private final PerClass<ClassLatency> latencies = new PerClass<>(ClassLatency::new);
-    private final PerClass<ArrayDeque<AttemptId>> watched = new PerClass<>(ArrayDeque::new);
     private final PendingRequestFactory requestFactory = new PendingRequestFactory();
 
     /** A node that has just started and knows nothing; throws IllegalArgumentException on bad settings. */
@@ -91,6 +82,7 @@
         limiter = new ConcurrencyLimiter(state, latencies, priority, onTimeRatio, slowStart, loadReports);
         eligibility = new ServerEligibility(loadReports, limiter, slowStart);
         outlierDetector = new OutlierDetector(state, random, actions);
+        hedgingPolicy = new HedgingPolicy(state, latencies);
         trialRequests = new TrialRequests(latencies, eligibility, outlierDetector.ejectedServers());
         ServerWeights weights = new ServerWeights(state);
         KeyAffinityPicker keyAffinityPicker = new KeyAffinityPicker(weights, eligibility);
@@ -107,7 +99,7 @@
         sweepUs = Math.max(MIN_SWEEP_US, 2 * state.settings.tickUs);
         loadReports.applySettings(settings);
         latencies.extendTo(state.settings.classes);
-        watched.extendTo(state.settings.classes);
+        hedgingPolicy.addClasses(state.settings.classes);
         requestFactory.addClasses(state.settings.classes);
         byId.values().forEach(server -> server.classHealth.extendTo(state.settings.classes));
     }
@@ -342,7 +334,11 @@
         boolean paused = wakeUpTimer.onWake(now);
         endpointListRefresh.onWake(now);
         if (!paused) {
-            lookForSilence();
+            AttemptId unresponsive = hedgingPolicy.pollUnresponsive(now);
+            while (unresponsive != null) {
+                onUnresponsive(unresponsive.request(), unresponsive.attempt());
+                unresponsive = hedgingPolicy.pollUnresponsive(now);
+            }
         }
         serveWaiting(KEYS_SWEPT);
         scheduleWake();
@@ -356,12 +352,7 @@
     private void scheduleWake() {
         long at = endpointListRefresh.nextPollAtUs();
         at = waiting.isEmpty() ? at : Math.min(at, now + sweepUs);
-        for (int c = 0; c < latencies.size(); c++) {
-            AttemptId first = watched.get(c).peek();
-            at = first == null
-                    ? at
-                    : Math.min(at, Math.max(now + sweepUs, first.request().sentAtUs[first.attempt()] + silentAfter(c)));
-        }
+        at = Math.min(at, hedgingPolicy.nextCheckAtUs(now + sweepUs));
         wakeUpTimer.schedule(at, now);
     }
 
@@ -419,55 +410,6 @@
 
     // ---------------------------------------------------------------- silence
 
-    /** Exception, silence: an attempt without an answer for {@link #SILENT_BY} times its class's usual time,
-     * at a server that has answered nothing of the class since, counts as a failure while it is still out,
-     * and a repeatable request passes on to a second server (a hedge, within a retry budget). Guards against
-     * whatever swallows requests or answers while clients leave before any time-out tells. Not after a pause
-     * of this node's own, when answers are still to be read. Harm: rare heavy requests run twice. */
-    private void lookForSilence() {
-        for (int c = 0; c < latencies.size(); c++) {
-            ArrayDeque<AttemptId> line = watched.get(c);
-            while (!line.isEmpty()) {
-                PendingRequest request = line.peek().request();
-                int attempt = line.peek().attempt();
-                boolean known = request.isEnded() || request.isBound() || request.results[attempt] != null;
-                if (!known && now < request.sentAtUs[attempt] + silentAfter(c)) {
-                    break;
-                }
-                line.poll();
-                if (!known) {
-                    foundSilent(request, attempt);
-                }
-            }
-        }
-    }
-
-    private long silentAfter(int classIndex) {
-        return !latencies.get(classIndex).isKnown()
-                ? Long.MAX_VALUE / 4
-                : (long) (SILENT_BY * latencies.get(classIndex).meanUs()) + 2 * state.settings.tickUs;
-    }
-
-    private void foundSilent(PendingRequest request, int attempt) {
-        ServerRecord server = request.servers[attempt];
-        ServerHealth ofClass = server.classHealth.get(request.classIndex);
-        if (ofClass.answeredAtUs < request.sentAtUs[attempt]) {
-            request.countedAsFailure[attempt] = true;
-            onFailure(server, ofClass, true);
-        }
-        if (state.settings.hedging
-                && !request.isQueued()
-                && hedgesLeft >= 1
-                && RetryPolicy.mayRetry(request, now)
-                && request.outstanding == 1) {
-            ServerRecord next = retryPicker.pick(request, server, now);
-            if (next != null) {
-                hedgesLeft--;
-                send(request, next);
-            }
-        }
-    }
-
     // ---------------------------------------------------------------- the deferred queue
 
     private void recordLoad(PendingRequest request, int attempt, AttemptOutcome outcome) {
@@ -483,6 +425,23 @@
         limiter.onOutcome(request, attempt, outcome.latencyUs(), signal, now);
     }
 
+    /** Counts an attempt without an answer as a failure while it is still out, and hedges it. */
+    private void onUnresponsive(PendingRequest request, int attempt) {
+        ServerRecord server = request.servers[attempt];
+        ServerHealth classHealth = server.classHealth.get(request.classIndex);
+        if (classHealth.answeredAtUs < request.sentAtUs[attempt]) {
+            request.countedAsFailure[attempt] = true;
+            onFailure(server, classHealth, true);
+        }
+        if (hedgingPolicy.mayHedge(request, now)) {
+            ServerRecord next = retryPicker.pick(request, server, now);
+            if (next != null) {
+                hedgingPolicy.onHedged();
+                send(request, next);
+            }
+        }
+    }
+
     /** Puts a request into the deferred queue: first come first served among those of equal value. */
     private void defer(PendingRequest request) {
         request.enqueue();
@@ -561,11 +520,10 @@
         request.servers[attempt] = server;
         request.sentAtUs[attempt] = now;
         request.outstanding++;
-        hedgesLeft = Math.min(MOST_HEDGES, hedgesLeft + (attempt == 0 ? HEDGE_SHARE : 0));
         if (attempt == 0) {
             trialRequests.onFirstAttemptSent();
         }
-        watched.get(request.classIndex).add(new AttemptId(request, attempt));
+        hedgingPolicy.onSent(request, attempt);
         server.inFlight++;
         state.totalInFlight += state.isCounted(server) ? 1 : 0;
         slowStart.onSent(server, now);
