--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -1,8 +1,6 @@
 package loadbalancer.policy;
 
-import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -21,23 +19,11 @@
  */
 public final class ServiceQBalancer implements Balancer {
 
-    /** Shortest sweep over waiting requests; long against the cost of a sweep, short against any aim. */
-    private static final long MIN_SWEEP_US = 5_000;
-
-    /** A waiting request is too late with so many usual latencies left to its aim, or this share at most. */
-    private static final double TOO_LATE_AT = 2;
-
-    private static final double MOST_LATE_AT = 0.8;
-
     /** Nodes that share a server from which on a node counts as state.manyNodesPerServer: with fewer it lost more. */
     private static final double SPARSE_FROM = 20;
-    /** Waiting requests with a key drawn for in vain at each event and each sweep: more took too much CPU. */
-    private static final int KEYS_TRIED = 4;
-
-    private static final int KEYS_SWEPT = 64;
 
     private final BalancerState state = new BalancerState();
-    private final BalancerActions out;
+    private final BalancerActions actions;
     private final SplittableRandom random;
     private final EndpointListRefresh endpointListRefresh;
     private final WakeUpTimer wakeUpTimer;
@@ -50,11 +36,11 @@
     private final ServerEligibility eligibility;
     private final ErrorCounter errorCounter = new ErrorCounter(state);
     private final OutlierDetector outlierDetector;
+    private final PendingQueue queue;
     private final HedgingPolicy hedgingPolicy;
     private final TrialRequests trialRequests;
     private final FirstAttemptPicker firstAttemptPicker;
     private final RetryPicker retryPicker;
-    private long sweepUs;
 
     private final Map<String, ServerRecord> byId = new HashMap<>();
     private final Set<ServerRecord> listed = new LinkedHashSet<>();
@@ -63,7 +49,6 @@
     private final SubsetSelector subsetSelector = new SubsetSelector(state);
 
     private final Map<Long, PendingRequest> requests = new HashMap<>();
-    private final ArrayList<PendingRequest> waiting = new ArrayList<>();
 
     private long now;
     private final PerClass<ClassLatency> latencies = new PerClass<>(ClassLatency::new);
@@ -71,7 +56,7 @@
 
     /** A node that has just started and knows nothing; throws IllegalArgumentException on bad settings. */
     public ServiceQBalancer(BalancerSettings settings, long seed, BalancerActions actions) {
-        out = actions;
+        this.actions = actions;
         random = new SplittableRandom(seed);
         endpointListRefresh = new EndpointListRefresh(state, random, actions);
         wakeUpTimer = new WakeUpTimer(actions);
@@ -82,6 +67,17 @@
         limiter = new ConcurrencyLimiter(state, latencies, priority, onTimeRatio, slowStart, loadReports);
         eligibility = new ServerEligibility(loadReports, limiter, slowStart);
         outlierDetector = new OutlierDetector(state, random, actions);
+        queue = new PendingQueue(state, latencies, new PendingQueue.Dispatcher() {
+            @Override
+            public boolean trySend(PendingRequest request, long nowUs) {
+                return ServiceQBalancer.this.trySend(request);
+            }
+
+            @Override
+            public void answerUnserved(PendingRequest request) {
+                ServiceQBalancer.this.answerUnserved(request);
+            }
+        });
         hedgingPolicy = new HedgingPolicy(state, latencies);
         trialRequests = new TrialRequests(latencies, eligibility, outlierDetector.ejectedServers());
         ServerWeights weights = new ServerWeights(state);
@@ -96,7 +92,7 @@
     private void follow(BalancerSettings settings) {
         settings.validate();
         state.settings = settings;
-        sweepUs = Math.max(MIN_SWEEP_US, 2 * state.settings.tickUs);
+        queue.applySettings(settings);
         loadReports.applySettings(settings);
         latencies.extendTo(state.settings.classes);
         hedgingPolicy.addClasses(state.settings.classes);
@@ -205,7 +201,7 @@
     /** Connections to a server no longer in use would hold its places for the nodes that do use it. */
     private void closeIfUnused(ServerRecord server) {
         if (!server.inUse && server.inFlight == 0) {
-            out.closeIdle(server.id);
+            actions.closeIdle(server.id);
         }
     }
 
@@ -244,15 +240,15 @@
         request.value = priority.valueOf(request.requestClass.priorityWeight(), arrival.classIndex());
         boolean turnedDown = admissionController.sheds(request);
         // Nobody waits for the same server, or those who do are tried with each answer.
-        boolean first = !turnedDown && (waiting.isEmpty() || request.hasKey() && !isLate(request));
+        boolean first = !turnedDown && (queue.isEmpty() || request.hasKey() && !queue.isLate(request, now));
         ServerRecord server = first && now < request.deadlineAtUs ? firstAttemptPicker.pick(request, now) : null;
         if (server != null) {
             send(request, server);
         } else if (turnedDown) {
-            giveUp(request);
+            answerUnserved(request);
         } else {
-            defer(request);
-            serveWaiting(KEYS_TRIED);
+            enqueue(request);
+            queue.serve(PendingQueue.KEYS_PER_EVENT, now);
         }
         scheduleWake();
     }
@@ -340,19 +336,19 @@
                 unresponsive = hedgingPolicy.pollUnresponsive(now);
             }
         }
-        serveWaiting(KEYS_SWEPT);
+        queue.serve(PendingQueue.KEYS_PER_SWEEP, now);
         scheduleWake();
     }
 
     private void carryOn() {
-        serveWaiting(KEYS_TRIED);
+        queue.serve(PendingQueue.KEYS_PER_EVENT, now);
         scheduleWake();
     }
 
     private void scheduleWake() {
         long at = endpointListRefresh.nextPollAtUs();
-        at = waiting.isEmpty() ? at : Math.min(at, now + sweepUs);
-        at = Math.min(at, hedgingPolicy.nextCheckAtUs(now + sweepUs));
+        at = queue.isEmpty() ? at : Math.min(at, now + queue.sweepIntervalUs());
+        at = Math.min(at, hedgingPolicy.nextCheckAtUs(now + queue.sweepIntervalUs()));
         wakeUpTimer.schedule(at, now);
     }
 
@@ -402,9 +398,9 @@
         if (next != null) {
             send(request, next);
         } else if (RetryPolicy.mayRetry(request, now)) {
-            defer(request);
+            enqueue(request);
         } else {
-            giveUp(request);
+            answerUnserved(request);
         }
     }
 
@@ -412,6 +408,32 @@
 
     // ---------------------------------------------------------------- the deferred queue
 
+    private void enqueue(PendingRequest request) {
+        PendingRequest shed = queue.add(request);
+        if (shed != null) {
+            answerUnserved(shed);
+        }
+    }
+
+    private boolean trySend(PendingRequest request) {
+        ServerRecord server = firstAttemptPicker.pick(request, now);
+        if (server != null) {
+            request.dequeue();
+            send(request, server);
+        }
+        return server != null;
+    }
+
+    /** The final answer to a request that no server served; tells the client when a retry is harmless. */
+    private void answerUnserved(PendingRequest request) {
+        if (RetryPolicy.isRetryByClientHarmless(request)) {
+            actions.reject(request.id, state.settings.maxRetryAfterUs);
+        } else {
+            actions.fail(request.id);
+        }
+        end(request);
+    }
+
     private void recordLoad(PendingRequest request, int attempt, AttemptOutcome outcome) {
         ClassLatency latency = latencies.get(request.classIndex);
         LoadSignal signal = LoadSignal.of(request, outcome, latency);
@@ -442,74 +464,6 @@
         }
     }
 
-    /** Puts a request into the deferred queue: first come first served among those of equal value. */
-    private void defer(PendingRequest request) {
-        request.enqueue();
-        int at = waiting.size();
-        while (at > 0 && waiting.get(at - 1).value < request.value) {
-            at--;
-        }
-        waiting.add(at, request);
-        // Clients would soon find no connection to ask on: what is worth least makes room.
-        PendingRequest least = waiting.get(waiting.size() - 1);
-        if (least.isQueued() && waiting.size() + state.totalInFlight > state.settings.maxOpen) {
-            giveUp(least);
-        }
-    }
-
-    private boolean isLate(PendingRequest request) {
-        return request.objectiveAtUs - now
-                < Math.min(
-                        MOST_LATE_AT * request.latencyObjectiveUs,
-                        TOO_LATE_AT * latencies.get(request.classIndex).meanUs());
-    }
-
-    /** Sends what waits as far as servers allow and ends what has run out of time. */
-    private void serveWaiting(int keysToTry) {
-        int kept = 0;
-        boolean full = false;
-        boolean fullForUnsafe = false;
-        boolean unsorted = false;
-        for (int i = 0; i < waiting.size(); i++) {
-            PendingRequest request = waiting.get(i);
-            if (!request.isQueued()) {
-                continue;
-            }
-            boolean late = isLate(request);
-            if (request.deadlineAtUs - now <= sweepUs + state.settings.tickUs
-                    || late && request.requestClass.lateWeight() == 0
-                    || !RetryPolicy.mayRetry(request, now)) {
-                giveUp(request);
-                continue;
-            }
-            if (late && !request.valuedAsLate) {
-                request.valuedAsLate = true;
-                request.value *= request.requestClass.lateWeight();
-                unsorted = true;
-                waiting.set(kept++, request);
-                continue;
-            }
-            boolean unsafe = request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT;
-            boolean barred = full || unsafe && fullForUnsafe;
-            ServerRecord server = barred ? null : firstAttemptPicker.pick(request, now);
-            if (server != null) {
-                request.dequeue();
-                send(request, server);
-            } else {
-                // What has not been sent may go anywhere, but for unsafe requests and ejected servers: if it
-                // finds no server, nor does the next one. With a key it may go to few.
-                boolean last = request.attempts == 0 && (!request.hasKey() || --keysToTry <= 0);
-                fullForUnsafe |= last;
-                full |= last && (!unsafe || request.hasKey());
-                waiting.set(kept++, request);
-            }
-        }
-        waiting.subList(kept, waiting.size()).clear();
-        if (unsorted) {
-            waiting.sort(Comparator.comparingDouble(request -> -request.value));
-        }
-    }
-
     // ---------------------------------------------------------------- concurrency limits
 
     // ---------------------------------------------------------------- sending
@@ -527,21 +481,11 @@
         server.inFlight++;
         state.totalInFlight += state.isCounted(server) ? 1 : 0;
         slowStart.onSent(server, now);
-        out.send(request.id, server.id, beginBy, request.deadlineAtUs);
+        actions.send(request.id, server.id, beginBy, request.deadlineAtUs);
     }
 
     // ---------------------------------------------------------------- the four rules
 
-    /** Rule 1: the one final answer, a refusal wherever that is known to be harmless. */
-    private void giveUp(PendingRequest request) {
-        if (RetryPolicy.isRetryByClientHarmless(request)) {
-            out.reject(request.id, state.settings.maxRetryAfterUs);
-        } else {
-            out.fail(request.id);
-        }
-        end(request);
-    }
-
     private void end(PendingRequest request) {
         request.end();
         cancel(request, -1);
@@ -551,7 +495,7 @@
     private void cancel(PendingRequest request, int except) {
         for (int i = 0; i < request.attempts && request.outstanding > 0 && state.settings.cancellation; i++) {
             if (request.results[i] == null && i != except) {
-                out.cancel(request.id, i);
+                actions.cancel(request.id, i);
             }
         }
     }
