--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -12,18 +12,21 @@
 import loadbalancer.admin.ControlServer;
 import loadbalancer.admin.CordonStore;
 import loadbalancer.admin.Metrics;
+import loadbalancer.admin.MetricsRenderer;
+import loadbalancer.admin.NodeOperations;
 import loadbalancer.admin.RejectedCallException;
 import loadbalancer.client.ClientServer;
 import loadbalancer.client.RequestReader;
-import loadbalancer.common.Clock;
 import loadbalancer.common.Log;
+import loadbalancer.common.MonotonicWallClock;
 import loadbalancer.common.SocketBudget;
 import loadbalancer.config.ClassRegistry;
 import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointWatcher;
-import loadbalancer.eventloop.LoopLag;
+import loadbalancer.eventloop.LoopLagMeter;
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.net.SocketAddresses;
 import loadbalancer.policy.Balancer;
@@ -57,10 +60,10 @@
     private static final long LAST_ASKED_US = 800_000;
 
     private final NodeConfig config;
-    private ClassRegistry tuning;
+    private ClassRegistry registry;
     private final MeasuredEventLoop loop;
-    private final Clock clock = new Clock();
-    private final Metrics counters = new Metrics();
+    private final MonotonicWallClock clock = new MonotonicWallClock();
+    private final Metrics metrics = new Metrics();
     private final CordonStore cordons;
     private final ControlServer control;
     private boolean watching;
@@ -89,27 +92,27 @@
         boolean operated = config.operators().control() != null;
         cordons = new CordonStore(operated ? config.operators().folder() : null);
         control = operated ? new ControlServer(loop, new Operators()) : null;
-        counters.report(config.settings().classes);
-        SocketBudget sockets = new SocketBudget(config.sockets(), operated ? ControlServer.SOCKETS : 0);
+        metrics.register(config.settings().classes);
+        SocketBudget sockets = new SocketBudget(config.sockets(), operated ? ControlServer.MAX_SOCKETS : 0);
         pool = new ServerPool(loop, sockets, clock, config.settings().connectTimeoutUs, config.connIdleUs());
-        tuning = ClassRegistry.first(config.settings());
+        registry = ClassRegistry.initial(config.settings());
         means = new RequestServices(
-                loop, clock, pool, counters, config.settings().reportFields, module, new HashSet<>());
-        requests = new RequestTable(means, () -> tuning);
-        clients = new ClientServer(loop, new RequestReader(tuning), sockets, requests);
+                loop, clock, pool, metrics, config.settings().reportFields, module, new HashSet<>());
+        requests = new RequestTable(means, () -> registry);
+        clients = new ClientServer(loop, new RequestReader(registry), sockets, requests);
         discovery = new EndpointWatcher(loop, config, EndpointWatcher.Patience.USUAL, new EndpointWatcher.Listener() {
             @Override
             public void listed(EndpointList list) {
-                list(list, list.all() ? ListKind.FULL : ListKind.CHANGES);
+                list(list, list.full() ? ListKind.FULL : ListKind.CHANGES);
             }
 
             @Override
             public void failed(String reason) {
                 Log.warn("watch_failed", "reason", reason);
-                module.tell(told -> told.onListFailed(clock.nowUs()));
+                module.submit(balancer -> balancer.onListFailed(clock.nowUs()));
             }
         });
-        module.decidedBy(deciding.apply(this));
+        module.setBalancer(deciding.apply(this));
     }
 
     // ---------------------------------------------------------------- start and end
@@ -154,7 +157,7 @@
                 () -> {
                     long lateUs = clock.nowUs() - housekeptUs - HOUSEKEEPING_MS * 1_000;
                     housekeptUs = clock.nowUs();
-                    LoopLag.Activity activity = loop.lag().takeActivity();
+                    LoopLagMeter.LoopActivity activity = loop.lagMeter().takeLoopActivity();
                     if (lateUs > HELD_UP_US) {
                         Log.warn(
                                 "event_loop_stalled",
@@ -167,8 +170,8 @@
                                 "longest_tasks_ms",
                                 activity.longestTasksNanos() / 1_000_000);
                     }
-                    pool.closeOld();
-                    clients.closeOld();
+                    pool.evictIdle();
+                    clients.closeExpired();
                     requests.expireStalled();
                     heedCordons();
                 },
@@ -182,12 +185,12 @@
     void drain(Runnable whenEmpty) {
         loop.execute(() -> {
             serves = false;
-            Log.info("draining", "open_requests", requests.open());
-            long remainingUs = Math.min(MOST_DEADLINE_US, tuning.longestDeadlineUs()) + KILL_US - ROOM_US;
-            requests.endAt(clock.nowUs() + remainingUs);
-            loop.schedule(requests::cutOff, remainingUs, TimeUnit.MICROSECONDS);
+            Log.info("draining", "open_requests", requests.pendingCount());
+            long remainingUs = Math.min(MOST_DEADLINE_US, registry.longestDeadlineUs()) + KILL_US - ROOM_US;
+            requests.setShutdownDeadline(clock.nowUs() + remainingUs);
+            loop.schedule(requests::failPending, remainingUs, TimeUnit.MICROSECONDS);
             if (config.operators().inherits()) {
-                clients.handOver(Math.max(0, remainingUs - LAST_ASKED_US) / 1_000, whenEmpty);
+                clients.drainForHandover(Math.max(0, remainingUs - LAST_ASKED_US) / 1_000, whenEmpty);
             } else {
                 clients.drain(whenEmpty);
             }
@@ -213,25 +216,27 @@
     // ---------------------------------------------------------------- operators
 
     /** What operators call for. */
-    private final class Operators implements ControlServer.Operated {
+    private final class Operators implements NodeOperations {
         @Override
-        public boolean serves() {
+        public boolean isServing() {
             return serves;
         }
 
         @Override
-        public String figures() {
-            return counters.text(new Metrics.Gauges(requests.open(), pool.listed(), module.excludedServers()))
+        public String metrics() {
+            return MetricsRenderer.render(
+                            metrics,
+                            new Metrics.Gauges(requests.pendingCount(), pool.serverCount(), module.excludedServers()))
                     + (moreFigures == null ? "" : moreFigures.get());
         }
 
         @Override
-        public long cordon(String serverId, boolean out) throws RejectedCallException {
-            cordons.change(serverId, out);
-            Log.info(out ? "server_cordoned" : "server_uncordoned", "server", serverId);
+        public long setCordoned(String serverId, boolean cordoned) throws RejectedCallException {
+            cordons.setCordoned(serverId, cordoned);
+            Log.info(cordoned ? "server_cordoned" : "server_uncordoned", "server", serverId);
             Node.this.cordon();
             // The yes binds every process of the node, and another one learns of it by looking.
-            return out && cordons.areShared() ? HEEDED_MS : 0;
+            return cordoned && cordons.isShared() ? HEEDED_MS : 0;
         }
     }
 
@@ -243,9 +248,9 @@
     }
 
     private void cordon() {
-        module.tell(told -> {
-            pool.cordon(cordons.out());
-            told.onCordoned(clock.nowUs(), cordons.out());
+        module.submit(balancer -> {
+            pool.setCordoned(cordons.cordonedIds());
+            balancer.onCordoned(clock.nowUs(), cordons.cordonedIds());
         });
     }
 
@@ -259,42 +264,42 @@
             loop.execute(() -> retune(read));
         } catch (ConfigException e) {
             Log.warn("reload_failed", "reason", e.getMessage());
-            loop.execute(counters::loadFailed);
+            loop.execute(metrics::onConfigRejected);
         }
     }
 
     private void retune(NodeConfig read) {
-        Log.info("reloaded", "discovery", read.discovery() == null ? null : SocketAddresses.text(read.discovery()));
-        counters.loaded();
-        counters.report(read.settings().classes);
-        ClassRegistry next = tuning.then(read.settings());
-        tuning = next;
-        module.tell(told -> told.onSettings(clock.nowUs(), next.settings()));
-        clients.readBy(new RequestReader(next));
-        pool.tune(next.settings().connectTimeoutUs, read.connIdleUs());
+        Log.info("reloaded", "discovery", read.discovery() == null ? null : SocketAddresses.format(read.discovery()));
+        metrics.onConfigLoaded();
+        metrics.register(read.settings().classes);
+        ClassRegistry next = registry.reloaded(read.settings());
+        registry = next;
+        module.submit(balancer -> balancer.onSettings(clock.nowUs(), next.settings()));
+        clients.setRequestReader(new RequestReader(next));
+        pool.setTimeouts(next.settings().connectTimeoutUs, read.connIdleUs());
         discovery.moveTo(read.discovery());
         loop.schedule(
                 () -> {
                     // Unless another file has been taken since.
-                    if (tuning == next) {
-                        tuning = next.settled();
-                        clients.readBy(new RequestReader(tuning));
+                    if (registry == next) {
+                        registry = next.withoutRetiredClasses();
+                        clients.setRequestReader(new RequestReader(registry));
                     }
                 },
-                next.settlesAfterUs(),
+                next.retirementDelayUs(),
                 TimeUnit.MICROSECONDS);
     }
 
     private void list(EndpointList list, ListKind kind) {
-        module.tell(told -> {
+        module.submit(balancer -> {
             // The pool first, as the module sends to new servers at once. What it frees from a draining
             // server is told after the list: the module would else send it there again.
             pool.update(list);
-            cordons.listed(list);
-            told.onServers(
+            cordons.onEndpointList(list);
+            balancer.onServers(
                     clock.nowUs(),
                     kind,
-                    list.hosts().stream().map(EndpointList.Host::entry).toList());
+                    list.endpoints().stream().map(Endpoint::server).toList());
         });
     }
 
@@ -302,22 +307,22 @@
 
     @Override
     public void send(long requestId, String serverId, long beginByUs, long untilUs) {
-        requests.send(requestId, serverId, beginByUs, untilUs);
+        requests.startAttempt(requestId, serverId, beginByUs, untilUs);
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
-        requests.cancel(requestId, attempt);
+        requests.cancelAttempt(requestId, attempt);
     }
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        requests.finish(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterUs);
+        requests.respond(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterUs);
     }
 
     @Override
     public void fail(long requestId) {
-        requests.finish(requestId, HttpResponseStatus.BAD_GATEWAY, 0);
+        requests.respond(requestId, HttpResponseStatus.BAD_GATEWAY, 0);
     }
 
     /** The module keeps one wake-up pending at most: an earlier one takes the place of a later. */
@@ -339,7 +344,7 @@
                         return;
                     }
                     wake = null;
-                    module.tell(told -> told.onWake(clock.nowUs()));
+                    module.submit(balancer -> balancer.onWake(clock.nowUs()));
                 },
                 Math.max(0, wakeAtUs - clock.nowUs()),
                 TimeUnit.MICROSECONDS);
@@ -347,7 +352,7 @@
 
     @Override
     public void probe(String serverId) {
-        new HealthCheck(serverId, means).begin();
+        new HealthCheck(serverId, means).start();
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/upstream/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -14,12 +14,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.common.Clock;
+import loadbalancer.common.MonotonicWallClock;
 import loadbalancer.common.SocketBudget;
+import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
+import loadbalancer.http.StrictClientCodec;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.ServerState;
-import loadbalancer.transfer.FlowControl;
+import loadbalancer.transfer.TransferLimits;
 
 /** The connections to servers: one exchange at a time on each, the most recently used first. */
 public final class ServerPool {
@@ -29,7 +31,7 @@
     private final EventLoop loop;
     private final SocketBudget sockets;
     private long connIdleUs;
-    private final Clock clock;
+    private final MonotonicWallClock clock;
     private final Map<String, Upstream> upstreams = new HashMap<>();
     /** The connections that carry an exchange. */
     private final Map<UpstreamExchange, ServerConnection> carriers = new HashMap<>();
@@ -37,29 +39,30 @@
     private Set<String> cordoned = Set.of();
 
     /** A pool without servers. */
-    public ServerPool(EventLoop loop, SocketBudget sockets, Clock clock, long connectTimeoutUs, long connIdleUs) {
+    public ServerPool(
+            EventLoop loop, SocketBudget sockets, MonotonicWallClock clock, long connectTimeoutUs, long connIdleUs) {
         this.loop = loop;
         this.sockets = sockets;
         this.clock = clock;
         dialer = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, FlowControl.ALLOCATOR)
+                .option(ChannelOption.ALLOCATOR, TransferLimits.ALLOCATOR)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.SO_SNDBUF, FlowControl.SYSTEM_BUFFER)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, FlowControl.WATER_MARK)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, FlowControl.parts())
+                .option(ChannelOption.SO_SNDBUF, TransferLimits.SOCKET_SEND_BUFFER_BYTES)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, TransferLimits.WRITE_WATER_MARK)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, TransferLimits.newReadAllocator())
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         channel.pipeline().addLast(new StrictClientCodec());
                     }
                 });
-        tune(connectTimeoutUs, connIdleUs);
+        setTimeouts(connectTimeoutUs, connIdleUs);
     }
 
     /** New connections may take this long to open, and idle ones are closed before the servers do it. */
-    public void tune(long connectTimeoutUs, long idleUs) {
+    public void setTimeouts(long connectTimeoutUs, long idleUs) {
         dialer.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1_000));
         connIdleUs = idleUs;
     }
@@ -139,24 +142,24 @@
 
     /** Follows the list. Word of a drain takes effect at once, also for what awaits a connection. */
     public void update(EndpointList list) {
-        Map<String, Upstream> missing = list.all() ? new HashMap<>(upstreams) : Map.of();
-        for (EndpointList.Host host : list.hosts()) {
-            String id = host.entry().id();
-            if (list.all()) {
+        Map<String, Upstream> missing = list.full() ? new HashMap<>(upstreams) : Map.of();
+        for (Endpoint endpoint : list.endpoints()) {
+            String id = endpoint.server().id();
+            if (list.full()) {
                 missing.remove(id);
             }
-            if (host.entry().state() == ServerState.GONE) {
+            if (endpoint.server().state() == ServerState.GONE) {
                 remove(id);
                 continue;
             }
             Upstream upstream = upstreams.computeIfAbsent(id, Upstream::new);
             // What was opened to another address, or to a process that has ended, is of no more use: a
             // request written to it would end as a reset, which may not be repeated.
-            boolean moved =
-                    !host.endpoint().equals(upstream.endpoint) || host.entry().startedAtUs() > upstream.startedAtUs;
-            upstream.endpoint = host.endpoint();
-            upstream.startedAtUs = host.entry().startedAtUs();
-            upstream.listedReady = host.entry().state() == ServerState.READY;
+            boolean moved = !endpoint.address().equals(upstream.endpoint)
+                    || endpoint.server().startedAtUs() > upstream.startedAtUs;
+            upstream.endpoint = endpoint.address();
+            upstream.startedAtUs = endpoint.server().startedAtUs();
+            upstream.listedReady = endpoint.server().state() == ServerState.READY;
             upstream.ready = upstream.listedReady && !cordoned.contains(id);
             if (moved || !upstream.ready) {
                 List.copyOf(upstream.idle).stream().filter(c -> !c.isUsable()).forEach(ServerConnection::close);
@@ -169,12 +172,12 @@
     }
 
     /** How many servers are listed, whatever their state. */
-    public int listed() {
+    public int serverCount() {
         return upstreams.size();
     }
 
     /** These and no others are kept out by hand: as with a drain, also what awaits a connection is freed. */
-    public void cordon(Set<String> ids) {
+    public void setCordoned(Set<String> ids) {
         cordoned = ids;
         for (Upstream upstream : upstreams.values()) {
             upstream.ready = upstream.listedReady && !ids.contains(upstream.id);
@@ -245,10 +248,10 @@
 
     private void dial(Upstream upstream) {
         upstream.dialing++;
-        sockets.opened();
+        sockets.serverOpened();
         InetSocketAddress to = upstream.endpoint;
         ChannelFuture opening = dialer.connect(to);
-        opening.channel().closeFuture().addListener(closed -> sockets.closed());
+        opening.channel().closeFuture().addListener(closed -> sockets.serverClosed());
         // Also a dial that fails on the spot is heard of from the loop, never from inside this call.
         opening.addListener(done -> loop.execute(() -> dialed(upstream, to, opening)));
     }
@@ -279,7 +282,7 @@
     }
 
     /** Closes what has been idle for half of what servers allow: a request that met their close resets. */
-    public void closeOld() {
+    public void evictIdle() {
         long before = clock.nowUs() - connIdleUs / 2;
         for (Upstream upstream : upstreams.values()) {
             while (!upstream.idle.isEmpty() && upstream.idle.peekLast().idleSinceUs() < before) {
--- a/rig/src/main/java/loadbalancer/rig/members/MembersStudy.java
+++ b/rig/src/main/java/loadbalancer/rig/members/MembersStudy.java
@@ -11,7 +11,7 @@
  * each.
  */
 public final class MembersStudy {
-    /** Views have to be alike, and rumors to have gone quiet, before anything is measured. */
+    /** Views have to be alike, and updates to have gone quiet, before anything is measured. */
     private static final int SETTLE_PERIODS = 60;
 
     private static final int LOAD_PERIODS = 60;
@@ -35,7 +35,7 @@
     /** Throws IllegalStateException where a fleet in which nothing goes wrong does not settle. */
     public static Figures play(int members, long seed, UnaryOperator<MembershipSettings> tuned) {
         MembersWorld world = new MembersWorld(seed, Long.MAX_VALUE / 4).with(members, tuned);
-        long period = world.member(0).settings().periodUs();
+        long period = world.member(0).settings().probePeriodUs();
         SplittableRandom random = world.time().stream("study");
         world.startAll(period);
         if (world.agreedAtUs(period, SETTLE_PERIODS * period) < 0) {
@@ -90,7 +90,7 @@
     public static Falsely falsely(
             int members, long seed, double lost, int seconds, UnaryOperator<MembershipSettings> tuned) {
         MembersWorld world = new MembersWorld(seed, Long.MAX_VALUE / 4).with(members, tuned);
-        long period = world.member(0).settings().periodUs();
+        long period = world.member(0).settings().probePeriodUs();
         SplittableRandom random = world.time().stream("study");
         world.startAll(period);
         pass(world, SETTLE_PERIODS * period);
@@ -112,7 +112,7 @@
 
     private static long suspicions(MembersWorld world) {
         return world.members().stream()
-                .mapToLong(m -> m.count(MembershipChange.Kind.SUSPECTED))
+                .mapToLong(m -> m.count(MembershipChange.Type.SUSPECTED))
                 .sum();
     }
 
