--- a/node/src/main/java/loadbalancer/policy/PendingRequest.java
+++ b/node/src/main/java/loadbalancer/policy/PendingRequest.java
@@ -76,10 +76,6 @@
         state = State.QUEUED;
     }
 
-    void dequeue() {
-        state = State.IN_PROGRESS;
-    }
-
     void end() {
         state = State.ENDED;
     }
@@ -109,8 +105,9 @@
         return servers.length;
     }
 
-    /** Adds an attempt and returns its number. */
+    /** Adds an attempt, which takes the request out of the queue; returns its number. */
     int addAttempt(ServerRecord server, long nowUs) {
+        state = State.IN_PROGRESS;
         int attempt = attempts++;
         servers[attempt] = server;
         sentAtUs[attempt] = nowUs;
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -1,322 +1,193 @@
 package loadbalancer.policy;
 
-import java.util.Arrays;
 import java.util.HashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
 
 /**
- * Every decision of the load balancer. Its interface stands in {@code Balancer.java}.
+ * The path of a request through the balancer; each rule on it stands in a class of its own (see
+ * {@link BalancerRules}).
  *
- * <p>The ordinary path is ServiceQ's: a failed attempt adds one to its server's error count, a success
- * clears it; a first try draws two servers by weights that fall with the count and goes to the one with
- * fewer of this node's own requests in flight; a failure that may be repeated passes to the next server
- * in list order; when nothing can be tried the request waits, first come first served, inside the
- * client's time. Departures are marked "Exception" and explained below.
+ * <p>The path is ServiceQ's. A first attempt goes to the better of two servers drawn by weights that fall with their
+ * errors ({@link FirstAttemptPicker}); a failed one is retried at the next server in list order ({@link RetryPolicy},
+ * {@link RetryPicker}); when no server may be sent to, the request waits within its client's time
+ * ({@link PendingQueue}), or gets a final answer.
  */
 public final class ServiceQBalancer implements Balancer {
-
-    /** Nodes that share a server from which on a node counts as state.manyNodesPerServer: with fewer it lost more. */
-    private static final double SPARSE_FROM = 20;
-
-    private final BalancerState state = new BalancerState();
     private final BalancerActions actions;
-    private final SplittableRandom random;
-    private final EndpointListRefresh endpointListRefresh;
-    private final WakeUpTimer wakeUpTimer;
-    private final LoadReports loadReports;
-    private final SlowStart slowStart;
-    private final RequestPriority priority;
-    private final OnTimeRatio onTimeRatio = new OnTimeRatio();
-    private final AdmissionController admissionController;
-    private final ConcurrencyLimiter limiter;
-    private final ServerEligibility eligibility;
-    private final ErrorCounter errorCounter = new ErrorCounter(state);
-    private final OutlierDetector outlierDetector;
+    private final BalancerState state;
+    private final BalancerRules rules;
+    private final OutcomeRecorder outcomeRecorder;
     private final PendingQueue queue;
-    private final HedgingPolicy hedgingPolicy;
-    private final TrialRequests trialRequests;
-    private final FirstAttemptPicker firstAttemptPicker;
-    private final RetryPicker retryPicker;
-
-    private final Map<String, ServerRecord> byId = new HashMap<>();
-    private final Set<ServerRecord> listed = new LinkedHashSet<>();
-
-    private Map<String, Long> cordons = Map.of();
-    private final SubsetSelector subsetSelector = new SubsetSelector(state);
-
+    private final WakeUpTimer wakeUpTimer;
+    private final ServerRegistry registry = new ServerRegistry();
+    /** The requests that are not over, by id. */
     private final Map<Long, PendingRequest> requests = new HashMap<>();
 
-    private long now;
-    private final PerClass<ClassLatency> latencies = new PerClass<>(ClassLatency::new);
-    private final PendingRequestFactory requestFactory = new PendingRequestFactory();
-
-    /** A node that has just started and knows nothing; throws IllegalArgumentException on bad settings. */
+    /**
+     * A balancer that knows no servers yet.
+     *
+     * @throws IllegalArgumentException if a setting is missing or out of range
+     */
     public ServiceQBalancer(BalancerSettings settings, long seed, BalancerActions actions) {
         this.actions = actions;
-        random = new SplittableRandom(seed);
-        endpointListRefresh = new EndpointListRefresh(state, random, actions);
+        rules = new BalancerRules(settings, new SplittableRandom(seed), actions);
+        state = rules.state;
+        outcomeRecorder = new OutcomeRecorder(rules);
+        queue = new PendingQueue(state, rules.latencies, new QueueDispatcher());
         wakeUpTimer = new WakeUpTimer(actions);
-        loadReports = new LoadReports(state, settings.reportFields.indexOf(LoadReportField.IN_FLIGHT));
-        slowStart = new SlowStart(state);
-        priority = new RequestPriority(state, latencies);
-        admissionController = new AdmissionController(state, onTimeRatio, priority, random);
-        limiter = new ConcurrencyLimiter(state, latencies, priority, onTimeRatio, slowStart, loadReports);
-        eligibility = new ServerEligibility(loadReports, limiter, slowStart);
-        outlierDetector = new OutlierDetector(state, random, actions);
-        queue = new PendingQueue(state, latencies, new PendingQueue.Dispatcher() {
-            @Override
-            public boolean trySend(PendingRequest request, long nowUs) {
-                return ServiceQBalancer.this.trySend(request);
-            }
-
-            @Override
-            public void answerUnserved(PendingRequest request) {
-                ServiceQBalancer.this.answerUnserved(request);
-            }
-        });
-        hedgingPolicy = new HedgingPolicy(state, latencies);
-        trialRequests = new TrialRequests(latencies, eligibility, outlierDetector.ejectedServers());
-        ServerWeights weights = new ServerWeights(state);
-        KeyAffinityPicker keyAffinityPicker = new KeyAffinityPicker(weights, eligibility);
-        WeightedServerPicker weightedPicker = new WeightedServerPicker(weights, keyAffinityPicker, eligibility, random);
-        firstAttemptPicker = new FirstAttemptPicker(state, trialRequests, weightedPicker);
-        retryPicker = new RetryPicker(state, keyAffinityPicker, eligibility);
-        follow(settings);
-        shareAmong(state.settings.nodes);
+        applySettings(settings);
+        rules.serversInUse.shareAmong(settings.nodes);
     }
 
-    private void follow(BalancerSettings settings) {
+    private void applySettings(BalancerSettings settings) {
         settings.validate();
-        state.settings = settings;
+        rules.applySettings(settings);
         queue.applySettings(settings);
-        loadReports.applySettings(settings);
-        latencies.extendTo(state.settings.classes);
-        hedgingPolicy.addClasses(state.settings.classes);
-        requestFactory.addClasses(state.settings.classes);
-        byId.values().forEach(server -> server.classHealth.extendTo(state.settings.classes));
+        registry.addClasses(settings.classes);
     }
 
-    @Override
-    public void onSettings(long nowUs, BalancerSettings settings) {
-        now = nowUs;
-        follow(settings);
-        chooseServers();
-        carryOn();
-    }
-
-    private void shareAmong(double nodes) {
-        state.nodesPerServer = nodes;
-        limiter.onNodesPerServer(nodes);
-        state.manyNodesPerServer = nodes > SPARSE_FROM;
-    }
-
-    // ---------------------------------------------------------------- the server list
+    // ---------------------------------------------------------------- the path of a request
 
     @Override
-    public void onServers(long nowUs, ListKind kind, List<ServerEntry> entries) {
-        now = nowUs;
-        if (kind != ListKind.CHANGES) {
-            listed.forEach(server -> server.state = ServerState.GONE);
-            listed.clear();
-        }
-        for (ServerEntry entry : entries) {
-            ServerRecord server = byId.computeIfAbsent(entry.id(), ServerRecord::new);
-            server.classHealth.extendTo(state.settings.classes);
-            if (entry.state() == ServerState.GONE) {
-                listed.remove(server);
-            } else {
-                listed.add(server);
-            }
-            if (entry.startedAtUs() > server.startedAtUs) {
-                // A new process: what was counted against the old one says nothing of it.
-                onRestarted(server, entry.startedAtUs());
-            }
-            server.state = entry.state();
-            server.zone = entry.zone();
-            server.cell = entry.cell();
+    public void onRequest(long nowUs, BalancerRequest arrival) {
+        requireValid(arrival);
+        PendingRequest request = rules.requestFactory.create(arrival, state.settings, nowUs);
+        requests.put(request.id, request);
+        request.value = rules.priority.valueOf(request.requestClass.priorityWeight(), request.classIndex);
+        if (rules.admissionController.sheds(request)) {
+            answerUnserved(request);
+        } else if (!mayPassQueue(request, nowUs) || !trySend(request, nowUs)) {
+            enqueue(request);
+            queue.serve(PendingQueue.KEYS_PER_EVENT, nowUs);
         }
-        chooseServers();
-        // Servers come and go as long as a node runs: what is gone and holds nothing is forgotten.
-        byId.values().removeIf(server -> server.state == ServerState.GONE && server.inFlight == 0);
-        endpointListRefresh.onList(kind, now);
-        carryOn();
+        scheduleWakeUp(nowUs);
     }
 
-    @Override
-    public void onCordoned(long nowUs, Set<String> serverIds) {
-        now = nowUs;
-        Map<String, Long> since = new HashMap<>();
-        serverIds.forEach(id -> since.put(id, cordons.getOrDefault(id, now)));
-        // What is back has most likely been restarted meanwhile: now, unless the list has told when.
-        listed.stream()
-                .filter(s -> !since.containsKey(s.id) && s.startedAtUs < cordons.getOrDefault(s.id, 0L))
-                .forEach(server -> onRestarted(server, now));
-        cordons = since;
-        chooseServers();
-        carryOn();
+    /**
+     * Whether a request may be tried before those that wait: none does, or it has a key. Requests with keys wait for
+     * few servers each, and those that wait for the same ones are tried with each answer.
+     */
+    private boolean mayPassQueue(PendingRequest request, long nowUs) {
+        boolean isFirst = queue.isEmpty() || request.hasKey() && !queue.isLate(request, nowUs);
+        return isFirst && nowUs < request.deadlineAtUs;
     }
 
-    @Override
-    public int excludedServers() {
-        return outlierDetector.ejectedServers().size()
-                + (int) listed.stream().filter(s -> cordons.containsKey(s.id)).count();
-    }
-
-    private void chooseServers() {
-        ServerRecord[] before = state.servers;
-        slowStart.onServersChosen(now);
-        state.servers = inUse(listed.stream()
-                .filter(s -> s.state == ServerState.READY && !cordons.containsKey(s.id))
-                .toArray(ServerRecord[]::new));
-        Arrays.stream(before).forEach(server -> server.inUse = false);
-        for (int i = 0; i < state.servers.length; i++) {
-            state.servers[i].position = i;
-            state.servers[i].inUse = true;
-            limiter.assignFirstLimit(state.servers[i], now);
-            slowStart.assignFirstSlot(state.servers[i], random, now);
+    private boolean trySend(PendingRequest request, long nowUs) {
+        ServerRecord server = rules.firstAttemptPicker.pick(request, nowUs);
+        if (server == null) {
+            return false;
         }
-        Arrays.stream(before).forEach(this::closeIfUnused);
-        state.allServers = weighted(state.servers);
-        state.localServers = state.settings.crossZoneCost == 0
-                ? state.allServers
-                : weighted(Arrays.stream(state.servers).filter(this::isNear).toArray(ServerRecord[]::new));
-        outlierDetector.refresh();
-    }
-
-    private WeightedServers weighted(ServerRecord[] servers) {
-        return new WeightedServers(
-                servers, state.settings.keyAffinity ? KeyAffinityPicker.placesOf(servers) : new ServerRecord[0]);
-    }
-
-    private void leave(ServerRecord server) {
-        server.inFlight--;
-        state.totalInFlight -= state.isCounted(server) ? 1 : 0;
-        closeIfUnused(server);
+        send(request, server, nowUs);
+        return true;
     }
 
-    /** Connections to a server no longer in use would hold its places for the nodes that do use it. */
-    private void closeIfUnused(ServerRecord server) {
-        if (!server.inUse && server.inFlight == 0) {
-            actions.closeIdle(server.id);
+    private void send(PendingRequest request, ServerRecord server, long nowUs) {
+        long beginByUs = RetryPolicy.beginByUs(request);
+        int attempt = request.addAttempt(server, nowUs);
+        if (attempt == 0) {
+            rules.trialRequests.onFirstAttemptSent();
         }
-    }
-
-    private ServerRecord[] inUse(ServerRecord[] all) {
-        ServerRecord[] used = subsetSelector.select(all);
-        shareAmong(Math.max(1, (double) state.settings.nodes * used.length / Math.max(1, all.length)));
-        return used;
-    }
-
-    private boolean isNear(ServerRecord server) {
-        return server.zone == state.settings.localZone;
+        rules.hedgingPolicy.onSent(request, attempt);
+        rules.serversInUse.acquire(server);
+        rules.slowStart.onSent(server, nowUs);
+        actions.send(request.id, server.id, beginByUs, request.deadlineAtUs);
     }
 
     @Override
-    public void onListFailed(long nowUs) {
-        now = nowUs;
-        if (state.settings.pollsEndpointList) {
-            endpointListRefresh.onListFailed(now);
-            scheduleWake();
+    public void onOutcome(long nowUs, AttemptOutcome outcome) {
+        PendingRequest request = requests.get(outcome.requestId());
+        int attempt = outcome.attempt();
+        if (request == null || !request.isInFlight(attempt)) {
+            return;
+        }
+        ServerRecord server = request.servers[attempt];
+        request.recordResult(attempt, outcome.result());
+        if (attempt != request.boundAttempt) {
+            rules.serversInUse.release(server);
         }
+        outcomeRecorder.onOutcome(request, outcome, nowUs);
+        if (outcome.requestEnded()) {
+            end(request);
+        } else if (!request.isEnded() && request.outstanding == 0) {
+            retryOrAnswer(request, server, nowUs);
+        }
+        forgetIfOver(request);
+        serveQueue(nowUs);
     }
 
-    // ---------------------------------------------------------------- requests and outcomes
-
-    @Override
-    public void onRequest(long nowUs, BalancerRequest arrival) {
-        now = nowUs;
-        if (arrival.classIndex() < 0
-                || arrival.classIndex() >= state.settings.classes.size()
-                || arrival.tenant() >= state.settings.tenants.size()
-                || requests.containsKey(arrival.id())) {
-            throw new IllegalArgumentException("unknown class or tenant, or an id that is held: " + arrival);
-        }
-        PendingRequest request = requestFactory.create(arrival, state.settings, now);
-        requests.put(arrival.id(), request);
-        request.value = priority.valueOf(request.requestClass.priorityWeight(), arrival.classIndex());
-        boolean turnedDown = admissionController.sheds(request);
-        // Nobody waits for the same server, or those who do are tried with each answer.
-        boolean first = !turnedDown && (queue.isEmpty() || request.hasKey() && !queue.isLate(request, now));
-        ServerRecord server = first && now < request.deadlineAtUs ? firstAttemptPicker.pick(request, now) : null;
-        if (server != null) {
-            send(request, server);
-        } else if (turnedDown) {
+    /** A failed request goes to another server, or waits, or gets its final answer. */
+    private void retryOrAnswer(PendingRequest request, ServerRecord failed, long nowUs) {
+        if (!RetryPolicy.mayRetry(request, nowUs)) {
             answerUnserved(request);
+            return;
+        }
+        ServerRecord next = rules.retryPicker.pick(request, failed, nowUs);
+        if (next != null) {
+            send(request, next, nowUs);
         } else {
             enqueue(request);
-            queue.serve(PendingQueue.KEYS_PER_EVENT, now);
         }
-        scheduleWake();
     }
 
-    @Override
-    public void onOutcome(long nowUs, AttemptOutcome outcome) {
-        now = nowUs;
-        PendingRequest request = requests.get(outcome.requestId());
-        int attempt = outcome.attempt();
-        if (request == null || attempt < 0 || attempt >= request.attempts || request.results[attempt] != null) {
-            return;
+    private void enqueue(PendingRequest request) {
+        PendingRequest displaced = queue.add(request);
+        if (displaced != null) {
+            answerUnserved(displaced);
         }
-        ServerRecord server = request.servers[attempt];
-        AttemptResult result = outcome.result();
-        request.results[attempt] = result;
-        request.outstanding--;
-        if (attempt != request.boundAttempt) {
-            leave(server);
+    }
+
+    /** The final answer to a request that no server served: rejected only where a retry by the client is harmless. */
+    private void answerUnserved(PendingRequest request) {
+        if (RetryPolicy.isRetryByClientHarmless(request)) {
+            actions.reject(request.id, state.settings.maxRetryAfterUs);
+        } else {
+            actions.fail(request.id);
         }
-        loadReports.record(server, outcome, now);
-        ServerHealth ofClass = server.classHealth.get(request.classIndex);
-        if (result == AttemptResult.OK) {
-            onSuccess(
-                    server,
-                    ofClass,
-                    state.manyNodesPerServer
-                            && latencies.get(request.classIndex).isSlow(outcome.latencyUs()));
-        } else if (result != AttemptResult.CANCELLED
-                && result != AttemptResult.MOOT
-                && !request.countedAsFailure[attempt]) {
-            // A time-out of a server that has answered since tells of crowding, as being full does.
-            onFailure(
-                    server,
-                    ofClass,
-                    result != AttemptResult.FULL
-                            && (result != AttemptResult.TIMEOUT || ofClass.answeredAtUs < request.sentAtUs[attempt]));
+        end(request);
+    }
+
+    private void end(PendingRequest request) {
+        request.end();
+        cancelAttemptsExcept(PendingRequest.UNBOUND, request);
+        forgetIfOver(request);
+    }
+
+    /** Cancels the attempts in flight but for this one; with {@link PendingRequest#UNBOUND}, all. */
+    private void cancelAttemptsExcept(int needed, PendingRequest request) {
+        if (!state.settings.cancellation) {
+            return;
         }
-        boolean answered = result == AttemptResult.OK || result == AttemptResult.ERROR;
-        ofClass.answeredAtUs = answered ? now : ofClass.answeredAtUs;
-        server.health.answeredAtUs = answered ? now : server.health.answeredAtUs;
-        server.lastAttemptAnswered |= answered;
-        if (!request.isBound()) {
-            recordLoad(request, attempt, outcome);
+        for (int attempt = 0; attempt < request.attempts && request.outstanding > 0; attempt++) {
+            if (request.isInFlight(attempt) && attempt != needed) {
+                actions.cancel(request.id, attempt);
+            }
         }
-        if (outcome.requestEnded()) {
-            end(request);
-        } else if (!request.isEnded() && request.outstanding == 0) {
-            passOn(request, server);
+    }
+
+    private void forgetIfOver(PendingRequest request) {
+        if (request.isOver()) {
+            requests.remove(request.id);
         }
-        forgetIfOver(request);
-        carryOn();
     }
 
+    // ---------------------------------------------------------------- other events of a request
+
     @Override
     public void onFirstByte(long nowUs, long requestId, int attempt) {
-        now = nowUs;
         PendingRequest request = requests.get(requestId);
-        if (request != null && !request.isBound() && request.results[attempt] == null) {
-            // What flows at the pace of its two ends is no work that the server holds.
-            leave(request.servers[attempt]);
+        if (request != null && !request.isBound() && request.isInFlight(attempt)) {
+            // From here on the answer flows at the client's pace, which says nothing of the server's load.
+            rules.serversInUse.release(request.servers[attempt]);
             request.boundAttempt = attempt;
-            cancel(request, attempt);
+            cancelAttemptsExcept(attempt, request);
         }
     }
 
     @Override
     public void onClientGone(long nowUs, long requestId) {
-        now = nowUs;
         PendingRequest request = requests.get(requestId);
         if (request != null) {
             request.clientGone = true;
@@ -326,183 +197,113 @@
 
     @Override
     public void onWake(long nowUs) {
-        now = nowUs;
-        boolean paused = wakeUpTimer.onWake(now);
-        endpointListRefresh.onWake(now);
+        boolean paused = wakeUpTimer.onWake(nowUs);
+        rules.endpointListRefresh.onWake(nowUs);
         if (!paused) {
-            AttemptId unresponsive = hedgingPolicy.pollUnresponsive(now);
-            while (unresponsive != null) {
-                onUnresponsive(unresponsive.request(), unresponsive.attempt());
-                unresponsive = hedgingPolicy.pollUnresponsive(now);
-            }
+            hedgeUnresponsiveAttempts(nowUs);
         }
-        queue.serve(PendingQueue.KEYS_PER_SWEEP, now);
-        scheduleWake();
+        queue.serve(PendingQueue.KEYS_PER_SWEEP, nowUs);
+        scheduleWakeUp(nowUs);
     }
 
-    private void carryOn() {
-        queue.serve(PendingQueue.KEYS_PER_EVENT, now);
-        scheduleWake();
+    private void hedgeUnresponsiveAttempts(long nowUs) {
+        AttemptId id = rules.hedgingPolicy.pollUnresponsive(nowUs);
+        while (id != null) {
+            outcomeRecorder.onUnresponsive(id.request(), id.attempt(), nowUs);
+            if (rules.hedgingPolicy.mayHedge(id.request(), nowUs)) {
+                hedge(id.request(), id.request().servers[id.attempt()], nowUs);
+            }
+            id = rules.hedgingPolicy.pollUnresponsive(nowUs);
+        }
     }
 
-    private void scheduleWake() {
-        long at = endpointListRefresh.nextPollAtUs();
-        at = queue.isEmpty() ? at : Math.min(at, now + queue.sweepIntervalUs());
-        at = Math.min(at, hedgingPolicy.nextCheckAtUs(now + queue.sweepIntervalUs()));
-        wakeUpTimer.schedule(at, now);
+    private void hedge(PendingRequest request, ServerRecord unresponsive, long nowUs) {
+        ServerRecord next = rules.retryPicker.pick(request, unresponsive, nowUs);
+        if (next != null) {
+            rules.hedgingPolicy.onHedged();
+            send(request, next, nowUs);
+        }
     }
 
-    // ---------------------------------------------------------------- the mechanism
+    // ---------------------------------------------------------------- servers and settings
 
-    // ---------------------------------------------------------------- ejection
-
-    /** A failure counts against its server; one that shows a fault of the server may eject it. */
-    private void onFailure(ServerRecord server, ServerHealth classHealth, boolean unhealthy) {
-        errorCounter.onFailure(server);
-        outlierDetector.onFailure(server, classHealth, unhealthy, now);
+    @Override
+    public void onServers(long nowUs, ListKind kind, List<ServerEntry> entries) {
+        registry.apply(kind, entries, state.settings.classes).forEach(outcomeRecorder::onRestarted);
+        chooseServers(nowUs);
+        registry.forgetRemoved();
+        rules.endpointListRefresh.onList(kind, nowUs);
+        serveQueue(nowUs);
     }
 
-    private void onSuccess(ServerRecord server, ServerHealth classHealth, boolean slow) {
-        slowStart.onSuccess(now);
-        trialRequests.onSuccess(server, classHealth);
-        OutlierDetector.Recovery recovery = outlierDetector.onSuccess(server, classHealth, now);
-        if (recovery == OutlierDetector.Recovery.SERVER) {
-            forgetMeasurements(server);
-        }
-        if (recovery != OutlierDetector.Recovery.NONE) {
-            outlierDetector.refresh();
-        } else if (!server.health.ejected) {
-            errorCounter.onSuccess(server, slow);
+    @Override
+    public void onListFailed(long nowUs) {
+        if (state.settings.pollsEndpointList) {
+            rules.endpointListRefresh.onListFailed(nowUs);
+            scheduleWakeUp(nowUs);
         }
     }
 
-    /** A server that returns may be a new process that the list is yet to tell of. */
-    private void forgetMeasurements(ServerRecord server) {
-        errorCounter.reset(server);
-        limiter.reset(server);
-        loadReports.reset(server);
+    @Override
+    public void onCordoned(long nowUs, Set<String> serverIds) {
+        registry.setCordoned(serverIds, nowUs).forEach(outcomeRecorder::onRestarted);
+        chooseServers(nowUs);
+        serveQueue(nowUs);
     }
 
-    private void onRestarted(ServerRecord server, long startedAtUs) {
-        server.startedAtUs = startedAtUs;
-        slowStart.reset(server);
-        outlierDetector.onRestarted(server);
-        forgetMeasurements(server);
+    @Override
+    public void onSettings(long nowUs, BalancerSettings settings) {
+        applySettings(settings);
+        chooseServers(nowUs);
+        serveQueue(nowUs);
     }
 
-    // ---------------------------------------------------------------- draws
-
-    /** A failed request goes to the next server in list order, or waits, or has its final answer. */
-    private void passOn(PendingRequest request, ServerRecord failed) {
-        ServerRecord next = RetryPolicy.mayRetry(request, now) ? retryPicker.pick(request, failed, now) : null;
-        if (next != null) {
-            send(request, next);
-        } else if (RetryPolicy.mayRetry(request, now)) {
-            enqueue(request);
-        } else {
-            answerUnserved(request);
-        }
+    @Override
+    public int excludedServers() {
+        return rules.outlierDetector.ejectedServers().size() + registry.cordonedCount();
     }
 
-    // ---------------------------------------------------------------- silence
-
-    // ---------------------------------------------------------------- the deferred queue
-
-    private void enqueue(PendingRequest request) {
-        PendingRequest shed = queue.add(request);
-        if (shed != null) {
-            answerUnserved(shed);
-        }
+    /** How many servers are remembered, those removed from the list included. */
+    int knownServers() {
+        return registry.size();
     }
 
-    private boolean trySend(PendingRequest request) {
-        ServerRecord server = firstAttemptPicker.pick(request, now);
-        if (server != null) {
-            request.dequeue();
-            send(request, server);
-        }
-        return server != null;
+    private void chooseServers(long nowUs) {
+        rules.serversInUse.choose(registry.available(), nowUs);
+        rules.outlierDetector.refresh();
     }
 
-    /** The final answer to a request that no server served; tells the client when a retry is harmless. */
-    private void answerUnserved(PendingRequest request) {
-        if (RetryPolicy.isRetryByClientHarmless(request)) {
-            actions.reject(request.id, state.settings.maxRetryAfterUs);
-        } else {
-            actions.fail(request.id);
-        }
-        end(request);
-    }
+    // ---------------------------------------------------------------- time
 
-    private void recordLoad(PendingRequest request, int attempt, AttemptOutcome outcome) {
-        ClassLatency latency = latencies.get(request.classIndex);
-        LoadSignal signal = LoadSignal.of(request, outcome, latency);
-        if (signal != LoadSignal.NONE) {
-            boolean answered = signal == LoadSignal.ANSWERED;
-            onTimeRatio.record(answered && now <= request.arrivedAtUs + request.latencyObjectiveUs);
-        }
-        if (signal == LoadSignal.ANSWERED) {
-            latency.record(outcome.latencyUs());
-        }
-        limiter.onOutcome(request, attempt, outcome.latencyUs(), signal, now);
+    private void serveQueue(long nowUs) {
+        queue.serve(PendingQueue.KEYS_PER_EVENT, nowUs);
+        scheduleWakeUp(nowUs);
     }
 
-    /** Counts an attempt without an answer as a failure while it is still out, and hedges it. */
-    private void onUnresponsive(PendingRequest request, int attempt) {
-        ServerRecord server = request.servers[attempt];
-        ServerHealth classHealth = server.classHealth.get(request.classIndex);
-        if (classHealth.answeredAtUs < request.sentAtUs[attempt]) {
-            request.countedAsFailure[attempt] = true;
-            onFailure(server, classHealth, true);
-        }
-        if (hedgingPolicy.mayHedge(request, now)) {
-            ServerRecord next = retryPicker.pick(request, server, now);
-            if (next != null) {
-                hedgingPolicy.onHedged();
-                send(request, next);
-            }
-        }
+    private void scheduleWakeUp(long nowUs) {
+        long sweepAtUs = nowUs + queue.sweepIntervalUs();
+        long atUs = Math.min(rules.endpointListRefresh.nextPollAtUs(), rules.hedgingPolicy.nextCheckAtUs(sweepAtUs));
+        wakeUpTimer.schedule(queue.isEmpty() ? atUs : Math.min(atUs, sweepAtUs), nowUs);
     }
 
-    // ---------------------------------------------------------------- concurrency limits
-
-    // ---------------------------------------------------------------- sending
-
-    private void send(PendingRequest request, ServerRecord server) {
-        long beginBy = RetryPolicy.beginByUs(request);
-        int attempt = request.attempts++;
-        request.servers[attempt] = server;
-        request.sentAtUs[attempt] = now;
-        request.outstanding++;
-        if (attempt == 0) {
-            trialRequests.onFirstAttemptSent();
+    private void requireValid(BalancerRequest request) {
+        BalancerSettings settings = state.settings;
+        boolean hasClass = request.classIndex() >= 0 && request.classIndex() < settings.classes.size();
+        if (!hasClass || request.tenant() >= settings.tenants.size() || requests.containsKey(request.id())) {
+            throw new IllegalArgumentException("unknown class or tenant, or an id that is in use: " + request);
         }
-        hedgingPolicy.onSent(request, attempt);
-        server.inFlight++;
-        state.totalInFlight += state.isCounted(server) ? 1 : 0;
-        slowStart.onSent(server, now);
-        actions.send(request.id, server.id, beginBy, request.deadlineAtUs);
-    }
-
-    // ---------------------------------------------------------------- the four rules
-
-    private void end(PendingRequest request) {
-        request.end();
-        cancel(request, -1);
-        forgetIfOver(request);
     }
 
-    private void cancel(PendingRequest request, int except) {
-        for (int i = 0; i < request.attempts && request.outstanding > 0 && state.settings.cancellation; i++) {
-            if (request.results[i] == null && i != except) {
-                actions.cancel(request.id, i);
-            }
+    /** What the queue asks of the balancer. */
+    private final class QueueDispatcher implements PendingQueue.Dispatcher {
+        @Override
+        public boolean trySend(PendingRequest request, long nowUs) {
+            return ServiceQBalancer.this.trySend(request, nowUs);
         }
-    }
 
-    private void forgetIfOver(PendingRequest request) {
-        if (request.isEnded() && request.outstanding == 0) {
-            requests.remove(request.id);
+        @Override
+        public void answerUnserved(PendingRequest request) {
+            ServiceQBalancer.this.answerUnserved(request);
         }
     }
 }
--- a/node/src/test/java/loadbalancer/policy/RulesTest.java
+++ b/node/src/test/java/loadbalancer/policy/RulesTest.java
@@ -152,16 +152,14 @@
     }
 
     @Test
-    void serversThatComeAndGoLeaveNothingBehind() throws ReflectiveOperationException {
+    void serversThatComeAndGoLeaveNothingBehind() {
         FakeNode node = new FakeNode().with(1);
         for (int i = 0; i < 500; i++) {
             node.list(ListKind.CHANGES, List.of(FakeNode.server("t" + i)));
             node.serve(FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR, 1_000);
             node.list(ListKind.CHANGES, List.of(in("t" + i, 0, 0, ServerState.GONE)));
         }
-        var known = ServiceQBalancer.class.getDeclaredField("byId");
-        known.setAccessible(true);
-        assertEquals(1, ((java.util.Map<?, ?>) known.get(node.balancer)).size());
+        assertEquals(1, ((ServiceQBalancer) node.balancer).knownServers());
     }
 
     @Test
