--- a/node/src/test/java/loadbalancer/process/FakeServer.java
+++ b/node/src/test/java/loadbalancer/process/FakeServer.java
@@ -1,6 +1,7 @@
 package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -10,6 +11,7 @@
 import java.util.Queue;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -52,6 +54,31 @@
         return new FakeServer((request, connection) -> connection.write(Http.okResponse(body)));
     }
 
+    /** Answers each request with its transaction id, once the latch is down. */
+    static FakeServer respondingWhen(CountDownLatch latch) throws IOException {
+        return new FakeServer((request, connection) -> {
+            awaitLatch(latch);
+            connection.write(Http.okResponse(request.headers().get("x-txn")));
+        });
+    }
+
+    /** Resets the connection of each request, once the latch is down. */
+    static FakeServer resettingWhen(CountDownLatch latch) throws IOException {
+        return new FakeServer((request, connection) -> {
+            awaitLatch(latch);
+            connection.reset();
+        });
+    }
+
+    /** Waits within a script, which may only fail with an {@link IOException}. */
+    static void awaitLatch(CountDownLatch latch) throws IOException {
+        try {
+            assertTrue(latch.await(20, TimeUnit.SECONDS));
+        } catch (InterruptedException e) {
+            throw new IOException(e);
+        }
+    }
+
     public String endpoint() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
--- a/node/src/test/java/loadbalancer/process/NodeHarness.java
+++ b/node/src/test/java/loadbalancer/process/NodeHarness.java
@@ -144,6 +144,19 @@
         return this;
     }
 
+    /** Begins the graceful shutdown; the latch is down once the node has drained. */
+    CountDownLatch drain() {
+        CountDownLatch drained = new CountDownLatch(1);
+        node.drain(drained::countDown);
+        return drained;
+    }
+
+    /** Lets discovery announce one more server, as the first change behind the list that the node started with. */
+    void announceServer(String id, FakeServer server) throws Exception {
+        FakeServer.awaitNext(discovery.answeredConnections)
+                .write(chunk(endpointList(2, false, id + "=" + server.endpoint() + "=Ready") + "\n"));
+    }
+
     public Socket connect() throws IOException {
         Socket client = new Socket(address.getAddress(), address.getPort());
         client.setSoTimeout(20_000);
--- /dev/null
+++ b/node/src/test/java/loadbalancer/process/ResponseFailureTest.java
@@ -0,0 +1,115 @@
+package loadbalancer.process;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Responses that fail while they are transferred: {@code docs/acceptance.md}. */
+class ResponseFailureTest {
+    private static final String ORDER = Http.orderRequest("t", "15000m");
+
+    /**
+     * A response comes while the event loop is busy, and the deadline of its request passes before the loop runs
+     * again. Either may win, but the client gets one response, and both connections go on being used in step.
+     */
+    @Test
+    void responseAndTimeoutInOneTurnGiveOneResponse() throws Exception {
+        CountDownLatch held = new CountDownLatch(1);
+        try (FakeServer server = new FakeServer((request, connection) -> {
+                    if ("t0".equals(request.headers().get("x-txn"))) {
+                        FakeServer.awaitLatch(held);
+                    }
+                    connection.write(Http.okResponse(request.headers().get("x-txn")));
+                });
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, Http.pageRequest("/api/p", "t0", "60m"));
+            FakeServer.awaitNext(server.requests);
+            CountDownLatch release = harness.blockEventLoop();
+            long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(80);
+            held.countDown();
+            FakeServer.awaitNext(server.answeredConnections);
+            while (System.nanoTime() < due) {
+                Thread.onSpinWait();
+            }
+            release.countDown();
+            int status = Http.readMessage(client.getInputStream()).status();
+            assertTrue(status == 200 || status == 502 || status == 503, "status " + status);
+            assertEquals(
+                    "t1",
+                    NodeHarness.exchange(client, Http.pageRequest("/api/p", "t1", "15000m"))
+                            .body());
+            assertEquals(
+                    "t2",
+                    harness.exchange(Http.pageRequest("/api/p", "t2", "15000m")).body());
+        }
+    }
+
+    /**
+     * A server sends a response whose end is the end of the connection, and resets the connection in the middle of
+     * it. The client must not take the part that it has for a complete response.
+     */
+    @ParameterizedTest
+    @CsvSource({"true", "false"})
+    void resetResponseOfUnknownLengthIsNeverComplete(boolean transferring) throws Exception {
+        CountDownLatch begun = new CountDownLatch(1);
+        try (FakeServer server = new FakeServer((request, connection) -> {
+                    connection.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nonly a part"
+                            + "a".repeat(transferring ? 70_000 : 0));
+                    if (transferring) {
+                        FakeServer.awaitLatch(begun);
+                    }
+                    connection.reset();
+                });
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket client = harness.connect();
+            NodeHarness.write(client, ORDER);
+            Http.Message head = Http.readHead(client.getInputStream());
+            assertEquals(transferring ? 200 : 502, head.status());
+            begun.countDown();
+            if (transferring) {
+                assertEquals("chunked", head.headers().get("transfer-encoding"));
+                boolean complete = true;
+                try {
+                    Http.readBody(client.getInputStream(), head);
+                } catch (IOException e) {
+                    complete = false;
+                }
+                assertFalse(complete, "a cut response passed for complete");
+            }
+            assertEquals(1, server.requests.size(), "an order is sent once");
+        }
+    }
+
+    /**
+     * A server begins a response of unknown length and stalls. The client's deadline passes. The response is aborted
+     * soon after; without that the client would wait for as long as the server keeps the connection open.
+     */
+    @Test
+    void stalledResponseOfUnknownLengthIsAbortedSoonAfterItsDeadline() throws Exception {
+        try (FakeServer server = new FakeServer((request, connection) -> {
+                    if ("stands".equals(request.headers().get("x-txn"))) {
+                        connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nstill\r\n");
+                    }
+                });
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            Socket other = harness.connect();
+            NodeHarness.write(other, Http.pageRequest("/api/p", "silent", "4000m"));
+            FakeServer.awaitNext(server.requests);
+            Socket client = harness.connect();
+            NodeHarness.write(client, Http.pageRequest("/api/p", "stands", "200m"));
+            Http.Message head = Http.readHead(client.getInputStream());
+            assertThrows(IOException.class, () -> Http.readBody(client.getInputStream(), head));
+            assertEquals(0, other.getInputStream().available(), "its deadline is much later");
+        }
+    }
+}
--- a/node/src/test/java/loadbalancer/process/StalledLoopTest.java
+++ b/node/src/test/java/loadbalancer/process/StalledLoopTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.IOException;
 import java.lang.reflect.Proxy;
 import java.net.Socket;
 import java.util.concurrent.CountDownLatch;
@@ -106,7 +105,7 @@
         AtomicBoolean newOneWasFirst = new AtomicBoolean();
         try (FakeServer server = new FakeServer((request, peer) -> {
                     if ("hangs".equals(request.headers().get("x-txn"))) {
-                        await(never);
+                        FakeServer.awaitLatch(never);
                     }
                     peer.write(Http.okResponse("x"));
                 });
@@ -148,32 +147,4 @@
                     return method.invoke(module, arguments);
                 });
     }
-
-    private static void await(CountDownLatch latch) throws IOException {
-        try {
-            assertTrue(latch.await(20, TimeUnit.SECONDS));
-        } catch (InterruptedException e) {
-            throw new IOException(e);
-        }
-    }
-
-    @Test
-    void aNodeThatEndsAnswersWhatServersHoldBeforeItIsKilled() throws Exception {
-        CountDownLatch never = new CountDownLatch(1);
-        try (FakeServer server = new FakeServer((request, peer) -> await(never));
-                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
-            Socket out = harness.connect();
-            NodeHarness.write(out, Http.orderRequest("out", "60000m"));
-            FakeServer.awaitNext(server.requests);
-            CountDownLatch done = new CountDownLatch(1);
-            harness.node.drain(done::countDown);
-            // The client would wait for a minute, the platform kills the process 3.7 s after its SIGTERM.
-            Http.Message answer = Http.readMessage(out.getInputStream());
-            assertEquals(502, answer.status());
-            assertEquals("close", answer.headers().get("connection"));
-            out.close();
-            assertTrue(done.await(20, TimeUnit.SECONDS));
-            never.countDown();
-        }
-    }
 }
