--- a/cli/src/main/java/loadbalancer/cli/FleetMembers.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetMembers.java
@@ -13,6 +13,7 @@
 import java.util.TreeSet;
 import java.util.concurrent.Callable;
 import loadbalancer.membership.MembershipClient;
+import loadbalancer.membership.codec.MembershipView;
 import loadbalancer.membership.core.Member;
 import loadbalancer.net.SocketAddresses;
 import picocli.CommandLine.Command;
@@ -56,7 +57,7 @@
 
     @Override
     public Integer call() throws IOException {
-        Map<String, MembershipClient.View> views = new LinkedHashMap<>();
+        Map<String, MembershipView> views = new LinkedHashMap<>();
         for (String address : addresses) {
             InetSocketAddress at = SocketAddresses.parseOrNull(address);
             if (at == null || timeoutMs <= 0) {
@@ -66,7 +67,7 @@
                                 : "--timeout-ms = " + timeoutMs + ": must be above 0");
             }
             try {
-                views.put(address, MembershipClient.at(at, timeoutMs));
+                views.put(address, MembershipClient.fetchView(at, timeoutMs));
             } catch (IOException e) {
                 throw new IOException(address + " does not answer: " + e.getMessage(), e);
             }
@@ -81,7 +82,7 @@
     }
 
     /** All that a view holds, its own process first. */
-    private static List<Member> all(MembershipClient.View view) {
+    private static List<Member> all(MembershipView view) {
         List<Member> all = new ArrayList<>(List.of(view.self()));
         all.addAll(view.others());
         return all;
@@ -92,23 +93,23 @@
                 + member.incarnation().generation() + "." + member.incarnation().refutations();
     }
 
-    private static void print(PrintWriter out, String address, MembershipClient.View view) {
+    private static void print(PrintWriter out, String address, MembershipView view) {
         long live = all(view).stream().filter(m -> m.state().isLive()).count();
         out.printf(
                 "%s at %s: %d live, view version %d, digest %016x, doubts itself by %d%n",
-                view.self().name(), address, live, view.version(), view.digest(), view.health());
+                view.self().name(), address, live, view.version(), view.digest(), view.localHealth());
         for (Member m : all(view)) {
             out.printf("  %-24s %-24s zone %-10s role %-10s %s%n", m.name(), m.address(), m.zone(), m.role(), state(m));
         }
-        view.figures().forEach((name, value) -> out.printf("  %s %d%n", name, value));
+        view.metrics().forEach((name, value) -> out.printf("  %s %d%n", name, value));
     }
 
-    private static String tree(String address, MembershipClient.View view) {
+    private static String tree(String address, MembershipView view) {
         ObjectNode tree = JSON.createObjectNode()
                 .put("address", address)
                 .put("version", view.version())
                 .put("digest", String.format("%016x", view.digest()))
-                .put("health", view.health());
+                .put("health", view.localHealth());
         for (Member m : all(view)) {
             tree.withArray("members")
                     .addObject()
@@ -121,12 +122,12 @@
                     .put("count", m.incarnation().refutations());
         }
         ObjectNode figures = tree.putObject("figures");
-        view.figures().forEach(figures::put);
+        view.metrics().forEach(figures::put);
         return tree.toString();
     }
 
     /** A line for each member that is not held for the same by all. */
-    private static int compare(PrintWriter out, Map<String, MembershipClient.View> views) {
+    private static int compare(PrintWriter out, Map<String, MembershipView> views) {
         TreeSet<String> names = new TreeSet<>();
         views.values().forEach(view -> all(view).forEach(m -> names.add(m.name())));
         int differing = 0;
--- a/node/src/main/java/loadbalancer/membership/MembershipMetrics.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipMetrics.java
@@ -1,9 +1,8 @@
 package loadbalancer.membership;
 
 import java.util.LinkedHashMap;
-import java.util.Locale;
 import java.util.Map;
-import loadbalancer.membership.BadFrameException.Reason;
+import loadbalancer.membership.codec.BadFrameException.Reason;
 import loadbalancer.membership.core.MembershipChange;
 
 /** What a process has counted of its membership since its start. On the driver's loop. */
@@ -75,7 +74,7 @@
         all.put("exchanges", exchanges);
         all.put("exchanges_failed", exchangesFailed);
         for (Reason reason : Reason.values()) {
-            all.put("dropped_" + lower(reason), bad[reason.ordinal()]);
+            all.put("dropped_" + metricName(reason), bad[reason.ordinal()]);
         }
         for (MembershipChange.Type type : MembershipChange.Type.values()) {
             all.put("changes_" + metricName(type), changes[type.ordinal()]);
@@ -101,7 +100,13 @@
         };
     }
 
-    private static String lower(Enum<?> name) {
-        return name.name().toLowerCase(Locale.ROOT);
+    static String metricName(Reason reason) {
+        return switch (reason) {
+            case BAD_MAGIC -> "not_ours";
+            case CHECKSUM_MISMATCH -> "damaged";
+            case UNSUPPORTED_VERSION -> "newer";
+            case FOREIGN_FLEET -> "foreign_fleet";
+            case MALFORMED -> "malformed";
+        };
     }
 }
--- a/node/src/main/java/loadbalancer/membership/MembershipService.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipService.java
@@ -24,7 +24,10 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import loadbalancer.eventloop.MeasuredEventLoop;
-import loadbalancer.membership.BadFrameException.Reason;
+import loadbalancer.membership.codec.BadFrameException;
+import loadbalancer.membership.codec.BadFrameException.Reason;
+import loadbalancer.membership.codec.MembershipCodec;
+import loadbalancer.membership.codec.MembershipView;
 import loadbalancer.membership.core.GossipUpdate;
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MemberState;
@@ -44,7 +47,7 @@
     private final MembershipConfig config;
     private final Consumer<String> log;
     private final MeasuredEventLoop loop = new MeasuredEventLoop("members", true);
-    private final Codec codec;
+    private final MembershipCodec codec;
     private final MembershipMetrics figures = new MembershipMetrics();
     private StateSync exchanges;
     private Channel datagrams;
@@ -57,7 +60,7 @@
     private MembershipService(MembershipConfig config, Consumer<String> log) {
         this.config = config;
         this.log = log;
-        codec = new Codec(config.fleet());
+        codec = new MembershipCodec(config.fleet());
     }
 
     /**
@@ -99,7 +102,9 @@
         ChannelFuture binding = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Codec.MOST_DATAGRAM + 1))
+                .option(
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        new FixedRecvByteBufAllocator(MembershipCodec.MAX_DATAGRAM_BYTES + 1))
                 .handler(new Datagrams())
                 .bind(config.bind());
         datagrams = binding.channel();
@@ -283,7 +288,7 @@
         @Override
         public byte[] view() {
             List<GossipUpdate> all = core.stateSnapshot();
-            return codec.encodeView(new MembershipClient.View(
+            return codec.encodeView(new MembershipView(
                     core.version(),
                     core.digest(),
                     core.localHealth(),
--- a/node/src/main/java/loadbalancer/membership/StateSync.java
+++ b/node/src/main/java/loadbalancer/membership/StateSync.java
@@ -26,7 +26,10 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.membership.BadFrameException.Reason;
+import loadbalancer.membership.codec.BadFrameException;
+import loadbalancer.membership.codec.BadFrameException.Reason;
+import loadbalancer.membership.codec.FrameType;
+import loadbalancer.membership.codec.MembershipCodec;
 import loadbalancer.membership.core.GossipUpdate;
 
 /**
@@ -62,13 +65,13 @@
     }
 
     private final EventLoop loop;
-    private final Codec codec;
+    private final MembershipCodec codec;
     private final InetSocketAddress bind;
     private final Owner owner;
     private final Set<Channel> open = new HashSet<>();
     private Channel listening;
 
-    StateSync(EventLoop loop, Codec codec, InetSocketAddress bind, Owner owner) {
+    StateSync(EventLoop loop, MembershipCodec codec, InetSocketAddress bind, Owner owner) {
         this.loop = loop;
         this.codec = codec;
         this.bind = bind;
@@ -129,7 +132,8 @@
         });
         channel.pipeline()
                 .addLast(
-                        new LengthFieldBasedFrameDecoder(Codec.MOST_FRAME + LENGTH, 0, LENGTH, 0, LENGTH),
+                        new LengthFieldBasedFrameDecoder(
+                                MembershipCodec.MAX_FRAME_BYTES + LENGTH, 0, LENGTH, 0, LENGTH),
                         new LengthFieldPrepender(LENGTH),
                         handler);
     }
@@ -169,7 +173,7 @@
     private final class Answering extends End {
         @Override
         void came(ChannelHandlerContext context, byte[] frame) throws BadFrameException {
-            boolean looks = Codec.kind(frame) == Codec.Kind.LOOK;
+            boolean looks = MembershipCodec.typeOf(frame) == FrameType.VIEW_REQUEST;
             List<GossipUpdate> told = looks ? List.of() : codec.decodeState(frame);
             context.writeAndFlush(Unpooled.wrappedBuffer(looks ? owner.view() : owner.state()))
                     .addListener(ChannelFutureListener.CLOSE);
--- /dev/null
+++ b/node/src/main/java/loadbalancer/membership/codec/FrameReader.java
@@ -0,0 +1,83 @@
+package loadbalancer.membership.codec;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import loadbalancer.membership.codec.BadFrameException.Reason;
+import loadbalancer.membership.core.Member;
+
+/**
+ * Reads the content of a frame field by field. Throws BadFrameException, which names the field, where a value is of
+ * another kind or out of its bounds.
+ */
+final class FrameReader {
+    /** A larger time or count would overflow when a member raises it. */
+    private static final long MAX_NUMBER = 1L << 62;
+
+    private final JsonParser parser;
+
+    FrameReader(JsonParser parser) {
+        this.parser = parser;
+    }
+
+    static void require(boolean holds, String field) throws BadFrameException {
+        if (!holds) {
+            throw new BadFrameException(Reason.MALFORMED, field);
+        }
+    }
+
+    private void requireNext(JsonToken token, String field) throws IOException, BadFrameException {
+        require(parser.nextToken() == token, field);
+    }
+
+    void beginArray(String field) throws IOException, BadFrameException {
+        requireNext(JsonToken.START_ARRAY, field);
+    }
+
+    /** Whether another element of an array follows, which begins with a text: {@link #currentText} has it. */
+    boolean nextElement() throws IOException {
+        return parser.nextToken() == JsonToken.VALUE_STRING;
+    }
+
+    String currentText() throws IOException {
+        return parser.getText();
+    }
+
+    /** After the last {@link #nextElement}. */
+    void endArray(String field) throws BadFrameException {
+        require(parser.currentToken() == JsonToken.END_ARRAY, field);
+    }
+
+    /** The content is over, and nothing follows. */
+    void end() throws IOException, BadFrameException {
+        requireNext(JsonToken.END_ARRAY, "end");
+        require(parser.nextToken() == null, "end");
+    }
+
+    long anyNumber(String field) throws IOException, BadFrameException {
+        requireNext(JsonToken.VALUE_NUMBER_INT, field);
+        return parser.getLongValue();
+    }
+
+    /** A number from 0 to {@value #MAX_NUMBER}. */
+    long number(String field) throws IOException, BadFrameException {
+        long number = anyNumber(field);
+        require(number >= 0 && number <= MAX_NUMBER, field);
+        return number;
+    }
+
+    String text(String field) throws IOException, BadFrameException {
+        requireNext(JsonToken.VALUE_STRING, field);
+        return parser.getText();
+    }
+
+    /** A text that may be a name, address, zone or role. */
+    String name(String field) throws IOException, BadFrameException {
+        return validName(text(field), field);
+    }
+
+    static String validName(String name, String field) throws BadFrameException {
+        require(Member.isValidName(name), field);
+        return name;
+    }
+}
--- /dev/null
+++ b/node/src/main/java/loadbalancer/membership/codec/StateSerializer.java
@@ -0,0 +1,24 @@
+package loadbalancer.membership.codec;
+
+import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
+import java.io.IOException;
+import java.util.List;
+import loadbalancer.membership.core.GossipUpdate;
+
+/** All that a member holds, as it goes both ways in a state sync: updates. */
+final class StateSerializer implements ContentSerializer<List<GossipUpdate>> {
+    @Override
+    public FrameType type() {
+        return FrameType.STATE;
+    }
+
+    @Override
+    public void write(CBORGenerator out, List<GossipUpdate> content) throws IOException {
+        GossipUpdatesSerializer.write(out, content);
+    }
+
+    @Override
+    public List<GossipUpdate> read(FrameReader in) throws IOException, BadFrameException {
+        return GossipUpdatesSerializer.read(in);
+    }
+}
--- a/node/src/test/java/loadbalancer/membership/MembershipMetricsTest.java
+++ b/node/src/test/java/loadbalancer/membership/MembershipMetricsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import loadbalancer.membership.BadFrameException.Reason;
+import loadbalancer.membership.codec.BadFrameException.Reason;
 import loadbalancer.membership.core.MembershipChange;
 import org.junit.jupiter.api.Test;
 
--- a/node/src/test/java/loadbalancer/membership/CodecBytesTest.java
+++ b/node/src/test/java/loadbalancer/membership/codec/CodecBytesTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.membership;
+package loadbalancer.membership.codec;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -15,7 +15,7 @@
 
 /** Frames as they go between processes, byte for byte: processes of two versions run side by side. */
 class CodecBytesTest {
-    private final Codec codec = new Codec("fleet");
+    private final MembershipCodec codec = new MembershipCodec("fleet");
     private final Member self =
             new Member("n1", "127.0.0.1:7001", "z1", "node", new Incarnation(5, 1), MemberState.values()[0]);
     private final List<GossipUpdate> updates = List.of(
@@ -85,7 +85,7 @@
 
     @Test
     void requestForAView() {
-        assertBytes("4b4d010623e32dd99f60ff", Codec.ofAnyFleet().encodeLook());
+        assertBytes("4b4d010623e32dd99f60ff", MembershipCodec.ofAnyFleet().encodeViewRequest());
     }
 
     @Test
@@ -98,7 +98,7 @@
                         + "626572735f6465616400ff626e316e3132372e302e302e313a37303031627a31646e6f646505"
                         + "01009f626e326e3132372e302e302e313a37303032627a32646e6f64650619012c01626e3262"
                         + "6e336e3132372e302e302e313a37303033627a31646e6f6465070002626e33ffff",
-                codec.encodeView(new MembershipClient.View(
+                codec.encodeView(new MembershipView(
                         3,
                         -9,
                         1,
--- a/node/src/test/java/loadbalancer/membership/CodecTest.java
+++ b/node/src/test/java/loadbalancer/membership/codec/MembershipCodecTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.membership;
+package loadbalancer.membership.codec;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.zip.CRC32C;
-import loadbalancer.membership.BadFrameException.Reason;
+import loadbalancer.membership.codec.BadFrameException.Reason;
 import loadbalancer.membership.core.GossipUpdate;
 import loadbalancer.membership.core.Incarnation;
 import loadbalancer.membership.core.Member;
@@ -25,11 +25,11 @@
 import loadbalancer.membership.core.MembershipSettings;
 import org.junit.jupiter.api.Test;
 
-class CodecTest {
+class MembershipCodecTest {
     private static final int FUZZED = Integer.getInteger("loadbalancer.fuzzed", 1_000_000);
     private static final int MOST_HELD = 50;
 
-    private final Codec codec = new Codec("here");
+    private final MembershipCodec codec = new MembershipCodec("here");
 
     private static String name(SplittableRandom random, int most) {
         char[] name = new char[1 + random.nextInt(most)];
@@ -73,9 +73,9 @@
             assertEquals(message, codec.decode(codec.encode(message)));
             assertEquals(message.updates(), codec.decodeState(codec.encodeState(message.updates())));
         }
-        MembershipClient.View view =
-                new MembershipClient.View(7, -3, 2, member(random, 64), List.of(member(random, 64)), Map.of("a", 1L));
-        assertEquals(view, Codec.ofAnyFleet().decodeView(codec.encodeView(view)));
+        MembershipView view =
+                new MembershipView(7, -3, 2, member(random, 64), List.of(member(random, 64)), Map.of("a", 1L));
+        assertEquals(view, MembershipCodec.ofAnyFleet().decodeView(codec.encodeView(view)));
     }
 
     @Test
@@ -89,10 +89,10 @@
         for (int bytes = 48 + 5 * 64; bytes <= MembershipSettings.MAX_GOSSIP_BUDGET_BYTES; bytes += 48 + 5 * 64) {
             updates.add(update);
         }
-        int length = new Codec(longest)
+        int length = new MembershipCodec(longest)
                 .encode(new MembershipMessage.PingRequest(1L << 62, longest, longest, member, updates))
                 .length;
-        assertTrue(length <= Codec.MOST_DATAGRAM, "bytes: " + length);
+        assertTrue(length <= MembershipCodec.MAX_DATAGRAM_BYTES, "bytes: " + length);
         int more = codec.encode(new MembershipMessage.Gossip(member, List.of(update, update))).length
                 - codec.encode(new MembershipMessage.Gossip(member, List.of(update))).length;
         assertTrue(more <= 48 + 5 * 64, "bytes of a rumor: " + more);
@@ -105,13 +105,15 @@
     @Test
     void whatIsNotOfThisFleetIsTurnedAwayByItsReason() {
         byte[] frame = codec.encode(message(new SplittableRandom(2), 10));
-        assertEquals(Reason.FOREIGN_FLEET, reason(new Codec("there").encode(message(new SplittableRandom(2), 10))));
-        assertEquals(Reason.NOT_OURS, reason("GET / HTTP/1.1\r\n\r\n".getBytes()));
-        assertEquals(Reason.NOT_OURS, reason(new byte[0]));
-        assertEquals(Reason.DAMAGED, reason(Arrays.copyOf(frame, frame.length - 1)));
+        assertEquals(
+                Reason.FOREIGN_FLEET,
+                reason(new MembershipCodec("there").encode(message(new SplittableRandom(2), 10))));
+        assertEquals(Reason.BAD_MAGIC, reason("GET / HTTP/1.1\r\n\r\n".getBytes()));
+        assertEquals(Reason.BAD_MAGIC, reason(new byte[0]));
+        assertEquals(Reason.CHECKSUM_MISMATCH, reason(Arrays.copyOf(frame, frame.length - 1)));
         byte[] newer = frame.clone();
         newer[2]++;
-        assertEquals(Reason.NEWER, reason(summed(newer)));
+        assertEquals(Reason.UNSUPPORTED_VERSION, reason(summed(newer)));
         assertEquals(Reason.MALFORMED, reason(codec.encodeState(List.of())));
         assertEquals(Reason.MALFORMED, reason(summed(Arrays.copyOf(frame, frame.length + 1))));
     }
--- a/rig/src/main/java/loadbalancer/rig/members/DatagramNet.java
+++ b/rig/src/main/java/loadbalancer/rig/members/DatagramNet.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
 import java.util.zip.CRC32C;
-import loadbalancer.membership.Codec;
+import loadbalancer.membership.codec.MembershipCodec;
 import loadbalancer.membership.core.MembershipMessage;
 import loadbalancer.rig.time.Timeline;
 
@@ -18,7 +18,7 @@
     private long jitterUs = 500;
     private double loss;
     private double duplicated;
-    private final Codec codec = new Codec("simulated");
+    private final MembershipCodec codec = new MembershipCodec("simulated");
     private long sent;
     private long sentBytes;
     private final CRC32C sentChecksum = new CRC32C();
--- a/rig/src/main/java/loadbalancer/rig/real/MemberFleet.java
+++ b/rig/src/main/java/loadbalancer/rig/real/MemberFleet.java
@@ -23,6 +23,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 import loadbalancer.membership.MembershipClient;
+import loadbalancer.membership.codec.MembershipView;
 import loadbalancer.membership.core.Member;
 import loadbalancer.policy.BalancerSettings;
 import loadbalancer.policy.DeduplicationScope;
@@ -169,9 +170,9 @@
         }
 
         /** How it sees its fleet, asked past its link; null where it does not answer. */
-        MembershipClient.View view() {
+        MembershipView view() {
             try {
-                return MembershipClient.at(bind, LOOK_MS);
+                return MembershipClient.fetchView(bind, LOOK_MS);
             } catch (IOException e) {
                 // It has not begun, has ended, or stands still: the caller looks again.
                 return null;
@@ -180,7 +181,7 @@
 
         /** Names of all that it holds for live, itself included. */
         List<String> live() {
-            MembershipClient.View view = view();
+            MembershipView view = view();
             return view == null ? List.of() : MemberFleet.live(view);
         }
     }
@@ -207,7 +208,7 @@
         return settings;
     }
 
-    private static List<String> live(MembershipClient.View view) {
+    private static List<String> live(MembershipView view) {
         return Stream.concat(
                         Stream.of(view.self()),
                         view.others().stream().filter(m -> m.state().isLive()))
@@ -266,19 +267,15 @@
     boolean agree() {
         List<Process> up = processes.stream().filter(Process::isUp).toList();
         List<String> names = up.stream().map(Process::name).distinct().sorted().toList();
-        List<MembershipClient.View> views = new ArrayList<>();
+        List<MembershipView> views = new ArrayList<>();
         for (Process process : up) {
-            MembershipClient.View view = process.view();
+            MembershipView view = process.view();
             if (view == null) {
                 return false;
             }
             views.add(view);
         }
-        return views.stream()
-                                .mapToLong(MembershipClient.View::digest)
-                                .distinct()
-                                .count()
-                        == 1
+        return views.stream().mapToLong(MembershipView::digest).distinct().count() == 1
                 && live(views.get(0)).equals(names);
     }
 
--- a/rig/src/test/java/loadbalancer/rig/real/MemberFleetTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/MemberFleetTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import loadbalancer.membership.MembershipClient;
+import loadbalancer.membership.codec.MembershipView;
 import loadbalancer.rig.real.MemberFleet.Process;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -31,8 +31,8 @@
     }
 
     private static long count(Process process, String figure) {
-        MembershipClient.View view = process.view();
-        return view == null ? -1 : view.figures().get(figure);
+        MembershipView view = process.view();
+        return view == null ? -1 : view.metrics().get(figure);
     }
 
     /** How often a process has logged this change of that member. */
