--- a/cli/src/test/java/loadbalancer/cli/FleetMembersTest.java
+++ b/cli/src/test/java/loadbalancer/cli/FleetMembersTest.java
@@ -33,10 +33,8 @@
         try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             address = "127.0.0.1:" + any.getLocalPort();
         }
-        MembershipService alone = MembershipService.join(
-                MembershipConfig.read(
-                        new ObjectMapper().valueToTree(Map.of("name", "f", "bind", address, "zone", "a")), "n1"),
-                line -> {});
+        MembershipService alone = MembershipService.join(MembershipConfig.read(
+                new ObjectMapper().valueToTree(Map.of("name", "f", "bind", address, "zone", "a")), "n1"));
         try {
             int code = run("fleet", "members", address);
             for (int i = 0; i < 100 && code != 0; i++) {
--- a/cli/src/test/java/loadbalancer/cli/FleetTest.java
+++ b/cli/src/test/java/loadbalancer/cli/FleetTest.java
@@ -2,23 +2,23 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
+import loadbalancer.membership.MembershipClient;
 import loadbalancer.membership.MembershipConfig;
 import loadbalancer.membership.MembershipService;
+import loadbalancer.membership.core.MemberState;
+import loadbalancer.net.SocketAddresses;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
@@ -172,35 +172,45 @@
         }
     }
 
-    private static MembershipService member(String name, String at, String seed, Consumer<String> log)
-            throws Exception {
-        return MembershipService.join(
-                MembershipConfig.read(
-                        new ObjectMapper()
-                                .createObjectNode()
-                                .put("name", "told")
-                                .put("bind", at)
-                                .put("periodMs", 200)
-                                .set(
-                                        "seeds",
-                                        new ObjectMapper().createArrayNode().add(seed)),
-                        name),
-                log);
+    private static MembershipService member(String name, String at, String seed) throws Exception {
+        return MembershipService.join(MembershipConfig.read(
+                new ObjectMapper()
+                        .createObjectNode()
+                        .put("name", "told")
+                        .put("bind", at)
+                        .put("periodMs", 200)
+                        .set("seeds", new ObjectMapper().createArrayNode().add(seed)),
+                name));
+    }
+
+    /** Waits until a process holds a member in this state. */
+    private static void awaitState(String address, String member, MemberState state) throws Exception {
+        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+        while (!holds(address, member, state)) {
+            assertTrue(System.nanoTime() < endNanos, address + " does not hold " + member + " for " + state);
+            TimeUnit.MILLISECONDS.sleep(20);
+        }
+    }
+
+    private static boolean holds(String address, String member, MemberState state) {
+        try {
+            return MembershipClient.fetchView(SocketAddresses.parseOrNull(address), 2_000).others().stream()
+                    .anyMatch(other -> other.name().equals(member) && other.state() == state);
+        } catch (IOException e) {
+            // It does not listen yet: the caller tries again.
+            return false;
+        }
     }
 
     @Test
     void membersAreShownAsAProcessSeesThem() throws Exception {
         String first = freeAddress();
         String second = freeAddress();
-        BlockingQueue<String> log = new LinkedBlockingQueue<>();
-        MembershipService one = member("one", first, second, log::add);
-        MembershipService two = member("two", second, first, log::add);
+        MembershipService one = member("one", first, second);
+        MembershipService two = member("two", second, first);
         try {
-            for (int joined = 0; joined < 2; ) {
-                String line = log.poll(30, TimeUnit.SECONDS);
-                assertNotNull(line, "nobody joined");
-                joined += line.contains("joined") ? 1 : 0;
-            }
+            awaitState(first, "two", MemberState.ALIVE);
+            awaitState(second, "one", MemberState.ALIVE);
             assertEquals(0, run("fleet", "members", first));
             assertTrue(out.toString().startsWith("one at " + first + ": 2 live"), out.toString());
             assertTrue(out.toString().contains("two") && out.toString().contains("alive"), out.toString());
@@ -208,9 +218,7 @@
             assertEquals(0, run("fleet", "members", "--diff", first, second));
             assertEquals("all alike", out.toString().strip());
             two.leave();
-            while (!log.poll(30, TimeUnit.SECONDS).contains("left two")) {
-                // The one that stays is told.
-            }
+            awaitState(first, "two", MemberState.LEFT);
             out.getBuffer().setLength(0);
             assertEquals(0, run("fleet", "members", "--json", first));
             JsonNode view = new ObjectMapper().readTree(out.toString());
--- a/node/src/main/java/loadbalancer/membership/MembershipMetrics.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipMetrics.java
@@ -4,87 +4,108 @@
 import java.util.Map;
 import loadbalancer.membership.codec.BadFrameException.Reason;
 import loadbalancer.membership.core.MembershipChange;
+import loadbalancer.membership.core.MembershipProtocol;
 
-/** What a process has counted of its membership since its start. On the driver's loop. */
+/**
+ * Counts what happens in membership since the start of the process. The names of metrics stay where the code's change:
+ * dashboards read them. On the event loop.
+ */
 final class MembershipMetrics {
-    /** Round trips are counted by powers of two microseconds; the last place takes all that took longer. */
+    private static final String PREFIX = "members_";
+    /** Round trips are counted by powers of two microseconds; the last bucket takes all that took longer. */
     private static final int BUCKETS = 32;
 
-    private long sent;
-    private long sentBytes;
-    private long received;
-    private long receivedBytes;
-    private long exchanges;
-    private long exchangesFailed;
-    private final long[] bad = new long[Reason.values().length];
+    private long datagramsSent;
+    private long datagramBytesSent;
+    private long datagramsReceived;
+    private long datagramBytesReceived;
+    private long stateSyncsCompleted;
+    private long stateSyncsFailed;
+    private final long[] badFrames = new long[Reason.values().length];
     private final long[] changes = new long[MembershipChange.Type.values().length];
     private final long[] roundTrips = new long[BUCKETS];
 
-    void sent(int bytes) {
-        sent++;
-        sentBytes += bytes;
+    void onDatagramSent(int bytes) {
+        datagramsSent++;
+        datagramBytesSent += bytes;
     }
 
-    void received(int bytes) {
-        received++;
-        receivedBytes += bytes;
+    void onDatagramReceived(int bytes) {
+        datagramsReceived++;
+        datagramBytesReceived += bytes;
     }
 
-    void exchanged(boolean whole) {
-        exchanges += whole ? 1 : 0;
-        exchangesFailed += whole ? 0 : 1;
+    void onStateSyncEnd(boolean complete) {
+        if (complete) {
+            stateSyncsCompleted++;
+        } else {
+            stateSyncsFailed++;
+        }
     }
 
-    /** @return how often now */
-    long bad(Reason reason) {
-        return ++bad[reason.ordinal()];
+    /** @return how many of this reason there have been */
+    long onBadFrame(Reason reason) {
+        return ++badFrames[reason.ordinal()];
     }
 
-    void changed(MembershipChange.Type kind) {
-        changes[kind.ordinal()]++;
+    void onChange(MembershipChange.Type type) {
+        changes[type.ordinal()]++;
     }
 
-    void roundTrip(long us) {
-        roundTrips[Math.min(BUCKETS - 1, Long.SIZE - Long.numberOfLeadingZeros(us))]++;
+    void onRoundTrip(long roundTripUs) {
+        roundTrips[Math.min(BUCKETS - 1, Long.SIZE - Long.numberOfLeadingZeros(roundTripUs))]++;
     }
 
     /** The least power of two microseconds that this share of round trips did not exceed; 0 without any. */
     private long roundTripUs(double share) {
-        long all = 0;
+        long total = 0;
         for (long count : roundTrips) {
-            all += count;
+            total += count;
         }
-        long seen = 0;
-        for (int i = 0; all > 0 && i < BUCKETS; i++) {
-            seen += roundTrips[i];
-            if (seen >= share * all) {
-                return 1L << i;
+        long counted = 0;
+        for (int bucket = 0; total > 0 && bucket < BUCKETS; bucket++) {
+            counted += roundTrips[bucket];
+            if (counted >= share * total) {
+                return 1L << bucket;
             }
         }
         return 0;
     }
 
-    /** By name, in an order that stays. */
-    Map<String, Long> all() {
-        Map<String, Long> all = new LinkedHashMap<>();
-        all.put("datagrams_sent", sent);
-        all.put("datagram_bytes_sent", sentBytes);
-        all.put("datagrams_received", received);
-        all.put("datagram_bytes_received", receivedBytes);
-        all.put("exchanges", exchanges);
-        all.put("exchanges_failed", exchangesFailed);
+    /** All counters by name, in an order that stays. */
+    Map<String, Long> counters() {
+        Map<String, Long> counters = new LinkedHashMap<>();
+        counters.put("datagrams_sent", datagramsSent);
+        counters.put("datagram_bytes_sent", datagramBytesSent);
+        counters.put("datagrams_received", datagramsReceived);
+        counters.put("datagram_bytes_received", datagramBytesReceived);
+        counters.put("exchanges", stateSyncsCompleted);
+        counters.put("exchanges_failed", stateSyncsFailed);
         for (Reason reason : Reason.values()) {
-            all.put("dropped_" + metricName(reason), bad[reason.ordinal()]);
+            counters.put("dropped_" + metricName(reason), badFrames[reason.ordinal()]);
         }
         for (MembershipChange.Type type : MembershipChange.Type.values()) {
-            all.put("changes_" + metricName(type), changes[type.ordinal()]);
+            counters.put("changes_" + metricName(type), changes[type.ordinal()]);
         }
-        all.put("round_trip_p50_us", roundTripUs(0.5));
-        all.put("round_trip_p99_us", roundTripUs(0.99));
-        return all;
+        counters.put("round_trip_p50_us", roundTripUs(0.5));
+        counters.put("round_trip_p99_us", roundTripUs(0.99));
+        return counters;
+    }
+
+    /** State and counters as the control address shows them, a line each. */
+    String report(MembershipProtocol protocol) {
+        StringBuilder lines = new StringBuilder();
+        append(lines, "live", protocol.liveCount());
+        append(lines, "view_version", protocol.version());
+        append(lines, "health", protocol.localHealth());
+        counters().forEach((name, value) -> append(lines, name, value));
+        return lines.toString();
+    }
+
+    private static void append(StringBuilder lines, String name, long value) {
+        lines.append(PREFIX).append(name).append(' ').append(value).append('\n');
     }
 
-    /** The name on dashboards, which stays where the code's changes. */
     private static String metricName(MembershipChange.Type type) {
         return switch (type) {
             case JOINED -> "joined";
--- a/node/src/main/java/loadbalancer/membership/MembershipService.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipService.java
@@ -1,23 +1,10 @@
 package loadbalancer.membership;
 
-import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelOption;
-import io.netty.channel.FixedRecvByteBufAllocator;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.DatagramPacket;
-import io.netty.channel.socket.nio.NioDatagramChannel;
 import io.netty.util.concurrent.Future;
-import java.net.BindException;
 import java.net.InetSocketAddress;
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 import java.util.List;
-import java.util.Locale;
 import java.util.SplittableRandom;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
@@ -25,7 +12,6 @@
 import java.util.function.Supplier;
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.membership.codec.BadFrameException;
-import loadbalancer.membership.codec.BadFrameException.Reason;
 import loadbalancer.membership.codec.MembershipCodec;
 import loadbalancer.membership.codec.MembershipView;
 import loadbalancer.membership.core.GossipUpdate;
@@ -38,129 +24,114 @@
 import loadbalancer.net.SocketAddresses;
 
 /**
- * This process's part in its fleet: the membership core on sockets, on a loop of its own, so that a node that
- * works hard is not held for dead, nor this for its work.
+ * Runs the membership protocol of this process over sockets and the system's time. Public methods may be called from
+ * any thread; everything else is on an event loop of its own, so that a node under load is not taken for dead, and the
+ * node's requests do not wait for membership.
  */
 public final class MembershipService {
-    private static final long LEAVING_MS = 1_000;
+    private static final long LEAVE_TIMEOUT_MILLIS = 1_000;
 
     private final MembershipConfig config;
-    private final Consumer<String> log;
     private final MeasuredEventLoop loop = new MeasuredEventLoop("members", true);
-    private final MembershipCodec codec;
-    private final MembershipMetrics figures = new MembershipMetrics();
-    private StateSync exchanges;
-    private Channel datagrams;
-    private MembershipProtocol core;
+    private final MembershipMetrics metrics = new MembershipMetrics();
+    private final DatagramEndpoint datagrams;
+    private final StateSync stateSync;
+    /** Null until both sockets are open. */
+    private MembershipProtocol protocol;
+
     private Future<?> wake;
-    private boolean toldBusy;
-    /** What {@link #figures} says; written by the loop. */
-    private volatile String text = "";
+    private boolean unavailableLogged;
+    /** Written by the loop, read by any thread. */
+    private volatile String metricsReport = "";
 
-    private MembershipService(MembershipConfig config, Consumer<String> log) {
+    private MembershipService(MembershipConfig config) {
         this.config = config;
-        this.log = log;
-        codec = new MembershipCodec(config.fleet());
+        MembershipCodec codec = new MembershipCodec(config.fleet());
+        datagrams = new DatagramEndpoint(loop, codec, metrics, new DatagramListener());
+        stateSync = new StateSync(loop, codec, config.bind(), new StateSyncListener());
     }
 
     /**
-     * Takes part from now on. Where the address is taken, as by the process that this one follows, it waits
-     * until that gives it up.
-     *
-     * @param log told of what changes, a line each
+     * Joins the fleet. Where the address is taken, as by the process that this one replaces, it is tried again each
+     * probe period.
      */
-    public static MembershipService join(MembershipConfig config, Consumer<String> log) {
-        MembershipService members = new MembershipService(config, log);
-        members.loop.execute(members::open);
-        return members;
+    public static MembershipService join(MembershipConfig config) {
+        MembershipService service = new MembershipService(config);
+        service.loop.execute(service::open);
+        return service;
     }
 
     /**
-     * The same for a process that has figures of its own.
+     * The same for a process with metrics of its own. Has only types of the JDK beside the configuration, so that a
+     * process without a fleet loads no class of membership.
      *
-     * @param figures given what tells this part's
-     * @return what leaves
+     * @param registerMetrics is given what reports the metrics of membership
+     * @return leaves the fleet
      */
-    public static Runnable join(MembershipConfig config, Consumer<String> log, Consumer<Supplier<String>> figures) {
-        MembershipService members = join(config, log);
-        figures.accept(members::figures);
-        return members::leave;
+    public static Runnable join(MembershipConfig config, Consumer<Supplier<String>> registerMetrics) {
+        MembershipService service = join(config);
+        registerMetrics.accept(service::metricsReport);
+        return service::leave;
     }
 
-    private static long nowUs() {
-        return System.nanoTime() / 1_000;
+    /** Metrics, a line each, as of the last wake of the protocol. */
+    public String metricsReport() {
+        return metricsReport;
     }
 
-    private void say(String line) {
-        log.accept("members: " + line);
+    /** Announces the leave, and takes part no more. Waits for a second at most. */
+    public void leave() {
+        try {
+            loop.submit(() -> {
+                        if (protocol != null) {
+                            protocol.leave();
+                        }
+                        close();
+                    })
+                    .awaitUninterruptibly(LEAVE_TIMEOUT_MILLIS);
+        } catch (RejectedExecutionException e) {
+            // The loop has ended: this process has yielded its name, and is no member any more.
+        }
     }
 
-    // ---------------------------------------------------------------- its life
+    // ---------------------------------------------------------------- on the event loop
+
+    private static long nowUs() {
+        return System.nanoTime() / 1_000;
+    }
 
     private void open() {
-        // One byte more than any message has, so that what is too long is damaged.
-        ChannelFuture binding = new Bootstrap()
-                .group(loop)
-                .channel(NioDatagramChannel.class)
-                .option(
-                        ChannelOption.RECVBUF_ALLOCATOR,
-                        new FixedRecvByteBufAllocator(MembershipCodec.MAX_DATAGRAM_BYTES + 1))
-                .handler(new Datagrams())
-                .bind(config.bind());
-        datagrams = binding.channel();
-        exchanges = new StateSync(loop, codec, config.bind(), new Peers());
-        binding.addListener(bound -> {
+        datagrams.open(config.bind()).addListener(bound -> {
             if (!bound.isSuccess()) {
-                openLater(bound.cause());
+                retryOpen(bound.cause());
                 return;
             }
-            exchanges.listen().addListener(listening -> {
+            stateSync.listen().addListener(listening -> {
                 if (listening.isSuccess()) {
-                    begin();
+                    start();
                 } else {
-                    openLater(listening.cause());
+                    retryOpen(listening.cause());
                 }
             });
         });
     }
 
-    private void openLater(Throwable cause) {
+    private void retryOpen(Throwable cause) {
         datagrams.close();
-        exchanges.close();
-        if (!toldBusy) {
-            toldBusy = true;
-            say(SocketAddresses.format(config.bind()) + " cannot be had yet: " + cause.getMessage()
-                    + (cause instanceof BindException
-                            ? ""
-                            : " (" + cause.getClass().getName() + ")"));
+        stateSync.close();
+        if (!unavailableLogged) {
+            unavailableLogged = true;
+            MembershipEventLog.onAddressUnavailable(SocketAddresses.format(config.bind()), cause);
         }
         loop.schedule(this::open, config.settings().probePeriodUs(), TimeUnit.MICROSECONDS);
     }
 
-    private void begin() {
-        core = new MembershipProtocol(
-                config.settings(),
-                new SplittableRandom().nextLong(),
-                ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now()),
-                new Actions());
-        core.start(nowUs());
-        say("taking part in " + config.fleet() + " as " + core.self().name() + " at "
-                + core.self().address());
-    }
-
-    /** Says that this process goes, and takes part no more; waits for a second at most. */
-    public void leave() {
-        try {
-            loop.submit(() -> {
-                        if (core != null) {
-                            core.leave();
-                        }
-                        close();
-                    })
-                    .awaitUninterruptibly(LEAVING_MS);
-        } catch (RejectedExecutionException e) {
-            // It has given way to another of its name, and has nothing left to say.
-        }
+    private void start() {
+        long seed = new SplittableRandom().nextLong();
+        long startedAtUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
+        protocol = new MembershipProtocol(config.settings(), seed, startedAtUs, new Actions());
+        protocol.start(nowUs());
+        MembershipEventLog.onStarted(config.fleet(), protocol.self());
     }
 
     private void close() {
@@ -168,78 +139,75 @@
             wake.cancel(false);
         }
         datagrams.close();
-        exchanges.close();
-        loop.shutdownGracefully(0, LEAVING_MS, TimeUnit.MILLISECONDS);
-    }
-
-    /** What it counts, a line each, as of some time within the last period; may be called from any thread. */
-    public String figures() {
-        return text;
+        stateSync.close();
+        loop.shutdownGracefully(0, LEAVE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Gives the core an event, and looks whether that was its last. */
-    private void tell(Consumer<MembershipProtocol> event) {
-        if (core == null || core.isEnded()) {
+    /** Gives the protocol an event, and closes after the one that has ended it. */
+    private void handle(Consumer<MembershipProtocol> event) {
+        if (protocol == null || protocol.isEnded()) {
             return;
         }
-        event.accept(core);
-        if (core.isEnded()) {
+        event.accept(protocol);
+        if (protocol.isEnded()) {
             close();
         }
     }
 
     private void onWake() {
-        tell(told -> told.onWake(nowUs()));
-        StringBuilder lines = new StringBuilder();
-        lines.append("members_live ").append(core.liveCount()).append('\n');
-        lines.append("members_view_version ").append(core.version()).append('\n');
-        lines.append("members_health ").append(core.localHealth()).append('\n');
-        figures.all()
-                .forEach((name, value) -> lines.append("members_")
-                        .append(name)
-                        .append(' ')
-                        .append(value)
-                        .append('\n'));
-        text = lines.toString();
+        handle(running -> running.onWake(nowUs()));
+        metricsReport = metrics.report(protocol);
+    }
+
+    private void countBadFrame(BadFrameException e) {
+        if (metrics.onBadFrame(e.reason()) == 1) {
+            MembershipEventLog.onFirstBadFrame(e);
+        }
     }
 
-    // ---------------------------------------------------------------- what the core wants done
+    private MembershipView currentView() {
+        Member self = protocol.isEnded() ? protocol.self().withState(MemberState.LEFT) : protocol.self();
+        // The snapshot begins with this process.
+        List<Member> others = protocol.stateSnapshot().stream()
+                .skip(1)
+                .map(GossipUpdate::member)
+                .toList();
+        return new MembershipView(
+                protocol.version(), protocol.digest(), protocol.localHealth(), self, others, metrics.counters());
+    }
 
     private final class Actions implements MembershipActions {
+        /** Null for an address that nobody can listen at: another process's mistake. */
+        private InetSocketAddress reachable(String address) {
+            InetSocketAddress parsed = SocketAddresses.parseOrNull(address);
+            return parsed == null || parsed.getPort() == 0 ? null : parsed;
+        }
+
         @Override
         public void send(String address, MembershipMessage message) {
-            InetSocketAddress to = SocketAddresses.parseOrNull(address);
-            if (to == null || to.getPort() == 0) {
-                // Another's word, for which nobody listens.
-                return;
+            InetSocketAddress target = reachable(address);
+            if (target != null) {
+                datagrams.send(target, message);
             }
-            byte[] bytes = codec.encode(message);
-            figures.sent(bytes.length);
-            // A datagram that cannot be sent is one that got lost: the protocol bears it.
-            datagrams.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to));
         }
 
         @Override
         public void startStateSync(String address) {
-            InetSocketAddress to = SocketAddresses.parseOrNull(address);
-            if (to != null && to.getPort() != 0) {
-                exchanges.begin(to);
+            InetSocketAddress peer = reachable(address);
+            if (peer != null) {
+                stateSync.start(peer);
             }
         }
 
         @Override
         public void onChange(MembershipChange change) {
-            figures.changed(change.type());
-            Member member = change.member();
-            say(change.type().name().toLowerCase(Locale.ROOT) + " " + member.name() + " at "
-                    + member.address() + ", zone " + member.zone() + ", role " + member.role()
-                    + ", incarnation " + member.incarnation().generation() + "."
-                    + member.incarnation().refutations());
+            metrics.onChange(change.type());
+            MembershipEventLog.onChange(change);
         }
 
         @Override
-        public void onRoundTrip(long us) {
-            figures.roundTrip(us);
+        public void onRoundTrip(long roundTripUs) {
+            metrics.onRoundTrip(roundTripUs);
         }
 
         @Override
@@ -247,74 +215,52 @@
             if (wake != null) {
                 wake.cancel(false);
             }
-            wake = loop.schedule(MembershipService.this::onWake, Math.max(0, atUs - nowUs()), TimeUnit.MICROSECONDS);
+            long delayUs = Math.max(0, atUs - nowUs());
+            wake = loop.schedule(MembershipService.this::onWake, delayUs, TimeUnit.MICROSECONDS);
         }
     }
 
-    // ---------------------------------------------------------------- what others say
-
-    private void bad(Reason reason) {
-        if (figures.bad(reason) == 1) {
-            say("dropped something that is " + reason.name().toLowerCase(Locale.ROOT)
-                    + "; what follows of that is only counted");
-        }
-    }
-
-    private final class Datagrams extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramListener implements DatagramEndpoint.Listener {
         @Override
-        protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-            byte[] bytes = ByteBufUtil.getBytes(packet.content());
-            figures.received(bytes.length);
-            try {
-                MembershipMessage message = codec.decode(bytes);
-                tell(told -> told.onMessage(nowUs(), message));
-            } catch (BadFrameException e) {
-                bad(e.reason());
-            }
+        public void onMessage(MembershipMessage message) {
+            handle(running -> running.onMessage(nowUs(), message));
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            say("datagrams: " + cause);
+        public void onBadFrame(BadFrameException e) {
+            countBadFrame(e);
         }
     }
 
-    private final class Peers implements StateSync.Owner {
+    private final class StateSyncListener implements StateSync.Listener {
         @Override
-        public byte[] state() {
-            return codec.encodeState(core == null ? List.of() : core.stateSnapshot());
+        public List<GossipUpdate> stateSnapshot() {
+            return protocol == null ? List.of() : protocol.stateSnapshot();
         }
 
         @Override
-        public byte[] view() {
-            List<GossipUpdate> all = core.stateSnapshot();
-            return codec.encodeView(new MembershipView(
-                    core.version(),
-                    core.digest(),
-                    core.localHealth(),
-                    core.isEnded() ? core.self().withState(MemberState.LEFT) : core.self(),
-                    all.stream().skip(1).map(GossipUpdate::member).toList(),
-                    figures.all()));
+        public MembershipView view() {
+            return currentView();
         }
 
         @Override
-        public void heard(List<GossipUpdate> all) {
-            tell(told -> told.onStateSync(nowUs(), all));
+        public void onState(List<GossipUpdate> state) {
+            handle(running -> running.onStateSync(nowUs(), state));
         }
 
         @Override
-        public void bad(Reason reason) {
-            MembershipService.this.bad(reason);
+        public void onBadFrame(BadFrameException e) {
+            countBadFrame(e);
         }
 
         @Override
-        public void failed(Throwable cause) {
-            say("exchange: " + cause);
+        public void onError(Throwable cause) {
+            MembershipEventLog.onStateSyncError(cause);
         }
 
         @Override
-        public void ended(boolean whole) {
-            figures.exchanged(whole);
+        public void onEnd(boolean complete) {
+            metrics.onStateSyncEnd(complete);
         }
     }
 }
--- a/node/src/main/java/loadbalancer/membership/StateSync.java
+++ b/node/src/main/java/loadbalancer/membership/StateSync.java
@@ -26,135 +26,144 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
 import loadbalancer.membership.codec.BadFrameException;
-import loadbalancer.membership.codec.BadFrameException.Reason;
 import loadbalancer.membership.codec.FrameType;
 import loadbalancer.membership.codec.MembershipCodec;
+import loadbalancer.membership.codec.MembershipView;
 import loadbalancer.membership.core.GossipUpdate;
 
 /**
- * Connections on which members tell each other all that they know: one frame there, one back, each behind its
- * length in four bytes.
+ * Push-pull state syncs over connections: the initiator pushes all that it holds, the responder answers with all that
+ * it holds. Each is one frame behind its length in four bytes. Also answers view requests. All on the event loop.
  */
 final class StateSync {
-    /** Connections at a time, both ways; what comes beyond is closed, and repair comes again by itself. */
-    private static final int MOST_OPEN = 64;
+    /** Both ways; one beyond is closed at once, and the protocol syncs again later. */
+    private static final int MAX_CONNECTIONS = 64;
 
-    private static final int MOST_MS = 5_000;
-    private static final int LENGTH = Integer.BYTES;
+    private static final int TIMEOUT_MILLIS = 5_000;
+    private static final int LENGTH_FIELD_BYTES = Integer.BYTES;
 
-    /** Whose they are. */
-    interface Owner {
-        /** All that this process knows, as it is now. */
-        byte[] state();
+    /** Whose state is synced. */
+    interface Listener {
+        /** All that this process holds now. */
+        List<GossipUpdate> stateSnapshot();
 
-        /** How it sees its fleet, for whoever looks from outside. */
-        byte[] view();
+        /** How this process sees its fleet now, for a client. */
+        MembershipView view();
 
-        /** Another has told all that it knows. */
-        void heard(List<GossipUpdate> all);
+        /** A peer has pushed, or answered with, all that it holds. */
+        void onState(List<GossipUpdate> state);
 
-        /** What came was no message of this fleet. */
-        void bad(Reason reason);
+        void onBadFrame(BadFrameException e);
 
         /** A defect of this process. */
-        void failed(Throwable cause);
+        void onError(Throwable cause);
 
-        /** An exchange that began here has ended. */
-        void ended(boolean whole);
+        /** A sync that began here has ended. */
+        void onEnd(boolean complete);
     }
 
     private final EventLoop loop;
     private final MembershipCodec codec;
     private final InetSocketAddress bind;
-    private final Owner owner;
-    private final Set<Channel> open = new HashSet<>();
-    private Channel listening;
+    private final Listener listener;
+    private final Set<Channel> connections = new HashSet<>();
+    private Channel serverChannel;
 
-    StateSync(EventLoop loop, MembershipCodec codec, InetSocketAddress bind, Owner owner) {
+    StateSync(EventLoop loop, MembershipCodec codec, InetSocketAddress bind, Listener listener) {
         this.loop = loop;
         this.codec = codec;
         this.bind = bind;
-        this.owner = owner;
+        this.listener = listener;
     }
 
     ChannelFuture listen() {
-        ChannelFuture opening = new ServerBootstrap()
+        ChannelFuture listening = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel channel) {
-                        prepare(channel, new Answering());
-                    }
-                })
+                .childHandler(initializer(ResponderHandler::new))
                 .bind(bind);
-        listening = opening.channel();
-        return opening;
+        serverChannel = listening.channel();
+        return listening;
     }
 
-    /** With whoever listens there. */
-    void begin(InetSocketAddress to) {
-        if (open.size() >= MOST_OPEN) {
-            owner.ended(false);
+    /** Starts a sync with whoever listens there. */
+    void start(InetSocketAddress peer) {
+        if (connections.size() >= MAX_CONNECTIONS) {
+            listener.onEnd(false);
             return;
         }
-        // From the configured address, as all that goes out.
+        // From the configured address, as datagrams are: a firewall may let nothing else through.
+        InetSocketAddress local = new InetSocketAddress(bind.getAddress(), 0);
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, MOST_MS)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel channel) {
-                        prepare(channel, new Asking());
-                    }
-                })
-                .connect(to, new InetSocketAddress(bind.getAddress(), 0))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, TIMEOUT_MILLIS)
+                .handler(initializer(InitiatorHandler::new))
+                .connect(peer, local)
                 .addListener(connected -> {
                     if (!connected.isSuccess()) {
-                        owner.ended(false);
+                        listener.onEnd(false);
                     }
                 });
     }
 
-    private void prepare(SocketChannel channel, SimpleChannelInboundHandler<ByteBuf> handler) {
-        if (open.size() >= MOST_OPEN) {
+    private ChannelInitializer<SocketChannel> initializer(Supplier<PeerHandler> handler) {
+        return new ChannelInitializer<>() {
+            @Override
+            protected void initChannel(SocketChannel channel) {
+                initialize(channel, handler.get());
+            }
+        };
+    }
+
+    private void initialize(SocketChannel channel, PeerHandler handler) {
+        if (connections.size() >= MAX_CONNECTIONS) {
             channel.close();
             return;
         }
-        open.add(channel);
-        Future<?> end = loop.schedule(() -> channel.close(), MOST_MS, TimeUnit.MILLISECONDS);
+        connections.add(channel);
+        // A peer that sends nothing must not hold its place for ever.
+        Future<?> timeout = loop.schedule(() -> channel.close(), TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         channel.closeFuture().addListener(closed -> {
-            end.cancel(false);
-            open.remove(channel);
+            timeout.cancel(false);
+            connections.remove(channel);
         });
         channel.pipeline()
                 .addLast(
                         new LengthFieldBasedFrameDecoder(
-                                MembershipCodec.MAX_FRAME_BYTES + LENGTH, 0, LENGTH, 0, LENGTH),
-                        new LengthFieldPrepender(LENGTH),
+                                MembershipCodec.MAX_FRAME_BYTES + LENGTH_FIELD_BYTES,
+                                0,
+                                LENGTH_FIELD_BYTES,
+                                0,
+                                LENGTH_FIELD_BYTES),
+                        new LengthFieldPrepender(LENGTH_FIELD_BYTES),
                         handler);
     }
 
     void close() {
-        if (listening != null) {
-            listening.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
-        List.copyOf(open).forEach(Channel::close);
+        List.copyOf(connections).forEach(Channel::close);
     }
 
-    /** What both ends have in common: a peer that errs or goes is no defect of ours. */
-    private abstract class End extends SimpleChannelInboundHandler<ByteBuf> {
-        abstract void came(ChannelHandlerContext context, byte[] frame) throws BadFrameException;
+    private ByteBuf stateFrame() {
+        return Unpooled.wrappedBuffer(codec.encodeState(listener.stateSnapshot()));
+    }
+
+    /** Either side. A peer that errs or goes is no defect of this process. */
+    private abstract class PeerHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        abstract void onFrame(ChannelHandlerContext context, byte[] frame) throws BadFrameException;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf message) {
             try {
-                came(context, ByteBufUtil.getBytes(message));
+                onFrame(context, ByteBufUtil.getBytes(message));
             } catch (BadFrameException e) {
-                owner.bad(e.reason());
+                listener.onBadFrame(e);
                 context.close();
             }
         }
@@ -162,46 +171,51 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof DecoderException) {
-                owner.bad(Reason.MALFORMED);
+                listener.onBadFrame(BadFrameException.badLength());
             } else if (!(cause instanceof IOException)) {
-                owner.failed(cause);
+                listener.onError(cause);
             }
             context.close();
         }
     }
 
-    private final class Answering extends End {
+    private final class ResponderHandler extends PeerHandler {
         @Override
-        void came(ChannelHandlerContext context, byte[] frame) throws BadFrameException {
-            boolean looks = MembershipCodec.typeOf(frame) == FrameType.VIEW_REQUEST;
-            List<GossipUpdate> told = looks ? List.of() : codec.decodeState(frame);
-            context.writeAndFlush(Unpooled.wrappedBuffer(looks ? owner.view() : owner.state()))
-                    .addListener(ChannelFutureListener.CLOSE);
-            if (!looks) {
-                owner.heard(told);
+        void onFrame(ChannelHandlerContext context, byte[] frame) throws BadFrameException {
+            if (MembershipCodec.typeOf(frame) == FrameType.VIEW_REQUEST) {
+                respond(context, Unpooled.wrappedBuffer(codec.encodeView(listener.view())));
+                return;
             }
+            List<GossipUpdate> state = codec.decodeState(frame);
+            // The answer first: what the peer has just pushed need not go back.
+            respond(context, stateFrame());
+            listener.onState(state);
+        }
+
+        private void respond(ChannelHandlerContext context, ByteBuf frame) {
+            context.writeAndFlush(frame).addListener(ChannelFutureListener.CLOSE);
         }
     }
 
-    private final class Asking extends End {
-        private boolean whole;
+    private final class InitiatorHandler extends PeerHandler {
+        private boolean complete;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            context.writeAndFlush(Unpooled.wrappedBuffer(owner.state()));
+            context.writeAndFlush(stateFrame());
         }
 
         @Override
-        void came(ChannelHandlerContext context, byte[] frame) throws BadFrameException {
-            List<GossipUpdate> told = codec.decodeState(frame);
-            whole = true;
+        void onFrame(ChannelHandlerContext context, byte[] frame) throws BadFrameException {
+            List<GossipUpdate> state = codec.decodeState(frame);
+            complete = true;
             context.close();
-            owner.heard(told);
+            listener.onState(state);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            owner.ended(whole);
+            listener.onEnd(complete);
         }
     }
 }
--- a/node/src/main/java/loadbalancer/membership/codec/BadFrameException.java
+++ b/node/src/main/java/loadbalancer/membership/codec/BadFrameException.java
@@ -27,6 +27,11 @@
         this.field = field;
     }
 
+    /** A frame of a connection whose length is not allowed. */
+    public static BadFrameException badLength() {
+        return new BadFrameException(Reason.MALFORMED, "length");
+    }
+
     public Reason reason() {
         return reason;
     }
--- a/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -32,10 +32,7 @@
         Node node = new Node(config, loop);
         ReloadSignal.handle(() -> node.reload(env));
         // By an interface of the JDK's, so that a node of no fleet need not load what one is made of.
-        Runnable leave = config.fleet() == null
-                ? null
-                : MembershipService.join(
-                        config.fleet(), text -> Log.info("membership", "text", text), node::alsoReport);
+        Runnable leave = config.fleet() == null ? null : MembershipService.join(config.fleet(), node::alsoReport);
         ChannelFuture control = node.startControl();
         if (control != null) {
             awaitListening("control " + config.operators().control(), control);
--- a/node/src/test/java/loadbalancer/membership/MembershipMetricsTest.java
+++ b/node/src/test/java/loadbalancer/membership/MembershipMetricsTest.java
@@ -9,30 +9,30 @@
 /** Names of metrics as operators' dashboards and {@code fleet members} read them. */
 class MembershipMetricsTest {
 
-    /** Each reason and kind is counted as often as its place among the others, so that no two change places. */
+    /** Each reason and type is counted as often as its place among the others, so that no two change places. */
     @Test
     void namesAndWhatTheyCount() {
         MembershipMetrics metrics = new MembershipMetrics();
-        metrics.sent(100);
-        metrics.sent(20);
-        metrics.received(7);
-        metrics.exchanged(true);
-        metrics.exchanged(true);
-        metrics.exchanged(true);
-        metrics.exchanged(false);
+        metrics.onDatagramSent(100);
+        metrics.onDatagramSent(20);
+        metrics.onDatagramReceived(7);
+        metrics.onStateSyncEnd(true);
+        metrics.onStateSyncEnd(true);
+        metrics.onStateSyncEnd(true);
+        metrics.onStateSyncEnd(false);
         for (Reason reason : Reason.values()) {
             for (int i = 0; i <= reason.ordinal(); i++) {
-                metrics.bad(reason);
+                metrics.onBadFrame(reason);
             }
         }
-        for (MembershipChange.Type kind : MembershipChange.Type.values()) {
-            for (int i = 0; i <= kind.ordinal(); i++) {
-                metrics.changed(kind);
+        for (MembershipChange.Type type : MembershipChange.Type.values()) {
+            for (int i = 0; i <= type.ordinal(); i++) {
+                metrics.onChange(type);
             }
         }
-        metrics.roundTrip(100);
-        metrics.roundTrip(100);
-        metrics.roundTrip(5_000);
+        metrics.onRoundTrip(100);
+        metrics.onRoundTrip(100);
+        metrics.onRoundTrip(5_000);
         assertEquals(
                 "{datagrams_sent=2, datagram_bytes_sent=120, datagrams_received=1, datagram_bytes_received=7,"
                         + " exchanges=3, exchanges_failed=1, dropped_not_ours=1, dropped_damaged=2, dropped_newer=3,"
@@ -40,6 +40,6 @@
                         + " changes_suspected=3, changes_cleared=4, changes_died=5, changes_left=6,"
                         + " changes_forgotten=7, changes_gave_way=8, changes_taken_over=9, changes_turned_away=10,"
                         + " round_trip_p50_us=128, round_trip_p99_us=8192}",
-                metrics.all().toString());
+                metrics.counters().toString());
     }
 }
--- a/rig/src/test/java/loadbalancer/rig/real/MemberFleetTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/MemberFleetTest.java
@@ -35,13 +35,14 @@
         return view == null ? -1 : view.metrics().get(figure);
     }
 
-    /** How often a process has logged this change of that member. */
-    private static long told(Process process, String change, String member) throws IOException {
-        String line = "members: " + change + " " + member + " at ";
-        return process.printed()
-                .lines()
-                .filter(printed -> printed.contains(line))
-                .count();
+    /** How often a process has logged this event of that member. */
+    private static long countLogged(Process process, String event, String member) throws IOException {
+        String logged = logLine(event, member);
+        return process.printed().lines().filter(line -> line.contains(logged)).count();
+    }
+
+    private static String logLine(String event, String member) {
+        return "event=" + event + " member=" + member + " address=";
     }
 
     @Test
@@ -51,18 +52,18 @@
             // On a machine that is full a member that lives may be given up for a while: counted by name, and
             // from the event on, the figures do not rest on its speed.
             Process observer = fleet.process(1);
-            long deathsBefore = told(observer, "died", "m4");
+            long deathsBefore = countLogged(observer, "member_failed", "m4");
             fleet.process(4).kill();
             fleet.await("five to agree", AWAITED_MS, fleet::agree);
-            assertEquals(deathsBefore + 1, told(observer, "died", "m4"));
-            long deathsBeforeLeaving = told(observer, "died", "m5");
+            assertEquals(deathsBefore + 1, countLogged(observer, "member_failed", "m4"));
+            long deathsBeforeLeaving = countLogged(observer, "member_failed", "m5");
             fleet.process(5).end();
             fleet.await("it to end", AWAITED_MS, () -> !fleet.process(5).isUp());
             fleet.await("four to agree", AWAITED_MS, fleet::agree);
-            assertEquals(1, told(observer, "left", "m5"));
+            assertEquals(1, countLogged(observer, "member_left", "m5"));
             assertEquals(1, count(observer, "changes_left"));
-            assertEquals(deathsBeforeLeaving, told(observer, "died", "m5"));
-            assertEquals(deathsBefore + 1, told(observer, "died", "m4"));
+            assertEquals(deathsBeforeLeaving, countLogged(observer, "member_failed", "m5"));
+            assertEquals(deathsBefore + 1, countLogged(observer, "member_failed", "m4"));
             fleet.process(4).start();
             fleet.await("it to be back", AWAITED_MS, () -> fleet.process(4).isUp() && fleet.agree());
         }
@@ -147,7 +148,7 @@
                     AWAITED_MS,
                     () -> fleet.process(3).view() == null && later.view() != null);
             assertTrue(
-                    fleet.process(3).printed().contains("members: gave_way m3"),
+                    fleet.process(3).printed().contains(logLine("member_name_yielded", "m3")),
                     fleet.process(3).printed());
             fleet.await("it to serve", AWAITED_MS, fleet.process(3)::serves);
             fleet.process(3).end();
