--- a/node/src/main/java/loadbalancer/config/NodeConfig.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfig.java
@@ -22,6 +22,7 @@
 import loadbalancer.net.SocketAddresses;
 import loadbalancer.policy.BalancerSettings;
 import loadbalancer.policy.RequestClass;
+import loadbalancer.settings.InvalidSettingException;
 import loadbalancer.settings.SettingsReader;
 
 /**
@@ -212,8 +213,8 @@
                 }
             }
             return settings;
-        } catch (SettingsReader.BadSettingException e) {
-            throw new ConfigException("settings." + e.field, e.reason);
+        } catch (InvalidSettingException e) {
+            throw new ConfigException("settings." + e.setting(), e.problem());
         } catch (IllegalArgumentException e) {
             throw new ConfigException("settings:", e.getMessage());
         }
--- a/node/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/node/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -9,165 +9,144 @@
 import loadbalancer.policy.Tenant;
 
 /**
- * Turns settings by dotted names into the module's: the wire's, and the node's configuration once it is
- * flattened, so that the two cannot drift apart. Missing settings take the module's documented defaults,
- * but for the classes and their main figures, which are named as missing.
+ * Reads the settings of the balancer from texts by dotted names: the simulator's wire has this form, and the
+ * configuration file of a node once it is flattened. Both go through this class, so that they cannot drift apart.
+ *
+ * <p>A missing setting keeps the default of {@link BalancerSettings}. Only the name, objective, deadline and
+ * idempotency of a class and the name of a tenant are required.
  */
 public final class SettingsReader {
-    private final Map<String, String> values;
+    private final SettingValues values;
+    private final BalancerSettings settings = new BalancerSettings();
 
-    /** A setting that is missing or not as it must be. */
-    public static final class BadSettingException extends Exception {
-        private static final long serialVersionUID = 1;
-        /** Its dotted name. */
-        public final String field;
-        /** What is wrong with it, to stand behind the name. */
-        public final String reason;
-
-        BadSettingException(String field, String reason) {
-            super(field + " " + reason);
-            this.field = field;
-            this.reason = reason;
-        }
+    private SettingsReader(SettingValues values) {
+        this.values = values;
     }
 
-    private SettingsReader(Map<String, String> values) {
-        this.values = values;
+    /**
+     * Reads settings by dotted names. They are not validated against each other.
+     *
+     * @throws InvalidSettingException if a required setting is missing, or a value has the wrong type
+     */
+    public static BalancerSettings read(Map<String, String> values) throws InvalidSettingException {
+        return new SettingsReader(new SettingValues(values)).read();
     }
 
-    /** Reads settings by dotted names; lists of objects have a {@code count}, lists of values commas. */
-    public static BalancerSettings read(Map<String, String> values) throws BadSettingException {
-        return new SettingsReader(values).settings();
+    private BalancerSettings read() throws InvalidSettingException {
+        readPlaceInFleet();
+        readClasses();
+        readTenants();
+        settings.weightByWork = SettingNames.WEIGHT_BY_WORK.equals(values.textOrDefault(SettingNames.WEIGHT_UNIT, ""));
+        readLimits();
+        readEndpointListRules();
+        readServerRules();
+        readReportFields();
+        return settings;
     }
 
-    private BalancerSettings settings() throws BadSettingException {
-        BalancerSettings set = new BalancerSettings();
-        set.nodes = (int) whole("balancers", set.nodes);
-        set.nodeIndex = (int) whole("me", set.nodeIndex);
-        for (String zone : list("zones")) {
-            set.zones.add(zone);
-        }
-        set.localZone = Math.max(0, set.zones.indexOf(values.getOrDefault("myZone", "")));
-        int classes = (int) whole("classes.count", 0);
-        for (int i = 0; i < classes; i++) {
-            set.classes.add(requestClass("classes." + i + "."));
-        }
-        int tenants = (int) whole("realms.count", 0);
-        for (int i = 0; i < tenants; i++) {
-            String prefix = "realms." + i + ".";
-            set.tenants.add(new Tenant(need(prefix + "name")));
+    private void readPlaceInFleet() throws InvalidSettingException {
+        settings.nodes = (int) values.longOrDefault(SettingNames.NODES, settings.nodes);
+        settings.nodeIndex = (int) values.longOrDefault(SettingNames.NODE_INDEX, settings.nodeIndex);
+        for (String zone : values.list(SettingNames.ZONES)) {
+            settings.zones.add(zone);
         }
-        set.weightByWork = "work".equals(values.get("countedBy"));
-        set.maxAttempts = values.containsKey("limits.attemptsCap")
-                ? (int) Math.min(Integer.MAX_VALUE, positive("limits.attemptsCap"))
-                : set.maxAttempts;
-        set.hedging = flag("limits.parallelTries");
-        set.cancellation = flag("limits.cancelling");
-        set.probes = flag("limits.probes");
-        set.maxRetryAfterUs = flag("limits.retryAfter") ? whole("limits.maxRetryAfterUs", 0) : 0;
-        set.tickUs = whole("quantumUs", set.tickUs);
-        set.connectTimeoutUs = whole("limits.dialTimeoutUs", set.connectTimeoutUs);
-        set.pollsEndpointList = "on_request".equals(values.get("membershipMode"));
-        set.pollIntervalUs = whole("rules.askWithinUs", set.pollIntervalUs);
-        set.drainGraceUs = whole("rules.drainGraceUs", set.drainGraceUs);
-        set.warmUpInitialShare = decimal("rules.coldFrom", set.warmUpInitialShare);
-        set.warmUpUs = whole("rules.coldUs", set.warmUpUs);
-        set.overloadMultiple = decimal("rules.overloadFactor", set.overloadMultiple);
-        set.overloadUs = whole("rules.fallUs", set.overloadUs);
-        set.crossZoneCost = decimal("costs.crossZone", set.crossZoneCost);
-        set.keyAffinity = flag("extra.warmKeys");
-        for (String field : list("report.fields")) {
-            set.reportFields.add(
-                    switch (field) {
-                        case "concurrent" -> LoadReportField.IN_FLIGHT;
-                        case "depth" -> LoadReportField.QUEUED;
-                        case "load_share" -> LoadReportField.UTILISATION;
-                        case "mean_ms" -> LoadReportField.LATENCY_MS;
-                        case "tps" -> LoadReportField.SERVED_PER_S;
-                        case "err_ps" -> LoadReportField.ERRORS_PER_S;
-                        default -> LoadReportField.OTHER;
-                    });
+        String localZone = values.textOrDefault(SettingNames.LOCAL_ZONE, "");
+        settings.localZone = Math.max(0, settings.zones.indexOf(localZone));
+    }
+
+    private void readClasses() throws InvalidSettingException {
+        int count = values.count(SettingNames.CLASSES);
+        for (int index = 0; index < count; index++) {
+            settings.classes.add(readClass(SettingValues.prefix(SettingNames.CLASSES, index)));
         }
-        return set;
     }
 
-    private RequestClass requestClass(String prefix) throws BadSettingException {
-        String repeat = need(prefix + "repeat");
-        String group = values.getOrDefault(prefix + "group", "all");
+    private RequestClass readClass(String prefix) throws InvalidSettingException {
+        String idempotency = values.required(prefix + SettingNames.CLASS_IDEMPOTENCY);
         return new RequestClass(
-                need(prefix + "name"),
-                whole(prefix + "onTimeUs"),
-                decimal(prefix + "aimStretch", 0),
-                positive(prefix + "giveUpUs"),
-                decimal(prefix + "importance", 1),
-                decimal(prefix + "lateWorth", 0),
-                switch (repeat) {
-                    case "safe" -> Idempotency.IDEMPOTENT;
-                    case "keyed" -> Idempotency.IDEMPOTENT_WITH_KEY;
-                    case "unsafe" -> Idempotency.NON_IDEMPOTENT;
-                    default -> throw new BadSettingException(prefix + "repeat", "is unknown: " + repeat);
+                values.required(prefix + SettingNames.CLASS_NAME),
+                values.requiredLong(prefix + SettingNames.CLASS_LATENCY_OBJECTIVE_US),
+                values.doubleOrDefault(prefix + SettingNames.CLASS_OBJECTIVE_STRETCH, 0),
+                values.requiredPositiveLong(prefix + SettingNames.CLASS_DEADLINE_US),
+                values.doubleOrDefault(prefix + SettingNames.CLASS_PRIORITY_WEIGHT, 1),
+                values.doubleOrDefault(prefix + SettingNames.CLASS_LATE_WEIGHT, 0),
+                switch (idempotency) {
+                    case SettingNames.IDEMPOTENT -> Idempotency.IDEMPOTENT;
+                    case SettingNames.IDEMPOTENT_WITH_KEY -> Idempotency.IDEMPOTENT_WITH_KEY;
+                    case SettingNames.NON_IDEMPOTENT -> Idempotency.NON_IDEMPOTENT;
+                    default -> throw unknownValue(prefix + SettingNames.CLASS_IDEMPOTENCY, idempotency);
                 },
-                switch (group) {
-                    case "all" -> DeduplicationScope.ALL;
-                    case "zone" -> DeduplicationScope.ZONE;
-                    case "cell" -> DeduplicationScope.CELL;
-                    default -> throw new BadSettingException(prefix + "group", "is unknown: " + group);
-                },
-                whole(prefix + "windowUs", 0),
-                flag(prefix + "stream"));
-    }
-
-    private String need(String path) throws BadSettingException {
-        String value = values.get(path);
-        if (value == null) {
-            throw new BadSettingException(path, "is missing");
-        }
-        return value;
+                readDeduplicationScope(prefix + SettingNames.CLASS_DEDUPLICATION_SCOPE),
+                values.longOrDefault(prefix + SettingNames.CLASS_DEDUPLICATION_WINDOW_US, 0),
+                values.flag(prefix + SettingNames.CLASS_STREAMING));
     }
 
-    private String[] list(String path) {
-        String value = values.getOrDefault(path, "");
-        return value.isEmpty() ? new String[0] : value.split(",");
+    private DeduplicationScope readDeduplicationScope(String name) throws InvalidSettingException {
+        String scope = values.textOrDefault(name, SettingNames.SCOPE_ALL);
+        return switch (scope) {
+            case SettingNames.SCOPE_ALL -> DeduplicationScope.ALL;
+            case SettingNames.SCOPE_ZONE -> DeduplicationScope.ZONE;
+            case SettingNames.SCOPE_CELL -> DeduplicationScope.CELL;
+            default -> throw unknownValue(name, scope);
+        };
     }
 
-    private boolean flag(String path) throws BadSettingException {
-        String value = values.getOrDefault(path, "false");
-        return switch (value) {
-            case "1", "true" -> true;
-            case "0", "false" -> false;
-            default -> throw new BadSettingException(path, "is neither true nor false: " + value);
-        };
+    private static InvalidSettingException unknownValue(String name, String value) {
+        return new InvalidSettingException(name, "is unknown: " + value);
     }
 
-    private long positive(String path) throws BadSettingException {
-        double value = decimal(path, need(path));
-        if (value < 1 || value != Math.rint(value)) {
-            throw new BadSettingException(path, "is not positive and whole: " + need(path));
+    private void readTenants() throws InvalidSettingException {
+        int count = values.count(SettingNames.TENANTS);
+        for (int index = 0; index < count; index++) {
+            String prefix = SettingValues.prefix(SettingNames.TENANTS, index);
+            settings.tenants.add(new Tenant(values.required(prefix + SettingNames.TENANT_NAME)));
         }
-        return (long) value;
     }
 
-    private long whole(String path) throws BadSettingException {
-        return (long) decimal(path, need(path));
+    private void readLimits() throws InvalidSettingException {
+        if (values.has(SettingNames.MAX_ATTEMPTS)) {
+            long maxAttempts = values.requiredPositiveLong(SettingNames.MAX_ATTEMPTS);
+            settings.maxAttempts = (int) Math.min(Integer.MAX_VALUE, maxAttempts);
+        }
+        settings.hedging = values.flag(SettingNames.HEDGING);
+        settings.cancellation = values.flag(SettingNames.CANCELLATION);
+        settings.probes = values.flag(SettingNames.PROBES);
+        if (values.flag(SettingNames.RETRY_AFTER)) {
+            settings.maxRetryAfterUs = values.longOrDefault(SettingNames.MAX_RETRY_AFTER_US, 0);
+        }
+        settings.tickUs = values.longOrDefault(SettingNames.TICK_US, settings.tickUs);
+        settings.connectTimeoutUs = values.longOrDefault(SettingNames.CONNECT_TIMEOUT_US, settings.connectTimeoutUs);
     }
 
-    private long whole(String path, long otherwise) throws BadSettingException {
-        return values.containsKey(path) ? whole(path) : otherwise;
+    private void readEndpointListRules() throws InvalidSettingException {
+        String mode = values.textOrDefault(SettingNames.ENDPOINT_LIST_MODE, "");
+        settings.pollsEndpointList = mode.equals(SettingNames.ENDPOINT_LIST_POLLED);
+        settings.pollIntervalUs = values.longOrDefault(SettingNames.POLL_INTERVAL_US, settings.pollIntervalUs);
+        settings.drainGraceUs = values.longOrDefault(SettingNames.DRAIN_GRACE_US, settings.drainGraceUs);
     }
 
-    private double decimal(String path, double otherwise) throws BadSettingException {
-        return values.containsKey(path) ? decimal(path, need(path)) : otherwise;
+    private void readServerRules() throws InvalidSettingException {
+        settings.warmUpInitialShare =
+                values.doubleOrDefault(SettingNames.WARM_UP_INITIAL_SHARE, settings.warmUpInitialShare);
+        settings.warmUpUs = values.longOrDefault(SettingNames.WARM_UP_US, settings.warmUpUs);
+        settings.overloadMultiple = values.doubleOrDefault(SettingNames.OVERLOAD_MULTIPLE, settings.overloadMultiple);
+        settings.overloadUs = values.longOrDefault(SettingNames.OVERLOAD_US, settings.overloadUs);
+        settings.crossZoneCost = values.doubleOrDefault(SettingNames.CROSS_ZONE_COST, settings.crossZoneCost);
+        settings.keyAffinity = values.flag(SettingNames.KEY_AFFINITY);
     }
 
-    private double decimal(String path, String text) throws BadSettingException {
-        try {
-            double value = Double.parseDouble(text);
-            if (Double.isFinite(value)) {
-                return value;
-            }
-        } catch (NumberFormatException e) {
-            // Named below.
+    private void readReportFields() {
+        for (String field : values.list(SettingNames.REPORT_FIELDS)) {
+            settings.reportFields.add(
+                    switch (field) {
+                        case SettingNames.REPORT_IN_FLIGHT -> LoadReportField.IN_FLIGHT;
+                        case SettingNames.REPORT_QUEUED -> LoadReportField.QUEUED;
+                        case SettingNames.REPORT_UTILISATION -> LoadReportField.UTILISATION;
+                        case SettingNames.REPORT_LATENCY_MS -> LoadReportField.LATENCY_MS;
+                        case SettingNames.REPORT_SERVED_PER_S -> LoadReportField.SERVED_PER_S;
+                        case SettingNames.REPORT_ERRORS_PER_S -> LoadReportField.ERRORS_PER_S;
+                        default -> LoadReportField.OTHER;
+                    });
         }
-        throw new BadSettingException(path, "is not a number: " + text);
     }
 }
--- a/node/src/main/java/loadbalancer/simulator/SimulatorConnection.java
+++ b/node/src/main/java/loadbalancer/simulator/SimulatorConnection.java
@@ -17,6 +17,7 @@
 import loadbalancer.policy.ServerEntry;
 import loadbalancer.policy.ServerState;
 import loadbalancer.policy.ServiceQBalancer;
+import loadbalancer.settings.InvalidSettingException;
 import loadbalancer.settings.SettingsReader;
 
 /** Carries events from the wire to the instances and their actions back. It decides nothing. */
@@ -161,8 +162,8 @@
         }
         try {
             return SettingsReader.read(values);
-        } catch (SettingsReader.BadSettingException e) {
-            throw line.bad(e.field, e.reason);
+        } catch (InvalidSettingException e) {
+            throw line.bad(e.setting(), e.problem());
         }
     }
 
