--- a/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
+++ b/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
@@ -104,9 +104,9 @@
         this.loop = loop;
         this.patience = patience;
         this.listener = listener;
-        address = config.discovery();
+        address = config.discoveryAddress();
         decoder = new EndpointListDecoder(config.settings().zones);
-        rev = config.known().version();
+        rev = config.initialEndpoints().version();
         nodes = config.settings().nodes;
         random = new SplittableRandom(config.seed());
         dialer = new Bootstrap()
--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -23,6 +23,7 @@
 import loadbalancer.config.ClassRegistry;
 import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.config.NodeConfigReloader;
 import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointWatcher;
@@ -89,12 +90,12 @@
     Node(NodeConfig config, MeasuredEventLoop loop, Function<BalancerActions, Balancer> deciding) {
         this.config = config;
         this.loop = loop;
-        boolean operated = config.operators().control() != null;
-        cordons = new CordonStore(operated ? config.operators().folder() : null);
+        boolean operated = config.operations().controlAddress() != null;
+        cordons = new CordonStore(operated ? config.operations().sharedFolder() : null);
         control = operated ? new ControlServer(loop, new Operators()) : null;
         metrics.register(config.settings().classes);
-        SocketBudget sockets = new SocketBudget(config.sockets(), operated ? ControlServer.MAX_SOCKETS : 0);
-        pool = new ServerPool(loop, sockets, clock, config.settings().connectTimeoutUs, config.connIdleUs());
+        SocketBudget sockets = new SocketBudget(config.maxSockets(), operated ? ControlServer.MAX_SOCKETS : 0);
+        pool = new ServerPool(loop, sockets, clock, config.settings().connectTimeoutUs, config.serverIdleTimeoutUs());
         registry = ClassRegistry.initial(config.settings());
         means = new RequestServices(
                 loop, clock, pool, metrics, config.settings().reportFields, module, new HashSet<>());
@@ -124,7 +125,7 @@
 
     /** Opens the address for operators, which says no until clients can connect; null without one. */
     ChannelFuture startControl() {
-        return control == null ? null : control.listen(config.operators().control());
+        return control == null ? null : control.listen(config.operations().controlAddress());
     }
 
     /**
@@ -138,8 +139,8 @@
             }
             watching = true;
             heedCordons();
-            list(config.known(), ListKind.CACHED);
-            if (config.discovery() != null && !config.settings().pollsEndpointList) {
+            list(config.initialEndpoints(), ListKind.CACHED);
+            if (config.discoveryAddress() != null && !config.settings().pollsEndpointList) {
                 discovery.keepSubscribed();
             }
         });
@@ -178,7 +179,8 @@
                 HOUSEKEEPING_MS,
                 HOUSEKEEPING_MS,
                 TimeUnit.MILLISECONDS);
-        return clients.listen(config.listen(), inherited).addListener(listening -> serves = listening.isSuccess());
+        return clients.listen(config.listenAddress(), inherited)
+                .addListener(listening -> serves = listening.isSuccess());
     }
 
     /** Says no to the front, serves what still comes, and calls back once nothing is held. */
@@ -189,7 +191,7 @@
             long remainingUs = Math.min(MOST_DEADLINE_US, registry.longestDeadlineUs()) + KILL_US - ROOM_US;
             requests.setShutdownDeadline(clock.nowUs() + remainingUs);
             loop.schedule(requests::failPending, remainingUs, TimeUnit.MICROSECONDS);
-            if (config.operators().inherits()) {
+            if (config.operations().inheritsListener()) {
                 clients.drainForHandover(Math.max(0, remainingUs - LAST_ASKED_US) / 1_000, whenEmpty);
             } else {
                 clients.drain(whenEmpty);
@@ -260,7 +262,7 @@
      */
     synchronized void reload(Map<String, String> env) {
         try {
-            NodeConfig read = config.againSettled(env);
+            NodeConfig read = NodeConfigReloader.reloadWhenComplete(config, env);
             loop.execute(() -> retune(read));
         } catch (ConfigException e) {
             Log.warn("reload_failed", "reason", e.getMessage());
@@ -269,15 +271,18 @@
     }
 
     private void retune(NodeConfig read) {
-        Log.info("reloaded", "discovery", read.discovery() == null ? null : SocketAddresses.format(read.discovery()));
+        Log.info(
+                "reloaded",
+                "discovery",
+                read.discoveryAddress() == null ? null : SocketAddresses.format(read.discoveryAddress()));
         metrics.onConfigLoaded();
         metrics.register(read.settings().classes);
         ClassRegistry next = registry.reloaded(read.settings());
         registry = next;
         module.submit(balancer -> balancer.onSettings(clock.nowUs(), next.settings()));
         clients.setRequestReader(new RequestReader(next));
-        pool.setTimeouts(next.settings().connectTimeoutUs, read.connIdleUs());
-        discovery.moveTo(read.discovery());
+        pool.setTimeouts(next.settings().connectTimeoutUs, read.serverIdleTimeoutUs());
+        discovery.moveTo(read.discoveryAddress());
         loop.schedule(
                 () -> {
                     // Unless another file has been taken since.
--- a/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -8,6 +8,7 @@
 import loadbalancer.common.Log;
 import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.config.NodeConfigReader;
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.membership.MembershipService;
 import loadbalancer.net.SocketAddresses;
@@ -21,8 +22,8 @@
         NodeConfig config;
         ServerSocketChannel inherited;
         try {
-            config = NodeConfig.read(env);
-            inherited = config.operators().inherits() ? InheritedListener.open() : null;
+            config = NodeConfigReader.read(env);
+            inherited = config.operations().inheritsListener() ? InheritedListener.open() : null;
         } catch (ConfigException e) {
             System.err.println("load-balancer: " + e.getMessage());
             System.exit(2);
@@ -32,13 +33,13 @@
         Node node = new Node(config, loop);
         ReloadSignal.handle(() -> node.reload(env));
         // By an interface of the JDK's, so that a node of no fleet need not load what one is made of.
-        Runnable leave = config.fleet() == null
+        Runnable leave = config.membership() == null
                 ? null
                 : MembershipService.join(
-                        config.fleet(), text -> Log.info("membership", "text", text), node::alsoReport);
+                        config.membership(), text -> Log.info("membership", "text", text), node::alsoReport);
         ChannelFuture control = node.startControl();
         if (control != null) {
-            awaitListening("control " + config.operators().control(), control);
+            awaitListening("control " + config.operations().controlAddress(), control);
             Log.info("control_listening", "address", text(control));
         }
         // Ahead of the rehearsal, which takes longer than discovery to answer.
@@ -48,7 +49,7 @@
             Log.warn("warm_up_incomplete", "requests", rehearsed, "of", WarmUp.REQUESTS);
         }
         ChannelFuture listening = node.start(inherited);
-        awaitListening("listen " + config.listen(), listening);
+        awaitListening("listen " + config.listenAddress(), listening);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
--- a/node/src/main/java/loadbalancer/process/WarmUp.java
+++ b/node/src/main/java/loadbalancer/process/WarmUp.java
@@ -73,12 +73,12 @@
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.ALLOCATOR, TransferLimits.ALLOCATOR)
                 .childHandler(pipeline(true))
-                .bind(new InetSocketAddress(config.listen().getAddress(), 0))
+                .bind(new InetSocketAddress(config.listenAddress().getAddress(), 0))
                 .syncUninterruptibly()
                 .channel();
         Endpoint endpoint = new Endpoint(
                 new ServerEntry("rehearsal", 0, 0, ServerState.READY, 1, 0), (InetSocketAddress) server.localAddress());
-        Node node = new Node(config.apart(new EndpointList(0, true, List.of(endpoint))), loop);
+        Node node = new Node(config.isolated(new EndpointList(0, true, List.of(endpoint))), loop);
         Channel listening = node.start().syncUninterruptibly().channel();
         Bootstrap client = new Bootstrap()
                 .group(loop)
--- a/node/src/test/java/loadbalancer/config/NodeConfigTest.java
+++ b/node/src/test/java/loadbalancer/config/NodeConfigTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a node is told at its start. */
+/** What a node reads from its environment and its configuration file. */
 class NodeConfigTest {
     private static final String CONFIG = """
             {"name":"n0","listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -43,17 +43,17 @@
         Path file = Files.writeString(folder.resolve("config.json"), config);
         Map<String, String> env = new HashMap<>(more);
         env.put("PROXY_CONFIG", file.toString());
-        return NodeConfig.read(env);
+        return NodeConfigReader.read(env);
     }
 
     @Test
-    void theFileIsReadWithTheWiresNames() throws Exception {
+    void everyValueOfTheFileIsRead() throws Exception {
         NodeConfig config = read(CONFIG, Map.of());
-        assertEquals(8000, config.listen().getPort());
-        assertEquals(8500, config.discovery().getPort());
+        assertEquals(8000, config.listenAddress().getPort());
+        assertEquals(8500, config.discoveryAddress().getPort());
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(1024, config.sockets());
-        assertEquals(60_000_000, config.connIdleUs());
+        assertEquals(1024, config.maxSockets());
+        assertEquals(60_000_000, config.serverIdleTimeoutUs());
         assertEquals(2, config.settings().nodes);
         assertEquals(1, config.settings().nodeIndex);
         assertEquals(List.of("a", "b"), config.settings().zones);
@@ -67,7 +67,7 @@
                 config.settings().classes.get(0).idempotency());
         assertEquals(DeduplicationScope.CELL, config.settings().classes.get(0).deduplicationScope());
         assertEquals("school-a", config.settings().tenants.get(0).name());
-        Endpoint endpoint = config.known().endpoints().get(0);
+        Endpoint endpoint = config.initialEndpoints().endpoints().get(0);
         assertEquals(
                 "10.1.0.18:8000",
                 endpoint.address().getHostString() + ":" + endpoint.address().getPort());
@@ -78,24 +78,24 @@
     }
 
     @Test
-    void theEnvironmentsAddressesHoldWhereTheyAreSet() throws Exception {
+    void addressesOfTheEnvironmentReplaceThoseOfTheFile() throws Exception {
         NodeConfig config = read(CONFIG, Map.of("PROXY_LISTEN", "127.0.0.7:81", "PROXY_DISCOVERY", "127.0.0.8:82"));
-        assertEquals("127.0.0.7", config.listen().getHostString());
-        assertEquals(82, config.discovery().getPort());
+        assertEquals("127.0.0.7", config.listenAddress().getHostString());
+        assertEquals(82, config.discoveryAddress().getPort());
     }
 
     @Test
-    void whatIsForOperatorsIsThereOnlyWhereItIsSet() throws Exception {
+    void operationsAreConfiguredOnlyWhereTheirVariablesAreSet() throws Exception {
         NodeConfig plain = read(CONFIG, Map.of("TMPDIR", ""));
-        assertEquals(NodeConfig.Operators.NONE, plain.operators());
+        assertEquals(OperationsConfig.NONE, plain.operations());
         assertEquals(Integer.MAX_VALUE, plain.settings().maxOpen);
         NodeConfig file = read(CONFIG.replace("\"seed\"", "\"control\":\"127.0.0.3:9\",\"seed\""), Map.of());
-        assertEquals(9, file.operators().control().getPort());
+        assertEquals(9, file.operations().controlAddress().getPort());
         NodeConfig operated = read(
                 CONFIG, Map.of("TMPDIR", folder.toString(), "PROXY_CONTROL", "127.0.0.2:9800", "PROXY_SOCKET_FD", "0"));
-        assertEquals(9800, operated.operators().control().getPort());
-        assertEquals(folder, operated.operators().folder());
-        assertTrue(operated.operators().inherits());
+        assertEquals(9800, operated.operations().controlAddress().getPort());
+        assertEquals(folder, operated.operations().sharedFolder());
+        assertTrue(operated.operations().inheritsListener());
         assertEquals(170, operated.settings().maxOpen, "a sixth of 1,024");
         for (Map<String, String> bad : List.of(Map.of("PROXY_CONTROL", "9800"), Map.of("PROXY_SOCKET_FD", "3"))) {
             ConfigException e = assertThrows(ConfigException.class, () -> read(CONFIG, bad));
@@ -119,13 +119,14 @@
                 "Terminating | Asleep | known.targets[0].state",
                 "\"settings\":{ | \"sittings\":{ | settings",
             })
-    void aBadFieldIsNamed(String good, String bad, String field) {
+    void anInvalidValueIsReportedByItsKey(String good, String bad, String field) {
         ConfigException e = assertThrows(ConfigException.class, () -> read(CONFIG.replace(good, bad), Map.of()));
         assertTrue(e.getMessage().startsWith(field + " "), e.getMessage());
+        assertTrue(e.getMessage().startsWith(e.key() + " "), e.getMessage());
     }
 
     @Test
-    void aMissingFileEndsTheProgramWithOneLineAndCode2() throws Exception {
+    void aMissingFileEndsTheProgramWithOneLineAndExitCode2() throws Exception {
         String java = ProcessHandle.current().info().command().orElseThrow();
         ProcessBuilder builder =
                 new ProcessBuilder(java, "-cp", System.getProperty("java.class.path"), Main.class.getName(), "node");
--- a/node/src/test/java/loadbalancer/process/NodeHarness.java
+++ b/node/src/test/java/loadbalancer/process/NodeHarness.java
@@ -16,6 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.config.OperationsConfig;
 import loadbalancer.discovery.EndpointListDecoder;
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.net.SocketAddresses;
@@ -112,7 +113,7 @@
                 new EndpointListDecoder(settings.zones).decode(new ObjectMapper().readTree(known)),
                 settings,
                 keys,
-                new NodeConfig.Operators(hasControl ? anyPort() : null, sharedFolder, false),
+                new OperationsConfig(hasControl ? anyPort() : null, sharedFolder, false),
                 null);
     }
 
--- a/node/src/test/java/loadbalancer/process/ReloadTest.java
+++ b/node/src/test/java/loadbalancer/process/ReloadTest.java
@@ -12,6 +12,8 @@
 import java.util.concurrent.CountDownLatch;
 import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.config.NodeConfigReader;
+import loadbalancer.config.NodeConfigReloader;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -53,8 +55,8 @@
         write(text);
         harness.hasControl = true;
         harness.settings.classes.clear();
-        harness.settings.classes.addAll(NodeConfig.read(env).settings().classes);
-        harness.keys = NodeConfig.read(env).keys();
+        harness.settings.classes.addAll(NodeConfigReader.read(env).settings().classes);
+        harness.keys = NodeConfigReader.read(env).configuredKeys();
         return harness.start(servers);
     }
 
@@ -203,7 +205,7 @@
                     harness,
                     before.replace(harness.discovery.endpoint(), moved.endpoint())
                             .replaceFirst(good, bad));
-            ConfigException e = assertThrows(ConfigException.class, () -> running.again(env));
+            ConfigException e = assertThrows(ConfigException.class, () -> NodeConfigReloader.reload(running, env));
             assertTrue(e.getMessage().startsWith(reason), e.getMessage());
             harness.awaitMetric("node_load_errors 1");
             harness.awaitMetric("node_loads 0");
