--- a/node/src/main/java/loadbalancer/config/NodeConfig.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfig.java
@@ -8,7 +8,7 @@
 
 /**
  * The configuration of a node, by its environment and its configuration file. {@link NodeConfigReader} reads it at the
- * start, {@link NodeConfigReloader} while the node runs.
+ * start, {@link ReloadedConfigReader} while the node runs.
  *
  * @param listenAddress where clients connect
  * @param discoveryAddress where the discovery service gives the endpoint list; null for a node without one
--- a/node/src/test/java/loadbalancer/process/ReloadTest.java
+++ b/node/src/test/java/loadbalancer/process/ReloadTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
 import loadbalancer.config.NodeConfigReader;
-import loadbalancer.config.NodeConfigReloader;
+import loadbalancer.config.ReloadedConfigReader;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -205,7 +205,7 @@
                     harness,
                     before.replace(harness.discovery.endpoint(), moved.endpoint())
                             .replaceFirst(good, bad));
-            ConfigException e = assertThrows(ConfigException.class, () -> NodeConfigReloader.reload(running, env));
+            ConfigException e = assertThrows(ConfigException.class, () -> ReloadedConfigReader.read(running, env));
             assertTrue(e.getMessage().startsWith(reason), e.getMessage());
             harness.awaitMetric("node_load_errors 1");
             harness.awaitMetric("node_loads 0");
