--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -61,12 +61,12 @@
     Node(NodeConfig config, MeasuredEventLoop loop, Function<BalancerActions, Balancer> balancerFactory) {
         this.config = config;
         this.loop = loop;
-        boolean hasControl = config.operators().control() != null;
-        SocketBudget sockets = new SocketBudget(config.sockets(), hasControl ? ControlServer.MAX_SOCKETS : 0);
+        boolean hasControl = config.operations().controlAddress() != null;
+        SocketBudget sockets = new SocketBudget(config.maxSockets(), hasControl ? ControlServer.MAX_SOCKETS : 0);
         MonotonicWallClock clock = new MonotonicWallClock();
         Metrics metrics = new Metrics();
         metrics.register(config.settings().classes);
-        pool = new ServerPool(loop, sockets, clock, config.settings().connectTimeoutUs, config.connIdleUs());
+        pool = new ServerPool(loop, sockets, clock, config.settings().connectTimeoutUs, config.serverIdleTimeoutUs());
         ClassRegistry classes = ClassRegistry.initial(config.settings());
         PolicyEventQueue events = new PolicyEventQueue();
         RequestServices services = new RequestServices(
@@ -74,13 +74,13 @@
         RequestTable requests = new RequestTable(services, this::currentClasses);
         clients = new ClientServer(loop, new RequestReader(classes), sockets, requests);
         serverList = new ServerListUpdater(
-                services, new CordonStore(hasControl ? config.operators().folder() : null));
+                services, new CordonStore(hasControl ? config.operations().sharedFolder() : null));
         discovery = new EndpointWatcher(loop, config, EndpointWatcher.Patience.USUAL, serverList);
         reloader = new ConfigReloader(config, services, clients, discovery, classes);
         wakeTimer = new WakeTimer(services);
         housekeeping = new Housekeeping(loop, services, clients, requests, serverList);
         shutdown = new GracefulShutdown(
-                services, requests, clients, reloader, config.operators().inherits());
+                services, requests, clients, reloader, config.operations().inheritsListener());
         controlCalls = new ControlCalls(services, requests, serverList);
         control = hasControl ? new ControlServer(loop, controlCalls) : null;
         events.setBalancer(balancerFactory.apply(new NodeActions(services, requests, discovery, wakeTimer)));
@@ -98,7 +98,7 @@
 
     /** Opens the control address, where the node is not ready until clients can connect; null without one. */
     ChannelFuture startControl() {
-        return control == null ? null : control.listen(config.operators().control());
+        return control == null ? null : control.listen(config.operations().controlAddress());
     }
 
     /**
@@ -114,8 +114,8 @@
             }
             followsEndpointList = true;
             serverList.refreshCordons();
-            serverList.loadCached(config.known());
-            if (config.discovery() != null && !config.settings().pollsEndpointList) {
+            serverList.loadCached(config.initialEndpoints());
+            if (config.discoveryAddress() != null && !config.settings().pollsEndpointList) {
                 discovery.keepSubscribed();
             }
         });
@@ -134,7 +134,7 @@
     ChannelFuture start(ServerSocketChannel inherited) {
         followEndpointList();
         housekeeping.start();
-        return clients.listen(config.listen(), inherited)
+        return clients.listen(config.listenAddress(), inherited)
                 .addListener(listening -> controlCalls.setReady(listening.isSuccess()));
     }
 
--- a/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -8,6 +8,7 @@
 import loadbalancer.common.Log;
 import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.config.NodeConfigReader;
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.membership.MembershipService;
 import loadbalancer.net.SocketAddresses;
@@ -37,8 +38,8 @@
         NodeConfig config;
         ServerSocketChannel inherited;
         try {
-            config = NodeConfig.read(env);
-            inherited = config.operators().inherits() ? InheritedListener.open() : null;
+            config = NodeConfigReader.read(env);
+            inherited = config.operations().inheritsListener() ? InheritedListener.open() : null;
         } catch (ConfigException e) {
             exitCannotStart(e.getMessage());
             return;
@@ -54,7 +55,7 @@
         node.followEndpointList();
         warmUp();
         ChannelFuture listening = node.start(inherited);
-        awaitListening("listen " + config.listen(), listening);
+        awaitListening("listen " + config.listenAddress(), listening);
         drainOnSigterm(leaveMembership);
         Log.info("listening", "address", addressOf(listening));
     }
@@ -66,16 +67,16 @@
      *     without a fleet does not load the classes of the membership.
      */
     private Runnable joinMembership() {
-        if (config.fleet() == null) {
+        if (config.membership() == null) {
             return null;
         }
-        return MembershipService.join(config.fleet(), node::setExtraMetrics);
+        return MembershipService.join(config.membership(), node::setExtraMetrics);
     }
 
     private void startControl() {
         ChannelFuture control = node.startControl();
         if (control != null) {
-            awaitListening("control " + config.operators().control(), control);
+            awaitListening("control " + config.operations().controlAddress(), control);
             Log.info("control_listening", "address", addressOf(control));
         }
     }
--- a/node/src/main/java/loadbalancer/process/WarmUp.java
+++ b/node/src/main/java/loadbalancer/process/WarmUp.java
@@ -80,7 +80,7 @@
 
     private long run(NodeConfig config) {
         Channel server = startServer(config);
-        Node node = new Node(config.apart(listOf(server)), loop);
+        Node node = new Node(config.isolated(listOf(server)), loop);
         Channel listener = node.start().syncUninterruptibly().channel();
         connectClients((InetSocketAddress) listener.localAddress());
         awaitAnswers();
@@ -95,7 +95,7 @@
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.ALLOCATOR, TransferLimits.ALLOCATOR)
                 .childHandler(pipeline(true))
-                .bind(new InetSocketAddress(config.listen().getAddress(), 0))
+                .bind(new InetSocketAddress(config.listenAddress().getAddress(), 0))
                 .syncUninterruptibly()
                 .channel();
     }
