--- a/node/src/test/java/loadbalancer/process/NodeTest.java
+++ b/node/src/test/java/loadbalancer/process/NodeTest.java
@@ -1,7 +1,6 @@
 package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
@@ -9,8 +8,7 @@
 import java.lang.reflect.Proxy;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.concurrent.TimeUnit;
-import loadbalancer.Main;
+import java.util.Map;
 import loadbalancer.policy.Balancer;
 import loadbalancer.policy.ServiceQBalancer;
 import org.junit.jupiter.api.Test;
@@ -18,33 +16,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A node as a whole. */
+/** A node as a whole: its program, its signals, and what it does before it serves clients. */
 class NodeTest {
 
-    /** A module that breaks the first time that it is told of this event. */
-    private static Balancer breaking(Balancer sound, String event) {
-        boolean[] broken = {false};
+    /** A balancer that throws the first time that this event comes. */
+    private static Balancer failingOnce(Balancer balancer, String event) {
+        boolean[] failed = {false};
         return (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
-                    if (method.getName().equals(event) && !broken[0]) {
-                        broken[0] = true;
-                        throw new IllegalStateException("broken for the test");
+                    if (method.getName().equals(event) && !failed[0]) {
+                        failed[0] = true;
+                        throw new IllegalStateException("thrown by the test");
                     }
                     try {
-                        return method.invoke(sound, args);
+                        return method.invoke(balancer, args);
                     } catch (InvocationTargetException e) {
                         throw e.getCause();
                     }
                 });
     }
 
+    /**
+     * A defect in the balancer throws on an event of one request. That request still gets a response, and the node
+     * goes on to serve the next one.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"onRequest", "onOutcome"})
-    void anExceptionCostsOneRequestAndStillAnswersIt(String event) throws Exception {
-        // Neither answer is a success, so that the node owes the client its own.
+    void balancerExceptionCostsOneRequestWhichStillGetsAResponse(String event) throws Exception {
+        // The server fails each request, so that a response of the node itself is to be told apart.
         try (FakeServer server = new FakeServer((request, peer) -> peer.write(Http.response("500 No", "", "")));
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            harness.balancerFactory = actions -> breaking(new ServiceQBalancer(harness.settings, 7, actions), event);
+            harness.balancerFactory = actions -> failingOnce(new ServiceQBalancer(harness.settings, 7, actions), event);
             harness.start(server);
             assertEquals(
                     500, harness.exchange(Http.orderRequest("first", "4000m")).status());
@@ -60,31 +62,13 @@
                 """.formatted(discovery);
     }
 
-    /** The program itself, started with this configuration and, as in service, told of discovery twice. */
-    private static Process program(Path config, String discovery) throws IOException {
-        String java = ProcessHandle.current().info().command().orElseThrow();
-        ProcessBuilder builder = new ProcessBuilder(
-                java,
-                "-XX:TieredStopAtLevel=1",
-                "-cp",
-                System.getProperty("java.class.path"),
-                Main.class.getName(),
-                "node");
-        builder.environment().put("PROXY_CONFIG", config.toString());
-        builder.environment().put("PROXY_DISCOVERY", discovery);
-        return builder.redirectErrorStream(true).start();
+    /** Starts a node whose environment names this discovery too, as the platform does. */
+    private static Process start(Path config, String discovery) throws IOException {
+        return NodeProgram.start(
+                Map.of("PROXY_CONFIG", config.toString(), "PROXY_DISCOVERY", discovery), "-XX:TieredStopAtLevel=1");
     }
 
-    /** Reads on to a line that starts so; what the watch on discovery says may come before it. */
-    private static void awaitLine(Process process, String start) throws IOException {
-        String line;
-        do {
-            line = process.inputReader().readLine();
-            assertNotNull(line, "the program has ended without a line that starts with " + start);
-        } while (!line.startsWith(start));
-    }
-
-    private static void hangUp(Process process) throws Exception {
+    private static void sendSighup(Process process) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
@@ -92,52 +76,54 @@
                         .waitFor());
     }
 
-    private static void endsOnSigterm(Process process) throws InterruptedException {
-        process.destroy();
-        assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-        assertEquals(143, process.exitValue(), "ended by SIGTERM in good order");
-    }
-
     @Test
-    void theProgramEndsOnSigtermOnceNothingIsHeld(@TempDir Path folder) throws Exception {
+    void programEndsOnSigtermOnceItHasDrained(@TempDir Path folder) throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), config("127.0.0.1:9"));
-        Process process = program(file, "127.0.0.1:9");
+        Process process = start(file, "127.0.0.1:9");
         try {
-            awaitLine(process, "level=info event=listening ");
-            endsOnSigterm(process);
+            NodeProgram.awaitLine(process, "level=info event=listening ");
+            NodeProgram.assertEndsOnSigterm(process);
         } finally {
             process.destroyForcibly();
         }
     }
 
+    /**
+     * Discovery moves to another address. A first file is half written when SIGHUP comes, and changes nothing; with the
+     * second one the watch is opened at the new address, though the environment still names the old one.
+     */
     @Test
-    void sighupMovesTheWatchToWhereTheFileSaysDiscoveryIs(@TempDir Path folder) throws Exception {
+    void sighupMovesTheWatchToTheDiscoveryAddressOfTheFile(@TempDir Path folder) throws Exception {
         try (FakeServer before = new FakeServer((request, peer) -> peer.write(NodeHarness.watchResponseHead()));
                 FakeServer after = new FakeServer((request, peer) -> peer.write(NodeHarness.watchResponseHead()))) {
             Path file = Files.writeString(folder.resolve("config.json"), config(before.endpoint()));
-            Process process = program(file, before.endpoint());
+            Process process = start(file, before.endpoint());
             try {
                 FakeServer.awaitNext(before.requests);
                 Files.writeString(file, "{");
-                hangUp(process);
-                awaitLine(process, "level=warn event=reload_failed reason=\"PROXY_CONFIG is not JSON");
+                sendSighup(process);
+                NodeProgram.awaitLine(process, "level=warn event=reload_failed reason=\"PROXY_CONFIG is not JSON");
                 assertTrue(before.closedConnections.isEmpty(), "a file that cannot be read changes nothing");
                 Files.writeString(file, config(after.endpoint()));
-                hangUp(process);
+                sendSighup(process);
                 assertEquals(
                         "/discovery/hosts?watch=1&after=0",
                         FakeServer.awaitNext(after.requests).path());
                 FakeServer.awaitNext(before.closedConnections);
-                endsOnSigterm(process);
+                NodeProgram.assertEndsOnSigterm(process);
             } finally {
                 process.destroyForcibly();
             }
         }
     }
 
-    /** Guards a day on which nodes that had just started sent to servers that drained while they did. */
+    /**
+     * A server leaves the fleet while a node starts, whose configuration still lists it. On such a day nodes that had
+     * just started sent requests to servers that were gone. The node follows the endpoint list before it serves
+     * clients.
+     */
     @Test
-    void aNodeHearsOfDrainsBeforeItServesClients() throws Exception {
+    void nodeFollowsTheEndpointListBeforeItServesClients() throws Exception {
         try (FakeServer one = FakeServer.respondingWith("one");
                 FakeServer two = FakeServer.respondingWith("two");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
--- a/node/src/test/java/loadbalancer/process/RestartTest.java
+++ b/node/src/test/java/loadbalancer/process/RestartTest.java
@@ -21,17 +21,17 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
-import loadbalancer.Main;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Processes of one node that follow each other on a listening socket that the platform holds. */
+/** Graceful restart: processes of one node that follow each other on a listening socket that the platform holds. */
 class RestartTest {
     private static final int CLIENTS = 4;
 
-    /** The platform: it holds the socket and starts programs with it as descriptor 0, as Java cannot. */
+    /** The platform: it holds the listening socket and starts nodes with it as descriptor 0, as Java cannot. */
     private static final String PLATFORM = """
             use Socket; use POSIX (); $| = 1; $SIG{CHLD} = 'IGNORE';
             socket(my $held, PF_INET, SOCK_STREAM, 0) or die;
@@ -54,21 +54,10 @@
         return builder.redirectError(ProcessBuilder.Redirect.INHERIT).start();
     }
 
-    /** Starts the program on the platform's socket; its log goes to this file. */
-    private static ProcessHandle program(Process platform, Path log) throws IOException {
-        String java = ProcessHandle.current().info().command().orElseThrow();
+    /** Lets the platform start a node on its socket, which logs to this file. */
+    private static ProcessHandle startNode(Process platform, Path log) throws IOException {
         Writer in = platform.outputWriter();
-        in.write(String.join(
-                        "\t",
-                        log.toString(),
-                        "127.0.0.1:0",
-                        java,
-                        "-XX:TieredStopAtLevel=1",
-                        "-cp",
-                        System.getProperty("java.class.path"),
-                        Main.class.getName(),
-                        "node")
-                + "\n");
+        in.write(log + "\t127.0.0.1:0\t" + String.join("\t", NodeProgram.command("-XX:TieredStopAtLevel=1")) + "\n");
         in.flush();
         String pid = platform.inputReader().readLine();
         assertNotNull(pid, "the platform has ended");
@@ -91,18 +80,18 @@
         }
     }
 
-    private static InetSocketAddress control(Path log) {
-        String said = "event=control_listening address=127.0.0.1:";
+    private static InetSocketAddress awaitControlAddress(Path log) {
+        String event = "event=control_listening address=127.0.0.1:";
         await(
-                () -> read(log).contains(said)
-                        && read(log).substring(read(log).indexOf(said)).contains("\n"),
+                () -> read(log).contains(event)
+                        && read(log).substring(read(log).indexOf(event)).contains("\n"),
                 "no address for operators");
-        String rest = read(log).substring(read(log).indexOf(said) + said.length());
+        String rest = read(log).substring(read(log).indexOf(event) + event.length());
         return new InetSocketAddress(
                 InetAddress.getLoopbackAddress(), Integer.parseInt(rest.substring(0, rest.indexOf('\n'))));
     }
 
-    private static String call(InetSocketAddress control, String line) {
+    private static String controlCall(InetSocketAddress control, String line) {
         try (Socket caller = new Socket(control.getAddress(), control.getPort())) {
             NodeHarness.write(caller, line + "\n");
             return new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -111,10 +100,12 @@
         }
     }
 
-    /** Asks again and again on connections that are kept until the node ends them; any failure is told. */
-    private static void client(int port, AtomicInteger served, AtomicInteger more) throws IOException {
+    /**
+     * Sends one request after the other on connections that are kept until the node closes them; fails if any fails.
+     */
+    private static void sendRequests(int port, AtomicInteger served, AtomicBoolean running) throws IOException {
         Socket socket = null;
-        while (more.get() > 0) {
+        while (running.get()) {
             if (socket == null) {
                 socket = new Socket(InetAddress.getLoopbackAddress(), port);
                 socket.setSoTimeout(20_000);
@@ -143,12 +134,17 @@
                 1, true, "s0=" + one.endpoint() + "=Ready", "s1=" + two.endpoint() + "=Ready")));
     }
 
+    /**
+     * A node is restarted under load: the platform holds the listening socket, starts a second process on it, and sends
+     * SIGTERM to the first once the second serves. No request may fail in between, and a server that operators have
+     * cordoned stays cordoned.
+     */
     @Test
-    void aNewProcessTakesOverUnderLoadAndNoRequestIsTurnedBack(@TempDir Path folder) throws Exception {
+    void newProcessTakesOverUnderLoadAndNoRequestFails(@TempDir Path folder) throws Exception {
         Process platform = null;
-        List<ProcessHandle> programs = new ArrayList<>();
+        List<ProcessHandle> nodes = new ArrayList<>();
         ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
-        AtomicInteger more = new AtomicInteger(1);
+        AtomicBoolean running = new AtomicBoolean(true);
         try (FakeServer one = FakeServer.respondingWith("one");
                 FakeServer two = FakeServer.respondingWith("two")) {
             platform = platform(
@@ -160,70 +156,64 @@
                             "0",
                             "TMPDIR",
                             folder.toString()));
-            BufferedReader said = platform.inputReader();
-            int port = Integer.parseInt(said.readLine());
+            BufferedReader platformOutput = platform.inputReader();
+            int port = Integer.parseInt(platformOutput.readLine());
             Path oldLog = folder.resolve("old.log");
-            programs.add(program(platform, oldLog));
-            InetSocketAddress before = control(oldLog);
-            await(() -> call(before, "health").equals("YES\n"), "the first process does not serve");
-            assertEquals("YES\n", call(before, "cordon s0"));
+            nodes.add(startNode(platform, oldLog));
+            InetSocketAddress before = awaitControlAddress(oldLog);
+            await(() -> controlCall(before, "health").equals("YES\n"), "the first process does not serve");
+            assertEquals("YES\n", controlCall(before, "cordon s0"));
             AtomicInteger served = new AtomicInteger();
             List<Future<?>> runs = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 runs.add(clients.submit(() -> {
-                    client(port, served, more);
+                    sendRequests(port, served, running);
                     return null;
                 }));
             }
             Path newLog = folder.resolve("new.log");
-            programs.add(program(platform, newLog));
-            InetSocketAddress after = control(newLog);
-            await(() -> call(after, "health").equals("YES\n"), "the second process does not serve");
+            nodes.add(startNode(platform, newLog));
+            InetSocketAddress after = awaitControlAddress(newLog);
+            await(() -> controlCall(after, "health").equals("YES\n"), "the second process does not serve");
             int atTerm = served.get();
             assertTrue(atTerm > 0);
-            assertTrue(programs.get(0).destroy(), "told to end");
-            await(() -> !programs.get(0).isAlive(), "the first process goes on");
+            assertTrue(nodes.get(0).destroy(), "told to end");
+            await(() -> !nodes.get(0).isAlive(), "the first process goes on");
             assertTrue(read(oldLog).contains("event=draining"), "the log outlasts the socket: " + read(oldLog));
             int atEnd = served.get();
             await(() -> served.get() > atEnd + 100, "the second process serves nothing");
-            more.set(0);
+            running.set(false);
             for (Future<?> run : runs) {
                 run.get(30, TimeUnit.SECONDS);
             }
-            String figures = call(after, "counters");
+            String figures = controlCall(after, "counters");
             int passed = Integer.parseInt(figures.replaceAll("(?s).*outcome=\"passed\"} (\\d+).*", "$1"));
             assertTrue(passed >= 100 && passed < served.get(), "counted from 0: " + figures);
             assertTrue(figures.contains("outcome=\"dropped\"} 0\n"), figures);
             assertTrue(figures.contains("node_skipped_app_servers 1\n"), figures);
             assertTrue(one.requests.isEmpty(), "cordoned before either served clients");
-            assertEquals("YES\n", call(after, "uncordon s0"));
+            assertEquals("YES\n", controlCall(after, "uncordon s0"));
         } finally {
-            more.set(0);
+            running.set(false);
             clients.shutdownNow();
-            programs.forEach(ProcessHandle::destroyForcibly);
+            nodes.forEach(ProcessHandle::destroyForcibly);
             if (platform != null) {
                 platform.destroy();
             }
         }
     }
 
+    /**
+     * The platform passes no listening socket, by mistake. The program says so in one line and ends with exit code 2.
+     */
     @Test
-    void aDescriptorThatIsNoListeningSocketEndsTheStart(@TempDir Path folder) throws Exception {
+    void descriptorThatIsNoListeningSocketFailsTheStart(@TempDir Path folder) throws Exception {
         try (FakeServer one = FakeServer.respondingWith("one");
                 FakeServer two = FakeServer.respondingWith("two")) {
-            String java = ProcessHandle.current().info().command().orElseThrow();
             for (String descriptor : new String[] {"0", "3"}) {
-                ProcessBuilder builder = new ProcessBuilder(
-                        java,
-                        "-XX:TieredStopAtLevel=1",
-                        "-cp",
-                        System.getProperty("java.class.path"),
-                        Main.class.getName(),
-                        "node");
-                builder.environment()
-                        .put("PROXY_CONFIG", config(folder, one, two).toString());
-                builder.environment().put("PROXY_SOCKET_FD", descriptor);
-                Process process = builder.redirectErrorStream(true).start();
+                Process process = NodeProgram.start(
+                        Map.of("PROXY_CONFIG", config(folder, one, two).toString(), "PROXY_SOCKET_FD", descriptor),
+                        "-XX:TieredStopAtLevel=1");
                 String line = process.inputReader().readLine();
                 assertTrue(process.waitFor(20, TimeUnit.SECONDS));
                 assertEquals(2, process.exitValue());
--- a/node/src/test/java/loadbalancer/process/SmallHeapTest.java
+++ b/node/src/test/java/loadbalancer/process/SmallHeapTest.java
@@ -1,7 +1,6 @@
 package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -16,44 +15,43 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
+import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.Main;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Far more flows through a node at once than it has memory for. */
+/** A node whose clients transfer far more at once than it has memory for. */
 class SmallHeapTest {
-    private static final String HEAP = "-Xmx32m";
-    private static final int LENGTH = 32 << 20;
+    private static final int BODY_BYTES = 32 << 20;
     /** Each way; together 512 MB. */
     private static final int EXCHANGES = 8;
 
-    private static final int PART = 8_192;
+    private static final int CHUNK_BYTES = 8_192;
 
     private final ExecutorService threads = Executors.newCachedThreadPool();
-    /** Nobody goes on past the beginning before all have begun: the node then holds what it can of each. */
-    private final CountDownLatch begun = new CountDownLatch(2 * EXCHANGES);
+    /** No transfer goes on before all have started: the node then buffers what it can of each. */
+    private final CountDownLatch started = new CountDownLatch(2 * EXCHANGES);
 
-    private void begin() throws IOException {
-        begun.countDown();
+    private void awaitAllStarted() throws IOException {
+        started.countDown();
         try {
-            if (!begun.await(60, TimeUnit.SECONDS)) {
-                throw new IOException("not all have begun");
+            if (!started.await(60, TimeUnit.SECONDS)) {
+                throw new IOException("not all have started");
             }
         } catch (InterruptedException e) {
             throw new IOException(e);
         }
     }
 
-    /** What is sent under an id: different bytes under each. */
+    /** The body of a request or response: pseudo-random bytes that its transaction id determines. */
     private static final class Content {
         private final SplittableRandom random;
-        private final byte[] part = new byte[PART];
+        private final byte[] part = new byte[CHUNK_BYTES];
 
         Content(String txn) {
             random = new SplittableRandom(txn.hashCode());
@@ -76,18 +74,18 @@
     private static String digest(String txn) {
         MessageDigest sha = sha();
         Content content = new Content(txn);
-        for (int sent = 0; sent < LENGTH; sent += PART) {
+        for (int sent = 0; sent < BODY_BYTES; sent += CHUNK_BYTES) {
             sha.update(content.next());
         }
         return HexFormat.of().formatHex(sha.digest());
     }
 
-    private String digest(InputStream in, int begins) throws IOException {
+    private String digest(InputStream in, int firstBytes) throws IOException {
         MessageDigest sha = sha();
-        sha.update(in.readNBytes(begins));
-        begin();
-        for (int left = LENGTH - begins; left > 0; ) {
-            byte[] part = in.readNBytes(Math.min(left, PART));
+        sha.update(in.readNBytes(firstBytes));
+        awaitAllStarted();
+        for (int left = BODY_BYTES - firstBytes; left > 0; ) {
+            byte[] part = in.readNBytes(Math.min(left, CHUNK_BYTES));
             sha.update(part);
             left -= part.length;
             if (part.length == 0) {
@@ -99,24 +97,24 @@
 
     private static void send(OutputStream out, String txn) throws IOException {
         Content content = new Content(txn);
-        for (int sent = 0; sent < LENGTH; sent += PART) {
+        for (int sent = 0; sent < BODY_BYTES; sent += CHUNK_BYTES) {
             out.write(content.next());
         }
     }
 
-    /** A server that gives large answers and takes large bodies, which it answers with their digest. */
+    /** A server that answers GET with a large body, and any other request with the digest of its large body. */
     private void serve(ServerSocket listening) {
         threads.submit(() -> {
             while (true) {
                 Socket socket = listening.accept();
                 threads.submit(() -> {
-                    Http.Message asked = Http.readHead(socket.getInputStream());
-                    String txn = asked.headers().get("x-txn");
-                    if (asked.startLine().startsWith("GET")) {
-                        NodeHarness.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + LENGTH + "\r\n\r\n");
+                    Http.Message request = Http.readHead(socket.getInputStream());
+                    String txn = request.headers().get("x-txn");
+                    if (request.startLine().startsWith("GET")) {
+                        NodeHarness.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n");
                         send(socket.getOutputStream(), txn);
                     } else {
-                        NodeHarness.write(socket, Http.okResponse(digest(socket.getInputStream(), PART)));
+                        NodeHarness.write(socket, Http.okResponse(digest(socket.getInputStream(), CHUNK_BYTES)));
                     }
                     return null;
                 });
@@ -128,7 +126,7 @@
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             NodeHarness.write(socket, Http.pageRequest("/api/x", txn, "60000m"));
             assertEquals(200, Http.readHead(socket.getInputStream()).status());
-            return digest(socket.getInputStream(), PART);
+            return digest(socket.getInputStream(), CHUNK_BYTES);
         }
     }
 
@@ -137,14 +135,18 @@
             NodeHarness.write(
                     socket,
                     Http.orderRequest(txn, "60000m")
-                            .replace("Content-Length: 2\r\n\r\nab", "Content-Length: " + LENGTH + "\r\n\r\n"));
+                            .replace("Content-Length: 2\r\n\r\nab", "Content-Length: " + BODY_BYTES + "\r\n\r\n"));
             send(socket.getOutputStream(), txn);
             return Http.readMessage(socket.getInputStream()).body();
         }
     }
 
+    /**
+     * Eight clients upload and eight download 32 MB each at the same time, through a node with a heap of 32 MB. A node
+     * that buffered without bound would run out of memory. Every byte must arrive, in order.
+     */
     @Test
-    void manyLargeExchangesAtOnceArriveUnharmed(@TempDir Path folder) throws Exception {
+    void largeTransfersAtOnceArriveUnchanged(@TempDir Path folder) throws Exception {
         try (ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             serve(listening);
             Path config = Files.writeString(folder.resolve("config.json"), """
@@ -155,24 +157,13 @@
                       {"name":"order","onTimeUs":60000000,"giveUpUs":60000000,"repeat":"unsafe"}]}}
                     """.formatted(
                             NodeHarness.endpointList(1, true, "s0=127.0.0.1:" + listening.getLocalPort() + "=Ready")));
-            String java = ProcessHandle.current().info().command().orElseThrow();
-            ProcessBuilder builder = new ProcessBuilder(
-                    java,
-                    HEAP,
+            Process program = NodeProgram.start(
+                    Map.of("PROXY_CONFIG", config.toString()),
+                    "-Xmx32m",
                     "-XX:MaxDirectMemorySize=16m",
-                    "-XX:+ExitOnOutOfMemoryError",
-                    "-cp",
-                    System.getProperty("java.class.path"),
-                    Main.class.getName(),
-                    "node");
-            builder.environment().put("PROXY_CONFIG", config.toString());
-            Process program = builder.redirectErrorStream(true).start();
+                    "-XX:+ExitOnOutOfMemoryError");
             try {
-                String line;
-                do {
-                    line = program.inputReader().readLine();
-                    assertNotNull(line, "the program has ended");
-                } while (!line.startsWith("level=info event=listening "));
+                String line = NodeProgram.awaitLine(program, "level=info event=listening ");
                 int port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
                 List<Future<String>> downloads = new ArrayList<>();
                 List<Future<String>> uploads = new ArrayList<>();
--- a/node/src/test/java/loadbalancer/process/StalledLoopTest.java
+++ b/node/src/test/java/loadbalancer/process/StalledLoopTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a node owes whose event loop has stood still while clients asked and servers hung. */
+/** Requests that arrive, and deadlines that pass, while the event loop of the node is stalled. */
 class StalledLoopTest {
     private static final long STALL_MS = 300;
 
-    /** Keeps the loop from running for a while from now on. */
+    /** Keeps the loop stalled for a while from now on, and then lets it run. */
     private static void stall(CountDownLatch release) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STALL_MS);
         while (System.nanoTime() < end) {
@@ -31,9 +31,13 @@
         release.countDown();
     }
 
+    /**
+     * A request waits in the socket for 300 ms, as the loop is stalled. Its deadline counts from when it arrived: the
+     * server must be given the time that is left, or it works for a client that has given up.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aRequestThatWaitedToBeReadTellsTheServerWhatIsLeftToItsClient(boolean newConnection) throws Exception {
+    void requestThatWaitedUnreadPassesTheRemainingTimeToTheServer(boolean newConnection) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket open = harness.connect();
@@ -49,13 +53,17 @@
             FakeServer.awaitNext(server.requests);
             String left = FakeServer.awaitNext(server.requests).headers().get("x-remaining");
             long remainingUs = Long.parseLong(left.substring(0, left.length() - 1));
-            assertTrue(remainingUs <= 15_000_000 - STALL_MS * 1_000, "told " + left);
+            assertTrue(remainingUs <= 15_000_000 - STALL_MS * 1_000, "remaining " + left);
         }
     }
 
+    /**
+     * A request with a deadline of 200 ms waits in the socket for 300 ms, as the loop is stalled. It is rejected at
+     * once, and no server gets it: its client has given up.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aRequestWhoseTimeRanOutUnreadIsRefusedAndNotSent(boolean newConnection) throws Exception {
+    void requestWhoseDeadlinePassedUnreadIsRejectedAndNotSent(boolean newConnection) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket open = harness.connect();
@@ -78,13 +86,17 @@
         }
     }
 
+    /**
+     * A client pipelines two requests, and the server takes 300 ms for the first. The second has waited for as long:
+     * the server is given the time that is left of it.
+     */
     @Test
-    void aRequestSentAheadHasTheTimeThatIsLeftOnceItIsItsTurn() throws Exception {
-        try (FakeServer server = new FakeServer((request, peer) -> {
+    void pipelinedRequestHasTheRemainingTimeAtItsTurn() throws Exception {
+        try (FakeServer server = new FakeServer((request, connection) -> {
                     if ("first".equals(request.headers().get("x-txn"))) {
                         stall(new CountDownLatch(1));
                     }
-                    peer.write(Http.okResponse("x"));
+                    connection.write(Http.okResponse("x"));
                 });
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
@@ -95,26 +107,30 @@
             FakeServer.awaitNext(server.requests);
             String left = FakeServer.awaitNext(server.requests).headers().get("x-remaining");
             long remainingUs = Long.parseLong(left.substring(0, left.length() - 1));
-            assertTrue(remainingUs <= 15_000_000 - STALL_MS * 1_000, "told " + left);
+            assertTrue(remainingUs <= 15_000_000 - STALL_MS * 1_000, "remaining " + left);
         }
     }
 
+    /**
+     * While the loop is stalled, an attempt times out and a new request arrives. The balancer must be told of the
+     * time-out before the new attempt is written to a server: it may choose another server then.
+     */
     @Test
-    void anAttemptWhoseTimeRanOutIsToldBeforeANewOneBegins() throws Exception {
+    void timeoutIsReportedBeforeANewAttemptBegins() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        AtomicBoolean newOneWasFirst = new AtomicBoolean();
-        try (FakeServer server = new FakeServer((request, peer) -> {
+        AtomicBoolean newAttemptWasFirst = new AtomicBoolean();
+        try (FakeServer server = new FakeServer((request, connection) -> {
                     if ("hangs".equals(request.headers().get("x-txn"))) {
                         FakeServer.awaitLatch(never);
                     }
-                    peer.write(Http.okResponse("x"));
+                    connection.write(Http.okResponse("x"));
                 });
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            Function<BalancerActions, Balancer> module = harness.balancerFactory;
-            harness.balancerFactory = actions -> onTimeout(module.apply(actions), () -> {
-                // Whatever was written by now has come to the server.
+            Function<BalancerActions, Balancer> factory = harness.balancerFactory;
+            harness.balancerFactory = actions -> onTimeout(factory.apply(actions), () -> {
+                // What has been written by now reaches the server in the meantime.
                 stall(new CountDownLatch(1));
-                newOneWasFirst.set(server.requests.stream()
+                newAttemptWasFirst.set(server.requests.stream()
                         .anyMatch(request -> "new".equals(request.headers().get("x-txn"))));
             });
             harness.start(server);
@@ -122,7 +138,7 @@
             Socket second = harness.connect();
             NodeHarness.write(first, Http.orderRequest("hangs", "150m"));
             FakeServer.awaitNext(server.requests);
-            // A connection to the server that is free, so that the new attempt is written as it begins.
+            // An idle connection to the server, so that the new attempt is written as it begins.
             assertEquals(
                     200,
                     NodeHarness.exchange(second, Http.pageRequest("/api/p", "before", "15000m"))
@@ -132,19 +148,19 @@
             stall(release);
             assertEquals(200, Http.readMessage(second.getInputStream()).status());
             never.countDown();
-            assertFalse(newOneWasFirst.get());
+            assertFalse(newAttemptWasFirst.get());
         }
     }
 
-    /** The same module, which runs this as it is told that an attempt is out of time. */
-    private static Balancer onTimeout(Balancer module, Runnable then) {
+    /** The same balancer, which runs this whenever an attempt has timed out. */
+    private static Balancer onTimeout(Balancer balancer, Runnable then) {
         return (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, arguments) -> {
                     if (method.getName().equals("onOutcome")
                             && ((AttemptOutcome) arguments[1]).result() == AttemptResult.TIMEOUT) {
                         then.run();
                     }
-                    return method.invoke(module, arguments);
+                    return method.invoke(balancer, arguments);
                 });
     }
 }
