--- a/node/src/main/java/loadbalancer/client/ClientServer.java
+++ b/node/src/main/java/loadbalancer/client/ClientServer.java
@@ -19,33 +19,43 @@
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.transfer.TransferLimits;
 
-/** The side that clients see: connections, what they ask, and the answers they get. */
+/**
+ * The server towards clients: it accepts connections, limits and closes them, and passes their requests to the handler.
+ *
+ * <p>It ends gracefully in one of two ways: {@link #drain} where the node goes away, {@link #drainForHandover} where
+ * another process goes on accepting on the same socket. All methods run on the event loop.
+ */
 public final class ClientServer implements ClientConnection.Owner {
-    /** What becomes of requests. */
+    /** Serves requests. */
     public interface RequestHandler {
-        /** A whole request that can be read; it is owed one {@link ClientConnection#sendResponse}. */
+        /**
+         * A request can be served: it has arrived in full, or its body is streamed. It is owed one response, by
+         * {@link ClientConnection#sendResponse} or {@link ClientConnection#startResponse} and what follows.
+         */
         void onRequest(ClientConnection client, ClientRequest request);
     }
 
-    /** After SIGTERM connections arrive for 0.4 s more; a tenth is room for those under way. */
-    private static final long ARRIVING_MS = 500;
+    /** After SIGTERM connections arrive for 0.4 s more; a tenth of a second is room for those under way. */
+    private static final long ACCEPT_WHILE_DRAINING_MS = 500;
 
     private final MeasuredEventLoop loop;
     private RequestReader reader;
     private final SocketBudget sockets;
     private final RequestHandler handler;
-    /** All connections, the longest unused first. */
+    /** All connections, the least recently used first. */
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
 
-    private Channel listening;
+    private Channel listeningChannel;
     /** Whether another process of this node may accept on the same socket. */
-    private boolean shared;
+    private boolean socketShared;
 
     private boolean draining;
-    private boolean closed;
+    /** Whether no further connection is accepted. */
+    private boolean acceptingEnded;
+
     private Runnable onDrained = () -> {};
 
-    /** The client side of a node; it accepts nothing until told to listen. */
+    /** Creates a server that accepts nothing until {@link #listen}. */
     public ClientServer(MeasuredEventLoop loop, RequestReader reader, SocketBudget sockets, RequestHandler handler) {
         this.loop = loop;
         this.reader = reader;
@@ -53,7 +63,7 @@
         this.handler = handler;
     }
 
-    /** Listens at this address, or on the socket that is inherited where there is one. */
+    /** Listens at this address, or on the inherited socket where there is one; null if there is none. */
     public ChannelFuture listen(InetSocketAddress address, ServerSocketChannel inherited) {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loop)
@@ -65,32 +75,33 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_SNDBUF, TransferLimits.SOCKET_SEND_BUFFER_BYTES)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, TransferLimits.WRITE_WATER_MARK)
-                // Until nothing is left to read: a client's end may stand right behind its request.
+                // Reads until nothing is left. Else a client's end right behind its request would be read a turn later,
+                // after the request has been sent to a server for nobody.
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         TransferLimits.newReadAllocator().respectMaybeMoreData(false))
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        accepted(channel);
+                        onAccepted(channel);
                     }
                 });
-        shared = inherited != null;
-        ChannelFuture opening = shared ? bootstrap.register() : bootstrap.bind(address);
-        listening = opening.channel();
+        socketShared = inherited != null;
+        ChannelFuture opening = socketShared ? bootstrap.register() : bootstrap.bind(address);
+        listeningChannel = opening.channel();
         return opening;
     }
 
-    /** Requests that come from now on are read by this. */
+    /** Sets the reader for requests that begin from now on. */
     public void setRequestReader(RequestReader next) {
         reader = next;
     }
 
-    private void accepted(SocketChannel channel) {
+    private void onAccepted(SocketChannel channel) {
         sockets.clientOpened();
         channel.closeFuture().addListener(done -> sockets.clientClosed());
         if (!sockets.hasRoomForClient() && !closeOldestIdle()) {
-            // Every connection has a request open: one more would take descriptors that those need.
+            // Every connection serves a request: one more would take file descriptors that those requests need.
             channel.close();
             return;
         }
@@ -110,41 +121,42 @@
         return false;
     }
 
-    /** Closes connections that have been idle, or amid a request or an unread answer, for too long. */
+    /** Closes the connections that have been idle, or amid a request or an unread response, for too long. */
     public void closeExpired() {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         for (ClientConnection client : new ArrayList<>(clients)) {
-            if (client.isOverdue(now)) {
+            if (client.isOverdue(nowNanos)) {
                 client.close();
             }
         }
     }
 
     /**
-     * Ends where others accept on the same socket: no connection is lost with it, so none is accepted from
-     * now on. Those that are idle stay open for as long as a request on them can still be answered, since
-     * one that crossed their end would be turned back; every answer ends its connection.
+     * Ends gracefully where other processes accept on the same socket. No connection is lost with this process, so it
+     * accepts none from now on, and every response ends its connection. Idle connections stay open for as long as a
+     * request on them can still be answered: a request that crosses the end of its connection would be dropped.
      *
      * @param idleMs how long idle connections may stay
+     * @param drained called once no connection is left
      */
     public void drainForHandover(long idleMs, Runnable drained) {
         draining = true;
-        closed = true;
+        acceptingEnded = true;
         onDrained = drained;
-        // Not closed: with an inherited socket the JDK would end the standard streams, and with them the log.
-        listening.config().setAutoRead(false);
+        // Not closed: the JDK would close the standard streams with an inherited socket, and the log with them.
+        listeningChannel.config().setAutoRead(false);
         loop.schedule(this::shutDownQuiescent, idleMs, TimeUnit.MILLISECONDS);
         notifyIfDrained();
     }
 
-    /** What has begun to come is waited for, and its answer ends the connection. */
+    /** Shuts down connections without a request; one that is arriving is waited for, and its response ends the rest. */
     private void shutDownQuiescent() {
         new ArrayList<>(clients).stream().filter(ClientConnection::isQuiescent).forEach(ClientConnection::shutDown);
     }
 
     /**
-     * No longer ready: new connections are served while the front may still deal them out, every answer
-     * ends its connection, and then all that is idle is closed.
+     * Ends gracefully where the node goes away. It is no longer ready from now on and every response ends its
+     * connection; connections that the balancer in front still deals out are served, and then idle ones are closed.
      *
      * @param drained called once no connection is left and none can come
      */
@@ -152,27 +164,28 @@
         draining = true;
         onDrained = drained;
         loop.schedule(
-                () -> listening.close().addListener(done -> {
-                    closed = true;
+                () -> listeningChannel.close().addListener(done -> {
+                    acceptingEnded = true;
                     shutDownQuiescent();
                     notifyIfDrained();
                 }),
-                ARRIVING_MS,
+                ACCEPT_WHILE_DRAINING_MS,
                 TimeUnit.MILLISECONDS);
     }
 
+    /** Closes the listening socket and all connections at once. */
     public void close() {
-        listening.close();
+        listeningChannel.close();
         new ArrayList<>(clients).forEach(ClientConnection::close);
     }
 
     private void notifyIfDrained() {
-        if (closed && clients.isEmpty()) {
+        if (acceptingEnded && clients.isEmpty()) {
             onDrained.run();
         }
     }
 
-    // ---------------------------------------------------------------- what connections ask of their owner
+    // ---------------------------------------------------------------- the owner of its connections
 
     @Override
     public LoopLagMeter lagMeter() {
@@ -191,7 +204,7 @@
 
     @Override
     public HttpResponseStatus readiness() {
-        return draining && !shared ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK;
+        return draining && !socketShared ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK;
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/http/StrictClientCodec.java
+++ b/node/src/main/java/loadbalancer/http/StrictClientCodec.java
@@ -8,10 +8,12 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * HTTP as a node speaks it to servers and discovery: answers are held to the rules that Netty keeps for
- * requests only. It knows no HEAD and no CONNECT, whose answers are framed in another way; none is sent.
+ * The HTTP codec towards servers and discovery. It holds responses to the rules that Netty keeps for requests only.
+ *
+ * <p>It doesn't know HEAD and CONNECT, whose responses are framed in another way; a node sends neither.
  */
 public final class StrictClientCodec extends CombinedChannelDuplexHandler<HttpResponseDecoder, HttpRequestEncoder> {
+    /** Creates a codec for one connection. */
     public StrictClientCodec() {
         super(new Decoder(), new HttpRequestEncoder());
     }
@@ -22,8 +24,8 @@
         }
 
         /**
-         * In an answer Netty ends a name at a blank too and then takes a line without any colon for a field
-         * with no value: a broken head would pass for a whole one.
+         * Guards against a broken head that passes for a sound one: in a response Netty also ends a name at a blank,
+         * and then takes a line without any colon for a field without a value. Such a line fails to decode here.
          */
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -35,18 +35,6 @@
         void onFinished(ProxiedRequest request);
     }
 
-    /** How far a request is. */
-    private enum State {
-        /** Its body is still arriving. */
-        RECEIVING,
-        /** It has arrived in full; its time runs. */
-        RECEIVED,
-        /** It has ended before it had arrived in full. */
-        ENDED_AMID_BODY,
-        /** It has arrived in full and ended. */
-        ENDED
-    }
-
     private final long id;
     private final ClientRequest request;
     private final ClientConnection client;
@@ -55,7 +43,7 @@
     private final Listener listener;
     private final RequestServices services;
 
-    private State state = State.RECEIVING;
+    private RequestState state = RequestState.RECEIVING;
     /** By when the client wants its response; not known until all of the request has arrived. */
     private long deadlineUs = Long.MAX_VALUE;
 
@@ -107,11 +95,11 @@
     }
 
     boolean isReceived() {
-        return state == State.RECEIVED || state == State.ENDED;
+        return state.isReceived();
     }
 
     boolean isEnded() {
-        return state == State.ENDED || state == State.ENDED_AMID_BODY;
+        return state.isEnded();
     }
 
     /** Logs that it ended this long after its deadline. */
@@ -179,7 +167,7 @@
 
     /** All of it has arrived: its time runs until this deadline. Not called once it has ended. */
     void setReceived(long atUs) {
-        state = State.RECEIVED;
+        state = state.received();
         deadlineUs = atUs;
         attempts.stream().filter(attempt -> !attempt.isEnded()).forEach(UpstreamAttempt::onRequestReceived);
     }
@@ -318,9 +306,9 @@
     private void end() {
         if (!isEnded()) {
             listener.onEnding(this);
-            state = isReceived() ? State.ENDED : State.ENDED_AMID_BODY;
+            state = state.ended();
         }
-        if (state == State.ENDED_AMID_BODY && writing != null) {
+        if (!isReceived() && writing != null) {
             // The rest of what the server was to get will not arrive.
             writing.cancel();
         }
--- a/node/src/main/java/loadbalancer/transfer/TransferLimits.java
+++ b/node/src/main/java/loadbalancer/transfer/TransferLimits.java
@@ -17,7 +17,7 @@
     public static final int MAX_BODY_BYTES = 32 << 20;
 
     /**
-     * Up to this size a body is buffered, so that a request can be sent again and an answer can be replaced by another
+     * Up to this size a body is buffered, so that a request can be sent again and a response can be replaced by another
      * attempt's. A larger body is streamed.
      */
     public static final int MAX_BUFFERED_BYTES = 64 << 10;
