--- /dev/null
+++ b/node/src/test/java/loadbalancer/client/ConnectionStateTest.java
@@ -0,0 +1,61 @@
+package loadbalancer.client;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** The transitions of a client connection, without a socket. */
+class ConnectionStateTest {
+    private final ConnectionState state = new ConnectionState();
+
+    @Test
+    void anExchangeEndsOnceItsResponseIsWrittenOut() {
+        assertFalse(state.isServing());
+        state.requestStarted(true);
+        assertTrue(state.isServing() && state.isReceiving() && !state.isResponseStarted());
+        state.requestReceived();
+        assertTrue(state.isRequestReceived());
+        state.responseStarted();
+        assertTrue(state.isResponseStarted());
+        assertFalse(state.endExchangeIfDone(), "the response is not written out");
+        state.responseWritten();
+        assertTrue(state.endExchangeIfDone());
+        assertFalse(state.isServing());
+        assertTrue(state.isKeepAlive());
+    }
+
+    /**
+     * A response is written out while the body of its request is still arriving. The next request can't begin before
+     * the end of that body has been read, else its rest would be taken for a request.
+     */
+    @Test
+    void anExchangeWhoseResponseIsEarlyEndsWithItsBody() {
+        state.requestStarted(true);
+        state.responseStarted();
+        state.responseWritten();
+        assertFalse(state.endExchangeIfDone(), "the body is still arriving");
+        state.requestReceived();
+        assertTrue(state.endExchangeIfDone());
+    }
+
+    @Test
+    void aNewRequestHasNoResponseYet() {
+        state.requestStarted(true);
+        state.requestReceived();
+        state.responseStarted();
+        state.responseWritten();
+        assertTrue(state.endExchangeIfDone());
+        state.requestStarted(false);
+        assertFalse(state.isResponseStarted());
+        assertFalse(state.isKeepAlive());
+    }
+
+    @Test
+    void aClosedConnectionIsNeverIdle() {
+        state.connectionClosed();
+        assertTrue(state.isServing());
+        assertFalse(state.isReceiving());
+        assertFalse(state.isKeepAlive());
+    }
+}
--- a/node/src/test/java/loadbalancer/client/RequestReaderTest.java
+++ b/node/src/test/java/loadbalancer/client/RequestReaderTest.java
@@ -44,24 +44,30 @@
                 head);
     }
 
+    /**
+     * A client sends a request that the protocol does not allow. The text of the response tells it why, so it is
+     * pinned here
+     * with the reason.
+     */
     @ParameterizedTest
     @CsvSource({
-        "GET,X-Lane:page|X-Remaining:4m,X-Txn is missing",
-        "GET,X-Txn:|X-Lane:page|X-Remaining:4m,X-Txn is missing",
-        "GET,X-Txn:t|X-Txn:u|X-Lane:page|X-Remaining:4m,X-Txn is given twice",
-        "GET,X-Txn:t|X-Remaining:4m,X-Lane is missing",
-        "GET,X-Txn:t|X-Lane:none|X-Remaining:4m,X-Lane names no class",
-        "POST,X-Txn:t|X-Lane:page|X-Remaining:4m,the class does not go with the method",
-        "POST,X-Txn:t|X-Lane:photo|X-Remaining:4m,Idempotency-Key does not go with the class",
-        "GET,X-Txn:t|X-Lane:page,X-Remaining is missing",
-        "GET,X-Txn:t|X-Lane:page|X-Remaining:4,X-Remaining cannot be read",
-        "GET,X-Txn:t|X-Lane:page|X-Remaining:0x1p3m,X-Remaining cannot be read",
-        "GET,X-Txn:t|X-Lane:page|X-Remaining:..m,X-Remaining cannot be read",
-        "GET,X-Txn:t|X-Lane:page|X-Remaining:4m|X-Estimate:NaN,X-Estimate cannot be read",
+        "GET,X-Lane:page|X-Remaining:4m,X-Txn is missing,MISSING_HEADER",
+        "GET,X-Txn:|X-Lane:page|X-Remaining:4m,X-Txn is missing,MISSING_HEADER",
+        "GET,X-Txn:t|X-Txn:u|X-Lane:page|X-Remaining:4m,X-Txn is given twice,DUPLICATE_HEADER",
+        "GET,X-Txn:t|X-Remaining:4m,X-Lane is missing,MISSING_HEADER",
+        "GET,X-Txn:t|X-Lane:none|X-Remaining:4m,X-Lane names no class,UNKNOWN_CLASS",
+        "POST,X-Txn:t|X-Lane:page|X-Remaining:4m,the class does not go with the method,METHOD_MISMATCH",
+        "POST,X-Txn:t|X-Lane:photo|X-Remaining:4m,Idempotency-Key does not go with the class,IDEMPOTENCY_KEY_MISMATCH",
+        "GET,X-Txn:t|X-Lane:page,X-Remaining is missing,MISSING_HEADER",
+        "GET,X-Txn:t|X-Lane:page|X-Remaining:4,X-Remaining cannot be read,UNREADABLE_HEADER",
+        "GET,X-Txn:t|X-Lane:page|X-Remaining:0x1p3m,X-Remaining cannot be read,UNREADABLE_HEADER",
+        "GET,X-Txn:t|X-Lane:page|X-Remaining:..m,X-Remaining cannot be read,UNREADABLE_HEADER",
+        "GET,X-Txn:t|X-Lane:page|X-Remaining:4m|X-Estimate:NaN,X-Estimate cannot be read,UNREADABLE_HEADER",
     })
-    void saysWhyARequestCannotBeUsed(String method, String fields, String message) {
+    void saysWhyARequestCannotBeUsed(String method, String fields, String message, BadRequestException.Reason reason) {
         BadRequestException rejection =
                 assertThrows(BadRequestException.class, () -> read(HttpMethod.valueOf(method), fields));
         assertEquals(message, rejection.getMessage());
+        assertEquals(reason, rejection.reason());
     }
 }
