--- a/node/src/test/java/loadbalancer/process/ClientServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ClientServerTest.java
@@ -20,7 +20,7 @@
 class ClientServerTest {
 
     @Test
-    void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
+    void forwardsARequestUnchangedAndReturnsItsResponse() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("proof");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             String photo = "POST /api/7f3a?x=1&y=%20 HTTP/1.1\r\nHost: h\r\nX-Txn: 9b1f\r\nX-Lane: photo\r\n"
@@ -41,7 +41,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"http://h:8000", "HTTP://h", "http://[::1]:80"})
-    void aRequestThatNamesTheHostInItsFirstLineGoesOnByItsPath(String host) throws Exception {
+    void forwardsByPathWhereTheRequestLineNamesAHost(String host) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             assertEquals(
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aFirstLineOfEightThousandBytesIsUnderstood() throws Exception {
+    void acceptsARequestLineOfEightThousandBytes() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             assertEquals(
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aConnectionCarriesOneRequestAfterAnother() throws Exception {
+    void servesSeveralRequestsOnOneConnection() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
+    void answersPipelinedRequestsInOrder() throws Exception {
         try (FakeServer server = new FakeServer((request, peer) ->
                         peer.write(Http.okResponse(request.headers().get("x-txn"))));
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
@@ -100,6 +100,10 @@
         }
     }
 
+    /**
+     * A client sends a request that lacks a field, gives one twice, or combines class, method and key in a way that
+     * the protocol doesn't know. It gets a 400, no server sees the request, and the node serves the next one.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -117,7 +121,7 @@
                 "POST /api/x HTTP/1.1|X-Txn: t|X-Lane: order|X-Remaining: 400m|Idempotency-Key: k",
                 "not http at all",
             })
-    void whatCannotBeUsedGets400AndReachesNoServer(String lines) throws Exception {
+    void rejectsUnusableRequestsWith400WithoutAServer(String lines) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             assertEquals(
@@ -129,7 +133,7 @@
     }
 
     @Test
-    void anUnknownPathGets404() throws Exception {
+    void answersAnUnknownPathWith404() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             assertEquals(
@@ -140,7 +144,7 @@
     }
 
     @Test
-    void aBodyOver32MiBGets413AndOneThatIsGatheredOrFlowsIsServed() throws Exception {
+    void rejectsABodyOver32MiBAndServesBufferedAndStreamedOnes() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             String order = Http.orderRequest("t", "4000m");
@@ -159,8 +163,12 @@
         }
     }
 
+    /**
+     * A client announces too large a body and goes on sending it after the node has rejected it. A socket closed over
+     * unread bytes would reset the connection and lose the response; the node reads on until the client has it.
+     */
     @Test
-    void theAnswerToTooLargeABodyOutlastsWhatStillComes() throws Exception {
+    void deliversTheRejectionOfALargeBodyWhileItIsStillArriving() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
@@ -174,8 +182,12 @@
         }
     }
 
+    /**
+     * A client closes while a server works on its request. The node closes the connection to that server, as nobody
+     * waits for the response.
+     */
     @Test
-    void aClientThatClosesIsGoneAndItsAttemptGivenUp() throws Exception {
+    void abortsTheAttemptOfAClientThatCloses() throws Exception {
         try (FakeServer server = new FakeServer((request, peer) -> {});
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
@@ -187,7 +199,7 @@
     }
 
     @Test
-    void aDrainingNodeSaysSoServesWhatItHasAndEnds() throws Exception {
+    void drainingFailsReadinessServesOpenRequestsAndEnds() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch answer = new CountDownLatch(1);
         try (FakeServer server = new FakeServer((request, peer) -> {
@@ -224,6 +236,10 @@
         }
     }
 
+    /**
+     * A peer connects and sends nothing, half a head, or a head without its body. It would hold a socket for as long
+     * as it likes, so the node closes it soon. A client that has sent a request before is left alone.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -231,7 +247,7 @@
                 "GET /api/x HT",
                 "POST /api/x HTTP/1.1\r\nX-Txn: t\r\nX-Lane: order\r\nX-Remaining: 400m\r\nContent-Length: 9\r\n\r\n",
             })
-    void aPeerThatAsksNothingWholeIsClosedSoonAndAClientStays(String part) throws Exception {
+    void closesAPeerWithoutACompleteRequestAndKeepsAClient(String part) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
@@ -246,8 +262,12 @@
         }
     }
 
+    /**
+     * A client ends its connection amid the body of its request. That is no fault of the node, so nothing is logged as
+     * an error of the connection.
+     */
     @Test
-    void aClientThatLeavesAmidItsRequestIsNotLoggedAsADefect() throws Exception {
+    void doesNotLogAClientThatLeavesAmidItsRequest() throws Exception {
         PrintStream err = System.err;
         ByteArrayOutputStream said = new ByteArrayOutputStream();
         try (FakeServer server = FakeServer.respondingWith("x");
@@ -263,11 +283,40 @@
             System.setErr(err);
         }
         String lines = said.toString(StandardCharsets.UTF_8);
-        assertFalse(lines.contains("connection to a client"), lines);
+        assertFalse(lines.contains("client_connection_error"), lines);
     }
 
+    /**
+     * A client resets its connection amid the body of its request, which the node sees as an I/O error. That is no fault
+     * of the node either. Here the error reaches the connection's handler, which after an orderly end it doesn't.
+     */
     @Test
-    void clientsLeaveRoomForConnectionsToServers() throws Exception {
+    void doesNotLogAClientThatResetsAmidItsRequest() throws Exception {
+        PrintStream err = System.err;
+        ByteArrayOutputStream said = new ByteArrayOutputStream();
+        try (FakeServer server = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
+            System.setErr(new PrintStream(said, true, StandardCharsets.UTF_8));
+            Socket client = harness.connect();
+            NodeHarness.write(client, Http.orderRequest("t", "400m").replace("Length: 2", "Length: 9"));
+            client.setSoLinger(true, 0);
+            client.close();
+            // The node serves on, and has read the reset before this request's response arrives.
+            assertEquals(200, harness.exchange(Http.pageRequest("next")).status());
+            harness.loop.submit(() -> {}).sync();
+        } finally {
+            System.setErr(err);
+        }
+        String lines = said.toString(StandardCharsets.UTF_8);
+        assertFalse(lines.contains("client_connection_error"), lines);
+    }
+
+    /**
+     * More clients connect than the limit of sockets allows. The node closes the client that has been idle for
+     * longest, so that connections to servers can still be opened.
+     */
+    @Test
+    void closesTheLongestIdleClientWhereSocketsRunOut() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             harness.socketLimit = 64;
@@ -284,7 +333,7 @@
     }
 
     @Test
-    void refusalsSayWhenToComeBack() throws Exception {
+    void rejectionsCarryRetryAfter() throws Exception {
         try (FakeServer server = new FakeServer(
                         (request, peer) -> peer.write(Http.response("503 Busy", "X-Turned-Away: 1\r\n", "")));
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
--- a/node/src/test/java/loadbalancer/process/LargeBodyTest.java
+++ b/node/src/test/java/loadbalancer/process/LargeBodyTest.java
@@ -59,7 +59,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 65_536, 65_537, LARGE})
-    void bodiesArriveAsTheyWereSentWithLengthsAndInChunks(int length) throws Exception {
+    void forwardsBodiesUnchangedWithLengthsAndInChunks(int length) throws Exception {
         String body = text(length);
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
@@ -76,7 +76,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 65_536, 65_537, LARGE})
-    void answersArriveAsTheyWereGivenHoweverTheyAreFramed(int length) throws Exception {
+    void returnsResponsesUnchangedHoweverTheyAreFramed(int length) throws Exception {
         String body = text(length);
         String interim = "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
         try (FakeServer server = new FakeServer((request, peer) -> {
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aClientThatWaitsToBeToldToGoOnIsTold() throws Exception {
+    void answersExpectContinueAndRejectsOtherExpectations() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void requestsSentAheadBehindALargeOneAreAnsweredInTheirOrder() throws Exception {
+    void answersRequestsPipelinedBehindALargeOneInOrder() throws Exception {
         String body = text(LARGE);
         try (FakeServer server = new FakeServer((request, peer) -> peer.write(Http.okResponse(
                         request.headers().get("x-txn") + request.body().length())));
@@ -135,6 +135,10 @@
         }
     }
 
+    /**
+     * A request has two lengths, a length and chunks, or a coding that the node can't pass on. Node and server could
+     * disagree on where it ends and where the next one begins, so the node rejects it and closes.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -145,7 +149,7 @@
                 "Content-Length: two",
                 "Content-Length: -2",
             })
-    void aRequestWhoseEndIsNotClearGets400AndReachesNoServer(String framing) throws Exception {
+    void rejectsAmbiguousFramingWith400WithoutAServer(String framing) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
@@ -158,8 +162,12 @@
         }
     }
 
+    /**
+     * A streamed body breaks off in the middle of its chunks. The server must not take what it has for the complete
+     * body, so the node closes the connection to it.
+     */
     @Test
-    void aBodyThatBreaksInItsFramingNeverReachesAServerWhole() throws Exception {
+    void neverCompletesABodyWhoseFramingBreaks() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             String whole = chunks(text(LARGE));
@@ -176,8 +184,12 @@
         }
     }
 
+    /**
+     * A client leaves while it sends a large body, and another while it receives a large response. In both cases the
+     * node closes the connection to the server, which would else work for nobody.
+     */
     @Test
-    void aClientThatLeavesEndsWhatFlowsAtTheServerEitherWay() throws Exception {
+    void closesTheServersConnectionWhenAClientLeavesAmidAStream() throws Exception {
         String body = text(8_000_000);
         try (FakeServer server = FakeServer.respondingWith(body);
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
@@ -197,9 +209,13 @@
         }
     }
 
+    /**
+     * A server resets the connection after the node has begun to stream its response. The client has part of it, so
+     * there is no retry; the client's connection ends such that it can't take the response for complete.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunks", "end"})
-    void anAnswerThatBreaksAfterItBeganIsSeenToBeBrokenAndNotTriedAgain(String framing) throws Exception {
+    void resetsAStreamedResponseThatBreaksWithoutARetry(String framing) throws Exception {
         String part = text(LARGE);
         try (FakeServer server = new FakeServer((request, peer) -> {
                     peer.write("HTTP/1.1 200 OK\r\n"
@@ -226,8 +242,12 @@
         }
     }
 
+    /**
+     * A server resets the connection amid a small response. The node has buffered it and the client has seen nothing,
+     * so another server's response takes its place.
+     */
     @Test
-    void anAnswerThatIsGatheredIsReplacedWhenItBreaks() throws Exception {
+    void retriesWhereABufferedResponseBreaks() throws Exception {
         try (FakeServer bad = new FakeServer((request, peer) -> {
                     peer.write(
                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + NodeHarness.chunk(text(60_000)));
@@ -246,7 +266,7 @@
     }
 
     @Test
-    void theFirstBytesOfALargeAnswerDoNotWaitForTheRest() throws Exception {
+    void streamsALargeResponseFromItsFirstBytes() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         String body = text(LARGE);
         try (FakeServer server = new FakeServer((request, peer) -> {
@@ -274,7 +294,7 @@
     }
 
     @Test
-    void anAnswerOfUnknownLengthThatTakesLongIsPassedOnAsItComes() throws Exception {
+    void streamsASlowResponseOfUnknownLength() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         try (FakeServer server = new FakeServer((request, peer) -> {
                     peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + NodeHarness.chunk("first"));
@@ -299,8 +319,12 @@
         }
     }
 
+    /**
+     * One of two servers refuses connections. An attempt that had no connection has taken nothing of the body, so the
+     * body goes to the other server from its start.
+     */
     @Test
-    void aLargeBodyGoesToAnotherServerOnlyFromItsStart() throws Exception {
+    void replaysALargeBodyToAnotherServerFromItsStart() throws Exception {
         String body = text(LARGE);
         try (FakeServer dead = FakeServer.respondingWith("x");
                 FakeServer good = FakeServer.respondingWith("x");
@@ -317,8 +341,12 @@
         }
     }
 
+    /**
+     * A server responds with an error before it has read the body. The client gets the final response at once, the
+     * rest of its body is read and dropped, and its connection serves the next request.
+     */
     @Test
-    void aServerThatAnswersAmidABodyHasItsAnswerPassedOn() throws Exception {
+    void returnsAResponseThatArrivesAmidTheBody() throws Exception {
         String body = text(LARGE);
         try (EarlyResponseServer server = new EarlyResponseServer(Http.response("500 No", "", ""));
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
--- a/node/src/test/java/loadbalancer/process/LateConnectionTest.java
+++ b/node/src/test/java/loadbalancer/process/LateConnectionTest.java
@@ -98,8 +98,12 @@
                 }));
     }
 
+    /**
+     * A retry waits for a connection that opens only after the deduplication window has passed. The server would no
+     * longer know the idempotency key and could run the request twice, so nothing is sent and the request fails.
+     */
     @Test
-    void aRepeatWhoseConnectionComesUpBehindItsWindowIsNotSent() throws Exception {
+    void doesNotSendARetryWhoseConnectionOpensAfterItsWindow() throws Exception {
         Semaphore started = new Semaphore(0);
         CountDownLatch listed = new CountDownLatch(1);
         try (LateServer late = new LateServer();
@@ -144,8 +148,12 @@
         }
     }
 
+    /**
+     * A client leaves while its request waits for a connection. When the connection opens, nothing of that request is
+     * sent on it, and the next request uses it.
+     */
     @Test
-    void aConnectionThatComesUpBehindItsRequestsEndCarriesTheNextOne() throws Exception {
+    void usesALateConnectionForTheNextRequest() throws Exception {
         Semaphore started = new Semaphore(0);
         try (LateServer late = new LateServer();
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
--- a/node/src/test/java/loadbalancer/upstream/LoadReportDecoderTest.java
+++ b/node/src/test/java/loadbalancer/upstream/LoadReportDecoderTest.java
@@ -23,7 +23,7 @@
     private static final List<LoadReportField> FIELDS = List.of(LoadReportField.QUEUED, LoadReportField.IN_FLIGHT);
 
     @Test
-    void figuresComeInTheOrderOfTheSettings() {
+    void returnsValuesInTheOrderOfTheSettings() {
         assertArrayEquals(
                 new double[] {2, 7.5},
                 LoadReportDecoder.decode("TEXT concurrent=7.5, depth=2", FIELDS).values());
@@ -38,19 +38,19 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "TEXT", "TEXT ", "JSON {}", "TEXT concurrent", "TEXT depth=", "TEXT depth=x"})
-    void whatCannotBeReadIsNoReport(String text) {
+    void returnsNullForAnUnreadableReport(String text) {
         assertNull(LoadReportDecoder.decode(text, FIELDS));
     }
 
     @Test
-    void noneIsReadWhereTheSettingsNameNone() {
+    void returnsNullWhereTheSettingsNameNoField() {
         assertNull(LoadReportDecoder.decode("TEXT concurrent=7", List.of()));
         assertNull(LoadReportDecoder.decode(null, FIELDS));
     }
 
     /** Also a report that cannot be read: the answer that it came with counts all the same. */
     @Test
-    void theModuleHearsOfTheReportWithTheAnswer() throws Exception {
+    void passesTheReportToTheBalancerWithTheOutcome() throws Exception {
         BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
         String[] reports = {"TEXT depth=1, concurrent=9", "TEXT depth=?"};
         try (FakeServer server = new FakeServer((request, peer) -> peer.write(Http.response(
--- a/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
+++ b/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
@@ -28,8 +28,12 @@
         }
     }
 
+    /**
+     * A server refuses connections. The attempt has never run, so also a request that must run once only goes on to
+     * another server.
+     */
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
+    void retriesAfterARefusedConnection() throws Exception {
         try (FakeServer dead = FakeServer.respondingWith("x");
                 FakeServer good = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
@@ -40,8 +44,11 @@
         }
     }
 
+    /**
+     * A server rejects requests as it is overloaded, and says that it has not run them. They go on to another server.
+     */
     @Test
-    void aRequestTurnedAwayNeverRan() throws Exception {
+    void retriesAfterLoadShedding() throws Exception {
         try (FakeServer full = new FakeServer(
                         (request, peer) -> peer.write(Http.response("504 Over", "X-Turned-Away: 1\r\n", "")));
                 FakeServer good = FakeServer.respondingWith("x");
@@ -52,6 +59,10 @@
         }
     }
 
+    /**
+     * A server responds with an error, with a truncated response, or with something that is no HTTP/1.1. The request
+     * may have run, so it isn't sent again; the client gets a 502 and nothing of the response.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -68,7 +79,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length : 1\r\n\r\nx",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nno colon here\r\n\r\n",
             })
-    void aBadAnswerMayHaveRunAndIsNeverServed(String answer) throws Exception {
+    void failsABadResponseWithoutARetry(String answer) throws Exception {
         try (FakeServer bad = new FakeServer((request, peer) -> {
                     peer.write(answer);
                     peer.socket().close();
@@ -79,8 +90,12 @@
         }
     }
 
+    /**
+     * A server resets the connection instead of responding. The request may have run, but is idempotent, so another
+     * server gets it.
+     */
     @Test
-    void aRepeatableRequestPassesOnAfterAReset() throws Exception {
+    void retriesAnIdempotentRequestAfterAReset() throws Exception {
         try (FakeServer bad = new FakeServer((request, peer) -> peer.reset());
                 FakeServer good = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(bad, good)) {
@@ -95,7 +110,7 @@
     }
 
     @Test
-    void interimAnswersArePassedOver() throws Exception {
+    void skipsInterimResponses() throws Exception {
         try (FakeServer server = new FakeServer(
                         (request, peer) -> peer.write("HTTP/1.1 102 Processing\r\n\r\n" + Http.okResponse("final")));
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
@@ -103,8 +118,12 @@
         }
     }
 
+    /**
+     * A server sends a second response right behind the first. Taken for the response to the next request, it would go
+     * to the wrong client; the node closes the connection instead.
+     */
     @Test
-    void whatComesBehindAnAnswerDoesNotAnswerTheNext() throws Exception {
+    void dropsAConnectionWithBytesBehindItsResponse() throws Exception {
         try (FakeServer server = new FakeServer((request, peer) ->
                         peer.write(Http.okResponse(request.headers().get("x-txn")) + Http.okResponse("stray")));
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
@@ -117,8 +136,12 @@
         }
     }
 
+    /**
+     * A server never responds. When the attempt's time is up, its connection is closed, as a late response on it would
+     * answer the wrong request.
+     */
     @Test
-    void anAttemptOutOfTimeIsGivenUpByClosingItsConnection() throws Exception {
+    void closesTheConnectionOfAnAttemptThatTimesOut() throws Exception {
         try (FakeServer silent = new FakeServer((request, peer) -> {});
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(silent)) {
             assertEquals(502, harness.exchange(Http.orderRequest("t", "100m")).status());
@@ -127,7 +150,7 @@
     }
 
     @Test
-    void theMostRecentlyUsedConnectionIsTakenAndOldOnesAreClosed() throws Exception {
+    void reusesTheNewestConnectionAndEvictsIdleOnes() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             harness.connIdleUs = 200_000;
@@ -143,8 +166,12 @@
         }
     }
 
+    /**
+     * A request waits for a connection to a server that hangs. The endpoint list then says that the server drains, and
+     * the request goes on to another one at once.
+     */
     @Test
-    void wordOfADrainFreesWhatAwaitsAConnection() throws Exception {
+    void aDrainFreesRequestsThatWaitForAConnection() throws Exception {
         // A listener whose backlog is full: connections to it never come up.
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket one = new Socket(hanging.getInetAddress(), hanging.getLocalPort());
@@ -168,8 +195,12 @@
         }
     }
 
+    /**
+     * The event loop reads a request and the news that its server drains in the same turn. The server has been chosen
+     * before the news is known; the request still goes to another server.
+     */
     @Test
-    void wordOfADrainInTheTurnOfTheChoiceIsHeeded() throws Exception {
+    void heedsADrainInTheTurnOfTheChoice() throws Exception {
         try (FakeServer drains = FakeServer.respondingWith("drains");
                 FakeServer other = FakeServer.respondingWith("other");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(drains)) {
@@ -191,7 +222,7 @@
     }
 
     @Test
-    void aChangedEndpointMovesNewConnections() throws Exception {
+    void opensNewConnectionsToAChangedAddress() throws Exception {
         try (FakeServer before = FakeServer.respondingWith("old");
                 FakeServer after = FakeServer.respondingWith("new");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(before)) {
