--- a/node/src/main/java/loadbalancer/process/ConfigReloader.java
+++ b/node/src/main/java/loadbalancer/process/ConfigReloader.java
@@ -8,6 +8,7 @@
 import loadbalancer.config.ClassRegistry;
 import loadbalancer.config.ConfigException;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.config.ReloadedConfigReader;
 import loadbalancer.discovery.EndpointWatcher;
 import loadbalancer.net.SocketAddresses;
 import loadbalancer.request.RequestServices;
@@ -54,7 +55,7 @@
      */
     synchronized void reload(Map<String, String> env) {
         try {
-            NodeConfig config = startConfig.againSettled(env);
+            NodeConfig config = ReloadedConfigReader.readWhenComplete(startConfig, env);
             services.loop().execute(() -> apply(config));
         } catch (ConfigException e) {
             Log.warn("reload_failed", "reason", e.getMessage());
@@ -66,7 +67,7 @@
         Log.info(
                 "reloaded",
                 "discovery",
-                config.discovery() == null ? null : SocketAddresses.format(config.discovery()));
+                config.discoveryAddress() == null ? null : SocketAddresses.format(config.discoveryAddress()));
         services.metrics().onConfigLoaded();
         services.metrics().register(config.settings().classes);
         ClassRegistry next = classes.reloaded(config.settings());
@@ -74,8 +75,8 @@
         services.events()
                 .submit(balancer -> balancer.onSettings(services.clock().nowUs(), next.settings()));
         clients.setRequestReader(new RequestReader(next));
-        services.pool().setTimeouts(next.settings().connectTimeoutUs, config.connIdleUs());
-        discovery.moveTo(config.discovery());
+        services.pool().setTimeouts(next.settings().connectTimeoutUs, config.serverIdleTimeoutUs());
+        discovery.moveTo(config.discoveryAddress());
         services.loop().schedule(() -> retireClassesBefore(next), next.retirementDelayUs(), TimeUnit.MICROSECONDS);
     }
 
