--- a/node/src/test/java/loadbalancer/process/ClientServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ClientServerTest.java
@@ -287,8 +287,8 @@
     }
 
     /**
-     * A client resets its connection amid the body of its request, which the node sees as an I/O error. That is no fault
-     * of the node either. Here the error reaches the connection's handler, which after an orderly end it doesn't.
+     * A client resets its connection amid the body of its request, which the node sees as an I/O error. That is no
+     * fault of the node either. Here the error reaches the connection's handler; after an orderly end there is none.
      */
     @Test
     void doesNotLogAClientThatResetsAmidItsRequest() throws Exception {
