--- a/cli/src/main/java/loadbalancer/cli/Fleet.java
+++ b/cli/src/main/java/loadbalancer/cli/Fleet.java
@@ -68,7 +68,7 @@
         @Option(
                 names = "--set",
                 paramLabel = "KEY=VALUE",
-                description = "Goes before the file's value:" + " --set load.per_second=200 --set trouble.0.size=4")
+                description = "Goes before the file's value:" + " --set load.per_second=200 --set fault.0.size=4")
         private Map<String, String> overrides = new LinkedHashMap<>();
 
         Scenario read() {
@@ -82,7 +82,7 @@
             try {
                 return ScenarioFile.read(file, all, Faults.names());
             } catch (BadScenarioException e) {
-                throw new UsageException(file + ":\n  " + String.join("\n  ", e.faults()));
+                throw new UsageException(file + ":\n  " + String.join("\n  ", e.problems()));
             }
         }
 
@@ -221,14 +221,14 @@
         out().printf(
                         Locale.ROOT,
                         "%nsmallest found in %d plays: %.3f s, %d nodes, %d servers, %.1f requests a"
-                                + " second, %d keys, troubles %s%n",
+                                + " second, %d keys, faults %s%n",
                         least.plays(),
                         s.lengthUs() / 1e6,
                         s.fleet().nodes(),
                         s.fleet().servers(),
                         s.load().perSecond(),
                         s.load().keys(),
-                        s.troubles());
+                        s.faults());
         out().println(least.violation());
         return ExitCode.BROKEN;
     }
@@ -318,8 +318,12 @@
         return ExitCode.OK;
     }
 
-    @Command(name = "troubles", mixinStandardHelpOptions = true, description = "Lists what can go wrong.")
-    int troubles() {
+    @Command(
+            name = "faults",
+            aliases = "troubles",
+            mixinStandardHelpOptions = true,
+            description = "Lists the kinds of faults.")
+    int faults() {
         Faults.names().forEach(out()::println);
         return ExitCode.OK;
     }
--- a/cli/src/main/java/loadbalancer/cli/FleetDemo.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetDemo.java
@@ -46,19 +46,19 @@
             servers = 12
             [load]
             per_second = 40
-            [[trouble]]
+            [[fault]]
             kind = "slow"
             at_s = 5
             length_s = 8
             part = 0.08
             size = 8
-            [[trouble]]
+            [[fault]]
             kind = "fast_errors"
             at_s = 12
             length_s = 8
             part = 0.08
             size = 1
-            [[trouble]]
+            [[fault]]
             kind = "crash"
             at_s = 19
             length_s = 5
--- a/rig/src/main/java/loadbalancer/rig/fault/ActiveFault.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/ActiveFault.java
@@ -5,18 +5,18 @@
 import loadbalancer.rig.world.NodePort;
 
 /**
- * What a trouble has done.
+ * A fault that has been injected and is active.
  *
- * @param who whom it struck: ids of servers, names of nodes, or what else they are called
- * @param heal ends it
+ * @param targets what it was injected into: ids of servers, names of nodes, or another name
+ * @param heal ends the fault
  */
-public record ActiveFault(List<String> who, Runnable heal) {
+public record ActiveFault(List<String> targets, Runnable heal) {
 
-    static ActiveFault servers(List<AppServer> struck, Runnable heal) {
-        return new ActiveFault(struck.stream().map(AppServer::id).toList(), heal);
+    static ActiveFault servers(List<AppServer> targets, Runnable heal) {
+        return new ActiveFault(targets.stream().map(AppServer::id).toList(), heal);
     }
 
-    static ActiveFault nodes(List<NodePort> struck) {
-        return new ActiveFault(struck.stream().map(NodePort::name).toList(), () -> {});
+    static ActiveFault nodes(List<NodePort> targets) {
+        return new ActiveFault(targets.stream().map(NodePort::name).toList(), () -> {});
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/Burst.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Burst.java
@@ -8,8 +8,8 @@
 /** Clients ask {@code size} times as much. */
 final class Burst implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        world.burst(told.size());
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
+        world.burst(spec.size());
         return new ActiveFault(List.of("clients"), () -> world.burst(1));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/Cordoned.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Cordoned.java
@@ -9,13 +9,13 @@
 /** Operators take a part of the app servers out by hand at every node, and let them in again. */
 final class Cordoned implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        List<AppServer> struck = world.struckBy(told, random);
-        set(world, struck, true);
-        return ActiveFault.servers(struck, () -> set(world, struck, false));
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
+        List<AppServer> targets = world.faultTargets(spec, random);
+        set(world, targets, true);
+        return ActiveFault.servers(targets, () -> set(world, targets, false));
     }
 
-    private static void set(World world, List<AppServer> struck, boolean out) {
-        world.nodes().forEach(node -> struck.forEach(server -> node.cordon(server.id(), out)));
+    private static void set(World world, List<AppServer> targets, boolean out) {
+        world.nodes().forEach(node -> targets.forEach(server -> node.cordon(server.id(), out)));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/Crash.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Crash.java
@@ -9,10 +9,10 @@
 /** A part of the app servers' processes are killed, and come back cold. */
 final class Crash implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        List<AppServer> struck = world.struckBy(told, random);
-        struck.forEach(world::killServer);
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
+        List<AppServer> targets = world.faultTargets(spec, random);
+        targets.forEach(world::killServer);
         return ActiveFault.servers(
-                struck, () -> struck.stream().filter(server -> !server.isUp()).forEach(world::startServer));
+                targets, () -> targets.stream().filter(server -> !server.isUp()).forEach(world::startServer));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/FastErrors.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/FastErrors.java
@@ -9,9 +9,9 @@
 /** A part of the app servers fail the share {@code size} of what they get, at once. */
 final class FastErrors implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        List<AppServer> struck = world.struckBy(told, random);
-        struck.forEach(server -> server.fail(Math.min(1, told.size())));
-        return ActiveFault.servers(struck, () -> struck.forEach(server -> server.fail(0)));
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
+        List<AppServer> targets = world.faultTargets(spec, random);
+        targets.forEach(server -> server.fail(Math.min(1, spec.size())));
+        return ActiveFault.servers(targets, () -> targets.forEach(server -> server.fail(0)));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/Fault.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Fault.java
@@ -4,14 +4,15 @@
 import loadbalancer.rig.scenario.Scenario;
 import loadbalancer.rig.world.World;
 
-/** Something that goes wrong in a world. One small class each; {@link Faults} names them. */
+/** A kind of fault that can be injected into a world. One small class each; {@link Faults} names them. */
 public interface Fault {
 
     /**
-     * Begins it.
+     * Injects the fault into the world.
      *
-     * @param random this trouble's own
-     * @return whom it struck, and what ends it
+     * @param spec when, how hard and where, as the scenario has it
+     * @param random the stream of this fault alone
+     * @return the targets, and what heals them
      */
-    ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random);
+    ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random);
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/Faults.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Faults.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The troubles there are, by the names that scenario files use. */
+/** The kinds of faults, by the names that scenario files use. */
 public final class Faults {
     private static final Map<String, Fault> BY_NAME = new TreeMap<>(Map.ofEntries(
             Map.entry("burst", new Burst()),
@@ -30,12 +30,12 @@
         return List.copyOf(BY_NAME.keySet());
     }
 
-    /** The trouble of a name, which has to be one of {@link #names}. */
+    /** The kind of this name, which has to be one of {@link #names}. */
     public static Fault named(String name) {
-        Fault trouble = BY_NAME.get(name);
-        if (trouble == null) {
-            throw new IllegalArgumentException("no trouble is named " + name);
+        Fault fault = BY_NAME.get(name);
+        if (fault == null) {
+            throw new IllegalArgumentException("no kind of fault is named " + name);
         }
-        return trouble;
+        return fault;
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/HeavyTail.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/HeavyTail.java
@@ -8,11 +8,11 @@
 /** The share {@code extra} of one class takes {@code size} times the work. */
 final class HeavyTail implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        int classIndex = told.on().isEmpty()
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
+        int classIndex = spec.on().isEmpty()
                 ? random.nextInt(world.scenario().classes().size())
-                : told.on().get(0);
-        world.heavy(classIndex, told.extra(), told.size());
+                : spec.on().get(0);
+        world.heavy(classIndex, spec.extra(), spec.size());
         return new ActiveFault(
                 List.of(world.scenario().classes().get(classIndex).name()), () -> world.heavy(-1, 0, 1));
     }
--- a/rig/src/main/java/loadbalancer/rig/fault/ListDown.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/ListDown.java
@@ -8,7 +8,7 @@
 /** Discovery is down: no node hears of any change. */
 final class ListDown implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
         world.list().setDown(true);
         return new ActiveFault(List.of("list"), () -> world.list().setDown(false));
     }
--- a/rig/src/main/java/loadbalancer/rig/fault/LostAnswers.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/LostAnswers.java
@@ -9,10 +9,10 @@
 /** A part of the app servers hear and work, and what they say does not come through. */
 final class LostAnswers implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        List<AppServer> struck = world.struckBy(told, random);
-        struck.forEach(server -> world.links().mute(server, true));
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
+        List<AppServer> targets = world.faultTargets(spec, random);
+        targets.forEach(server -> world.links().mute(server, true));
         return ActiveFault.servers(
-                struck, () -> struck.forEach(server -> world.links().mute(server, false)));
+                targets, () -> targets.forEach(server -> world.links().mute(server, false)));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/Partition.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Partition.java
@@ -10,11 +10,11 @@
  */
 final class Partition implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
         int zone = random.nextInt(world.zones());
-        cut(world, zone, told.size() == 2, true);
+        cut(world, zone, spec.size() == 2, true);
         return new ActiveFault(
-                List.of(world.scenario().fleet().zones().get(zone)), () -> cut(world, zone, told.size() == 2, false));
+                List.of(world.scenario().fleet().zones().get(zone)), () -> cut(world, zone, spec.size() == 2, false));
     }
 
     private static void cut(World world, int zone, boolean outwards, boolean off) {
--- a/rig/src/main/java/loadbalancer/rig/fault/Release.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Release.java
@@ -14,15 +14,15 @@
     private static final long DOWN_US = 500_000;
 
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        List<AppServer> struck = world.struckBy(told, random);
-        long gapUs = told.lengthUs() / Math.max(1, struck.size());
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
+        List<AppServer> targets = world.faultTargets(spec, random);
+        long gapUs = spec.lengthUs() / Math.max(1, targets.size());
         Scenario scenario = world.scenario();
         long toldUs = scenario.list().changeUs()
                 + scenario.list().spreadUs()
                 + scenario.rules().drainGraceUs();
-        for (int i = 0; i < struck.size(); i++) {
-            AppServer server = struck.get(i);
+        for (int i = 0; i < targets.size(); i++) {
+            AppServer server = targets.get(i);
             world.time().after(i * gapUs, () -> {
                 world.list().drains(server.id());
                 world.time().after(toldUs + LINGERS_US, () -> {
@@ -32,6 +32,6 @@
                 });
             });
         }
-        return ActiveFault.servers(struck, () -> {});
+        return ActiveFault.servers(targets, () -> {});
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/Resets.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Resets.java
@@ -11,17 +11,17 @@
  */
 final class Resets implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        List<AppServer> struck = world.struckBy(told, random);
-        long untilUs = world.time().nowUs() + told.lengthUs();
-        strike(world, struck, Math.round(told.size() * 1e6), untilUs);
-        return ActiveFault.servers(struck, () -> {});
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
+        List<AppServer> targets = world.faultTargets(spec, random);
+        long untilUs = world.time().nowUs() + spec.lengthUs();
+        resetRepeatedly(world, targets, Math.round(spec.size() * 1e6), untilUs);
+        return ActiveFault.servers(targets, () -> {});
     }
 
-    private static void strike(World world, List<AppServer> struck, long everyUs, long untilUs) {
-        struck.forEach(world.links()::reset);
+    private static void resetRepeatedly(World world, List<AppServer> targets, long everyUs, long untilUs) {
+        targets.forEach(world.links()::reset);
         if (everyUs > 0 && world.time().nowUs() + everyUs < untilUs) {
-            world.time().after(everyUs, () -> strike(world, struck, everyUs, untilUs));
+            world.time().after(everyUs, () -> resetRepeatedly(world, targets, everyUs, untilUs));
         }
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/RollingRestart.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/RollingRestart.java
@@ -9,14 +9,14 @@
 /** A part of the nodes are told to end and started again, one after the other. */
 final class RollingRestart implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        List<NodePort> struck = World.some(world.nodes(), told.part(), random);
-        long gapUs = told.lengthUs() / struck.size();
-        for (int i = 0; i < struck.size(); i++) {
-            NodePort node = struck.get(i);
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
+        List<NodePort> targets = World.some(world.nodes(), spec.part(), random);
+        long gapUs = spec.lengthUs() / targets.size();
+        for (int i = 0; i < targets.size(); i++) {
+            NodePort node = targets.get(i);
             world.time().after(i * gapUs, node::end);
             world.time().after(i * gapUs + NodePort.MOST_END_US + 1, node::start);
         }
-        return ActiveFault.nodes(struck);
+        return ActiveFault.nodes(targets);
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/Slow.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Slow.java
@@ -9,9 +9,9 @@
 /** A part of the app servers work {@code size} times slower. */
 final class Slow implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        List<AppServer> struck = world.struckBy(told, random);
-        struck.forEach(server -> server.slowBy(Math.max(1, told.size())));
-        return ActiveFault.servers(struck, () -> struck.forEach(server -> server.slowBy(1)));
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
+        List<AppServer> targets = world.faultTargets(spec, random);
+        targets.forEach(server -> server.slowBy(Math.max(1, spec.size())));
+        return ActiveFault.servers(targets, () -> targets.forEach(server -> server.slowBy(1)));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/SlowLinks.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/SlowLinks.java
@@ -9,10 +9,10 @@
 /** A part of the app servers are {@code size} milliseconds farther away, each way. */
 final class SlowLinks implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        List<AppServer> struck = world.struckBy(told, random);
-        struck.forEach(server -> world.links().slow(server, Math.round(told.size() * 1_000)));
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
+        List<AppServer> targets = world.faultTargets(spec, random);
+        targets.forEach(server -> world.links().slow(server, Math.round(spec.size() * 1_000)));
         return ActiveFault.servers(
-                struck, () -> struck.forEach(server -> world.links().slow(server, 0)));
+                targets, () -> targets.forEach(server -> world.links().slow(server, 0)));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/Vanish.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Vanish.java
@@ -9,16 +9,16 @@
 /** A part of the app servers' machines fall silent, and come back cold. */
 final class Vanish implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
-        return silence(world, world.struckBy(told, random));
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
+        return silence(world, world.faultTargets(spec, random));
     }
 
-    static ActiveFault silence(World world, List<AppServer> struck) {
-        for (AppServer server : struck) {
+    static ActiveFault silence(World world, List<AppServer> targets) {
+        for (AppServer server : targets) {
             server.fallSilent();
             world.list().gone(server.id(), false, true);
         }
         return ActiveFault.servers(
-                struck, () -> struck.stream().filter(AppServer::isSilent).forEach(world::startServer));
+                targets, () -> targets.stream().filter(AppServer::isSilent).forEach(world::startServer));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/ZoneLost.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/ZoneLost.java
@@ -7,7 +7,7 @@
 /** All app servers of one zone fall silent, and come back cold. */
 final class ZoneLost implements Fault {
     @Override
-    public ActiveFault strike(World world, Scenario.Trouble told, SplittableRandom random) {
+    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
         int zone = random.nextInt(world.zones());
         return Vanish.silence(
                 world,
--- a/rig/src/main/java/loadbalancer/rig/play/Shrink.java
+++ b/rig/src/main/java/loadbalancer/rig/play/Shrink.java
@@ -8,7 +8,7 @@
 import loadbalancer.rig.scenario.Scenario;
 
 /**
- * Makes a scenario that breaks a rule smaller for as long as it still breaks the same one: troubles are left
+ * Makes a scenario that breaks a rule smaller for as long as it still breaks the same one: faults are left
  * out one at a time, the run ends soon after the violation, then there are fewer nodes, servers and requests.
  */
 public final class Shrink {
@@ -62,8 +62,8 @@
     private static List<Scenario> lesser(Smallest from) {
         List<Scenario> lesser = new ArrayList<>();
         Scenario s = from.scenario;
-        for (int i = 0; i < s.troubles().size(); i++) {
-            List<Scenario.Trouble> fewer = new ArrayList<>(s.troubles());
+        for (int i = 0; i < s.faults().size(); i++) {
+            List<Scenario.FaultSpec> fewer = new ArrayList<>(s.faults());
             fewer.remove(i);
             lesser.add(s.with(fewer));
         }
--- a/rig/src/main/java/loadbalancer/rig/play/SimPlay.java
+++ b/rig/src/main/java/loadbalancer/rig/play/SimPlay.java
@@ -18,6 +18,11 @@
 /** Plays a scenario in simulated time. */
 public final class SimPlay {
     private static final long SECOND_US = 1_000_000;
+    /**
+     * Begins the name of the random stream of each fault. The older word for a fault stays in it: the seed of a
+     * stream is made of its name, and a kept seed has to give the same run, byte for byte.
+     */
+    private static final String STREAM_PREFIX = "trouble ";
 
     private SimPlay() {}
 
@@ -44,7 +49,7 @@
         World world = World.simulated(scenario, time, history, policy);
         world.start();
         world.open();
-        strike(world, time);
+        scheduleFaults(world, time);
         for (long second = SECOND_US; second < world.settledUs(); second += SECOND_US) {
             time.playUntil(second);
             progress.second(second, world);
@@ -53,28 +58,22 @@
         return Outcome.of(seed, world, history, checkers, time.nowUs(), summed);
     }
 
-    /** Plans the troubles of a world's scenario, as clients begin to ask. */
-    public static void strike(World world, Timeline time) {
+    /** Schedules the faults of a world's scenario, from when clients begin to send. */
+    public static void scheduleFaults(World world, Timeline time) {
         int number = 0;
-        for (Scenario.Trouble trouble : world.scenario().troubles()) {
-            SplittableRandom random = time.stream("trouble " + number++ + " " + trouble.kind());
-            time.after(trouble.atUs(), () -> {
-                ActiveFault struck = Faults.named(trouble.kind()).strike(world, trouble, random);
-                world.history()
-                        .add(
-                                "rig",
-                                Kind.FAULT,
-                                "kind",
-                                trouble.kind(),
-                                "who",
-                                String.join(" ", struck.who()),
-                                "size",
-                                trouble.size());
-                time.after(trouble.lengthUs(), () -> {
-                    struck.heal().run();
-                    world.history().add("rig", Kind.HEALED, "kind", trouble.kind());
-                });
-            });
+        for (Scenario.FaultSpec spec : world.scenario().faults()) {
+            SplittableRandom random = time.stream(STREAM_PREFIX + number++ + " " + spec.kind());
+            time.after(spec.atUs(), () -> inject(spec, world, time, random));
         }
     }
+
+    private static void inject(Scenario.FaultSpec spec, World world, Timeline time, SplittableRandom random) {
+        ActiveFault active = Faults.named(spec.kind()).inject(world, spec, random);
+        String targets = String.join(" ", active.targets());
+        world.history().add("rig", Kind.FAULT, "kind", spec.kind(), "who", targets, "size", spec.size());
+        time.after(spec.lengthUs(), () -> {
+            active.heal().run();
+            world.history().add("rig", Kind.HEALED, "kind", spec.kind());
+        });
+    }
 }
--- a/rig/src/main/java/loadbalancer/rig/real/RealPlay.java
+++ b/rig/src/main/java/loadbalancer/rig/real/RealPlay.java
@@ -147,7 +147,7 @@
                 () -> world.nodes().stream().allMatch(NodePort::isReady));
         long startedUs = onLoop(() -> {
             world.open();
-            SimPlay.strike(world, time);
+            SimPlay.scheduleFaults(world, time);
             return time.nowUs();
         });
         long endUs = startedUs + world.settledUs();
--- a/rig/src/main/java/loadbalancer/rig/scenario/BadScenarioException.java
+++ b/rig/src/main/java/loadbalancer/rig/scenario/BadScenarioException.java
@@ -6,14 +6,14 @@
 public final class BadScenarioException extends Exception {
     private static final long serialVersionUID = 1;
 
-    private final transient List<String> faults;
+    private final transient List<String> problems;
 
-    BadScenarioException(List<String> faults) {
-        super(String.join("\n", faults));
-        this.faults = List.copyOf(faults);
+    BadScenarioException(List<String> problems) {
+        super(String.join("\n", problems));
+        this.problems = List.copyOf(problems);
     }
 
-    public List<String> faults() {
-        return faults;
+    public List<String> problems() {
+        return problems;
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/scenario/DayFile.java
+++ b/rig/src/main/java/loadbalancer/rig/scenario/DayFile.java
@@ -45,7 +45,7 @@
         list();
         servers();
         rules();
-        troubles();
+        faults();
         return scenario;
     }
 
@@ -196,19 +196,19 @@
                 .put("late_fail", prices.path("late_fail").asDouble());
     }
 
-    private void troubles() {
-        ArrayNode troubles = scenario.putArray("trouble");
-        for (JsonNode trouble : day.path("troubles")) {
-            ObjectNode told = troubles.addObject()
-                    .put("kind", trouble.path("kind").asText())
-                    .put("at_s", trouble.path("at").asDouble() / S)
-                    .put("length_s", trouble.path("len").asDouble() / S)
-                    .put("size", trouble.path("size").asDouble())
-                    .put("extra", trouble.path("extra").asDouble());
-            if (trouble.path("kind").asText().equals("heavy_tail")) {
-                told.putArray("on").add(trouble.path("which").asInt());
-            } else if (!trouble.path("on").isEmpty()) {
-                told.set("on", trouble.path("on"));
+    private void faults() {
+        ArrayNode faults = scenario.putArray(ScenarioFile.FAULT_KEY);
+        for (JsonNode fault : day.path("troubles")) {
+            ObjectNode table = faults.addObject()
+                    .put("kind", fault.path("kind").asText())
+                    .put("at_s", fault.path("at").asDouble() / S)
+                    .put("length_s", fault.path("len").asDouble() / S)
+                    .put("size", fault.path("size").asDouble())
+                    .put("extra", fault.path("extra").asDouble());
+            if (fault.path("kind").asText().equals("heavy_tail")) {
+                table.putArray("on").add(fault.path("which").asInt());
+            } else if (!fault.path("on").isEmpty()) {
+                table.set("on", fault.path("on"));
             }
         }
     }
--- a/rig/src/main/java/loadbalancer/rig/scenario/Fields.java
+++ b/rig/src/main/java/loadbalancer/rig/scenario/Fields.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 
 /**
- * One table of a scenario file, read key by key. What is wrong is gathered and not thrown, so that all faults
+ * One table of a scenario file, read key by key. What is wrong is gathered and not thrown, so that all problems
  * of a file are told at once.
  */
 final class Fields {
@@ -19,15 +19,15 @@
 
     private final String at;
     private final JsonNode table;
-    private final List<String> faults;
+    private final List<String> problems;
     private final Set<String> known = new HashSet<>();
 
-    Fields(String at, JsonNode table, List<String> faults) {
+    Fields(String at, JsonNode table, List<String> problems) {
         this.at = at;
         this.table = table.isObject() ? table : JsonNodeFactory.instance.objectNode();
-        this.faults = faults;
+        this.problems = problems;
         if (!table.isObject() && !table.isMissingNode()) {
-            faults.add(at + " = " + table + ": must be a table");
+            problems.add(at + " = " + table + ": must be a table");
         }
     }
 
@@ -40,8 +40,8 @@
         return at.isEmpty() ? key : at + "." + key;
     }
 
-    private void fault(String key, JsonNode value, String allowed) {
-        faults.add(path(key) + " = " + value + ": must be " + allowed);
+    private void problem(String key, JsonNode value, String allowed) {
+        problems.add(path(key) + " = " + value + ": must be " + allowed);
     }
 
     /** A number from least to most, both included. */
@@ -51,7 +51,7 @@
             return orElse;
         }
         if (!value.isNumber() || !(value.asDouble() >= least && value.asDouble() <= most)) {
-            fault(key, value, "a number from " + plain(least) + " to " + plain(most));
+            problem(key, value, "a number from " + plain(least) + " to " + plain(most));
             return orElse;
         }
         return value.asDouble();
@@ -61,7 +61,7 @@
     int count(String key, int orElse, int least, int most) {
         JsonNode value = value(key);
         if (!value.isMissingNode() && !value.isIntegralNumber()) {
-            fault(key, value, "a whole number from " + least + " to " + most);
+            problem(key, value, "a whole number from " + least + " to " + most);
             return orElse;
         }
         return (int) number(key, orElse, least, most);
@@ -80,7 +80,7 @@
     boolean yes(String key, boolean orElse) {
         JsonNode value = value(key);
         if (!value.isMissingNode() && !value.isBoolean()) {
-            fault(key, value, "true or false");
+            problem(key, value, "true or false");
             return orElse;
         }
         return value.asBoolean(orElse);
@@ -93,7 +93,7 @@
             return orElse;
         }
         if (!value.isTextual() || value.asText().isBlank()) {
-            faults.add(path(key) + (value.isMissingNode() ? " is missing" : " = " + value) + ": must be a text");
+            problems.add(path(key) + (value.isMissingNode() ? " is missing" : " = " + value) + ": must be a text");
             return orElse == null ? "" : orElse;
         }
         return value.asText();
@@ -104,7 +104,7 @@
         String given = text(key, orElse);
         if (!allowed.contains(given)) {
             if (!value(key).isMissingNode() && value(key).isTextual()) {
-                fault(key, value(key), "one of " + String.join(", ", allowed) + nearest(given, allowed));
+                problem(key, value(key), "one of " + String.join(", ", allowed) + nearest(given, allowed));
             }
             return allowed.get(0);
         }
@@ -119,7 +119,7 @@
         List<String> words = new ArrayList<>();
         value.forEach(word -> words.add(word.asText()));
         if (!value.isArray() || words.isEmpty() || words.size() != new HashSet<>(words).size()) {
-            fault(key, value, "a list of different texts");
+            problem(key, value, "a list of different texts");
             return orElse;
         }
         return words;
@@ -134,7 +134,7 @@
                 && (wanted < 0 || numbers.size() == wanted)
                 && numbers.stream().allMatch(number -> number >= least && number <= most);
         if (!value.isMissingNode() && !fits) {
-            fault(
+            problem(
                     key,
                     value,
                     "a list of " + (wanted < 0 ? "" : wanted + " ") + "numbers from " + plain(least) + " to "
@@ -148,33 +148,33 @@
     List<Integer> counts(String key, int wanted, int least, int most) {
         List<Double> numbers = numbers(key, wanted, least, most);
         if (numbers.stream().anyMatch(number -> number != Math.rint(number))) {
-            fault(key, value(key), "a list of whole numbers");
+            problem(key, value(key), "a list of whole numbers");
             return List.of();
         }
         return numbers.stream().map(Double::intValue).toList();
     }
 
     Fields table(String key) {
-        return new Fields(path(key), value(key), faults);
+        return new Fields(path(key), value(key), problems);
     }
 
     List<Fields> tables(String key) {
         JsonNode value = value(key);
         List<Fields> tables = new ArrayList<>();
         if (value.isObject()) {
-            tables.add(new Fields(path(key), value, faults));
+            tables.add(new Fields(path(key), value, problems));
         } else if (!value.isMissingNode() && !value.isArray()) {
-            fault(key, value, "tables, each under [[" + path(key) + "]]");
+            problem(key, value, "tables, each under [[" + path(key) + "]]");
         }
         for (int i = 0; value.isArray() && i < value.size(); i++) {
-            tables.add(new Fields(path(key) + "[" + i + "]", value.get(i), faults));
+            tables.add(new Fields(path(key) + "[" + i + "]", value.get(i), problems));
         }
         return tables;
     }
 
     void require(boolean holds, String otherwise) {
         if (!holds) {
-            faults.add(otherwise);
+            problems.add(otherwise);
         }
     }
 
@@ -183,7 +183,7 @@
         for (Iterator<String> keys = table.fieldNames(); keys.hasNext(); ) {
             String key = keys.next();
             if (!known.contains(key)) {
-                faults.add(
+                problems.add(
                         path(key) + " = " + table.get(key) + ": is not known" + nearest(key, known) + "; keys here are "
                                 + String.join(", ", known.stream().sorted().toList()));
             }
--- a/rig/src/main/java/loadbalancer/rig/scenario/Scenario.java
+++ b/rig/src/main/java/loadbalancer/rig/scenario/Scenario.java
@@ -19,7 +19,7 @@
         List<ServerKind> servers,
         Rules rules,
         Prices prices,
-        List<Trouble> troubles) {
+        List<FaultSpec> faults) {
 
     /**
      * How many there are of each, and where. What stands in the lists is by number; where one is empty, nodes
@@ -163,14 +163,14 @@
             double whole, double worstWindow, double worstClass, double crossZone, double waste, double lateFail) {}
 
     /**
-     * Something that goes wrong.
+     * A fault that is injected during the run.
      *
-     * @param part share of what it strikes
-     * @param size how hard; each kind tells what it is
-     * @param on the numbers of the servers that it strikes, or of the class, in place of a part by chance; or
+     * @param part share of the possible targets
+     * @param size how hard, in the unit of its kind
+     * @param on the numbers of the target servers, or of the class, in place of a random part; or
      *    empty
      */
-    public record Trouble(
+    public record FaultSpec(
             String kind, long atUs, long lengthUs, double part, double size, double extra, List<Integer> on) {}
 
     /** Mean work of a request on a standard core. */
@@ -178,14 +178,14 @@
         return classes.stream().mapToDouble(c -> c.share() * c.workUs()).sum();
     }
 
-    /** The same with other troubles. */
-    public Scenario with(List<Trouble> others) {
+    /** The same with other faults. */
+    public Scenario with(List<FaultSpec> others) {
         return new Scenario(
                 name, lengthUs, fleet, load, classes, clients, net, list, servers, rules, prices, List.copyOf(others));
     }
 
     /** The same with another length, fleet and load. */
     public Scenario with(long length, Fleet other, Load less) {
-        return new Scenario(name, length, other, less, classes, clients, net, list, servers, rules, prices, troubles);
+        return new Scenario(name, length, other, less, classes, clients, net, list, servers, rules, prices, faults);
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/scenario/ScenarioFile.java
+++ b/rig/src/main/java/loadbalancer/rig/scenario/ScenarioFile.java
@@ -24,26 +24,31 @@
     private static final String REPEATABLE = "safe";
     private static final List<String> REPEATS = List.of(REPEATABLE, "unsafe");
 
+    /** The key of the tables of faults. */
+    static final String FAULT_KEY = "fault";
+    /** What files and recorded commands called it before; they stay readable. */
+    private static final String OLD_FAULT_KEY = "trouble";
+
     private ScenarioFile() {}
 
     /**
      * @param overrides values that go before the file's, by path, as {@code load.per_second} or {@code
-     *    trouble.0.size}
-     * @param troubles the kinds there are
+     *    fault.0.size}
+     * @param faultKinds the kinds of faults that a file may name
      */
-    public static Scenario read(Path file, Map<String, String> overrides, List<String> troubles)
+    public static Scenario read(Path file, Map<String, String> overrides, List<String> faultKinds)
             throws BadScenarioException {
         try {
-            return parse(Files.readString(file), overrides, troubles);
+            return parse(Files.readString(file), overrides, faultKinds);
         } catch (IOException e) {
             throw new BadScenarioException(List.of(file + ": cannot be read: " + e.getMessage()));
         }
     }
 
     /** The same from the text of a file. */
-    public static Scenario parse(String toml, Map<String, String> overrides, List<String> troubles)
+    public static Scenario parse(String toml, Map<String, String> overrides, List<String> faultKinds)
             throws BadScenarioException {
-        List<String> faults = new ArrayList<>();
+        List<String> problems = new ArrayList<>();
         JsonNode tree;
         try {
             tree = TOML.readTree(toml);
@@ -52,15 +57,27 @@
             throw new BadScenarioException(
                     List.of("line " + (at == null ? "?" : at.getLineNr()) + ": no TOML: " + e.getOriginalMessage()));
         }
-        overrides.forEach((path, value) -> override(tree, path, value, faults));
-        Scenario read = scenario(new Fields("", tree, faults), troubles);
-        if (!faults.isEmpty()) {
-            throw new BadScenarioException(faults);
+        renameOldFaultKey(tree);
+        overrides.forEach((path, value) -> override(tree, withoutOldFaultKey(path), value, problems));
+        Scenario read = scenario(new Fields("", tree, problems), faultKinds);
+        if (!problems.isEmpty()) {
+            throw new BadScenarioException(problems);
         }
         return read;
     }
 
-    private static void override(JsonNode tree, String path, String value, List<String> faults) {
+    private static void renameOldFaultKey(JsonNode tree) {
+        if (tree instanceof ObjectNode file && file.has(OLD_FAULT_KEY) && !file.has(FAULT_KEY)) {
+            file.set(FAULT_KEY, file.remove(OLD_FAULT_KEY));
+        }
+    }
+
+    private static String withoutOldFaultKey(String path) {
+        String oldPrefix = OLD_FAULT_KEY + ".";
+        return path.startsWith(oldPrefix) ? FAULT_KEY + "." + path.substring(oldPrefix.length()) : path;
+    }
+
+    private static void override(JsonNode tree, String path, String value, List<String> problems) {
         JsonNode parsed;
         try {
             parsed = TOML.readTree("v = " + value).get("v");
@@ -79,7 +96,7 @@
         if (at instanceof ObjectNode table) {
             table.set(keys[keys.length - 1], parsed);
         } else {
-            faults.add(path + " = " + value + ": must name a key, as load.per_second or trouble.0.size");
+            problems.add(path + " = " + value + ": must name a key, as load.per_second or fault.0.size");
         }
     }
 
@@ -101,7 +118,7 @@
                 servers,
                 rules(file.table("rules")),
                 prices(file.table("prices")),
-                troubles(file.tables("trouble"), kinds, length, Math.max(fleet.servers(), classes.size())));
+                faults(file.tables(FAULT_KEY), kinds, length, Math.max(fleet.servers(), classes.size())));
         file.end();
         double shares = read.classes().stream()
                 .mapToDouble(Scenario.RequestClass::share)
@@ -268,11 +285,11 @@
         return prices;
     }
 
-    private static List<Scenario.Trouble> troubles(
+    private static List<Scenario.FaultSpec> faults(
             List<Fields> tables, List<String> kinds, long lengthUs, int numbers) {
-        List<Scenario.Trouble> troubles = new ArrayList<>();
+        List<Scenario.FaultSpec> faults = new ArrayList<>();
         for (Fields f : tables) {
-            troubles.add(new Scenario.Trouble(
+            faults.add(new Scenario.FaultSpec(
                     f.word("kind", null, kinds),
                     f.seconds("at_s", 0, 0, lengthUs / 1e6),
                     f.seconds("length_s", 10, 0, DAY_S),
@@ -282,6 +299,6 @@
                     f.counts("on", -1, 0, numbers - 1)));
             f.end();
         }
-        return troubles;
+        return faults;
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/world/NodePort.java
+++ b/rig/src/main/java/loadbalancer/rig/world/NodePort.java
@@ -1,6 +1,6 @@
 package loadbalancer.rig.world;
 
-/** One node as clients, the front and troubles meet it: a simulated one or a process. */
+/** One node as clients, the front and faults reach it: a simulated one or a process. */
 public interface NodePort {
     /** After SIGTERM the front still deals it new requests for so long, as it has yet to notice. */
     long STILL_ASKED_US = 300_000;
--- a/rig/src/main/java/loadbalancer/rig/world/World.java
+++ b/rig/src/main/java/loadbalancer/rig/world/World.java
@@ -145,7 +145,7 @@
                         random, scenario.classes().get(asked.classIndex()).attemptNoise());
     }
 
-    // ---------------------------------------------------------------- what troubles do
+    // ---------------------------------------------------------------- what faults do
 
     /** A share of some things, at least one of them, in an order by chance. */
     public static <T> List<T> some(List<T> of, double part, SplittableRandom random) {
@@ -159,12 +159,12 @@
         return mixed.subList(0, Math.min(mixed.size(), Math.max(1, (int) Math.round(part * mixed.size()))));
     }
 
-    /** The servers that a trouble is to strike. */
-    public List<AppServer> struckBy(Scenario.Trouble trouble, SplittableRandom random) {
+    /** The servers that a fault is injected into. */
+    public List<AppServer> faultTargets(Scenario.FaultSpec fault, SplittableRandom random) {
         List<AppServer> all = List.copyOf(servers.values());
-        return trouble.on().isEmpty()
-                ? some(all, trouble.part(), random)
-                : trouble.on().stream()
+        return fault.on().isEmpty()
+                ? some(all, fault.part(), random)
+                : fault.on().stream()
                         .filter(number -> number < all.size())
                         .map(all::get)
                         .toList();
--- a/rig/src/test/java/loadbalancer/rig/play/PlantedFaultsTest.java
+++ b/rig/src/test/java/loadbalancer/rig/play/PlantedFaultsTest.java
@@ -195,7 +195,7 @@
         Shrink.Smallest least = Shrink.shrink(scenario, found, lesser -> SimPlay.play(lesser, 3, faulty));
         assertEquals(
                 List.of("cordoned"),
-                least.scenario().troubles().stream().map(Scenario.Trouble::kind).toList());
+                least.scenario().faults().stream().map(Scenario.FaultSpec::kind).toList());
         assertEquals(1, least.scenario().fleet().nodes());
         assertTrue(least.scenario().lengthUs() < scenario.lengthUs() / 2);
         assertEquals("Cordons", least.violation().rule());
--- a/rig/src/test/java/loadbalancer/rig/real/RealPlayTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/RealPlayTest.java
@@ -77,13 +77,13 @@
     @Test
     void aFleetOfProcessesServesRoundWhatFailsAndKeepsTheRules() throws Exception {
         Outcome outcome = play("""
-                [[trouble]]
+                [[fault]]
                 kind = "fast_errors"
                 at_s = 1
                 length_s = 2
                 part = 0.17
                 size = 1
-                [[trouble]]
+                [[fault]]
                 kind = "cordoned"
                 at_s = 2
                 length_s = 2
@@ -99,12 +99,12 @@
     @Test
     void nodesThatAreKilledAndServersThatCrashComeBack() throws Exception {
         Outcome outcome = play("""
-                [[trouble]]
+                [[fault]]
                 kind = "herd"
                 at_s = 1
                 part = 0.5
                 size = 0.5
-                [[trouble]]
+                [[fault]]
                 kind = "crash"
                 at_s = 1.5
                 length_s = 1
@@ -119,18 +119,18 @@
     @Test
     void linksThatLoseAnswersAndBreakAmidRequestsMakeNodesBreakNoRule() throws Exception {
         Outcome outcome = play("""
-                [[trouble]]
+                [[fault]]
                 kind = "slow_links"
                 at_s = 0.5
                 length_s = 2
                 part = 0.34
                 size = 30
-                [[trouble]]
+                [[fault]]
                 kind = "lost_answers"
                 at_s = 1
                 length_s = 2
                 part = 0.17
-                [[trouble]]
+                [[fault]]
                 kind = "resets"
                 at_s = 2
                 length_s = 2
@@ -173,7 +173,7 @@
                 """
                 [rules]
                 drain_grace_ms = 50
-                [[trouble]]
+                [[fault]]
                 kind = "release"
                 at_s = 0.5
                 length_s = 4
@@ -191,7 +191,7 @@
     @Test
     void nodesToldToEndLoseNothing() throws Exception {
         Outcome outcome = play("""
-                [[trouble]]
+                [[fault]]
                 kind = "rolling_restart"
                 at_s = 0.5
                 length_s = 2
--- a/rig/src/test/java/loadbalancer/rig/scenario/ScenarioFileTest.java
+++ b/rig/src/test/java/loadbalancer/rig/scenario/ScenarioFileTest.java
@@ -13,14 +13,14 @@
 class ScenarioFileTest {
     private static final List<String> KINDS = List.of("slow", "vanish");
 
-    private static List<String> faults(String toml, Map<String, String> overrides) {
+    private static List<String> problems(String toml, Map<String, String> overrides) {
         return assertThrows(BadScenarioException.class, () -> ScenarioFile.parse(toml, overrides, KINDS))
-                .faults();
+                .problems();
     }
 
     @Test
-    void allFaultsAreToldAtOnceWithKeyValueAndWhatIsAllowed() {
-        List<String> faults = faults("""
+    void allProblemsAreReportedAtOnceWithKeyValueAndWhatIsAllowed() {
+        List<String> problems = problems("""
                 name = ""
                 lenght_s = 10
                 [fleet]
@@ -28,7 +28,7 @@
                 zones = ["a", "a"]
                 [load]
                 per_second = "many"
-                [[trouble]]
+                [[fault]]
                 kind = "slwo"
                 part = 1.5
                 """, Map.of());
@@ -38,28 +38,28 @@
                         "fleet.nodes = 0: must be a number from 1 to 10000",
                         "fleet.zones = [\"a\",\"a\"]: must be a list of different texts",
                         "load.per_second = \"many\": must be a number from 0.001 to 1000000",
-                        "trouble[0].kind = \"slwo\": must be one of slow, vanish (meant: slow?)",
-                        "trouble[0].part = 1.5: must be a number from 0 to 1",
-                        "lenght_s = 10: is not known (meant: length_s?); keys here are class, clients, fleet,"
+                        "fault[0].kind = \"slwo\": must be one of slow, vanish (meant: slow?)",
+                        "fault[0].part = 1.5: must be a number from 0 to 1",
+                        "lenght_s = 10: is not known (meant: length_s?); keys here are class, clients, fault, fleet,"
                                 + " length_s, list,"
-                                + " load, name, net, prices, rules, server, trouble"),
-                faults);
+                                + " load, name, net, prices, rules, server"),
+                problems);
     }
 
     @ParameterizedTest
     @CsvSource({"fleet.nodes, 2.5", "class.0.share, 1", "nothing.there.at.all.x, 1", "load.per_second, lots"})
-    void anOverrideIsHeldToTheSame(String key, String value) {
-        assertTrue(faults("name = \"x\"", Map.of(key, value)).get(0).contains(key.split("\\.")[0]));
+    void overridesAreCheckedLikeTheFile(String key, String value) {
+        assertTrue(problems("name = \"x\"", Map.of(key, value)).get(0).contains(key.split("\\.")[0]));
     }
 
     @Test
-    void overridesGoBeforeTheFileAndWhatIsLeftOutHasAValue() throws Exception {
+    void overridesWinOverTheFileAndMissingKeysHaveDefaults() throws Exception {
         Scenario read = ScenarioFile.parse(
-                "name = \"x\"\n[load]\nper_second = 5\n[[trouble]]\nkind = \"slow\"\n",
-                Map.of("load.per_second", "7", "trouble.0.kind", "vanish", "net.client_ms", "2.5"),
+                "name = \"x\"\n[load]\nper_second = 5\n[[fault]]\nkind = \"slow\"\n",
+                Map.of("load.per_second", "7", "fault.0.kind", "vanish", "net.client_ms", "2.5"),
                 KINDS);
         assertEquals(7, read.load().perSecond());
-        assertEquals("vanish", read.troubles().get(0).kind());
+        assertEquals("vanish", read.faults().get(0).kind());
         assertEquals(2_500, read.net().clientUs());
         assertEquals(40_000_000, read.lengthUs());
         assertEquals(
@@ -70,8 +70,20 @@
                 1e-9);
     }
 
+    /** Stored files and recorded commands name faults by an older key. They are read as ever. */
     @Test
-    void whatIsNoTomlIsToldWithItsLine() {
-        assertTrue(faults("name = \"x\"\nlength_s = = 3\n", Map.of()).get(0).startsWith("line 2: no TOML"));
+    void theOlderKeyOfFaultsIsRead() throws Exception {
+        Scenario read = ScenarioFile.parse(
+                "name = \"x\"\n[[trouble]]\nkind = \"slow\"\nsize = 2\n", Map.of("trouble.0.size", "4"), KINDS);
+        assertEquals("slow", read.faults().get(0).kind());
+        assertEquals(4, read.faults().get(0).size());
+        assertTrue(problems("name = \"x\"\n[[trouble]]\nkind = \"slwo\"\n", Map.of())
+                .get(0)
+                .startsWith("fault[0].kind = \"slwo\""));
+    }
+
+    @Test
+    void invalidTomlIsReportedWithItsLine() {
+        assertTrue(problems("name = \"x\"\nlength_s = = 3\n", Map.of()).get(0).startsWith("line 2: no TOML"));
     }
 }
