--- a/node/src/main/java/loadbalancer/config/NodeConfig.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfig.java
@@ -3,6 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.Set;
 import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.WatchConfig;
 import loadbalancer.membership.MembershipConfig;
 import loadbalancer.policy.BalancerSettings;
 
@@ -33,6 +34,11 @@
         OperationsConfig operations,
         MembershipConfig membership) {
 
+    /** How the node watches the endpoint list. */
+    public WatchConfig watchConfig() {
+        return new WatchConfig(discoveryAddress, settings.zones, initialEndpoints.version(), settings.nodes, seed);
+    }
+
     /**
      * The configuration of a node that serves the same classes and tenants from these servers only: it listens on any
      * port of the same address, and has neither discovery service nor operators nor fleet.
--- a/node/src/main/java/loadbalancer/discovery/JsonDocumentFramer.java
+++ b/node/src/main/java/loadbalancer/discovery/JsonDocumentFramer.java
@@ -1,37 +1,80 @@
 package loadbalancer.discovery;
 
+import io.netty.buffer.ByteBuf;
+import io.netty.handler.codec.TooLongFrameException;
+import java.io.ByteArrayOutputStream;
+
 /**
- * Tells where a list in JSON ends that may be indented, over several lines: where every bracket is closed. A
- * blank line ends it too, as it is a beat, and what was open before one will never be whole.
+ * Splits a byte stream into JSON documents. A document ends with the line on which its last bracket is closed, so it
+ * may be indented over several lines.
+ *
+ * <p>A blank line is a document of its own, a heartbeat. It also ends a document whose brackets are still open: that
+ * one was cut, and without this rule everything behind it would be taken for a part of it.
  */
 final class JsonDocumentFramer {
-    private int open;
-    private boolean quoted;
-    private boolean escaped;
-    private boolean blank = true;
+    /**
+     * An indented list of 19,000 servers takes about 6 MB. Without a limit a document without an end would fill the
+     * memory.
+     */
+    private static final int MAX_DOCUMENT_BYTES = 8 << 20;
+
+    private final ByteArrayOutputStream document = new ByteArrayOutputStream();
+    private int openBrackets;
+    private boolean inString;
+    private boolean afterBackslash;
+    private boolean blankLine = true;
+
+    /**
+     * Reads up to the end of the next document, or all bytes if it does not end within them.
+     *
+     * @return the document with the end of its last line; null if more bytes are needed
+     * @throws TooLongFrameException if the document is too long; the framer must not be used any more
+     */
+    byte[] readDocument(ByteBuf bytes) {
+        while (bytes.isReadable()) {
+            int lineLength = bytes.bytesBefore((byte) '\n');
+            boolean lineEnds = lineLength >= 0;
+            byte[] part = new byte[lineEnds ? lineLength + 1 : bytes.readableBytes()];
+            bytes.readBytes(part);
+            document.writeBytes(part);
+            scan(part);
+            if (document.size() > MAX_DOCUMENT_BYTES) {
+                throw new TooLongFrameException("more than " + MAX_DOCUMENT_BYTES + " bytes");
+            }
+            if (lineEnds && endsDocument()) {
+                byte[] complete = document.toByteArray();
+                document.reset();
+                return complete;
+            }
+        }
+        return null;
+    }
 
-    /** What came next, up to the end of a line at most. */
-    void heed(byte[] part) {
+    /** Follows strings and brackets over a part of a line. */
+    private void scan(byte[] part) {
         for (byte b : part) {
-            blank &= Character.isWhitespace(b);
-            if (quoted) {
-                quoted = escaped || b != '"';
-                escaped = !escaped && b == '\\';
-            } else {
-                quoted = b == '"';
-                open += b == '{' || b == '[' ? 1 : b == '}' || b == ']' ? -1 : 0;
+            blankLine &= Character.isWhitespace(b);
+            if (inString) {
+                inString = afterBackslash || b != '"';
+                afterBackslash = !afterBackslash && b == '\\';
+            } else if (b == '"') {
+                inString = true;
+            } else if (b == '{' || b == '[') {
+                openBrackets++;
+            } else if (b == '}' || b == ']') {
+                openBrackets--;
             }
         }
     }
 
-    /** A line has ended; true if what it belongs to has, too, or never will. */
-    boolean endLine() {
-        boolean ends = open <= 0 || blank;
-        blank = true;
+    /** Whether the document ends with the line that has just ended. */
+    private boolean endsDocument() {
+        boolean ends = openBrackets <= 0 || blankLine;
+        blankLine = true;
         if (ends) {
-            open = 0;
-            quoted = false;
-            escaped = false;
+            openBrackets = 0;
+            inString = false;
+            afterBackslash = false;
         }
         return ends;
     }
--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -16,6 +16,7 @@
 import loadbalancer.config.ClassRegistry;
 import loadbalancer.config.NodeConfig;
 import loadbalancer.discovery.EndpointWatcher;
+import loadbalancer.discovery.WatchTimeouts;
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.policy.Balancer;
 import loadbalancer.policy.BalancerActions;
@@ -75,7 +76,7 @@
         clients = new ClientServer(loop, new RequestReader(classes), sockets, requests);
         serverList = new ServerListUpdater(
                 services, new CordonStore(hasControl ? config.operations().sharedFolder() : null));
-        discovery = new EndpointWatcher(loop, config, EndpointWatcher.Patience.USUAL, serverList);
+        discovery = new EndpointWatcher(loop, config.watchConfig(), WatchTimeouts.DEFAULT, serverList);
         reloader = new ConfigReloader(config, services, clients, discovery, classes);
         wakeTimer = new WakeTimer(services);
         housekeeping = new Housekeeping(loop, services, clients, requests, serverList);
--- a/node/src/main/java/loadbalancer/process/ServerListUpdater.java
+++ b/node/src/main/java/loadbalancer/process/ServerListUpdater.java
@@ -28,12 +28,12 @@
     }
 
     @Override
-    public void listed(EndpointList list) {
+    public void onEndpointList(EndpointList list) {
         update(list, list.full() ? ListKind.FULL : ListKind.CHANGES);
     }
 
     @Override
-    public void failed(String reason) {
+    public void onWatchFailed(String reason) {
         Log.warn("watch_failed", "reason", reason);
         services.events()
                 .submit(balancer -> balancer.onListFailed(services.clock().nowUs()));
--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
@@ -23,8 +23,7 @@
  * speak and fall silent, and nothing that is known is unlearned.
  */
 class EndpointWatcherMoveTest {
-    private static final EndpointWatcher.Patience PATIENCE =
-            new EndpointWatcher.Patience(300_000, 20_000_000, 60_000_000);
+    private static final WatchTimeouts PATIENCE = new WatchTimeouts(300_000, 20_000_000, 60_000_000);
 
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
     private NodeHarness harness;
@@ -50,19 +49,19 @@
         harness.close();
     }
 
-    private void start(EndpointWatcher.Patience patience) throws Exception {
+    private void start(WatchTimeouts patience) throws Exception {
         discovery = new EndpointWatcher(
                 harness.loop,
-                harness.config(NodeHarness.endpointList(41, true)),
+                harness.config(NodeHarness.endpointList(41, true)).watchConfig(),
                 patience,
                 new EndpointWatcher.Listener() {
                     @Override
-                    public void listed(EndpointList list) {
+                    public void onEndpointList(EndpointList list) {
                         told.add(Long.toString(list.version()));
                     }
 
                     @Override
-                    public void failed(String reason) {
+                    public void onWatchFailed(String reason) {
                         // Counted by what is opened next.
                     }
                 });
@@ -167,7 +166,7 @@
     @Test
     void anAgentThatLagsForGoodIsAskedForAllThatItHas() throws Exception {
         harness.loop.execute(discovery::close);
-        start(new EndpointWatcher.Patience(20_000_000, 20_000_000, 100_000));
+        start(new WatchTimeouts(20_000_000, 20_000_000, 100_000));
         FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
         say(peer, 42, false);
         assertEquals("42", FakeServer.awaitNext(told));
--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
@@ -18,24 +18,24 @@
 class EndpointWatcherTest {
     private static final String KNOWN = NodeHarness.endpointList(41, true);
     /** As short as a slow machine allows. */
-    private static final EndpointWatcher.Patience BRIEF = new EndpointWatcher.Patience(100_000, 20_000_000, 100_000);
+    private static final WatchTimeouts BRIEF = new WatchTimeouts(100_000, 20_000_000, 100_000);
 
     private static final String ENTRY = "s0=10.0.0.1:80=Ready";
 
     /** A watch alone; what it tells comes as a line. */
-    private static EndpointWatcher watch(
-            NodeHarness harness, EndpointWatcher.Patience patience, BlockingQueue<String> told) throws Exception {
-        EndpointWatcher discovery =
-                new EndpointWatcher(harness.loop, harness.config(KNOWN), patience, new EndpointWatcher.Listener() {
+    private static EndpointWatcher watch(NodeHarness harness, WatchTimeouts patience, BlockingQueue<String> told)
+            throws Exception {
+        EndpointWatcher discovery = new EndpointWatcher(
+                harness.loop, harness.config(KNOWN).watchConfig(), patience, new EndpointWatcher.Listener() {
                     @Override
-                    public void listed(EndpointList list) {
+                    public void onEndpointList(EndpointList list) {
                         told.add(list.version()
                                 + (list.full() ? " all " : " changes ")
                                 + list.endpoints().size());
                     }
 
                     @Override
-                    public void failed(String reason) {
+                    public void onWatchFailed(String reason) {
                         told.add("failed");
                     }
                 });
@@ -47,7 +47,7 @@
     void listsComeInPiecesAndTheNextWatchGoesOnFromTheLast() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            EndpointWatcher discovery = watch(harness, EndpointWatcher.Patience.USUAL, told);
+            EndpointWatcher discovery = watch(harness, WatchTimeouts.DEFAULT, told);
             assertEquals(
                     "/discovery/hosts?watch=1&after=41",
                     FakeServer.awaitNext(harness.discovery.requests).path());
@@ -71,7 +71,7 @@
     void aWatchThatIsResetAmidALineIsAskedForThatLineAgain() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            EndpointWatcher discovery = watch(harness, EndpointWatcher.Patience.USUAL, told);
+            EndpointWatcher discovery = watch(harness, WatchTimeouts.DEFAULT, told);
             FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
             String line = NodeHarness.endpointList(42, false, ENTRY) + "\n";
             peer.write(NodeHarness.chunk(line.substring(0, 30)));
@@ -91,7 +91,7 @@
     void aBeatAsTheFirstWordSaysThatNothingHasChanged() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(harness, EndpointWatcher.Patience.USUAL, told);
+            watch(harness, WatchTimeouts.DEFAULT, told);
             FakeServer.awaitNext(harness.discovery.answeredConnections)
                     .write(NodeHarness.chunk("\n")
                             + NodeHarness.chunk("\n")
@@ -113,7 +113,7 @@
     void aBadLineBreaksTheWatch(String line) throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(harness, EndpointWatcher.Patience.USUAL, told);
+            watch(harness, WatchTimeouts.DEFAULT, told);
             FakeServer.awaitNext(harness.discovery.answeredConnections).write(NodeHarness.chunk(line + "\n"));
             assertEquals("failed", FakeServer.awaitNext(told));
             FakeServer.awaitNext(harness.discovery.closedConnections);
@@ -124,7 +124,7 @@
     void aListMayComeIndentedAndInPieces() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(harness, EndpointWatcher.Patience.USUAL, told);
+            watch(harness, WatchTimeouts.DEFAULT, told);
             FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
             String indented = new ObjectMapper()
                             .readTree(NodeHarness.endpointList(42, true, "s\\\"]{=10.0.0.1:80=Ready"))
@@ -148,7 +148,7 @@
                         peer.write(NodeHarness.watchResponseHead().replace("OK\r\n", "OK\r\nno colon here\r\n")
                                 + NodeHarness.chunk(NodeHarness.endpointList(42, false, ENTRY) + "\n")));
                 NodeHarness harness = new NodeHarness(discovery)) {
-            watch(harness, EndpointWatcher.Patience.USUAL, told);
+            watch(harness, WatchTimeouts.DEFAULT, told);
             assertEquals("failed", FakeServer.awaitNext(told));
         }
     }
@@ -227,13 +227,4 @@
             FakeServer.awaitNext(harness.discovery.closedConnections);
         }
     }
-
-    @Test
-    void nodesThatLostDiscoveryTogetherComeBackApartAndNoFasterThanItCanBear() {
-        assertEquals(500, EndpointWatcher.jittered(1_000, 0));
-        assertEquals(750, EndpointWatcher.jittered(1_000, 0.5));
-        assertEquals(1_000, EndpointWatcher.mostBackoffMs(3));
-        assertEquals(1_400, EndpointWatcher.mostBackoffMs(14));
-        assertEquals(3_000, EndpointWatcher.mostBackoffMs(200));
-    }
 }
