--- a/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -70,8 +70,7 @@
         if (config.membership() == null) {
             return null;
         }
-        return MembershipService.join(
-                config.membership(), text -> Log.info("membership", "text", text), node::setExtraMetrics);
+        return MembershipService.join(config.membership(), node::setExtraMetrics);
     }
 
     private void startControl() {
