--- /dev/null
+++ b/rig/src/main/java/loadbalancer/rig/real/MemberProcess.java
@@ -0,0 +1,236 @@
+package loadbalancer.rig.real;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.netty.channel.EventLoop;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.function.Predicate;
+import java.util.stream.Stream;
+import loadbalancer.membership.MembershipClient;
+import loadbalancer.membership.codec.MembershipView;
+import loadbalancer.membership.core.Member;
+import loadbalancer.policy.BalancerSettings;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.RequestClass;
+
+/**
+ * One member of a {@link MemberFleet}: an address with a faulty link for datagrams and one for connections before it,
+ * and one process after the other that runs there.
+ */
+final class MemberProcess implements AutoCloseable {
+    /** Where members run, and where their links listen; the last number tells them apart. */
+    private static final String MEMBER_NETWORK = "127.6.0.";
+
+    private static final String LINK_NETWORK = "127.7.0.";
+    private static final String FLEET_NAME = "rig";
+    private static final int CLIENT_TIMEOUT_MILLIS = 2_000;
+    private static final long IDLE_TIMEOUT_US = 15_000_000;
+    private static final ObjectMapper JSON = new ObjectMapper();
+
+    private final MemberFleet fleet;
+    private final int number;
+    private final String name;
+    private final String host;
+    private final InetSocketAddress bind;
+    private final FaultLink connections;
+    private final DatagramLink datagrams;
+    private NodeProcess process;
+    private InetSocketAddress listen;
+    private int starts;
+
+    MemberProcess(MemberFleet fleet, int number, String name, EventLoop loop, SplittableRandom random)
+            throws IOException {
+        this.fleet = fleet;
+        this.number = number;
+        this.name = name;
+        host = MEMBER_NETWORK + (1 + number);
+        bind = Listener.free(host);
+        connections = new FaultLink(loop, LINK_NETWORK + (1 + number), bind, random.split());
+        datagrams = new DatagramLink(loop, connections.address(), bind, random.split());
+    }
+
+    String name() {
+        return name;
+    }
+
+    /** The address by which the others know it: the link's. */
+    String advertisedAddress() {
+        return Listener.text(connections.address());
+    }
+
+    boolean hasAddress(InetAddress address) {
+        return bind.getAddress().equals(address);
+    }
+
+    /** Nothing arrives from addresses of which this holds. */
+    void cut(Predicate<InetAddress> datagramsFrom, Predicate<InetAddress> connectionsFrom) {
+        datagrams.cut(datagramsFrom);
+        connections.cut(connectionsFrom);
+    }
+
+    // ---------------------------------------------------------------- its process
+
+    /** Starts a process that takes part in the fleet. */
+    void start() throws IOException {
+        start(Map.of());
+    }
+
+    /** The same with these variables in its environment. */
+    void start(Map<String, String> environment) throws IOException {
+        start(fleetConfig(), environment);
+    }
+
+    /** Starts a process without a fleet in its configuration. */
+    void startWithoutFleet(Map<String, String> environment) throws IOException {
+        start(null, environment);
+    }
+
+    private void start(ObjectNode fleetConfig, Map<String, String> environment) throws IOException {
+        starts++;
+        listen = Listener.free(host);
+        Path config = fleet.folder().resolve(number + "-config.json");
+        writeConfig(config, fleetConfig);
+        Map<String, String> variables = new HashMap<>(environment);
+        variables.put("PROXY_NAME", name);
+        variables.put("PROXY_CONFIG", config.toString());
+        DeployFile deploy = fleet.deploy();
+        process = new NodeProcess(name, deploy.run(), variables, deploy.root(), log(), exitCode -> {});
+    }
+
+    private void writeConfig(Path config, ObjectNode fleetConfig) throws IOException {
+        String unusedAddress = host + ":1";
+        ObjectNode noServers = JSON.createObjectNode().put("rev", 0).put("all", true);
+        noServers.putArray("targets");
+        NodeConfigFile.write(
+                config,
+                name,
+                Listener.text(listen),
+                unusedAddress,
+                Listener.text(Listener.free(host)),
+                fleet.nextSeed(),
+                noServers,
+                balancerSettings(),
+                IDLE_TIMEOUT_US,
+                fleetConfig);
+    }
+
+    private ObjectNode fleetConfig() {
+        ObjectNode config = JSON.createObjectNode()
+                .put("name", FLEET_NAME)
+                .put("member", name)
+                .put("bind", Listener.text(bind))
+                .put("advertise", advertisedAddress())
+                .put("periodMs", fleet.periodMillis());
+        ArrayNode seeds = config.putArray("seeds");
+        fleet.seedAddresses().forEach(seeds::add);
+        return config;
+    }
+
+    /** Requests do not matter here: any valid settings do. */
+    private static BalancerSettings balancerSettings() {
+        BalancerSettings settings = new BalancerSettings();
+        settings.zones.add("a");
+        settings.classes.add(new RequestClass(
+                "any", 1_000_000, 0, 2_000_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
+        settings.maxAttempts = 2;
+        settings.connectTimeoutUs = 500_000;
+        settings.warmUpInitialShare = 0.5;
+        settings.warmUpUs = 1_000_000;
+        settings.overloadMultiple = 2;
+        settings.overloadUs = 1_000_000;
+        return settings;
+    }
+
+    boolean isUp() {
+        return process != null && process.isAlive();
+    }
+
+    void kill() {
+        process.kill();
+    }
+
+    /** Stops it until {@link #resume}. */
+    void pause() throws IOException {
+        process.pause(true);
+    }
+
+    void resume() throws IOException {
+        process.pause(false);
+    }
+
+    /** Sends SIGTERM, as an operator does. */
+    void terminate() {
+        process.terminate();
+    }
+
+    private Path log() {
+        return fleet.folder().resolve(number + "-log" + starts);
+    }
+
+    /** All that its present or last process has logged. */
+    String logged() throws IOException {
+        return Files.readString(log());
+    }
+
+    @Override
+    public void close() {
+        if (process != null) {
+            process.kill();
+            process.close();
+        }
+    }
+
+    void closeLinks() {
+        connections.close();
+        datagrams.close();
+    }
+
+    // ---------------------------------------------------------------- what it shows
+
+    /** Whether clients can connect. */
+    boolean isListening() {
+        try (Socket socket = new Socket()) {
+            socket.connect(listen, CLIENT_TIMEOUT_MILLIS);
+            return true;
+        } catch (IOException e) {
+            // Not yet: the caller tries again.
+            return false;
+        }
+    }
+
+    /** How it sees its fleet, asked past its links; null where it does not answer. */
+    MembershipView view() {
+        try {
+            return MembershipClient.fetchView(bind, CLIENT_TIMEOUT_MILLIS);
+        } catch (IOException e) {
+            // It has not started, has ended, or is paused: the caller tries again.
+            return null;
+        }
+    }
+
+    /** Names of all that it holds for live, itself included. */
+    List<String> liveNames() {
+        MembershipView view = view();
+        return view == null ? List.of() : liveNames(view);
+    }
+
+    static List<String> liveNames(MembershipView view) {
+        Stream<Member> others =
+                view.others().stream().filter(member -> member.state().isLive());
+        return Stream.concat(Stream.of(view.self()), others)
+                .map(Member::name)
+                .sorted()
+                .toList();
+    }
+}
--- a/rig/src/test/java/loadbalancer/rig/real/MemberFleetTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/MemberFleetTest.java
@@ -6,180 +6,188 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import loadbalancer.membership.codec.MembershipView;
-import loadbalancer.rig.real.MemberFleet.Process;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Membership among processes of the program, with what is between them hurt. */
+/** Membership among processes of the program, over links that fail. */
 class MemberFleetTest {
-    private static final int PERIOD_MS = 200;
+    private static final int PERIOD_MILLIS = 200;
     /** Starts of several processes on a busy machine, and many periods: far beyond what any of it takes. */
-    private static final long AWAITED_MS = 60_000;
+    private static final long TIMEOUT_MILLIS = 60_000;
 
     @TempDir
     private Path folder;
 
     private MemberFleet fleet() throws Exception {
-        return new MemberFleet(DeployFile.find(Path.of("")), folder, 1, PERIOD_MS);
+        return new MemberFleet(DeployFile.find(Path.of("")), folder, 1, PERIOD_MILLIS);
     }
 
-    private static long count(Process process, String figure) {
-        MembershipView view = process.view();
-        return view == null ? -1 : view.metrics().get(figure);
+    private static long metric(MemberProcess member, String name) {
+        MembershipView view = member.view();
+        return view == null ? -1 : view.metrics().get(name);
     }
 
-    /** How often a process has logged this event of that member. */
-    private static long countLogged(Process process, String event, String member) throws IOException {
+    /** How often a member has logged this event of another. */
+    private static long countLogged(MemberProcess observer, String event, String member) throws IOException {
         String logged = logLine(event, member);
-        return process.printed().lines().filter(line -> line.contains(logged)).count();
+        return observer.logged().lines().filter(line -> line.contains(logged)).count();
     }
 
     private static String logLine(String event, String member) {
         return "event=" + event + " member=" + member + " address=";
     }
 
+    /**
+     * Six processes find each other. One is killed, and is logged as failed. Another gets SIGTERM, and is logged as
+     * left and never as failed. The killed one starts again and is back.
+     */
     @Test
-    void theyFindEachOtherAndHearOfEndsAndOfLeaving() throws Exception {
-        try (MemberFleet fleet = fleet().with(6)) {
-            fleet.await("all six to agree", AWAITED_MS, fleet::agree);
-            // On a machine that is full a member that lives may be given up for a while: counted by name, and
-            // from the event on, the figures do not rest on its speed.
-            Process observer = fleet.process(1);
-            long deathsBefore = countLogged(observer, "member_failed", "m4");
-            fleet.process(4).kill();
-            fleet.await("five to agree", AWAITED_MS, fleet::agree);
-            assertEquals(deathsBefore + 1, countLogged(observer, "member_failed", "m4"));
-            long deathsBeforeLeaving = countLogged(observer, "member_failed", "m5");
-            fleet.process(5).end();
-            fleet.await("it to end", AWAITED_MS, () -> !fleet.process(5).isUp());
-            fleet.await("four to agree", AWAITED_MS, fleet::agree);
+    void membersFindEachOtherAndLogFailuresAndLeaves() throws Exception {
+        try (MemberFleet fleet = fleet().startMembers(6)) {
+            fleet.await("all six converged", TIMEOUT_MILLIS, fleet::isConverged);
+            // On a full machine a member that is up may be held for dead for a while. Counted by name, and from the
+            // event on, the numbers do not depend on the machine's speed.
+            MemberProcess observer = fleet.member(1);
+            long failuresBefore = countLogged(observer, "member_failed", "m4");
+            fleet.member(4).kill();
+            fleet.await("five converged", TIMEOUT_MILLIS, fleet::isConverged);
+            assertEquals(failuresBefore + 1, countLogged(observer, "member_failed", "m4"));
+            long failuresBeforeLeave = countLogged(observer, "member_failed", "m5");
+            fleet.member(5).terminate();
+            fleet.await("m5 ended", TIMEOUT_MILLIS, () -> !fleet.member(5).isUp());
+            fleet.await("four converged", TIMEOUT_MILLIS, fleet::isConverged);
             assertEquals(1, countLogged(observer, "member_left", "m5"));
-            assertEquals(1, count(observer, "changes_left"));
-            assertEquals(deathsBeforeLeaving, countLogged(observer, "member_failed", "m5"));
-            assertEquals(deathsBefore + 1, countLogged(observer, "member_failed", "m4"));
-            fleet.process(4).start();
-            fleet.await("it to be back", AWAITED_MS, () -> fleet.process(4).isUp() && fleet.agree());
+            assertEquals(1, metric(observer, "changes_left"));
+            assertEquals(failuresBeforeLeave, countLogged(observer, "member_failed", "m5"));
+            assertEquals(failuresBefore + 1, countLogged(observer, "member_failed", "m4"));
+            fleet.member(4).start();
+            fleet.await("m4 back", TIMEOUT_MILLIS, () -> fleet.member(4).isUp() && fleet.isConverged());
         }
     }
 
+    /** A member receives nothing. The others hold it for dead, it holds them for dead, and all converge once healed. */
     @Test
-    void oneThatHearsNobodyIsGivenUpAndComesBack() throws Exception {
-        try (MemberFleet fleet = fleet().with(5)) {
-            fleet.await("all five to agree", AWAITED_MS, fleet::agree);
-            fleet.cut((from, to) -> to.name().equals("m3"));
+    void memberThatReceivesNothingFailsAndComesBack() throws Exception {
+        try (MemberFleet fleet = fleet().startMembers(5)) {
+            fleet.await("all five converged", TIMEOUT_MILLIS, fleet::isConverged);
+            fleet.partition((from, to) -> to.name().equals("m3"));
             List<String> others = List.of("m0", "m1", "m2", "m4");
             fleet.await(
-                    "the others to give it up",
-                    AWAITED_MS,
-                    () -> fleet.process(1).live().equals(others)
-                            && fleet.process(4).live().equals(others));
+                    "m3 dead for the others",
+                    TIMEOUT_MILLIS,
+                    () -> fleet.member(1).liveNames().equals(others)
+                            && fleet.member(4).liveNames().equals(others));
             fleet.await(
-                    "it to hold itself for alone",
-                    AWAITED_MS,
-                    () -> fleet.process(3).live().equals(List.of("m3")));
+                    "all others dead for m3",
+                    TIMEOUT_MILLIS,
+                    () -> fleet.member(3).liveNames().equals(List.of("m3")));
             fleet.heal();
-            fleet.await("all five to agree again", AWAITED_MS, fleet::agree);
+            fleet.await("all five converged again", TIMEOUT_MILLIS, fleet::isConverged);
         }
     }
 
+    /** A process is paused until the others hold it for dead. It comes back, and held nobody for dead meanwhile. */
     @Test
-    void oneThatStoodStillComesBackAndGivesNobodyUp() throws Exception {
-        try (MemberFleet fleet = fleet().with(5)) {
-            fleet.await("all five to agree", AWAITED_MS, fleet::agree);
-            Process still = fleet.process(2);
-            still.pause(true);
+    void pausedMemberComesBackAndHoldsNobodyForDead() throws Exception {
+        try (MemberFleet fleet = fleet().startMembers(5)) {
+            fleet.await("all five converged", TIMEOUT_MILLIS, fleet::isConverged);
+            MemberProcess paused = fleet.member(2);
+            paused.pause();
             List<String> others = List.of("m0", "m1", "m3", "m4");
             fleet.await(
-                    "the others to give it up",
-                    AWAITED_MS,
-                    () -> fleet.process(0).live().equals(others)
-                            && fleet.process(4).live().equals(others));
-            still.pause(false);
-            fleet.await("all five to agree again", AWAITED_MS, fleet::agree);
-            assertEquals(0, count(still, "changes_died"));
+                    "m2 dead for the others",
+                    TIMEOUT_MILLIS,
+                    () -> fleet.member(0).liveNames().equals(others)
+                            && fleet.member(4).liveNames().equals(others));
+            paused.resume();
+            fleet.await("all five converged again", TIMEOUT_MILLIS, fleet::isConverged);
+            assertEquals(0, metric(paused, "changes_died"));
         }
     }
 
+    /** A node without a fleet in its configuration must not pay for membership: it loads no class of it. */
     @Test
-    void aNodeThatIsToldOfNoFleetLoadsNothingOfIt() throws Exception {
+    void nodeWithoutFleetLoadsNoClassOfMembership() throws Exception {
         try (MemberFleet fleet = fleet()) {
-            List<Set<String>> loaded = new ArrayList<>();
-            for (boolean member : new boolean[] {true, false}) {
-                Path classes = folder.resolve("classes-" + member);
-                Map<String, String> told = Map.of("JAVA_TOOL_OPTIONS", "-Xlog:class+load:file=" + classes);
-                Process process = fleet.add("alone-" + member);
-                if (member) {
-                    process.start(told);
-                } else {
-                    process.startApart(told);
-                }
-                fleet.await("it to serve", AWAITED_MS, process::serves);
-                process.kill();
-                try (Stream<String> lines = Files.lines(classes)) {
-                    loaded.add(lines.flatMap(line -> Stream.of(line.split(" ")))
-                            .filter(word -> word.startsWith("loadbalancer.membership.")
-                                    || word.contains(".cbor.")
-                                    || word.contains("NioDatagramChannel"))
-                            .collect(Collectors.toSet()));
-                }
-            }
             assertTrue(
-                    loaded.get(0).contains("loadbalancer.membership.MembershipService"),
+                    classesLoaded(fleet, true).contains("loadbalancer.membership.MembershipService"),
                     "the check sees what is loaded");
-            assertEquals(Set.of(), loaded.get(1));
+            assertEquals(Set.of(), classesLoaded(fleet, false));
+        }
+    }
+
+    /** Classes that only membership needs, of those that a node loads until it serves. */
+    private Set<String> classesLoaded(MemberFleet fleet, boolean inFleet) throws Exception {
+        Path classes = folder.resolve("classes-" + inFleet);
+        Map<String, String> environment = Map.of("JAVA_TOOL_OPTIONS", "-Xlog:class+load:file=" + classes);
+        MemberProcess node = fleet.add("alone-" + inFleet);
+        if (inFleet) {
+            node.start(environment);
+        } else {
+            node.startWithoutFleet(environment);
+        }
+        fleet.await(node.name() + " listening", TIMEOUT_MILLIS, node::isListening);
+        node.kill();
+        try (Stream<String> lines = Files.lines(classes)) {
+            return lines.flatMap(line -> Stream.of(line.split(" ")))
+                    .filter(word -> word.startsWith("loadbalancer.membership.")
+                            || word.contains(".cbor.")
+                            || word.contains("NioDatagramChannel"))
+                    .collect(Collectors.toSet());
         }
     }
 
+    /**
+     * A second process starts with the name of a member. The first one yields the name and goes on to serve requests,
+     * and the others hold the second one for that member.
+     */
     @Test
-    void ofTwoWithOneNameTheLaterStays() throws Exception {
-        try (MemberFleet fleet = fleet().with(4)) {
-            fleet.await("all four to agree", AWAITED_MS, fleet::agree);
-            Process later = fleet.add("m3");
+    void earlierProcessYieldsItsNameAndServesOn() throws Exception {
+        try (MemberFleet fleet = fleet().startMembers(4)) {
+            fleet.await("all four converged", TIMEOUT_MILLIS, fleet::isConverged);
+            MemberProcess earlier = fleet.member(3);
+            MemberProcess later = fleet.add("m3");
             later.start();
+            fleet.await("name yielded", TIMEOUT_MILLIS, () -> earlier.view() == null && later.view() != null);
+            assertTrue(earlier.logged().contains(logLine("member_name_yielded", "m3")), earlier.logged());
+            fleet.await("earlier one listening", TIMEOUT_MILLIS, earlier::isListening);
+            earlier.terminate();
+            fleet.await("earlier one ended", TIMEOUT_MILLIS, () -> !earlier.isUp());
+            assertTrue(earlier.logged().contains("event=draining"), earlier.logged());
             fleet.await(
-                    "the earlier one to give way",
-                    AWAITED_MS,
-                    () -> fleet.process(3).view() == null && later.view() != null);
-            assertTrue(
-                    fleet.process(3).printed().contains(logLine("member_name_yielded", "m3")),
-                    fleet.process(3).printed());
-            fleet.await("it to serve", AWAITED_MS, fleet.process(3)::serves);
-            fleet.process(3).end();
-            fleet.await("it to end", AWAITED_MS, () -> !fleet.process(3).isUp());
-            assertTrue(
-                    fleet.process(3).printed().contains("event=draining"),
-                    fleet.process(3).printed());
-            fleet.await(
-                    "the others to hold the later one for it",
-                    AWAITED_MS,
-                    () -> fleet.process(0).view().digest() == later.view().digest()
-                            && fleet.process(0).live().contains("m3"));
+                    "later one held for m3",
+                    TIMEOUT_MILLIS,
+                    () -> fleet.member(0).view().digest() == later.view().digest()
+                            && fleet.member(0).liveNames().contains("m3"));
         }
     }
 
+    /** All processes crash, and those that are no seeds start again. Each is alone until a seed is back. */
     @Test
-    void allKilledAndStartedWithNoSeedUpWaitForOne() throws Exception {
-        try (MemberFleet fleet = fleet().with(6)) {
-            fleet.await("all six to agree", AWAITED_MS, fleet::agree);
-            fleet.processes().forEach(Process::kill);
-            for (Process process : fleet.processes().subList(3, 6)) {
-                process.start();
+    void membersThatRestartWithoutSeedsWaitForOne() throws Exception {
+        try (MemberFleet fleet = fleet().startMembers(6)) {
+            fleet.await("all six converged", TIMEOUT_MILLIS, fleet::isConverged);
+            fleet.members().forEach(MemberProcess::kill);
+            List<MemberProcess> restarted = fleet.members().subList(3, 6);
+            for (MemberProcess member : restarted) {
+                member.start();
             }
             fleet.await(
-                    "three to be up, each alone",
-                    AWAITED_MS,
-                    () -> fleet.processes().subList(3, 6).stream()
-                            .allMatch(p -> p.live().equals(List.of(p.name()))));
-            fleet.process(0).start();
+                    "three up, each alone",
+                    TIMEOUT_MILLIS,
+                    () -> restarted.stream()
+                            .allMatch(member -> member.liveNames().equals(List.of(member.name()))));
+            fleet.member(0).start();
             fleet.await(
-                    "four to agree", AWAITED_MS, () -> fleet.process(0).live().size() == 4 && fleet.agree());
+                    "four converged",
+                    TIMEOUT_MILLIS,
+                    () -> fleet.member(0).liveNames().size() == 4 && fleet.isConverged());
         }
     }
 }
