--- a/node/src/main/java/loadbalancer/policy/BalancerRules.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerRules.java
@@ -56,6 +56,7 @@
         state.settings = settings;
         loadReports.applySettings(settings);
         latencies.extendTo(settings.classes);
+        priority.invalidate();
         hedgingPolicy.addClasses(settings.classes);
         requestFactory.addClasses(settings.classes);
     }
--- a/node/src/main/java/loadbalancer/policy/ConcurrencyLimiter.java
+++ b/node/src/main/java/loadbalancer/policy/ConcurrencyLimiter.java
@@ -89,13 +89,17 @@
 
     /** Whether a further attempt would exceed the server's limit or the sum of all; notes that the limit was met. */
     boolean isAtLimit(PendingRequest request, ServerRecord server, long nowUs) {
+        boolean exceedsServer = server.inFlight + 1 > server.limit;
+        boolean exceedsTotal = state.totalInFlight + 1 > state.totalLimit;
+        if (!exceedsServer && !exceedsTotal) {
+            return false;
+        }
         // Sending ahead ends as answers come late: in an overload it would keep overloaded servers so.
         double margin = state.manyNodesPerServer ? Math.max(0, onTimeRatio.margin()) : 0;
         double burst = state.manyNodesPerServer ? BURST * priority.rank(request) : 0;
-        boolean serverAtLimit = server.inFlight + 1 > server.limit
-                && (server.inFlight > margin * burst || nowUs < server.pausedUntilUs - margin * burst * server.pauseUs);
-        boolean atLimit = serverAtLimit
-                || state.totalInFlight > margin * (1 + burst) && state.totalInFlight + 1 > state.totalLimit;
+        boolean serverIsBusy =
+                server.inFlight > margin * burst || nowUs < server.pausedUntilUs - margin * burst * server.pauseUs;
+        boolean atLimit = exceedsServer && serverIsBusy || exceedsTotal && state.totalInFlight > margin * (1 + burst);
         if (atLimit) {
             server.limitReachedAtUs = nowUs;
         }
--- a/node/src/main/java/loadbalancer/policy/OutcomeRecorder.java
+++ b/node/src/main/java/loadbalancer/policy/OutcomeRecorder.java
@@ -82,6 +82,7 @@
         }
         if (signal == LoadSignal.ANSWERED) {
             latency.record(outcome.latencyUs());
+            rules.priority.invalidate();
         }
         rules.limiter.onOutcome(request, outcome.attempt(), outcome.latencyUs(), signal, nowUs);
     }
--- a/node/src/main/java/loadbalancer/policy/PerClass.java
+++ b/node/src/main/java/loadbalancer/policy/PerClass.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.function.Supplier;
 
@@ -9,8 +9,8 @@
  * the same name and with a new index: both indexes then share one value, so that what was measured stays.
  */
 final class PerClass<T> {
-    private final List<T> values = new ArrayList<>();
     private final Supplier<T> initial;
+    private Object[] values = new Object[0];
 
     PerClass(Supplier<T> initial) {
         this.initial = initial;
@@ -18,9 +18,13 @@
 
     /** Adds values for the classes that have none yet. */
     void extendTo(List<RequestClass> classes) {
-        for (int index = values.size(); index < classes.size(); index++) {
-            int first = firstWithName(classes, classes.get(index).name());
-            values.add(first < index ? values.get(first) : initial.get());
+        if (values.length < classes.size()) {
+            int before = values.length;
+            values = Arrays.copyOf(values, classes.size());
+            for (int index = before; index < values.length; index++) {
+                int first = firstWithName(classes, classes.get(index).name());
+                values[index] = first < index ? values[first] : initial.get();
+            }
         }
     }
 
@@ -32,16 +36,17 @@
         return index;
     }
 
+    @SuppressWarnings("unchecked")
     T get(int classIndex) {
-        return values.get(classIndex);
+        return (T) values[classIndex];
     }
 
     /** The first index that has this value, or -1. */
     int indexOf(T value) {
-        return values.indexOf(value);
+        return Arrays.asList(values).indexOf(value);
     }
 
     int size() {
-        return values.size();
+        return values.length;
     }
 }
