--- /dev/null
+++ b/node/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -0,0 +1,71 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+class SlowStartTest {
+    private static final long GAP_US = 10_000;
+
+    private final RuleFixture fixture = new RuleFixture(2);
+    private final SlowStart slowStart = fixture.rules.slowStart;
+    private final ServerRecord server = fixture.state.servers[0];
+    private long now = RuleFixture.START_US;
+
+    /** Answers at an even pace, up to the time when the server starts. */
+    @BeforeEach
+    void learnPace() {
+        for (int i = 0; i < 1_000; i++) {
+            now += GAP_US;
+            slowStart.onSuccess(now);
+        }
+        server.startedAtUs = now;
+    }
+
+    /** How often the server may be sent to in a time, with answers at the same pace. */
+    private int sendsWithin(long us) {
+        int sends = 0;
+        for (long end = now + us; now < end; now += GAP_US / 10) {
+            if (now % GAP_US == 0) {
+                slowStart.onSuccess(now);
+            }
+            if (slowStart.maySend(server, now)) {
+                slowStart.onSent(server, now);
+                sends++;
+            }
+        }
+        return sends;
+    }
+
+    @Test
+    void warmServerMayAlwaysBeSentTo() {
+        server.startedAtUs = 0;
+        assertFalse(slowStart.isWarmingUp(server, now));
+        assertEquals(10, sendsWithin(GAP_US));
+    }
+
+    @Test
+    void serverThatWarmsUpGetsHalfOfTheMultipleOfItsShare() {
+        // An even part is one request each 20 ms; a fifth of the capacity, 1.5 times: one each 66 ms.
+        int sends = sendsWithin(1_000_000);
+        assertTrue(sends >= 14 && sends <= 18, sends + " sends");
+    }
+
+    @Test
+    void gapShrinksAsTheServerWarmsUp() {
+        int first = sendsWithin(1_000_000);
+        now += 10_000_000 - now % GAP_US;
+        learnPace();
+        server.startedAtUs = now - 10_000_000;
+        assertTrue(sendsWithin(1_000_000) > 2 * first, "more than twice " + first);
+    }
+
+    @Test
+    void warmUpEndsAfterItsTime() {
+        assertTrue(slowStart.isWarmingUp(server, now + fixture.settings.warmUpUs - 1));
+        assertFalse(slowStart.isWarmingUp(server, now + fixture.settings.warmUpUs));
+    }
+}
