--- a/node/src/test/java/loadbalancer/process/NodeHarness.java
+++ b/node/src/test/java/loadbalancer/process/NodeHarness.java
@@ -16,6 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import loadbalancer.config.NodeConfig;
+import loadbalancer.config.OperationsConfig;
 import loadbalancer.discovery.EndpointListDecoder;
 import loadbalancer.eventloop.MeasuredEventLoop;
 import loadbalancer.net.SocketAddresses;
@@ -112,7 +113,7 @@
                 new EndpointListDecoder(settings.zones).decode(new ObjectMapper().readTree(known)),
                 settings,
                 keys,
-                new NodeConfig.Operators(hasControl ? anyPort() : null, sharedFolder, false),
+                new OperationsConfig(hasControl ? anyPort() : null, sharedFolder, false),
                 null);
     }
 
@@ -144,6 +145,19 @@
         return this;
     }
 
+    /** Begins the graceful shutdown; the latch is down once the node has drained. */
+    CountDownLatch drain() {
+        CountDownLatch drained = new CountDownLatch(1);
+        node.drain(drained::countDown);
+        return drained;
+    }
+
+    /** Lets discovery announce one more server, as the first change behind the list that the node started with. */
+    void announceServer(String id, FakeServer server) throws Exception {
+        FakeServer.awaitNext(discovery.answeredConnections)
+                .write(chunk(endpointList(2, false, id + "=" + server.endpoint() + "=Ready") + "\n"));
+    }
+
     public Socket connect() throws IOException {
         Socket client = new Socket(address.getAddress(), address.getPort());
         client.setSoTimeout(20_000);
