--- a/rig/src/main/java/loadbalancer/rig/fault/Cordoned.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Cordoned.java
@@ -16,6 +16,6 @@
     }
 
     private static void set(World world, List<AppServer> targets, boolean out) {
-        world.nodes().forEach(node -> targets.forEach(server -> node.cordon(server.id(), out)));
+        world.nodes().forEach(node -> targets.forEach(server -> node.setCordoned(server.id(), out)));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/RollingRestart.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/RollingRestart.java
@@ -14,8 +14,8 @@
         long gapUs = spec.lengthUs() / targets.size();
         for (int i = 0; i < targets.size(); i++) {
             NodePort node = targets.get(i);
-            world.time().after(i * gapUs, node::end);
-            world.time().after(i * gapUs + NodePort.MOST_END_US + 1, node::start);
+            world.time().after(i * gapUs, node::terminate);
+            world.time().after(i * gapUs + NodePort.MAX_SHUTDOWN_US + 1, node::start);
         }
         return ActiveFault.nodes(targets);
     }
--- a/rig/src/main/java/loadbalancer/rig/real/FakeServer.java
+++ b/rig/src/main/java/loadbalancer/rig/real/FakeServer.java
@@ -19,20 +19,21 @@
 import loadbalancer.rig.world.Work;
 import loadbalancer.rig.world.World;
 
-/** An app server's address: real HTTP in front of the model that says how it does. */
+/** A fake app server: HTTP on loopback, whose timing and results are those of the model. */
 final class FakeServer {
     private final AppServer server;
     private final World world;
     private final RealTimeline time;
-    private final ClientRequest asked;
+    private final RequestRegistry requests;
     private final SplittableRandom random;
     private final Listener listener;
 
-    FakeServer(AppServer server, String address, World world, RealTimeline time, ClientRequest asked) {
+    FakeServer(AppServer server, String address, World world, RealTimeline time, RequestRegistry requests) {
         this.server = server;
         this.world = world;
         this.time = time;
-        this.asked = asked;
+        this.requests = requests;
+        // The name of the stream stays, as it makes the stream's seed.
         random = time.stream("stand-in " + server.id());
         listener = new Listener(time.loop(), address, Connection::new);
         // Once from outside the loop, so that its port is known.
@@ -63,7 +64,7 @@
 
     /** One connection of a node: one request at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private ClientRequest.Attempt attempt;
+        private RequestRegistry.Attempt attempt;
         private AppServer.Job job;
         private boolean counted;
 
@@ -78,72 +79,72 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             String txn = request.headers().get("X-Txn");
-            ClientRequest.Attempt sent = asked.sentOn(txn, server);
+            RequestRegistry.Attempt sent = requests.onAttempt(txn, server);
             if (sent == null) {
-                answer(context, HttpResponseStatus.BAD_REQUEST, "no client asked this", false, null);
+                respond(context, HttpResponseStatus.BAD_REQUEST, "no client asked this", false, null);
                 return;
             }
             attempt = sent;
-            int from = sent.node().zone();
-            if (server.isSilent() || world.links().isCut(from, server.zone())) {
+            int nodeZone = sent.node().zone();
+            if (server.isSilent() || world.links().isCut(nodeZone, server.zone())) {
                 return;
             }
             long remainingUs =
                     Long.parseLong(request.headers().get("X-Remaining").replace("u", ""));
             long untilUs = time.nowUs() + remainingUs;
-            time.after(world.links().delay(random, from, server.zone()), () -> {
+            time.after(world.links().delay(random, nodeZone, server.zone()), () -> {
                 if (attempt == sent) {
                     job = server.take(
                             new Work(
                                     sent.node().name(),
-                                    sent.request(),
+                                    sent.request().id(),
                                     sent.number(),
-                                    sent.asked().classIndex(),
-                                    sent.asked().key(),
-                                    world.attemptWork(sent.asked(), random),
+                                    sent.request().classIndex(),
+                                    sent.request().key(),
+                                    world.attemptWork(sent.request(), random),
                                     untilUs),
-                            (result, report) -> replied(context, sent, result, report));
+                            (result, report) -> onReply(context, sent, result, report));
                 }
             });
         }
 
-        private void replied(
-                ChannelHandlerContext context, ClientRequest.Attempt of, AttemptResult result, LoadReport report) {
-            int to = of.node().zone();
-            if (attempt != of || server.isSilent() || world.links().isCut(server.zone(), to)) {
+        private void onReply(
+                ChannelHandlerContext context, RequestRegistry.Attempt of, AttemptResult result, LoadReport report) {
+            int nodeZone = of.node().zone();
+            if (attempt != of || server.isSilent() || world.links().isCut(server.zone(), nodeZone)) {
                 return;
             }
-            time.after(world.links().delay(random, server.zone(), to), () -> {
+            time.after(world.links().delay(random, server.zone(), nodeZone), () -> {
                 if (attempt != of) {
                     return;
                 }
                 end(result);
                 switch (result) {
-                    case OK -> answer(context, HttpResponseStatus.OK, of.txn(), false, report);
-                    case ERROR -> answer(context, HttpResponseStatus.INTERNAL_SERVER_ERROR, "error", false, report);
-                    case FULL -> answer(context, HttpResponseStatus.SERVICE_UNAVAILABLE, "full", true, report);
+                    case OK -> respond(context, HttpResponseStatus.OK, of.txn(), false, report);
+                    case ERROR -> respond(context, HttpResponseStatus.INTERNAL_SERVER_ERROR, "error", false, report);
+                    case FULL -> respond(context, HttpResponseStatus.SERVICE_UNAVAILABLE, "full", true, report);
                     default -> context.close();
                 }
             });
         }
 
         private void end(AttemptResult result) {
-            asked.ended(attempt, server, result);
+            requests.onOutcome(attempt, server, result);
             attempt = null;
             job = null;
         }
 
-        private void answer(
+        private void respond(
                 ChannelHandlerContext context,
                 HttpResponseStatus status,
                 String body,
-                boolean away,
+                boolean rejected,
                 LoadReport report) {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
             response.headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
-            if (away) {
+            if (rejected) {
                 response.headers().set("X-Turned-Away", "1");
             }
             if (report != null) {
@@ -172,7 +173,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A node that leaves amid an exchange is nothing unusual here.
+            // A node may close its connection in the middle of a request.
             context.close();
         }
     }
--- a/rig/src/main/java/loadbalancer/rig/real/NodeClients.java
+++ b/rig/src/main/java/loadbalancer/rig/real/NodeClients.java
@@ -29,32 +29,32 @@
 import loadbalancer.policy.Idempotency;
 import loadbalancer.rig.scenario.Scenario;
 import loadbalancer.rig.world.NodePort.Answer;
-import loadbalancer.rig.world.NodePort.Try;
+import loadbalancer.rig.world.NodePort.ClientRequest;
 
-/** The connections on which clients ask one node; they keep them, and open more when all are busy. */
+/** The connections of clients to one node; they are kept open, and more are opened when all are busy. */
 final class NodeClients {
-    private static final int MOST_BODY = 32 << 20;
-    private static final int BODY = 64;
+    private static final int MAX_RESPONSE_BYTES = 32 << 20;
+    private static final int REQUEST_BODY_BYTES = 64;
 
-    private final Bootstrap dialer;
-    private final InetSocketAddress to;
+    private final Bootstrap bootstrap;
+    private final InetSocketAddress nodeAddress;
     private final List<Scenario.RequestClass> classes;
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
     private final Map<Long, Connection> busy = new HashMap<>();
 
-    /** How one request came back. */
-    interface Heard {
-        /** It has been written whole to a connection that the node's machine accepted. */
-        void taken();
+    /** What becomes of one request. */
+    interface ResponseHandler {
+        /** All of it has been written to a connection that the node's machine accepted. */
+        void onWritten();
 
-        /** Its end; {@code alien} if what came was made for another request. */
-        void ended(Answer answer, boolean alien);
+        /** Its end; {@code misdirected} if the response was made for another request. */
+        void onEnd(Answer answer, boolean misdirected);
     }
 
-    NodeClients(EventLoop loop, InetSocketAddress to, List<Scenario.RequestClass> classes) {
-        this.to = to;
+    NodeClients(EventLoop loop, InetSocketAddress nodeAddress, List<Scenario.RequestClass> classes) {
+        this.nodeAddress = nodeAddress;
         this.classes = classes;
-        dialer = new Bootstrap()
+        bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -64,41 +64,41 @@
                         channel.pipeline()
                                 .addLast(
                                         new HttpClientCodec(),
-                                        new HttpObjectAggregator(MOST_BODY),
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
                                         new Connection(channel));
                     }
                 });
     }
 
-    void ask(Try asked, Heard heard) {
+    void send(ClientRequest request, ResponseHandler handler) {
         Connection free = idle.poll();
         if (free != null) {
-            free.ask(asked, heard);
+            free.send(request, handler);
             return;
         }
-        dialer.connect(to).addListener(done -> {
+        bootstrap.connect(nodeAddress).addListener(done -> {
             if (done.isSuccess()) {
                 ((ChannelFuture) done)
                         .channel()
                         .pipeline()
                         .get(Connection.class)
-                        .ask(asked, heard);
+                        .send(request, handler);
             } else {
-                heard.ended(Answer.UNREACHABLE, false);
+                handler.onEnd(Answer.UNREACHABLE, false);
             }
         });
     }
 
     /** The client of this request closes its connection. */
-    void leave(long id) {
+    void disconnect(long id) {
         Connection on = busy.remove(id);
         if (on != null) {
-            on.heard = null;
+            on.handler = null;
             on.channel.close();
         }
     }
 
-    /** Closes what is idle; what is not ends with its answer. */
+    /** Closes idle connections; busy ones close with their response. */
     void closeIdle() {
         idle.forEach(connection -> connection.channel.close());
         idle.clear();
@@ -106,42 +106,42 @@
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Channel channel;
-        private Try asked;
-        private Heard heard;
-        private boolean taken;
+        private ClientRequest request;
+        private ResponseHandler handler;
+        private boolean written;
 
         Connection(Channel channel) {
             this.channel = channel;
         }
 
-        void ask(Try next, Heard by) {
-            asked = next;
-            heard = by;
-            taken = false;
+        void send(ClientRequest next, ResponseHandler sender) {
+            request = next;
+            handler = sender;
+            written = false;
             busy.put(next.id(), this);
-            channel.writeAndFlush(message(next)).addListener(written -> {
-                if (written.isSuccess() && heard == by) {
-                    taken = true;
-                    by.taken();
+            channel.writeAndFlush(message(next)).addListener(write -> {
+                if (write.isSuccess() && handler == sender) {
+                    written = true;
+                    sender.onWritten();
                 }
             });
         }
 
-        private FullHttpRequest message(Try next) {
+        private FullHttpRequest message(ClientRequest next) {
             Scenario.RequestClass cls = classes.get(next.classIndex());
-            boolean safe = cls.idempotency() == Idempotency.IDEMPOTENT;
+            boolean idempotent = cls.idempotency() == Idempotency.IDEMPOTENT;
             FullHttpRequest message = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
-                    safe ? HttpMethod.GET : HttpMethod.POST,
+                    idempotent ? HttpMethod.GET : HttpMethod.POST,
                     "/api/" + (next.key() == null ? "any" : next.key()),
-                    Unpooled.wrappedBuffer(new byte[safe ? 0 : BODY]));
+                    Unpooled.wrappedBuffer(new byte[idempotent ? 0 : REQUEST_BODY_BYTES]));
             message.headers()
                     .set(HttpHeaderNames.HOST, "backend.local")
-                    .set("X-Txn", ClientRequest.txn(next.id()))
+                    .set("X-Txn", RequestRegistry.txn(next.id()))
                     .set("X-Lane", cls.name())
                     .set("X-Remaining", next.remainingUs() + "u");
-            if (!safe) {
-                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY);
+            if (!idempotent) {
+                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, REQUEST_BODY_BYTES);
             }
             if (next.repeat()) {
                 message.headers().set("X-Resent", "1");
@@ -153,29 +153,32 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             int status = response.status().code();
             boolean ok = status == 200;
-            boolean alien = ok
-                    && !response.content().toString(StandardCharsets.US_ASCII).equals(ClientRequest.txn(asked.id()));
-            Heard by = heard;
-            busy.remove(asked.id());
-            heard = null;
+            boolean misdirected = ok
+                    && !response.content()
+                            .toString(StandardCharsets.US_ASCII)
+                            .equals(RequestRegistry.txn(request.id()));
+            ResponseHandler sender = handler;
+            busy.remove(request.id());
+            handler = null;
             if (HttpUtil.isKeepAlive(response)) {
                 idle.push(this);
             } else {
                 channel.close();
             }
-            if (by != null) {
-                by.ended(ok ? Answer.OK : status == 429 || status == 503 ? Answer.REFUSED : Answer.FAILED, alien);
+            if (sender != null) {
+                sender.onEnd(
+                        ok ? Answer.OK : status == 429 || status == 503 ? Answer.REFUSED : Answer.FAILED, misdirected);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             idle.remove(this);
-            Heard by = heard;
-            heard = null;
-            if (by != null) {
-                busy.remove(asked.id());
-                by.ended(taken ? Answer.BROKEN : Answer.UNREACHABLE, false);
+            ResponseHandler sender = handler;
+            handler = null;
+            if (sender != null) {
+                busy.remove(request.id());
+                sender.onEnd(written ? Answer.BROKEN : Answer.UNREACHABLE, false);
             }
         }
 
--- a/rig/src/main/java/loadbalancer/rig/real/RealPlay.java
+++ b/rig/src/main/java/loadbalancer/rig/real/RealPlay.java
@@ -81,7 +81,7 @@
         history = new History(time, readers, file, false);
         world = new World(scenario, time, history);
         world.links().carriedBy(links);
-        ClientRequest asked = new ClientRequest(world, history);
+        RequestRegistry requests = new RequestRegistry(world);
         int number = 0;
         for (String id : world.servers().keySet()) {
             servers.put(
@@ -91,7 +91,7 @@
                             "127.2." + number / 250 + "." + (1 + number % 250),
                             world,
                             time,
-                            asked));
+                            requests));
             number++;
         }
         for (int i = 0; i < scenario.fleet().nodes(); i++) {
@@ -111,7 +111,7 @@
                     "127.1.0." + (1 + i),
                     world,
                     time,
-                    asked,
+                    requests,
                     list,
                     Listener.text(listLink.address()),
                     deploy,
--- a/rig/src/main/java/loadbalancer/rig/world/Clients.java
+++ b/rig/src/main/java/loadbalancer/rig/world/Clients.java
@@ -8,11 +8,11 @@
 import loadbalancer.rig.time.Timeline;
 import loadbalancer.rig.time.Timeline.Timer;
 import loadbalancer.rig.world.NodePort.Answer;
-import loadbalancer.rig.world.NodePort.Try;
+import loadbalancer.rig.world.NodePort.ClientRequest;
 
 /**
- * Clients, open loop: they ask by chance, one stream for each class and zone, whatever becomes of what was
- * asked before. A client repeats what may be repeated, and a few leave early.
+ * Clients, open loop: requests arrive at random, one stream for each class and zone, whatever becomes of those
+ * before. A client retries what may be retried, and a few disconnect early.
  */
 final class Clients {
     /** Rates change over time: no wait is drawn for longer than this. */
@@ -21,25 +21,25 @@
     private final Scenario scenario;
     private final World world;
     private final Timeline time;
-    private final double[] zipfUpTo;
-    private double burst = 1;
+    private final double[] zipfCumulative;
+    private double burstFactor = 1;
     private int heavyClass = -1;
     private double heavyShare;
-    private double heavyBy;
+    private double heavyFactor;
     private long lastId;
     private long open;
-    private boolean over;
+    private boolean stopped;
     private long openedUs;
 
     Clients(World world) {
         this.world = world;
         scenario = world.scenario();
         time = world.time();
-        zipfUpTo = new double[scenario.load().keys()];
+        zipfCumulative = new double[scenario.load().keys()];
         double sum = 0;
-        for (int i = 0; i < zipfUpTo.length; i++) {
+        for (int i = 0; i < zipfCumulative.length; i++) {
             sum += Math.pow(i + 1, -scenario.load().keyZipf());
-            zipfUpTo[i] = sum;
+            zipfCumulative[i] = sum;
         }
     }
 
@@ -47,14 +47,14 @@
         openedUs = time.nowUs();
         for (int c = 0; c < scenario.classes().size(); c++) {
             for (int zone = 0; zone < scenario.fleet().zones().size(); zone++) {
-                new Source(c, zone).next();
+                new ArrivalStream(c, zone).scheduleNext();
             }
         }
     }
 
     /** From now on nothing new is asked. */
     void stop() {
-        over = true;
+        stopped = true;
     }
 
     /** Requests whose client still waits. */
@@ -64,21 +64,21 @@
 
     /** From now on so many times as much is asked. */
     void burst(double factor) {
-        burst = factor;
+        burstFactor = factor;
     }
 
     /** From now on this share of a class takes so many times the work; -1 for no class. */
-    void heavy(int classIndex, double share, double by) {
+    void heavy(int classIndex, double share, double factor) {
         heavyClass = classIndex;
         heavyShare = share;
-        heavyBy = by;
+        heavyFactor = factor;
     }
 
     /** By how much more or less is asked for now. */
     private double shape() {
         List<Double> shape = scenario.load().shape();
         int second = (int) Math.min((time.nowUs() - openedUs) / 1_000_000, shape.size() - 1);
-        return burst * (shape.isEmpty() ? 1 : shape.get(second));
+        return burstFactor * (shape.isEmpty() ? 1 : shape.get(second));
     }
 
     /** Where the zones' shares lie evenly between the quietest and the busiest. */
@@ -91,13 +91,13 @@
         return (1 - scenario.load().zoneSkew() * place) / zones;
     }
 
-    private final class Source {
+    private final class ArrivalStream {
         private final int classIndex;
         private final int zone;
         private final SplittableRandom random;
         private final double perUs;
 
-        Source(int classIndex, int zone) {
+        ArrivalStream(int classIndex, int zone) {
             this.classIndex = classIndex;
             this.zone = zone;
             random = time.stream("clients " + classIndex + " " + zone);
@@ -107,8 +107,8 @@
                     / 1e6;
         }
 
-        void next() {
-            if (over || perUs == 0) {
+        void scheduleNext() {
+            if (stopped || perUs == 0) {
                 return;
             }
             double now = perUs * shape();
@@ -116,95 +116,96 @@
             // Chance has no memory: what does not come in this step is drawn anew in the next.
             boolean comes = wait <= STEP_US;
             time.after(Math.min(wait, STEP_US), () -> {
-                if (comes && !over) {
-                    new Wish(this).ask();
+                if (comes && !stopped) {
+                    new LogicalRequest(this).send();
                 }
-                next();
+                scheduleNext();
             });
         }
 
         private String key() {
-            if (zipfUpTo.length == 0) {
+            if (zipfCumulative.length == 0) {
                 return null;
             }
-            double at = random.nextDouble() * zipfUpTo[zipfUpTo.length - 1];
-            int found = Arrays.binarySearch(zipfUpTo, at);
+            double at = random.nextDouble() * zipfCumulative[zipfCumulative.length - 1];
+            int found = Arrays.binarySearch(zipfCumulative, at);
             return "k" + (found < 0 ? -1 - found : found);
         }
     }
 
-    /** What one client wants, over all its tries. */
-    private final class Wish {
-        private final Source from;
+    /** A request of one client, over all of its attempts. */
+    private final class LogicalRequest {
+        private final ArrivalStream stream;
         private final Scenario.RequestClass cls;
         private final String key;
         private final double workUs;
-        private final long askedAtUs = time.nowUs();
+        private final long firstSentAtUs = time.nowUs();
         private final long deadlineUs;
         private final boolean leaves;
         private int tries;
         private int current;
         private NodePort node;
         private long id;
-        private Timer giveUp;
-
-        Wish(Source from) {
-            this.from = from;
-            cls = scenario.classes().get(from.classIndex);
-            key = from.key();
-            double heavier = from.classIndex == heavyClass && from.random.nextDouble() < heavyShare ? heavyBy : 1;
-            workUs = cls.workUs() * Chance.spread(from.random, cls.cv()) * heavier;
-            deadlineUs = askedAtUs + cls.deadlineUs();
-            leaves = from.random.nextDouble() < scenario.clients().leaving();
+        private Timer timeout;
+
+        LogicalRequest(ArrivalStream stream) {
+            this.stream = stream;
+            cls = scenario.classes().get(stream.classIndex);
+            key = stream.key();
+            double heavier =
+                    stream.classIndex == heavyClass && stream.random.nextDouble() < heavyShare ? heavyFactor : 1;
+            workUs = cls.workUs() * Chance.spread(stream.random, cls.cv()) * heavier;
+            deadlineUs = firstSentAtUs + cls.deadlineUs();
+            leaves = stream.random.nextDouble() < scenario.clients().leaving();
             open++;
         }
 
-        void ask() {
+        void send() {
             long remainingUs = deadlineUs - time.nowUs();
             boolean last = ++tries >= scenario.clients().tries();
             long patienceUs = last
                     ? remainingUs
                     : (long) (remainingUs * scenario.clients().tryShare());
             if (patienceUs < 1_000) {
-                over(Answer.FAILED);
+                end(Answer.FAILED);
                 return;
             }
             world.score().tried(tries == 1, workUs);
             id = ++lastId;
-            node = world.front().choose(from.zone, from.random);
+            node = world.front().choose(stream.zone, stream.random);
             int attempt = ++current;
             boolean leavesNow = leaves && tries == 1;
             // A client waits for what is late by no more than the rules bear, so that the referee sees it
             // come.
             long waitsUs = leavesNow
-                    ? (long) (patienceUs * from.random.nextDouble())
+                    ? (long) (patienceUs * stream.random.nextDouble())
                     : patienceUs + 2 * scenario.rules().answerGraceUs();
-            giveUp = time.after(waitsUs, () -> {
+            timeout = time.after(waitsUs, () -> {
                 current++;
-                NodePort asked = node;
-                long gone = id;
-                if (asked != null) {
-                    time.after(world.links().clientDelay(from.random), () -> asked.left(gone));
+                NodePort target = node;
+                long requestId = id;
+                if (target != null) {
+                    time.after(world.links().clientDelay(stream.random), () -> target.clientGone(requestId));
                 }
                 if (leavesNow) {
                     open--;
                     world.score().leftEarly();
                 } else {
-                    tryAgain(Answer.FAILED);
+                    retryOrEnd(Answer.FAILED);
                 }
             });
             if (node == null) {
                 time.after(0, () -> answered(attempt, Answer.UNREACHABLE));
                 return;
             }
-            NodePort asked = node;
-            Try made = new Try(id, from.classIndex, key, workUs, patienceUs, tries > 1);
+            NodePort target = node;
+            ClientRequest request = new ClientRequest(id, stream.classIndex, key, workUs, patienceUs, tries > 1);
             time.after(
-                    world.links().clientDelay(from.random),
-                    () -> asked.ask(
-                            made,
+                    world.links().clientDelay(stream.random),
+                    () -> target.send(
+                            request,
                             answer -> time.after(
-                                    world.links().clientDelay(from.random), () -> answered(attempt, answer))));
+                                    world.links().clientDelay(stream.random), () -> answered(attempt, answer))));
         }
 
         private void answered(int attempt, Answer answer) {
@@ -215,29 +216,29 @@
 
         private void answered(Answer answer) {
             current++;
-            giveUp.cancel();
+            timeout.cancel();
             if (answer == Answer.OK) {
-                over(answer);
+                end(answer);
             } else {
-                tryAgain(answer);
+                retryOrEnd(answer);
             }
         }
 
-        private void tryAgain(Answer answer) {
-            boolean harmless = cls.idempotency() == Idempotency.IDEMPOTENT
+        private void retryOrEnd(Answer answer) {
+            boolean mayRetry = cls.idempotency() == Idempotency.IDEMPOTENT
                     || answer == Answer.REFUSED
                     || answer == Answer.UNREACHABLE;
             long backoffUs = scenario.clients().backoffUs();
-            if (harmless && tries < scenario.clients().tries() && time.nowUs() + backoffUs < deadlineUs) {
-                time.after(backoffUs, this::ask);
+            if (mayRetry && tries < scenario.clients().tries() && time.nowUs() + backoffUs < deadlineUs) {
+                time.after(backoffUs, this::send);
             } else {
-                over(answer);
+                end(answer);
             }
         }
 
-        private void over(Answer answer) {
+        private void end(Answer answer) {
             open--;
-            world.score().ended(from.classIndex, askedAtUs, time.nowUs() - askedAtUs, answer);
+            world.score().ended(stream.classIndex, firstSentAtUs, time.nowUs() - firstSentAtUs, answer);
         }
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/world/NodePort.java
+++ b/rig/src/main/java/loadbalancer/rig/world/NodePort.java
@@ -2,14 +2,15 @@
 
 /** One node as clients, the front and faults reach it: a simulated one or a process. */
 public interface NodePort {
-    /** After SIGTERM the front still deals it new requests for so long, as it has yet to notice. */
-    long STILL_ASKED_US = 300_000;
-    /** And it is killed at the latest after this. */
-    long MOST_END_US = 3_700_000;
+    /** How long after SIGTERM the front still sends it new requests, as it has yet to notice. */
+    long REQUESTS_AFTER_SIGTERM_US = 300_000;
+    /** How long after SIGTERM it is killed at the latest. */
+    long MAX_SHUTDOWN_US = 3_700_000;
 
-    /** How a request came back to its client. */
+    /** How a request came back to its client; stored histories hold these names. */
     enum Answer {
         OK,
+        /** Rejected: a retry is harmless. */
         REFUSED,
         FAILED,
         /** The node had taken it, and the connection broke. */
@@ -19,16 +20,17 @@
     }
 
     /**
-     * One try of a client.
+     * One attempt of a client.
      *
-     * @param workUs what it takes on a standard core; nodes are not told
-     * @param leftUs how long the client will wait
+     * @param workUs the work that it takes on a standard core; nodes are not given this
+     * @param remainingUs how long the client will wait
+     * @param repeat whether the client has sent the same request before
      */
-    record Try(long id, int classIndex, String key, double workUs, long remainingUs, boolean repeat) {}
+    record ClientRequest(long id, int classIndex, String key, double workUs, long remainingUs, boolean repeat) {}
 
-    /** Whom to tell of the answer, once. */
-    interface Asker {
-        void answered(Answer answer);
+    /** Is told of the answer, once. */
+    interface ResponseListener {
+        void onAnswer(Answer answer);
     }
 
     String name();
@@ -41,21 +43,21 @@
     /** Ends it at once; what it holds is lost. */
     void kill();
 
-    /** Asks it to end: it takes nothing new after a while, serves what it holds, and goes. */
-    void end();
+    /** Sends it SIGTERM: it takes nothing new after a while, serves its open requests, and ends. */
+    void terminate();
 
     /** Whether it takes requests. */
     boolean isReady();
 
-    /** Since when it has been as it is. */
-    long sinceUs();
+    /** When it last became ready, or ceased to be; 0 if it never was. */
+    long stateChangedAtUs();
 
-    /** Asks it on behalf of a client; never answers from inside this call. */
-    void ask(Try asked, Asker asker);
+    /** Sends it a client's request; the listener is never called from inside this call. */
+    void send(ClientRequest request, ResponseListener listener);
 
-    /** The client of this try has gone. */
-    void left(long id);
+    /** The client of this request has disconnected. */
+    void clientGone(long requestId);
 
-    /** Operators take an app server out by hand, or let it in again. */
-    void cordon(String server, boolean out);
+    /** Lets operators cordon an app server at it, or end the cordon. */
+    void setCordoned(String serverId, boolean cordoned);
 }
--- a/rig/src/main/java/loadbalancer/rig/world/World.java
+++ b/rig/src/main/java/loadbalancer/rig/world/World.java
@@ -59,7 +59,7 @@
     public static World simulated(Scenario scenario, Timeline time, History history, Policy policy) {
         World world = new World(scenario, time, history);
         for (int i = 0; i < scenario.fleet().nodes(); i++) {
-            world.add(new SimNode("n" + i, scenario.fleet().zoneOfNode(i), world.settings(i), world, policy));
+            world.add(new SimNode(i, world, policy));
         }
         return world;
     }
@@ -139,10 +139,10 @@
     }
 
     /** What an attempt takes; it differs from attempt to attempt of the same request. */
-    public double attemptWork(NodePort.Try asked, SplittableRandom random) {
-        return asked.workUs()
+    public double attemptWork(NodePort.ClientRequest request, SplittableRandom random) {
+        return request.workUs()
                 * Chance.spread(
-                        random, scenario.classes().get(asked.classIndex()).attemptNoise());
+                        random, scenario.classes().get(request.classIndex()).attemptNoise());
     }
 
     // ---------------------------------------------------------------- what faults do
