--- a/node/src/test/java/loadbalancer/process/LateConnectionTest.java
+++ b/node/src/test/java/loadbalancer/process/LateConnectionTest.java
@@ -29,6 +29,8 @@
     private static final String PHOTO = "POST /api/7f3a HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: photo\r\n"
             + "X-Remaining: 15000m\r\nIdempotency-Key: 5c0f\r\nContent-Length: 0\r\n\r\n";
 
+    private static final int TASKS_UP_TO_DIAL = 4;
+
     /** A server whose backlog is full: the system asks again a second later, so connections come up late. */
     private static final class LateServer implements AutoCloseable {
         private final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
@@ -98,6 +100,17 @@
                 }));
     }
 
+    /**
+     * Waits until the connection of an attempt has been asked for. The balancer's choice, the start of the attempt and
+     * the dial each run in a task of their own; a task from outside may run ahead of the next one of them. Were the
+     * server to accept before the dial, the connection would not be late.
+     */
+    private static void awaitDial(NodeHarness harness) throws InterruptedException {
+        for (int task = 0; task < TASKS_UP_TO_DIAL; task++) {
+            harness.awaitEventLoop();
+        }
+    }
+
     /**
      * A retry waits for a connection that opens only after the deduplication window has passed. The server would no
      * longer know the idempotency key and could run the request twice, so nothing is sent and the request fails.
@@ -141,7 +154,7 @@
             listed.countDown();
             // The repeat has asked for its connection, and is to be asked again by the system.
             assertTrue(started.tryAcquire(2, 20, TimeUnit.SECONDS));
-            harness.awaitEventLoop();
+            awaitDial(harness);
             late.letIn();
             assertEquals(502, Http.readMessage(client.getInputStream()).status());
             assertTrue(late.asked.isEmpty(), "sent behind its window");
@@ -163,7 +176,7 @@
             Socket client = harness.connect();
             NodeHarness.write(client, PHOTO.formatted("gone"));
             assertTrue(started.tryAcquire(20, TimeUnit.SECONDS));
-            harness.awaitEventLoop();
+            awaitDial(harness);
             client.close();
             harness.awaitMetric("node_in_progress 0");
             late.letIn();
