--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -7,9 +7,8 @@
 import loadbalancer.admin.RequestOutcome;
 import loadbalancer.client.ClientConnection;
 import loadbalancer.client.ClientRequest;
-import loadbalancer.common.Log;
 import loadbalancer.policy.AttemptResult;
-import loadbalancer.policy.BalancerRequest;
+import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
 
 /**
@@ -102,20 +101,19 @@
         return state.isEnded();
     }
 
-    /** Logs that it ended this long after its deadline. */
-    void logLate(long lateUs) {
-        Log.warn(
-                "request_late",
-                "txn",
-                request.head().requestId(),
-                "late_ms",
-                lateUs / 1_000,
-                "attempts",
-                attempts.size(),
-                "in_flight",
-                openAttempts,
-                "streaming",
-                streaming != null);
+    /** How many attempts it has had. */
+    int attemptCount() {
+        return attempts.size();
+    }
+
+    /** How many of its attempts the balancer has not heard the end of. */
+    int openAttemptCount() {
+        return openAttempts;
+    }
+
+    /** Whether its response is streamed, or has been. */
+    boolean isResponseStreamed() {
+        return streaming != null;
     }
 
     // ---------------------------------------------------------------- its arrival
@@ -145,26 +143,6 @@
         }
     }
 
-    /** Submits it to the balancer, with the time by which its client wants the response. */
-    void submitToBalancer(long clientDeadlineUs) {
-        ClientRequest.Head head = request.head();
-        services.events().submit(this, balancer -> {
-            long nowUs = services.clock().nowUs();
-            long waitedUs = Math.max(0, nowUs - arrivedAtUs());
-            balancer.onRequest(
-                    nowUs,
-                    new BalancerRequest(
-                            id,
-                            head.classIndex(),
-                            head.tenantIndex(),
-                            Math.max(0, clientDeadlineUs - nowUs + waitedUs),
-                            head.estimatedWorkUs(),
-                            head.retry(),
-                            head.affinityKey(),
-                            waitedUs));
-        });
-    }
-
     /** All of it has arrived: its time runs until this deadline. Not called once it has ended. */
     void setReceived(long atUs) {
         state = state.received();
@@ -225,12 +203,12 @@
     }
 
     /** The response to an attempt is streamed. Returns whether it goes to the client, as the first one does. */
-    boolean startResponse(long length, UpstreamAttempt attempt) {
+    boolean startResponse(UpstreamAttempt attempt, long length, FlowControl source) {
         if (isEnded() || streaming != null) {
             return false;
         }
         streaming = attempt;
-        client.startResponse(length, attempt);
+        client.startResponse(length, source);
         return true;
     }
 
--- a/node/src/main/java/loadbalancer/request/RequestTable.java
+++ b/node/src/main/java/loadbalancer/request/RequestTable.java
@@ -8,7 +8,9 @@
 import loadbalancer.client.ClientConnection;
 import loadbalancer.client.ClientRequest;
 import loadbalancer.client.ClientServer;
+import loadbalancer.common.Log;
 import loadbalancer.config.ClassRegistry;
+import loadbalancer.policy.BalancerRequest;
 
 /**
  * The table of all requests that a node holds, by id.
@@ -19,6 +21,7 @@
  */
 public final class RequestTable implements ClientServer.RequestHandler, ProxiedRequest.Listener {
     private static final byte[] NO_BODY = {};
+    private static final long MICROS_PER_MILLI = 1_000;
 
     /** Clients take a response for lost that comes half a second after its deadline; half of that is logged. */
     private static final long LOGGED_LATENESS_US = 250_000;
@@ -73,7 +76,27 @@
         client.setCloseListener(request);
         requests.put(request.id(), request);
         request.start();
-        request.submitToBalancer(Math.min(shutdownDeadlineUs, request.arrivedAtUs() + head.remainingUs()));
+        submitToBalancer(request, Math.min(shutdownDeadlineUs, request.arrivedAtUs() + head.remainingUs()));
+    }
+
+    /** Submits a new request to the balancer, with the time by which its client wants the response. */
+    private void submitToBalancer(ProxiedRequest request, long clientDeadlineUs) {
+        ClientRequest.Head head = request.clientRequest().head();
+        services.events().submit(request, balancer -> {
+            long nowUs = services.clock().nowUs();
+            long waitedUs = Math.max(0, nowUs - request.arrivedAtUs());
+            balancer.onRequest(
+                    nowUs,
+                    new BalancerRequest(
+                            request.id(),
+                            head.classIndex(),
+                            head.tenantIndex(),
+                            Math.max(0, clientDeadlineUs - nowUs + waitedUs),
+                            head.estimatedWorkUs(),
+                            head.retry(),
+                            head.affinityKey(),
+                            waitedUs));
+        });
     }
 
     @Override
@@ -94,7 +117,7 @@
         pendingCount -= request.isReceived() ? 1 : 0;
         long lateUs = services.clock().nowUs() - request.deadlineUs();
         if (lateUs > LOGGED_LATENESS_US) {
-            request.logLate(lateUs);
+            logLate(request, lateUs);
         }
     }
 
@@ -106,6 +129,21 @@
         }
     }
 
+    private static void logLate(ProxiedRequest request, long lateUs) {
+        Log.warn(
+                "request_late",
+                "txn",
+                request.clientRequest().head().requestId(),
+                "late_ms",
+                lateUs / MICROS_PER_MILLI,
+                "attempts",
+                request.attemptCount(),
+                "in_flight",
+                request.openAttemptCount(),
+                "streaming",
+                request.isResponseStreamed());
+    }
+
     /** Ends the attempts whose servers neither take nor send anything of what is streamed. */
     public void expireStalled() {
         long nowUs = services.clock().nowUs();
--- a/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -10,7 +10,6 @@
 import loadbalancer.policy.LoadReport;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
-import loadbalancer.transfer.TransferLimits;
 import loadbalancer.upstream.LoadReportDecoder;
 import loadbalancer.upstream.UpstreamExchange;
 
@@ -21,18 +20,9 @@
  * timer is cancelled, the pool no longer has it, and the balancer is to hear of its outcome. Parts of a response that
  * nobody wants are released here. Runs on the event loop.
  */
-final class UpstreamAttempt implements UpstreamExchange, FlowControl {
+final class UpstreamAttempt implements UpstreamExchange {
     private static final byte[] NO_BODY = {};
 
-    /** A server that takes and sends nothing for this long, amid something that is streamed, has failed. */
-    private static final long STREAM_STALL_TIMEOUT_US = 10_000_000;
-
-    /**
-     * The same for a streamed response of unknown length after the deadline, as long as it may be one whose last byte
-     * is due by then: a client takes a response for lost that comes half a second after its deadline.
-     */
-    private static final long LATE_STALL_TIMEOUT_US = 400_000;
-
     private static final long NOT_STARTED = 0;
 
     private final ProxiedRequest request;
@@ -48,17 +38,9 @@
 
     private long responseStartedAtUs = NOT_STARTED;
 
-    /** When something of it last moved. */
-    private long movedAtUs;
-
-    /** How much of a streamed request had been forwarded when it was last checked for a stall. */
-    private long checkedForwardedBytes;
+    /** What is streamed of it; null where nothing is. */
+    private AttemptStream stream;
 
-    /** Where a streamed response comes from; null until there is one. */
-    private FlowControl responseSource;
-
-    private long responseBytes;
-    private boolean responsePaused;
     private Future<?> timeout;
     private LoadReport loadReport;
     private boolean ended;
@@ -84,7 +66,6 @@
         this.services = services;
         createdAtUs = services.clock().nowUs();
         requestReceivedAtUs = createdAtUs;
-        movedAtUs = createdAtUs;
     }
 
     int number() {
@@ -114,11 +95,19 @@
             scheduleTimeout();
         }
         if (streamedBody() != null) {
-            services.streaming().add(this);
+            startStreaming();
         }
         services.pool().start(serverId, this);
     }
 
+    /** Something of it is streamed from now on, and is checked for stalls. */
+    private void startStreaming() {
+        services.streaming().add(this);
+        if (stream == null) {
+            stream = new AttemptStream(services.clock(), createdAtUs);
+        }
+    }
+
     /** All of the request has arrived: its time runs. */
     void onRequestReceived() {
         requestReceivedAtUs = services.clock().nowUs();
@@ -153,16 +142,16 @@
 
     @Override
     public void onResponseStarted(long length, FlowControl source) {
-        responseSource = source;
         responseStartedAtUs = services.clock().nowUs();
-        services.streaming().add(this);
+        startStreaming();
+        stream.onResponseStarted(source);
         if (timeout != null) {
             timeout.cancel(false);
             if (length < 0) {
-                scheduleAt(deadlineUs() + LATE_STALL_TIMEOUT_US, this::expireIfStalled);
+                scheduleAt(deadlineUs() + AttemptStream.LATE_STALL_TIMEOUT_US, this::expireIfStalled);
             }
         }
-        if (request.startResponse(length, this)) {
+        if (request.startResponse(this, length, stream)) {
             services.events()
                     .submit(
                             request,
@@ -172,8 +161,7 @@
 
     @Override
     public void onResponsePart(ByteBuf part) {
-        movedAtUs = services.clock().nowUs();
-        responseBytes += part.readableBytes();
+        stream.onResponsePart(part.readableBytes());
         ClientConnection client = request.receiverOf(this);
         if (client != null) {
             client.writeResponsePart(part);
@@ -195,19 +183,6 @@
         loadReport = LoadReportDecoder.decode(report, services.loadReportFields());
     }
 
-    @Override
-    public void pauseReading() {
-        responsePaused = true;
-        responseSource.pauseReading();
-    }
-
-    @Override
-    public void resumeReading() {
-        responsePaused = false;
-        movedAtUs = services.clock().nowUs();
-        responseSource.resumeReading();
-    }
-
     // ---------------------------------------------------------------- timeouts
 
     private void scheduleTimeout() {
@@ -223,31 +198,21 @@
 
     /** Ends a small late response that has stalled, or looks again later. */
     private void expireIfStalled() {
-        if (responseBytes > TransferLimits.MAX_BUFFERED_BYTES) {
-            // A large response: its first bytes were due in time, and the rest for as long as the server sends it.
+        if (stream.isLargeResponse()) {
+            // Its first bytes were due in time, and its rest for as long as the server sends it.
             return;
         }
         long nowUs = services.clock().nowUs();
-        if (!responsePaused && nowUs - movedAtUs >= LATE_STALL_TIMEOUT_US) {
+        if (stream.isStalledLate(nowUs)) {
             expire();
         } else {
-            scheduleAt((responsePaused ? nowUs : movedAtUs) + LATE_STALL_TIMEOUT_US, this::expireIfStalled);
+            scheduleAt(stream.nextLateCheckUs(nowUs), this::expireIfStalled);
         }
     }
 
-    /** Whether the server has neither taken nor sent anything for too long; called now and then while it streams. */
+    /** Whether something of it is streamed and the server has neither taken nor sent anything for too long. */
     boolean isStalled(long nowUs) {
-        boolean serverBlocks;
-        if (responseSource == null) {
-            long forwardedBytes = streamedBody().forwardedBytes();
-            serverBlocks = streamedBody().awaitsServer() && forwardedBytes == checkedForwardedBytes;
-            checkedForwardedBytes = forwardedBytes;
-        } else {
-            serverBlocks = !responsePaused;
-            checkedForwardedBytes = 0;
-        }
-        movedAtUs = serverBlocks ? movedAtUs : nowUs;
-        return nowUs - movedAtUs > STREAM_STALL_TIMEOUT_US;
+        return stream.isStalled(streamedBody(), nowUs);
     }
 
     // ---------------------------------------------------------------- its end
