--- /dev/null
+++ b/node/src/test/java/loadbalancer/transfer/RequestBodyTest.java
@@ -0,0 +1,137 @@
+package loadbalancer.transfer;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** A streamed body between a client and servers that the test plays. */
+class RequestBodyTest {
+    private final List<String> events = new ArrayList<>();
+    private final ByteBuf beginning = buffer("beginning ");
+    private final RequestBody body = new RequestBody(new RecordingClient(), -1, beginning);
+
+    private final class RecordingClient implements FlowControl {
+        @Override
+        public void pauseReading() {
+            events.add("paused");
+        }
+
+        @Override
+        public void resumeReading() {
+            events.add("resumed");
+        }
+    }
+
+    private static final class RecordingServer implements RequestBody.Sink {
+        private final StringBuilder written = new StringBuilder();
+        private boolean writable = true;
+        private boolean finished;
+
+        @Override
+        public void write(ByteBuf part) {
+            written.append(part.toString(StandardCharsets.UTF_8));
+            part.release();
+        }
+
+        @Override
+        public void finish() {
+            finished = true;
+        }
+
+        @Override
+        public void flush() {
+            // What is written is kept at once.
+        }
+
+        @Override
+        public boolean isWritable() {
+            return writable;
+        }
+    }
+
+    RequestBodyTest() {
+        body.setListener(new RequestBody.Listener() {
+            @Override
+            public void onCommitted() {
+                events.add("committed");
+            }
+
+            @Override
+            public void onReceived() {
+                events.add("received");
+            }
+        });
+    }
+
+    private static ByteBuf buffer(String text) {
+        return Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
+    }
+
+    @Test
+    void streamsTheBeginningTheBacklogAndTheRest() {
+        body.add(buffer("backlog "));
+        RecordingServer server = new RecordingServer();
+        body.streamTo(server);
+        body.add(buffer("rest"));
+        body.end();
+        assertEquals("beginning backlog rest", server.written.toString());
+        assertTrue(server.finished);
+        assertEquals(List.of("paused", "committed", "resumed", "received"), events);
+        assertEquals(12, body.forwardedBytes());
+        assertEquals(0, beginning.refCnt(), "released once it can't be replayed");
+    }
+
+    /**
+     * A server fails after it has been given the beginning alone. Another one is given the body from the start; once a
+     * further part has gone to it, no third one can be.
+     */
+    @Test
+    void replaysTheBeginningUntilMoreIsForwarded() {
+        RecordingServer failed = new RecordingServer();
+        body.streamTo(failed);
+        assertFalse(body.isReplayable(), "a server has it");
+        body.stop(failed);
+        assertTrue(body.isReplayable());
+        RecordingServer server = new RecordingServer();
+        body.streamTo(server);
+        body.add(buffer("rest"));
+        assertEquals("beginning rest", server.written.toString());
+        body.stop(server);
+        assertFalse(body.isReplayable());
+    }
+
+    /**
+     * A server takes nothing more for a while. The client is paused for as long, so that the node does not pile up what
+     * the client sends.
+     */
+    @Test
+    void pausesTheClientWhileTheServerTakesNothing() {
+        RecordingServer server = new RecordingServer();
+        body.streamTo(server);
+        server.writable = false;
+        body.updateBackpressure();
+        body.updateBackpressure();
+        assertTrue(body.awaitsServer());
+        server.writable = true;
+        body.updateBackpressure();
+        assertFalse(body.awaitsServer());
+        assertEquals(List.of("paused", "resumed", "paused", "resumed"), events);
+    }
+
+    @Test
+    void releaseDropsAllThatIsRetained() {
+        ByteBuf backlog = buffer("backlog");
+        body.add(backlog);
+        body.release();
+        assertEquals(0, beginning.refCnt());
+        assertEquals(0, backlog.refCnt());
+        assertFalse(body.isReplayable());
+    }
+}
