--- a/node/src/main/java/loadbalancer/client/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -12,6 +12,7 @@
 import java.io.IOException;
 import loadbalancer.common.Log;
 import loadbalancer.eventloop.LoopLagMeter;
+import loadbalancer.http.HttpBodies;
 import loadbalancer.transfer.FlowControl;
 
 /**
@@ -55,8 +56,6 @@
         void onClosed(ClientConnection client);
     }
 
-    private static final byte[] NO_BODY = {};
-
     private final Owner owner;
     private final SocketChannel channel;
     private final StrictServerCodec codec;
@@ -173,7 +172,7 @@
                 // A programming error that one request meets must not leave the request without a response.
                 Log.error("request_error", e, "uri", request.head().uri());
                 if (closeListener == null) {
-                    sendResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
+                    sendResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, HttpBodies.EMPTY, 0);
                 }
             }
         }
@@ -192,7 +191,7 @@
             }
             state.requestRejected();
             CloseListener listener = closeListener;
-            sendResponse(status, NO_BODY, 0);
+            sendResponse(status, HttpBodies.EMPTY, 0);
             if (listener != null) {
                 listener.onClientGone();
             }
--- a/node/src/main/java/loadbalancer/client/ConnectionTimeouts.java
+++ b/node/src/main/java/loadbalancer/client/ConnectionTimeouts.java
@@ -57,7 +57,9 @@
 
     /** Whether it is the node or the server that keeps the exchange from going on. */
     private boolean awaitsNode(boolean responseDue) {
-        return responseDue && !request.isStreaming() || request.isReadingPaused() && !state.isResponseStarted();
+        boolean awaitsResponse = responseDue && !request.isStreaming();
+        boolean bodyPaused = request.isReadingPaused() && !state.isResponseStarted();
+        return awaitsResponse || bodyPaused;
     }
 
     private boolean isFirstRequestOverdue(long connectedNanos, long inactiveNanos) {
--- a/node/src/main/java/loadbalancer/client/RequestAssembler.java
+++ b/node/src/main/java/loadbalancer/client/RequestAssembler.java
@@ -15,6 +15,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.nio.charset.StandardCharsets;
+import loadbalancer.http.HttpBodies;
 import loadbalancer.http.TransferCodings;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
@@ -48,7 +49,6 @@
     /** The response to a request that the node answers itself, once the request has arrived in full. */
     private record LocalResponse(HttpResponseStatus status, byte[] body) {}
 
-    private static final byte[] NO_BODY = {};
     private static final String READINESS_PATH = "/up";
     private static final long UNKNOWN_LENGTH = -1;
 
@@ -143,17 +143,17 @@
     private void route(HttpRequest request) throws BadRequestException {
         String path = RequestReader.path(request.uri());
         if (path.equals(READINESS_PATH)) {
-            localResponse = new LocalResponse(owner.readiness(), NO_BODY);
+            localResponse = new LocalResponse(owner.readiness(), HttpBodies.EMPTY);
         } else if (RequestReader.isRequestPath(path)) {
             head = owner.reader().read(request);
         } else {
-            localResponse = new LocalResponse(HttpResponseStatus.NOT_FOUND, NO_BODY);
+            localResponse = new LocalResponse(HttpResponseStatus.NOT_FOUND, HttpBodies.EMPTY);
         }
     }
 
     private static byte[] rejectionBody(HttpRequest request, BadRequestException rejection) {
         return request.method().equals(HttpMethod.HEAD)
-                ? NO_BODY
+                ? HttpBodies.EMPTY
                 : (rejection.getMessage() + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
@@ -188,7 +188,7 @@
         } else if (receivedBytes > TransferLimits.MAX_BUFFERED_BYTES && streamedBody == null) {
             streamedBody = new RequestBody(this, contentLength, buffered);
             buffered = null;
-            hand(NO_BODY);
+            hand(HttpBodies.EMPTY);
         }
     }
 
@@ -207,7 +207,7 @@
             state.proveClient();
             streamedBody.end();
         } else {
-            byte[] body = buffered == null ? NO_BODY : ByteBufUtil.getBytes(buffered);
+            byte[] body = buffered == null ? HttpBodies.EMPTY : ByteBufUtil.getBytes(buffered);
             discardBuffered();
             hand(body);
         }
--- a/node/src/main/java/loadbalancer/request/HealthCheck.java
+++ b/node/src/main/java/loadbalancer/request/HealthCheck.java
@@ -4,6 +4,7 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.http.HttpBodies;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.LoadReport;
 import loadbalancer.transfer.FlowControl;
@@ -16,7 +17,6 @@
  * connection, or by its timeout. Runs on the event loop.
  */
 public final class HealthCheck implements UpstreamExchange {
-    private static final byte[] NO_BODY = {};
     private static final long TIMEOUT_US = 1_000_000;
 
     private final String serverId;
@@ -40,7 +40,7 @@
 
     private void onTimeout() {
         services.pool().abort(serverId, this);
-        onEnded(AttemptResult.TIMEOUT, NO_BODY);
+        onEnded(AttemptResult.TIMEOUT, HttpBodies.EMPTY);
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -7,6 +7,7 @@
 import loadbalancer.admin.RequestOutcome;
 import loadbalancer.client.ClientConnection;
 import loadbalancer.client.ClientRequest;
+import loadbalancer.http.HttpBodies;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
@@ -20,8 +21,6 @@
  * then counted down. Runs on the event loop.
  */
 final class ProxiedRequest implements ClientConnection.CloseListener, PolicyEventQueue.FailureHandler {
-    private static final byte[] NO_BODY = {};
-
     /** Follows the life of requests. */
     interface Listener {
         /** All of the request has arrived. */
@@ -162,7 +161,7 @@
     @Override
     public void onBalancerFailure() {
         if (!isEnded()) {
-            respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
+            respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, HttpBodies.EMPTY, 0);
             withdrawFromBalancer();
         }
     }
@@ -271,7 +270,10 @@
     void failPending() {
         if (!isEnded() && streaming == null) {
             boolean neverSent = attempts.isEmpty();
-            respond(neverSent ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.BAD_GATEWAY, NO_BODY, 0);
+            respond(
+                    neverSent ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.BAD_GATEWAY,
+                    HttpBodies.EMPTY,
+                    0);
             withdrawFromBalancer();
         }
     }
--- a/node/src/main/java/loadbalancer/request/RequestTable.java
+++ b/node/src/main/java/loadbalancer/request/RequestTable.java
@@ -10,6 +10,7 @@
 import loadbalancer.client.ClientServer;
 import loadbalancer.common.Log;
 import loadbalancer.config.ClassRegistry;
+import loadbalancer.http.HttpBodies;
 import loadbalancer.policy.BalancerRequest;
 
 /**
@@ -20,7 +21,6 @@
  * here; a request that is no longer held ignores it. Runs on the event loop.
  */
 public final class RequestTable implements ClientServer.RequestHandler, ProxiedRequest.Listener {
-    private static final byte[] NO_BODY = {};
     private static final long MICROS_PER_MILLI = 1_000;
 
     /** Clients take a response for lost that comes half a second after its deadline; half of that is logged. */
@@ -174,7 +174,7 @@
     public void respond(long requestId, HttpResponseStatus status, long retryAfterUs) {
         ProxiedRequest request = requests.get(requestId);
         if (request != null) {
-            request.respond(status, NO_BODY, retryAfterUs);
+            request.respond(status, HttpBodies.EMPTY, retryAfterUs);
         }
     }
 }
--- a/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -5,6 +5,7 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.client.ClientConnection;
+import loadbalancer.http.HttpBodies;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.LoadReport;
@@ -21,8 +22,6 @@
  * nobody wants are released here. Runs on the event loop.
  */
 final class UpstreamAttempt implements UpstreamExchange {
-    private static final byte[] NO_BODY = {};
-
     private static final long NOT_STARTED = 0;
 
     private final ProxiedRequest request;
@@ -88,7 +87,7 @@
             return;
         }
         if (deadlineUs() <= createdAtUs || !request.admitsAttempt(number)) {
-            onEnded(AttemptResult.MOOT, NO_BODY);
+            onEnded(AttemptResult.MOOT, HttpBodies.EMPTY);
             return;
         }
         if (request.isReceived()) {
@@ -220,14 +219,14 @@
     /** Ends it as its time is up. What was not written in full is known not to have run. */
     void expire() {
         boolean mayHaveRun = services.pool().abort(serverId, this);
-        onEnded(mayHaveRun ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, NO_BODY);
+        onEnded(mayHaveRun ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, HttpBodies.EMPTY);
     }
 
     /** Cancels it, unless it has ended. */
     void cancel() {
         if (!ended) {
             services.pool().abort(serverId, this);
-            onEnded(AttemptResult.CANCELLED, NO_BODY);
+            onEnded(AttemptResult.CANCELLED, HttpBodies.EMPTY);
         }
     }
 
--- a/node/src/main/java/loadbalancer/upstream/ResponseReader.java
+++ b/node/src/main/java/loadbalancer/upstream/ResponseReader.java
@@ -9,6 +9,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.http.HttpBodies;
 import loadbalancer.http.ProtocolHeaders;
 import loadbalancer.http.TransferCodings;
 import loadbalancer.policy.AttemptResult;
@@ -22,7 +23,6 @@
  * buffering. It borrows the parts that it is given. Runs on the event loop.
  */
 final class ResponseReader {
-    private static final byte[] NO_BODY = {};
     private static final long UNKNOWN_LENGTH = -1;
     private static final int OK = HttpResponseStatus.OK.code();
 
@@ -147,7 +147,7 @@
 
     /** What is buffered of the body; empty where it was streamed. */
     byte[] bufferedBody() {
-        return streaming ? NO_BODY : ByteBufUtil.getBytes(buffered);
+        return streaming ? HttpBodies.EMPTY : ByteBufUtil.getBytes(buffered);
     }
 
     /** Whether the head that was last read announces another one. */
--- a/node/src/main/java/loadbalancer/upstream/ServerConnection.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerConnection.java
@@ -17,6 +17,7 @@
 import java.net.InetSocketAddress;
 import loadbalancer.common.Log;
 import loadbalancer.common.MonotonicWallClock;
+import loadbalancer.http.HttpBodies;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.transfer.FlowControl;
 import loadbalancer.transfer.RequestBody;
@@ -53,8 +54,6 @@
         void onClosed(ServerConnection connection);
     }
 
-    private static final byte[] NO_BODY = {};
-
     private final Owner owner;
     private final InetSocketAddress address;
     private final Channel channel;
@@ -229,7 +228,7 @@
         if (!reusable) {
             channel.close();
         }
-        endExchange(result, result == AttemptResult.OK ? body : NO_BODY);
+        endExchange(result, result == AttemptResult.OK ? body : HttpBodies.EMPTY);
     }
 
     @Override
@@ -251,7 +250,7 @@
     private void fail() {
         reusable = false;
         close();
-        endExchange(AttemptResult.RESET, NO_BODY);
+        endExchange(AttemptResult.RESET, HttpBodies.EMPTY);
     }
 
     private void endExchange(AttemptResult result, byte[] body) {
@@ -277,7 +276,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         owner.onClosed(this);
-        endExchange(requestWritten ? AttemptResult.RESET : AttemptResult.CONNECT_FAILED, NO_BODY);
+        endExchange(requestWritten ? AttemptResult.RESET : AttemptResult.CONNECT_FAILED, HttpBodies.EMPTY);
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/upstream/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -16,6 +16,7 @@
 import loadbalancer.common.SocketBudget;
 import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
+import loadbalancer.http.HttpBodies;
 import loadbalancer.http.StrictClientCodec;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.ServerState;
@@ -28,7 +29,6 @@
  * which hands it back. All methods run on the event loop.
  */
 public final class ServerPool {
-    private static final byte[] NO_BODY = {};
     private static final long MICROS_PER_MILLI = 1_000;
 
     private final Bootstrap dialer;
@@ -123,7 +123,7 @@
     public void start(String serverId, UpstreamExchange exchange) {
         UpstreamServer server = servers.get(serverId);
         if (server == null || !server.isReady()) {
-            exchange.onEnded(AttemptResult.MOOT, NO_BODY);
+            exchange.onEnded(AttemptResult.MOOT, HttpBodies.EMPTY);
             return;
         }
         ServerConnection idle = server.newestIdle();
@@ -132,7 +132,7 @@
             return;
         }
         if (!sockets.hasRoomForServer() && !closeOldestIdle()) {
-            exchange.onEnded(AttemptResult.CONNECT_FAILED, NO_BODY);
+            exchange.onEnded(AttemptResult.CONNECT_FAILED, HttpBodies.EMPTY);
             return;
         }
         server.await(exchange);
--- a/node/src/main/java/loadbalancer/upstream/UpstreamServer.java
+++ b/node/src/main/java/loadbalancer/upstream/UpstreamServer.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import loadbalancer.discovery.Endpoint;
+import loadbalancer.http.HttpBodies;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.ServerState;
 
@@ -17,8 +18,6 @@
  * taken back. Runs on the event loop.
  */
 final class UpstreamServer implements ServerConnection.Owner {
-    private static final byte[] NO_BODY = {};
-
     private final String id;
     /** The connections that carry an exchange, of all servers. */
     private final Map<UpstreamExchange, ServerConnection> active;
@@ -91,7 +90,7 @@
     private void endWaiting() {
         UpstreamExchange exchange;
         while ((exchange = waiting.poll()) != null) {
-            exchange.onEnded(AttemptResult.MOOT, NO_BODY);
+            exchange.onEnded(AttemptResult.MOOT, HttpBodies.EMPTY);
         }
     }
 
@@ -144,7 +143,7 @@
      */
     void failIfUndialed() {
         if (waiting.size() > pendingDials) {
-            waiting.poll().onEnded(AttemptResult.CONNECT_FAILED, NO_BODY);
+            waiting.poll().onEnded(AttemptResult.CONNECT_FAILED, HttpBodies.EMPTY);
         }
     }
 
@@ -165,7 +164,7 @@
         idle.push(connection);
         UpstreamExchange next;
         while ((next = waiting.poll()) != null && !next.mayStart()) {
-            next.onEnded(AttemptResult.CONNECT_FAILED, NO_BODY);
+            next.onEnded(AttemptResult.CONNECT_FAILED, HttpBodies.EMPTY);
         }
         if (next != null) {
             connection.start(next);
