--- a/node/src/main/java/loadbalancer/process/WarmUp.java
+++ b/node/src/main/java/loadbalancer/process/WarmUp.java
@@ -30,6 +30,7 @@
 import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.eventloop.MeasuredEventLoop;
+import loadbalancer.http.ProtocolHeaders;
 import loadbalancer.http.StrictClientCodec;
 import loadbalancer.policy.Idempotency;
 import loadbalancer.policy.RequestClass;
@@ -185,12 +186,12 @@
                     Unpooled.wrappedBuffer(new byte[bodyBytes]));
             request.headers()
                     .set(HttpHeaderNames.HOST, NAME)
-                    .set("X-Txn", Long.toString(number))
-                    .set("X-Lane", requestClass.name())
-                    .set("X-Remaining", "1000m")
+                    .set(ProtocolHeaders.REQUEST_ID, Long.toString(number))
+                    .set(ProtocolHeaders.REQUEST_CLASS, requestClass.name())
+                    .set(ProtocolHeaders.REMAINING_TIME, "1000m")
                     .set(HttpHeaderNames.CONTENT_LENGTH, bodyBytes);
             if (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
-                request.headers().set("Idempotency-Key", NAME);
+                request.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, NAME);
             }
             context.writeAndFlush(request);
         }
