--- a/cli/src/main/java/loadbalancer/cli/FleetStudy.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetStudy.java
@@ -26,6 +26,8 @@
                 + " halves find each other, and how often it errs.",
         footer = {"%nExample: lb fleet study --sizes 3,30,100 --seeds 20%n"})
 final class FleetStudy implements Callable<Integer> {
+    private static final double LOSS_SHARE = 0.05;
+
     @Spec
     private CommandSpec spec;
 
@@ -60,59 +62,60 @@
         }
         PrintWriter out = spec.commandLine().getOut();
         out.println("times in periods: median, 99 of 100, most; 1.58 is e/(e-1), of asking one at random");
-        for (int n : sizes) {
-            List<Result> played = each(seed -> MembershipStudy.measure(n, seed, set -> set));
+        for (int members : sizes) {
+            List<Result> results = forEachSeed(seed -> MembershipStudy.measure(members, seed, settings -> settings));
             out.printf(
                     Locale.ROOT,
                     "%5d members: a member sends %.2f datagrams and %.0f bytes a second%n",
-                    n,
-                    mean(played, Result::datagramsPerSecond),
-                    mean(played, Result::bytesPerSecond));
-            line(out, "crash suspected by one", played, Result::firstDetection);
-            line(out, "crash known to all", played, Result::fullDetection);
-            line(out, "alike after a cut", played, Result::convergence);
-            out.printf(Locale.ROOT, "        (3 log2 n is %.1f)%n", 3 * Math.log(n) / Math.log(2));
+                    members,
+                    mean(results, Result::datagramsPerSecond),
+                    mean(results, Result::bytesPerSecond));
+            printLine(out, "crash suspected by one", results, Result::firstDetection);
+            printLine(out, "crash known to all", results, Result::fullDetection);
+            printLine(out, "alike after a cut", results, Result::convergence);
+            out.printf(Locale.ROOT, "        (3 log2 n is %.1f)%n", 3 * Math.log(members) / Math.log(2));
             if (falseSeconds > 0) {
-                falsely(out, n, "as it is", set -> set);
-                falsely(out, n, "without doubting itself", FleetStudy::sure);
+                printFalsePositives(out, members, "as it is", settings -> settings);
+                printFalsePositives(out, members, "without doubting itself", FleetStudy::withoutLocalHealth);
             }
             out.flush();
         }
         return ExitCode.OK;
     }
 
-    private <T> List<T> each(LongFunction<T> play) throws InterruptedException {
+    private <T> List<T> forEachSeed(LongFunction<T> play) throws InterruptedException {
         return Seeds.play(
                 1, seeds, cores == null ? Runtime.getRuntime().availableProcessors() : cores, play, done -> {});
     }
 
-    /** Never stretches its times, and waits for nobody's confirmation. */
-    private static MembershipSettings sure(MembershipSettings settings) {
+    /** Local health is off, and a suspicion timeout is the shortest one at once. */
+    private static MembershipSettings withoutLocalHealth(MembershipSettings settings) {
         return settings.toBuilder().maxSuspicionFactor(1).maxLocalHealth(0).build();
     }
 
-    private void falsely(PrintWriter out, int n, String how, UnaryOperator<MembershipSettings> tuned)
+    private void printFalsePositives(
+            PrintWriter out, int members, String variant, UnaryOperator<MembershipSettings> adapt)
             throws InterruptedException {
-        List<FalsePositives> played =
-                each(seed -> MembershipStudy.countFalsePositives(n, seed, 0.05, falseSeconds, tuned));
+        List<FalsePositives> results = forEachSeed(
+                seed -> MembershipStudy.countFalsePositives(members, seed, LOSS_SHARE, falseSeconds, adapt));
         out.printf(
                 Locale.ROOT,
                 "        %s: false deaths %d, suspicions %d, in %d s of %d fleets%n",
-                how,
-                played.stream().mapToLong(FalsePositives::failures).sum(),
-                played.stream().mapToLong(FalsePositives::suspicions).sum(),
+                variant,
+                results.stream().mapToLong(FalsePositives::failures).sum(),
+                results.stream().mapToLong(FalsePositives::suspicions).sum(),
                 falseSeconds,
                 seeds);
     }
 
-    private static double mean(List<Result> of, ToDoubleFunction<Result> figure) {
-        return of.stream().mapToDouble(figure).average().orElseThrow();
+    private static double mean(List<Result> results, ToDoubleFunction<Result> value) {
+        return results.stream().mapToDouble(value).average().orElseThrow();
     }
 
-    private static void line(PrintWriter out, String what, List<Result> of, ToDoubleFunction<Result> figure) {
-        List<Double> sorted =
-                new ArrayList<>(of.stream().map(figure::applyAsDouble).sorted().toList());
-        long missing = sorted.stream().filter(v -> v < 0).count();
+    private static void printLine(PrintWriter out, String what, List<Result> results, ToDoubleFunction<Result> value) {
+        List<Double> sorted = new ArrayList<>(
+                results.stream().map(value::applyAsDouble).sorted().toList());
+        long missing = sorted.stream().filter(time -> time < 0).count();
         out.printf(
                 Locale.ROOT,
                 "        %-24s %6.2f %6.2f %6.2f%s%n",
--- a/cli/src/test/java/loadbalancer/cli/FleetMembersTest.java
+++ b/cli/src/test/java/loadbalancer/cli/FleetMembersTest.java
@@ -20,10 +20,11 @@
 /** The output of {@code fleet members}, column by column: scripts of operators read it. */
 class FleetMembersTest {
     private final StringWriter out = new StringWriter();
+    private final StringWriter err = new StringWriter();
 
     private int run(String... words) {
         CommandLine command = Main.commandLine();
-        command.setOut(new PrintWriter(out, true));
+        command.setOut(new PrintWriter(out, true)).setErr(new PrintWriter(err, true));
         return command.execute(words);
     }
 
--- a/node/src/main/java/loadbalancer/membership/core/BroadcastQueue.java
+++ b/node/src/main/java/loadbalancer/membership/core/BroadcastQueue.java
@@ -58,11 +58,11 @@
     /** Takes the updates that fit into so many bytes, and drops those that have been taken so often. */
     List<GossipUpdate> take(int budgetBytes, int maxTransmissions) {
         List<Broadcast> taken = new ArrayList<>();
-        int leftBytes = budgetBytes;
+        int remainingBytes = budgetBytes;
         // Out of the order first: an update must not be taken twice for one message.
-        while (!bySendOrder.isEmpty() && bySendOrder.first().update.maxEncodedBytes() <= leftBytes) {
+        while (!bySendOrder.isEmpty() && bySendOrder.first().update.maxEncodedBytes() <= remainingBytes) {
             Broadcast broadcast = bySendOrder.pollFirst();
-            leftBytes -= broadcast.update.maxEncodedBytes();
+            remainingBytes -= broadcast.update.maxEncodedBytes();
             taken.add(broadcast);
         }
         List<GossipUpdate> updates = new ArrayList<>(taken.size());
--- a/node/src/main/java/loadbalancer/membership/core/MembershipSettings.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipSettings.java
@@ -113,12 +113,12 @@
         }
     }
 
-    private static void requireAtLeast(int least, String setting, int value) {
-        require(value >= least, setting, value, "at least " + least);
+    private static void requireAtLeast(int min, String setting, int value) {
+        require(value >= min, setting, value, "at least " + min);
     }
 
-    private static void requireBetween(int least, int most, String setting, int value) {
-        require(value >= least && value <= most, setting, value, least + " to " + most);
+    private static void requireBetween(int min, int max, String setting, int value) {
+        require(value >= min && value <= max, setting, value, min + " to " + max);
     }
 
     private static void require(boolean holds, String setting, long value, String allowed) {
--- a/node/src/main/java/loadbalancer/membership/core/UpdateMerger.java
+++ b/node/src/main/java/loadbalancer/membership/core/UpdateMerger.java
@@ -61,7 +61,7 @@
             admit(nowUs, update);
         } else if (!claimed.supersedes(entry.member())) {
             confirmSuspicion(entry, update);
-        } else if (source == Source.STATE_SYNC && isDeathOfHeldIncarnation(entry, claimed)) {
+        } else if (source == Source.STATE_SYNC && isDeathOfKnownIncarnation(entry, claimed)) {
             suspectInsteadOfDead(nowUs, entry, update);
         } else {
             replace(nowUs, entry, update);
@@ -121,7 +121,7 @@
         }
     }
 
-    private static boolean isDeathOfHeldIncarnation(MemberEntry entry, Member claimed) {
+    private static boolean isDeathOfKnownIncarnation(MemberEntry entry, Member claimed) {
         return claimed.state() == MemberState.DEAD
                 && entry.isLive()
                 && claimed.incarnation().equals(entry.member().incarnation());
--- a/node/src/test/java/loadbalancer/membership/MembershipConfigTest.java
+++ b/node/src/test/java/loadbalancer/membership/MembershipConfigTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** The object {@code fleet} of a configuration file. */
 class MembershipConfigTest {
 
     private static MembershipConfig read(String json) throws Exception {
@@ -20,7 +21,7 @@
     }
 
     @Test
-    void whatIsLeftOutFollowsFromThePeriod() throws Exception {
+    void defaultsFollowFromThePeriod() throws Exception {
         MembershipConfig config =
                 read("{'name':'f','bind':'127.0.0.1:7946','seeds':['127.0.0.2:7946']," + "'periodMs':200}");
         assertEquals("n1", config.settings().name());
@@ -47,17 +48,17 @@
                 "{'name':'f','bind':'127.0.0.1:1','perodMs':5} | fleet.perodMs = 5: is not known; keys here are",
                 "[] | fleet = []: must be an object"
             })
-    void aBadOneNamesKeyValueAndWhatIsAllowed(String json, String told) {
+    void badConfigNamesKeyValueAndBounds(String json, String expectedStart) {
         String message =
-                assertThrows(IllegalArgumentException.class, () -> read(json)).getMessage();
-        assertTrue(message.startsWith(told), message);
+                assertThrows(MembershipConfigException.class, () -> read(json)).getMessage();
+        assertTrue(message.startsWith(expectedStart), message);
     }
 
     /** The keys of a deploy file, each of which a field of the code stands for. */
     @Test
     void keysOfTheObject() {
         String message = assertThrows(
-                        IllegalArgumentException.class, () -> read("{'name':'f','bind':'127.0.0.1:1','other':5}"))
+                        MembershipConfigException.class, () -> read("{'name':'f','bind':'127.0.0.1:1','other':5}"))
                 .getMessage();
         assertEquals(
                 "fleet.other = 5: is not known; keys here are name, member, bind, beyondLoopback, advertise, seeds,"
@@ -82,9 +83,10 @@
                 "'mostMembers':1 | fleet.mostMembers = 1: must be at least 2",
                 "'askers':1.5 | fleet.askers = 1.5: must be a whole number"
             })
-    void boundsInTheWordsOfTheFile(String setting, String expected) {
+    void boundsAreNamedByTheKeysOfTheFile(String setting, String expected) {
         String message = assertThrows(
-                        IllegalArgumentException.class, () -> read("{'name':'f','bind':'127.0.0.1:1'," + setting + "}"))
+                        MembershipConfigException.class,
+                        () -> read("{'name':'f','bind':'127.0.0.1:1'," + setting + "}"))
                 .getMessage();
         assertEquals(expected, message);
     }
@@ -111,7 +113,7 @@
     }
 
     @Test
-    void beyondLoopbackOnlyWhereTheFileSaysSo() throws Exception {
+    void addressBeyondLoopbackNeedsAFlag() throws Exception {
         assertEquals(
                 "10.0.0.1:7946",
                 read("{'name':'f','bind':'10.0.0.1:7946','beyondLoopback':true}")
--- a/node/src/test/java/loadbalancer/membership/codec/CodecBytesTest.java
+++ b/node/src/test/java/loadbalancer/membership/codec/CodecBytesTest.java
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void requestForAView() {
+    void viewRequest() {
         assertBytes("4b4d010623e32dd99f60ff", MembershipCodec.ofAnyFleet().encodeViewRequest());
     }
 
@@ -107,9 +107,9 @@
                         metrics)));
     }
 
-    /** The order of the states is the number on the wire. */
+    /** The ordinal of a state is its number on the wire. */
     @Test
-    void statesByTheirNumbers() {
+    void numbersOfStates() {
         assertEquals(
                 "[ALIVE, SUSPECT, DEAD, LEFT]", List.of(MemberState.values()).toString());
     }
--- a/node/src/test/java/loadbalancer/membership/codec/MembershipCodecTest.java
+++ b/node/src/test/java/loadbalancer/membership/codec/MembershipCodecTest.java
@@ -25,48 +25,54 @@
 import loadbalancer.membership.core.MembershipSettings;
 import org.junit.jupiter.api.Test;
 
+/** Frames: what is encoded decodes to the same, and what is no frame of this fleet is rejected. */
 class MembershipCodecTest {
     private static final int FUZZED = Integer.getInteger("loadbalancer.fuzzed", 1_000_000);
-    private static final int MOST_HELD = 50;
+    private static final int MAX_MEMBERS = 50;
+
+    /** What the protocol counts for an update with the longest names. */
+    private static final int MAX_UPDATE_BYTES = 48 + 5 * 64;
 
     private final MembershipCodec codec = new MembershipCodec("here");
 
-    private static String name(SplittableRandom random, int most) {
-        char[] name = new char[1 + random.nextInt(most)];
+    private static String name(SplittableRandom random, int maxLength) {
+        char[] name = new char[1 + random.nextInt(maxLength)];
         for (int i = 0; i < name.length; i++) {
             name[i] = (char) ('!' + random.nextInt(0x7f - '!'));
         }
         return new String(name);
     }
 
-    private static Member member(SplittableRandom random, int most) {
+    private static Member member(SplittableRandom random, int maxLength) {
         return new Member(
-                name(random, most),
-                name(random, most),
-                name(random, most),
-                name(random, most),
+                name(random, maxLength),
+                name(random, maxLength),
+                name(random, maxLength),
+                name(random, maxLength),
                 new Incarnation(random.nextLong(1L << 62), random.nextLong(1L << random.nextInt(1, 62))),
                 MemberState.values()[random.nextInt(4)]);
     }
 
-    private static MembershipMessage message(SplittableRandom random, int most) {
+    private static MembershipMessage message(SplittableRandom random, int maxLength) {
         List<GossipUpdate> updates = new ArrayList<>();
         for (int i = random.nextInt(6); i > 0; i--) {
-            updates.add(new GossipUpdate(member(random, most), name(random, most)));
+            updates.add(new GossipUpdate(member(random, maxLength), name(random, maxLength)));
         }
-        Member from = member(random, most);
-        long number = random.nextLong(1L << 40);
+        Member sender = member(random, maxLength);
+        long sequence = random.nextLong(1L << 40);
         return switch (random.nextInt(5)) {
-            case 0 -> new MembershipMessage.Ping(number, name(random, most), from, updates);
-            case 1 -> new MembershipMessage.Ack(number, from, updates);
-            case 2 -> new MembershipMessage.PingRequest(number, name(random, most), name(random, most), from, updates);
-            case 3 -> new MembershipMessage.Nack(number, from, updates);
-            default -> new MembershipMessage.Gossip(from, updates);
+            case 0 -> new MembershipMessage.Ping(sequence, name(random, maxLength), sender, updates);
+            case 1 -> new MembershipMessage.Ack(sequence, sender, updates);
+            case 2 ->
+                new MembershipMessage.PingRequest(
+                        sequence, name(random, maxLength), name(random, maxLength), sender, updates);
+            case 3 -> new MembershipMessage.Nack(sequence, sender, updates);
+            default -> new MembershipMessage.Gossip(sender, updates);
         };
     }
 
     @Test
-    void whatIsWrittenIsRead() throws Exception {
+    void framesDecodeToWhatWasEncoded() throws Exception {
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 2_000; i++) {
             MembershipMessage message = message(random, 64);
@@ -78,32 +84,38 @@
         assertEquals(view, MembershipCodec.ofAnyFleet().decodeView(codec.encodeView(view)));
     }
 
+    /**
+     * A datagram that is too long for the network gets lost, each time. So the largest message must fit, and an update
+     * must not need more bytes than the protocol counts for it.
+     */
     @Test
-    void theLongestNamesFitIntoADatagram() {
+    void longestNamesFitIntoADatagram() {
         String longest = "x".repeat(64);
         Member member =
                 new Member(longest, longest, longest, longest, new Incarnation(1L << 62, 1L << 62), MemberState.LEFT);
         GossipUpdate update = new GossipUpdate(member, longest);
-        // What the core reckons a update to need, and not less, is what it may fill its room with.
         List<GossipUpdate> updates = new ArrayList<>();
-        for (int bytes = 48 + 5 * 64; bytes <= MembershipSettings.MAX_GOSSIP_BUDGET_BYTES; bytes += 48 + 5 * 64) {
+        for (int bytes = MAX_UPDATE_BYTES;
+                bytes <= MembershipSettings.MAX_GOSSIP_BUDGET_BYTES;
+                bytes += MAX_UPDATE_BYTES) {
             updates.add(update);
         }
         int length = new MembershipCodec(longest)
                 .encode(new MembershipMessage.PingRequest(1L << 62, longest, longest, member, updates))
                 .length;
         assertTrue(length <= MembershipCodec.MAX_DATAGRAM_BYTES, "bytes: " + length);
-        int more = codec.encode(new MembershipMessage.Gossip(member, List.of(update, update))).length
+        int updateBytes = codec.encode(new MembershipMessage.Gossip(member, List.of(update, update))).length
                 - codec.encode(new MembershipMessage.Gossip(member, List.of(update))).length;
-        assertTrue(more <= 48 + 5 * 64, "bytes of a rumor: " + more);
+        assertTrue(updateBytes <= MAX_UPDATE_BYTES, "bytes of an update: " + updateBytes);
     }
 
     private Reason reason(byte[] frame) {
         return assertThrows(BadFrameException.class, () -> codec.decode(frame)).reason();
     }
 
+    /** Frames of another fleet, another protocol, another version, and damaged ones: each is rejected by its reason. */
     @Test
-    void whatIsNotOfThisFleetIsTurnedAwayByItsReason() {
+    void badFramesAreRejectedByReason() {
         byte[] frame = codec.encode(message(new SplittableRandom(2), 10));
         assertEquals(
                 Reason.FOREIGN_FLEET,
@@ -111,15 +123,16 @@
         assertEquals(Reason.BAD_MAGIC, reason("GET / HTTP/1.1\r\n\r\n".getBytes()));
         assertEquals(Reason.BAD_MAGIC, reason(new byte[0]));
         assertEquals(Reason.CHECKSUM_MISMATCH, reason(Arrays.copyOf(frame, frame.length - 1)));
-        byte[] newer = frame.clone();
-        newer[2]++;
-        assertEquals(Reason.UNSUPPORTED_VERSION, reason(summed(newer)));
+        byte[] unsupported = frame.clone();
+        unsupported[2]++;
+        assertEquals(Reason.UNSUPPORTED_VERSION, reason(withChecksum(unsupported)));
         assertEquals(Reason.MALFORMED, reason(codec.encodeState(List.of())));
-        assertEquals(Reason.MALFORMED, reason(summed(Arrays.copyOf(frame, frame.length + 1))));
+        assertEquals(Reason.MALFORMED, reason(withChecksum(Arrays.copyOf(frame, frame.length + 1))));
     }
 
+    /** A single bit is flipped on the way. Whichever it is, the frame is rejected. */
     @Test
-    void everyByteOfAFrameCounts() {
+    void everyFlippedBitIsDetected() {
         byte[] frame = codec.encode(message(new SplittableRandom(3), 20));
         for (int bit = 0; bit < frame.length * 8; bit++) {
             byte[] flipped = frame.clone();
@@ -128,8 +141,8 @@
         }
     }
 
-    /** With a checksum that is right, so that what is wrong is met further in. */
-    private static byte[] summed(byte[] frame) {
+    /** The same with a right checksum, so that only what is further in is wrong. */
+    private static byte[] withChecksum(byte[] frame) {
         if (frame.length >= 8) {
             CRC32C sum = new CRC32C();
             sum.update(frame, 2, 2);
@@ -139,8 +152,8 @@
         return frame;
     }
 
-    private static byte[] spoilt(byte[] frame, byte[] other, SplittableRandom random) {
-        byte[] spoilt = switch (random.nextInt(4)) {
+    private static byte[] corrupt(byte[] frame, byte[] other, SplittableRandom random) {
+        byte[] corrupted = switch (random.nextInt(4)) {
             case 0 -> Arrays.copyOf(frame, random.nextInt(frame.length));
             case 1 -> Arrays.copyOf(frame, frame.length + random.nextInt(2_000));
             case 2 -> {
@@ -151,78 +164,83 @@
             }
             default -> frame.clone();
         };
-        for (int i = random.nextInt(4); i > 0 && spoilt.length > 0; i--) {
-            spoilt[random.nextInt(spoilt.length)] = (byte) random.nextInt();
+        for (int i = random.nextInt(4); i > 0 && corrupted.length > 0; i--) {
+            corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
         }
-        return random.nextInt(8) == 0 ? spoilt : summed(spoilt);
+        return random.nextInt(8) == 0 ? corrupted : withChecksum(corrupted);
     }
 
-    /** What the core wants done, of which only the last message matters here. */
-    private static final class Quiet implements MembershipActions {
-        private MembershipMessage last;
+    /** Records the last message, and does nothing. */
+    private static final class RecordingActions implements MembershipActions {
+        private MembershipMessage lastSent;
 
         @Override
         public void send(String address, MembershipMessage message) {
-            last = message;
+            lastSent = message;
         }
 
         @Override
         public void startStateSync(String address) {
-            // Nobody is there.
+            // There is no peer.
         }
 
         @Override
         public void onChange(MembershipChange change) {
-            // The view tells.
+            // The table is checked.
         }
 
         @Override
         public void onRoundTrip(long us) {
-            // None is measured.
+            // Not checked here.
         }
 
         @Override
         public void scheduleWake(long atUs) {
-            // The test keeps the time.
+            // The test sets the time.
         }
     }
 
+    /**
+     * A process receives a million datagrams that are corrupted in all ways, many with a right checksum. It must drop
+     * what it cannot read, hold no more members than allowed, and still answer a ping in the end.
+     */
     @Test
-    void noDatagramHarmsWhoeverItComesUpon() throws Exception {
+    void corruptedDatagramsDoNoHarm() throws Exception {
         SplittableRandom random = new SplittableRandom(4);
-        MembershipSettings small = MembershipSettings.builder("me", "127.0.0.1:1", "z", "node", List.of())
-                .maxMembers(MOST_HELD)
+        MembershipSettings settings = MembershipSettings.builder("me", "127.0.0.1:1", "z", "node", List.of())
+                .maxMembers(MAX_MEMBERS)
                 .build();
-        Quiet out = new Quiet();
-        MembershipProtocol core = new MembershipProtocol(small, 1, 1L << 62, out);
-        core.start(0);
+        RecordingActions actions = new RecordingActions();
+        MembershipProtocol protocol = new MembershipProtocol(settings, 1, 1L << 62, actions);
+        protocol.start(0);
         Map<Reason, Integer> dropped = new EnumMap<>(Reason.class);
-        int taken = 0;
+        int accepted = 0;
         byte[] frame = codec.encode(message(random, 12));
         for (int i = 0; i < FUZZED; i++) {
             byte[] other = frame;
             frame = i % 16 == 0 ? codec.encode(message(random, 12)) : frame;
             try {
-                MembershipMessage message = codec.decode(spoilt(frame, other, random));
-                taken++;
-                core.onMessage(i * 1_000L, message);
+                MembershipMessage message = codec.decode(corrupt(frame, other, random));
+                accepted++;
+                protocol.onMessage(i * 1_000L, message);
             } catch (BadFrameException e) {
                 dropped.merge(e.reason(), 1, Integer::sum);
             }
             if (i % 100 == 0) {
-                core.onWake(i * 1_000L);
+                protocol.onWake(i * 1_000L);
             }
         }
         assertTrue(
-                taken > FUZZED / 100 && dropped.size() == Reason.values().length, taken + " taken, dropped " + dropped);
+                accepted > FUZZED / 100 && dropped.size() == Reason.values().length,
+                accepted + " accepted, dropped " + dropped);
         assertTrue(
-                core.stateSnapshot().size() <= MOST_HELD,
-                "held: " + core.stateSnapshot().size());
-        Member asking = new Member("asking", "127.0.0.1:2", "z", "node", new Incarnation(1, 0), MemberState.ALIVE);
-        core.onMessage(FUZZED * 1_000L, new MembershipMessage.Ping(77, "me", asking, List.of()));
+                protocol.stateSnapshot().size() <= MAX_MEMBERS,
+                "members: " + protocol.stateSnapshot().size());
+        Member sender = new Member("sender", "127.0.0.1:2", "z", "node", new Incarnation(1, 0), MemberState.ALIVE);
+        protocol.onMessage(FUZZED * 1_000L, new MembershipMessage.Ping(77, "me", sender, List.of()));
         assertTrue(
-                core.isEnded() || out.last instanceof MembershipMessage.Ack ack && ack.sequence() == 77,
-                "answers no more: " + out.last);
-        assertArrayEquals(codec.encode(out.last), codec.encode(codec.decode(codec.encode(out.last))));
+                protocol.isEnded() || actions.lastSent instanceof MembershipMessage.Ack ack && ack.sequence() == 77,
+                "no ack: " + actions.lastSent);
+        assertArrayEquals(codec.encode(actions.lastSent), codec.encode(codec.decode(codec.encode(actions.lastSent))));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/real/MemberFleet.java
+++ b/rig/src/main/java/loadbalancer/rig/real/MemberFleet.java
@@ -144,8 +144,9 @@
 
     private String liveNames() {
         StringBuilder lines = new StringBuilder();
-        members.forEach(
-                member -> lines.append('\n').append(member.name()).append(' ').append(member.liveNames()));
+        members.forEach(member -> lines.append('\n')
+                .append(member.name())
+                .append(member.isUp() ? " " + member.liveNames() : " has no process"));
         return lines.toString();
     }
 
