--- /dev/null
+++ b/node/src/main/java/loadbalancer/simulator/BalancerEventDecoder.java
@@ -0,0 +1,132 @@
+package loadbalancer.simulator;
+
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.AttemptResult;
+import loadbalancer.policy.Balancer;
+import loadbalancer.policy.BalancerRequest;
+import loadbalancer.policy.ListKind;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.policy.ServerEntry;
+
+/**
+ * Decodes the events for a balancer. A decoded event is the call that delivers it: what cannot be decoded is an error
+ * of the wire, what the call throws is a fault of the balancer, and the two end differently.
+ */
+final class BalancerEventDecoder {
+    private final WireLineReader line;
+    private final Rosters rosters;
+
+    BalancerEventDecoder(WireLineReader line, Rosters rosters) {
+        this.line = line;
+        this.rosters = rosters;
+    }
+
+    /**
+     * Decodes the event on the current line.
+     *
+     * @throws WireException if a field is missing or invalid, or the type is none of a balancer's
+     */
+    Consumer<Balancer> decode(EventType type, SimulatedNode node, long nowUs) throws WireException {
+        return switch (type) {
+            case ATTEMPT_ENDED -> decodeOutcome(nowUs);
+            case REQUEST -> decodeRequest(node, nowUs);
+            case WAKE -> balancer -> balancer.onWake(nowUs);
+            case ENDPOINT_LIST -> decodeEndpointList(node, nowUs);
+            case CLIENT_GONE -> decodeClientGone(nowUs);
+            case FIRST_BYTE -> decodeFirstByte(nowUs);
+            case PROBE_ENDED -> decodeProbe(nowUs);
+            case NOTE -> balancer -> {};
+            default -> throw line.invalid("unknown event " + line.name());
+        };
+    }
+
+    private Consumer<Balancer> decodeOutcome(long nowUs) throws WireException {
+        AttemptOutcome outcome = new AttemptOutcome(
+                line.requiredId(WireNames.REQUEST_ID),
+                (int) line.requiredLong(WireNames.ATTEMPT),
+                decodeResult(),
+                line.longOrDefault(WireNames.LATENCY_US, 0),
+                line.flag(WireNames.STREAM_ENDED),
+                decodeLoadReport());
+        return balancer -> balancer.onOutcome(nowUs, outcome);
+    }
+
+    private Consumer<Balancer> decodeRequest(SimulatedNode node, long nowUs) throws WireException {
+        String tenant = line.textOrNull(WireNames.TENANT);
+        boolean hasTenant = tenant != null && !tenant.equals(WireNames.NO_TENANT);
+        BalancerRequest request = new BalancerRequest(
+                line.requiredId(WireNames.REQUEST_ID),
+                index(node.classIndices(), WireNames.CLASS, line.requiredText(WireNames.CLASS)),
+                hasTenant ? index(node.tenantIndices(), WireNames.TENANT, tenant) : -1,
+                line.requiredLong(WireNames.REMAINING_US),
+                line.longOrDefault(WireNames.WORK_US, 0),
+                line.flag(WireNames.REPEATED),
+                line.textOrNull(WireNames.KEY));
+        return balancer -> balancer.onRequest(nowUs, request);
+    }
+
+    private int index(Map<String, Integer> indices, String field, String name) throws WireException {
+        Integer index = indices.get(name);
+        if (index == null) {
+            throw line.invalidField(field, "is not in the settings: " + name);
+        }
+        return index;
+    }
+
+    private Consumer<Balancer> decodeEndpointList(SimulatedNode node, long nowUs) throws WireException {
+        String kind = line.requiredText(WireNames.LIST_KIND);
+        if (kind.equals(WireNames.KIND_FAILED)) {
+            return balancer -> balancer.onListFailed(nowUs);
+        }
+        ListKind listKind = switch (kind) {
+            case WireNames.KIND_CHANGES -> ListKind.CHANGES;
+            case WireNames.KIND_FULL -> ListKind.FULL;
+            case WireNames.KIND_CACHED -> ListKind.CACHED;
+            default -> throw line.invalidField(WireNames.LIST_KIND, "is unknown: " + kind);
+        };
+        List<ServerEntry> servers = rosters.servers(line, node);
+        return balancer -> balancer.onServers(nowUs, listKind, servers);
+    }
+
+    private Consumer<Balancer> decodeClientGone(long nowUs) throws WireException {
+        long requestId = line.requiredId(WireNames.REQUEST_ID);
+        return balancer -> balancer.onClientGone(nowUs, requestId);
+    }
+
+    private Consumer<Balancer> decodeFirstByte(long nowUs) throws WireException {
+        long requestId = line.requiredId(WireNames.REQUEST_ID);
+        int attempt = (int) line.requiredLong(WireNames.ATTEMPT);
+        return balancer -> balancer.onFirstByte(nowUs, requestId, attempt);
+    }
+
+    private Consumer<Balancer> decodeProbe(long nowUs) throws WireException {
+        String serverId = line.requiredText(WireNames.SERVER_ID);
+        AttemptResult result = decodeResult();
+        long latencyUs = line.longOrDefault(WireNames.LATENCY_US, 0);
+        LoadReport report = decodeLoadReport();
+        return balancer -> balancer.onProbe(nowUs, serverId, result, latencyUs, report);
+    }
+
+    private LoadReport decodeLoadReport() throws WireException {
+        double[] values = line.doublesOrNull(WireNames.LOAD_REPORT);
+        return values == null ? null : LoadReport.of(values);
+    }
+
+    private AttemptResult decodeResult() throws WireException {
+        long code = line.requiredLong(WireNames.RESULT);
+        return switch ((int) code) {
+            case WireNames.RESULT_OK -> AttemptResult.OK;
+            case WireNames.RESULT_ERROR -> AttemptResult.ERROR;
+            case WireNames.RESULT_FULL -> AttemptResult.FULL;
+            case WireNames.RESULT_TIMEOUT -> AttemptResult.TIMEOUT;
+            case WireNames.RESULT_CONNECT_FAILED -> AttemptResult.CONNECT_FAILED;
+            case WireNames.RESULT_RESET -> AttemptResult.RESET;
+            case WireNames.RESULT_CANCELLED -> AttemptResult.CANCELLED;
+            case WireNames.RESULT_MOOT -> AttemptResult.MOOT;
+            default -> throw line.invalidField(WireNames.RESULT, "is unknown: " + code);
+        };
+    }
+}
--- a/node/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
+++ b/node/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -4,20 +4,19 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** Hosts instances of the module for the bench: the wire on standard input and output. */
+/** Runs the balancers of simulated nodes behind the simulator's wire on standard input and output. */
 public final class SimulatorAdapter {
+    private static final int EXIT_MALFORMED_INPUT = 2;
+
     private SimulatorAdapter() {}
 
-    /**
-     * Runs until the input ends; a malformed input ends it with one line on standard error and exit
-     * code 2.
-     */
+    /** Runs until the input ends; malformed input ends the process with one line on standard error and exit code 2. */
     public static void run() {
         try {
             new SimulatorConnection(System.in, new FileOutputStream(FileDescriptor.out)).run();
         } catch (WireException | IOException e) {
             System.err.println("load-balancer: " + e.getMessage());
-            System.exit(2);
+            System.exit(EXIT_MALFORMED_INPUT);
         }
     }
 }
--- a/node/src/main/java/loadbalancer/simulator/WireLineReader.java
+++ b/node/src/main/java/loadbalancer/simulator/WireLineReader.java
@@ -5,105 +5,140 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads the wire line by line: a name, then name=value pairs, parted by single spaces. Keeps no garbage. */
-public final class WireLineReader {
-    private static final int FIRST_BUFFER = 1 << 16;
+/**
+ * Reads the wire line by line: a name, then fields of the form key=value, separated by single spaces. A line is parsed
+ * in place, and texts are made only where they are asked for. Single-threaded.
+ */
+final class WireLineReader {
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+    private static final int INITIAL_FIELDS = 16;
+    private static final int MAX_NUMBER_DIGITS = 18;
+    private static final int ID_DIGITS = 16;
 
-    private final InputStream in;
-    private byte[] buffer = new byte[FIRST_BUFFER];
+    private final InputStream input;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    /** Bytes of the buffer that hold input. */
     private int filled;
-    private int start;
-    private int end;
-    private long number;
 
+    private long lineNumber;
+    private int lineStart;
+    private int lineEnd;
     private int nameEnd;
-    private int fields;
-    private int[] keyStart = new int[16];
-    private int[] valueStart = new int[16];
-    private int[] valueEnd = new int[16];
 
-    WireLineReader(InputStream in) {
-        this.in = in;
+    private int fieldCount;
+    private int[] keyStart = new int[INITIAL_FIELDS];
+    private int[] valueStart = new int[INITIAL_FIELDS];
+    private int[] valueEnd = new int[INITIAL_FIELDS];
+
+    WireLineReader(InputStream input) {
+        this.input = input;
     }
 
-    /** Moves to the next line; false at the end of input. */
+    /** Moves to the next line; false at the end of the input. The last line may lack its end. */
     boolean next() throws IOException {
-        start = number == 0 ? 0 : end + 1;
-        number++;
-        int scan = start;
+        lineStart = lineNumber == 0 ? 0 : lineEnd + 1;
+        lineNumber++;
+        int at = lineStart;
         while (true) {
-            while (scan < filled && buffer[scan] != '\n') {
-                scan++;
+            while (at < filled && buffer[at] != '\n') {
+                at++;
             }
-            if (scan < filled) {
-                end = scan;
+            if (at < filled) {
+                lineEnd = at;
                 split();
                 return true;
             }
-            if (start > 0) {
-                System.arraycopy(buffer, start, buffer, 0, filled - start);
-                filled -= start;
-                scan -= start;
-                start = 0;
-            }
-            if (filled == buffer.length) {
-                buffer = Arrays.copyOf(buffer, 2 * buffer.length);
-            }
-            int read = in.read(buffer, filled, buffer.length - filled);
+            at -= makeRoom();
+            int read = input.read(buffer, filled, buffer.length - filled);
             if (read < 0) {
-                end = filled;
-                if (filled == start) {
-                    return false;
-                }
-                split();
-                // The next call must find nothing more.
-                buffer[end < buffer.length ? end : end - 1] = '\n';
-                filled = Math.min(end + 1, buffer.length);
-                return true;
+                return endLastLine();
             }
             filled += read;
         }
     }
 
+    /**
+     * Moves to the next line.
+     *
+     * @throws WireException if there is none
+     */
+    void requireNext() throws IOException, WireException {
+        if (!next()) {
+            throw invalid("the input ends inside a batch");
+        }
+    }
+
+    /** Moves the current line to the start of the buffer, and returns by how much; the buffer has room after it. */
+    private int makeRoom() {
+        int moved = lineStart;
+        if (moved > 0) {
+            System.arraycopy(buffer, lineStart, buffer, 0, filled - lineStart);
+            filled -= moved;
+            lineStart = 0;
+        }
+        if (filled == buffer.length) {
+            buffer = Arrays.copyOf(buffer, 2 * buffer.length);
+        }
+        return moved;
+    }
+
+    /** Ends the line at the end of the input; false if it is empty. There is room in the buffer for its end. */
+    private boolean endLastLine() {
+        lineEnd = filled;
+        if (filled == lineStart) {
+            return false;
+        }
+        split();
+        buffer[lineEnd] = '\n';
+        filled = lineEnd + 1;
+        return true;
+    }
+
     private void split() {
-        int at = start;
-        while (at < end && buffer[at] != ' ') {
+        int at = lineStart;
+        while (at < lineEnd && buffer[at] != ' ') {
             at++;
         }
         nameEnd = at;
-        fields = 0;
-        while (at < end) {
+        fieldCount = 0;
+        while (at < lineEnd) {
             int key = at + 1;
             int equals = key;
-            while (equals < end && buffer[equals] != '=' && buffer[equals] != ' ') {
+            while (equals < lineEnd && buffer[equals] != '=' && buffer[equals] != ' ') {
                 equals++;
             }
             at = equals;
-            while (at < end && buffer[at] != ' ') {
+            while (at < lineEnd && buffer[at] != ' ') {
                 at++;
             }
-            if (fields == keyStart.length) {
-                keyStart = Arrays.copyOf(keyStart, 2 * fields);
-                valueStart = Arrays.copyOf(valueStart, 2 * fields);
-                valueEnd = Arrays.copyOf(valueEnd, 2 * fields);
-            }
-            keyStart[fields] = key;
-            valueStart[fields] = Math.min(equals + 1, at);
-            valueEnd[fields] = at;
-            fields++;
+            addField(key, Math.min(equals + 1, at), at);
         }
     }
 
+    private void addField(int key, int value, int end) {
+        if (fieldCount == keyStart.length) {
+            keyStart = Arrays.copyOf(keyStart, 2 * fieldCount);
+            valueStart = Arrays.copyOf(valueStart, 2 * fieldCount);
+            valueEnd = Arrays.copyOf(valueEnd, 2 * fieldCount);
+        }
+        keyStart[fieldCount] = key;
+        valueStart[fieldCount] = value;
+        valueEnd[fieldCount] = end;
+        fieldCount++;
+    }
+
+    /** The first word of the line. */
     String name() {
-        return new String(buffer, start, nameEnd - start, StandardCharsets.UTF_8);
+        return new String(buffer, lineStart, nameEnd - lineStart, StandardCharsets.UTF_8);
     }
 
-    boolean is(String name) {
-        return matches(start, nameEnd, name);
+    /** Whether the line has this name. */
+    boolean isNamed(String name) {
+        return matches(lineStart, nameEnd, name);
     }
 
     int fieldCount() {
-        return fields;
+        return fieldCount;
     }
 
     String key(int field) {
@@ -128,8 +163,8 @@
         return true;
     }
 
-    private int find(String key) {
-        for (int i = 0; i < fields; i++) {
+    private int indexOf(String key) {
+        for (int i = 0; i < fieldCount; i++) {
             if (valueStart[i] > keyStart[i] && matches(keyStart[i], valueStart[i] - 1, key)) {
                 return i;
             }
@@ -137,54 +172,57 @@
         return -1;
     }
 
-    private int need(String key) throws WireException {
-        int field = find(key);
+    private int requiredIndex(String key) throws WireException {
+        int field = indexOf(key);
         if (field < 0) {
-            throw bad(key, "is missing");
+            throw invalidField(key, "is missing");
         }
         return field;
     }
 
     /** A field's text, or null if it is left out. */
     String textOrNull(String key) {
-        int field = find(key);
+        int field = indexOf(key);
         return field < 0 ? null : value(field);
     }
 
-    String text(String key) throws WireException {
-        return value(need(key));
+    /** A field's text. */
+    String requiredText(String key) throws WireException {
+        return value(requiredIndex(key));
     }
 
-    long whole(String key) throws WireException {
-        return whole(key, need(key));
+    /** A whole number of up to 18 digits. */
+    long requiredLong(String key) throws WireException {
+        return parseLong(key, requiredIndex(key));
     }
 
-    long whole(String key, long otherwise) throws WireException {
-        int field = find(key);
-        return field < 0 ? otherwise : whole(key, field);
+    long longOrDefault(String key, long defaultValue) throws WireException {
+        int field = indexOf(key);
+        return field < 0 ? defaultValue : parseLong(key, field);
     }
 
-    private long whole(String key, int field) throws WireException {
+    private long parseLong(String key, int field) throws WireException {
         int at = valueStart[field];
         int to = valueEnd[field];
         boolean minus = at < to && buffer[at] == '-';
         at += minus ? 1 : 0;
-        if (at == to || to - at > 18) {
-            throw bad(key, "is not a whole number");
+        if (at == to || to - at > MAX_NUMBER_DIGITS) {
+            throw invalidField(key, "is not a whole number");
         }
         long value = 0;
         for (; at < to; at++) {
             int digit = buffer[at] - '0';
             if (digit < 0 || digit > 9) {
-                throw bad(key, "is not a whole number");
+                throw invalidField(key, "is not a whole number");
             }
             value = 10 * value + digit;
         }
         return minus ? -value : value;
     }
 
+    /** 1 or true, 0 or false; false if the field is left out. */
     boolean flag(String key) throws WireException {
-        int field = find(key);
+        int field = indexOf(key);
         if (field < 0
                 || matches(valueStart[field], valueEnd[field], "0")
                 || matches(valueStart[field], valueEnd[field], "false")) {
@@ -193,59 +231,68 @@
         if (matches(valueStart[field], valueEnd[field], "1") || matches(valueStart[field], valueEnd[field], "true")) {
             return true;
         }
-        throw bad(key, "is neither 1 nor 0: " + value(field));
+        throw invalidField(key, "is neither 1 nor 0: " + value(field));
     }
 
-    double decimal(String key, double otherwise) throws WireException {
-        int field = find(key);
-        return field < 0 ? otherwise : decimal(key, value(field));
+    double doubleOrDefault(String key, double defaultValue) throws WireException {
+        int field = indexOf(key);
+        return field < 0 ? defaultValue : parseDouble(key, value(field));
     }
 
-    private double decimal(String key, String text) throws WireException {
+    private double parseDouble(String key, String text) throws WireException {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw bad(key, "is not a number");
+            throw invalidField(key, "is not a number");
         }
     }
 
     /** Numbers parted by commas, or null if the field is left out. */
-    double[] row(String key) throws WireException {
-        int field = find(key);
+    double[] doublesOrNull(String key) throws WireException {
+        int field = indexOf(key);
         if (field < 0 || valueStart[field] == valueEnd[field]) {
             return null;
         }
         String[] parts = value(field).split(",", -1);
-        double[] row = new double[parts.length];
+        double[] values = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
-            row[i] = decimal(key, parts[i]);
+            values[i] = parseDouble(key, parts[i]);
         }
-        return row;
+        return values;
     }
 
     /** A request id: 16 hex digits. */
-    long id(String key) throws WireException {
-        int field = need(key);
-        if (valueEnd[field] - valueStart[field] != 16) {
-            throw bad(key, "is not 16 hex digits");
+    long requiredId(String key) throws WireException {
+        int field = requiredIndex(key);
+        if (valueEnd[field] - valueStart[field] != ID_DIGITS) {
+            throw invalidField(key, "is not 16 hex digits");
         }
         long id = 0;
         for (int at = valueStart[field]; at < valueEnd[field]; at++) {
-            int b = buffer[at];
-            int digit = b >= '0' && b <= '9' ? b - '0' : b >= 'a' && b <= 'f' ? b - 'a' + 10 : -1;
+            int digit = hexDigit(buffer[at]);
             if (digit < 0) {
-                throw bad(key, "is not 16 hex digits");
+                throw invalidField(key, "is not 16 hex digits");
             }
             id = id << 4 | digit;
         }
         return id;
     }
 
-    WireException bad(String field, String reason) {
-        return new WireException("line " + number + ": " + name() + ": field " + field + " " + reason);
+    /** The value of a hex digit; -1 if the byte is none. */
+    private static int hexDigit(byte b) {
+        if (b >= '0' && b <= '9') {
+            return b - '0';
+        }
+        return b >= 'a' && b <= 'f' ? b - 'a' + 10 : -1;
+    }
+
+    /** The error that a field of this line is invalid. */
+    WireException invalidField(String field, String problem) {
+        return new WireException("line " + lineNumber + ": " + name() + ": field " + field + " " + problem);
     }
 
-    WireException bad(String reason) {
-        return new WireException("line " + number + ": " + reason);
+    /** The error that this line is invalid. */
+    WireException invalid(String problem) {
+        return new WireException("line " + lineNumber + ": " + problem);
     }
 }
--- a/node/src/main/java/loadbalancer/simulator/WireLineWriter.java
+++ b/node/src/main/java/loadbalancer/simulator/WireLineWriter.java
@@ -6,148 +6,168 @@
 import java.util.Arrays;
 import loadbalancer.policy.BalancerActions;
 
-/** Writes the actions of the instance whose event is being handled; a reply goes out whole or not at all. */
+/**
+ * Writes the actions of the balancer whose event is being handled. What a batch brings is kept until {@link #flush}, so
+ * a reply is written as a whole or not at all. Single-threaded.
+ */
 final class WireLineWriter implements BalancerActions {
-    private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
-
-    private final OutputStream out;
-    private byte[] buffer = new byte[1 << 16];
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+    private static final byte[] HEX_DIGITS = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
+    private static final int ID_DIGITS = 16;
+    private static final int MAX_NUMBER_DIGITS = 20;
+    private static final int MAX_UTF8_BYTES_PER_CHAR = 3;
+
+    // The beginnings of fields, with the space before the key.
+    private static final String NODE = " " + WireNames.NODE + "=";
+    private static final String REQUEST_ID = " " + WireNames.REQUEST_ID + "=";
+    private static final String ATTEMPT = " " + WireNames.ATTEMPT + "=";
+    private static final String SERVER_ID = " " + WireNames.SERVER_ID + "=";
+    private static final String SEND_UNTIL_US = " " + WireNames.SEND_UNTIL_US + "=";
+    private static final String RETRY_AFTER_US = " " + WireNames.RETRY_AFTER_US + "=";
+    private static final String WAKE_AT_US = " " + WireNames.WAKE_AT_US + "=";
+    private static final String WAKE_LABEL = " " + WireNames.WAKE_LABEL + "=w";
+    private static final String SUBSCRIBED = " " + WireNames.SUBSCRIBED + "=1";
+    private static final String NOTE_TEXT = " " + WireNames.NOTE_TEXT + "=";
+
+    private final OutputStream output;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int filled;
     private String node = "";
 
-    WireLineWriter(OutputStream out) {
-        this.out = out;
+    WireLineWriter(OutputStream output) {
+        this.output = output;
     }
 
-    void actFor(String instance) {
-        node = instance;
+    /** The actions from now on are those of this node. */
+    void setNode(String name) {
+        node = name;
     }
 
+    /** Ends the reply to a batch and writes it. */
     void flush() throws IOException {
-        text("next\n");
-        out.write(buffer, 0, filled);
-        out.flush();
+        append(WireNames.NEXT_BATCH);
+        endLine();
+        output.write(buffer, 0, filled);
+        output.flush();
         filled = 0;
     }
 
     @Override
     public void send(long requestId, String serverId, long beginByUs, long untilUs) {
-        open("route");
-        handle(requestId);
-        text(" server=");
-        text(serverId);
-        text(" untilUs=");
-        number(untilUs);
-        close();
+        beginLine(WireNames.SEND);
+        appendRequestId(requestId);
+        append(SERVER_ID);
+        append(serverId);
+        append(SEND_UNTIL_US);
+        append(untilUs);
+        endLine();
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
-        open("abort_attempt");
-        handle(requestId);
-        text(" seqNo=");
-        number(attempt);
-        close();
+        beginLine(WireNames.CANCEL);
+        appendRequestId(requestId);
+        append(ATTEMPT);
+        append(attempt);
+        endLine();
     }
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        open("decline");
-        handle(requestId);
+        beginLine(WireNames.REJECT);
+        appendRequestId(requestId);
         if (retryAfterUs > 0) {
-            text(" retryInUs=");
-            number(retryAfterUs);
+            append(RETRY_AFTER_US);
+            append(retryAfterUs);
         }
-        close();
+        endLine();
     }
 
     @Override
     public void fail(long requestId) {
-        open("lose");
-        handle(requestId);
-        close();
+        beginLine(WireNames.FAIL);
+        appendRequestId(requestId);
+        endLine();
     }
 
     @Override
     public void wakeAt(long atUs) {
-        open("remind");
-        text(" dueAtUs=");
-        number(atUs);
-        text(" label=w");
-        close();
+        beginLine(WireNames.WAKE);
+        append(WAKE_AT_US);
+        append(atUs);
+        append(WAKE_LABEL);
+        endLine();
     }
 
     @Override
     public void probe(String serverId) {
-        aboutServer("sound_out", serverId);
+        writeServerAction(WireNames.PROBE, serverId);
     }
 
     @Override
     public void closeIdle(String serverId) {
-        aboutServer("drop_conns", serverId);
+        writeServerAction(WireNames.CLOSE_IDLE, serverId);
     }
 
-    private void aboutServer(String action, String serverId) {
-        open(action);
-        text(" server=");
-        text(serverId);
-        close();
+    private void writeServerAction(String action, String serverId) {
+        beginLine(action);
+        append(SERVER_ID);
+        append(serverId);
+        endLine();
     }
 
     @Override
     public void subscribe() {
-        open("track");
-        text(" want=1");
-        close();
+        beginLine(WireNames.SUBSCRIBE);
+        append(SUBSCRIBED);
+        endLine();
     }
 
     @Override
     public void ejected(String serverId, int failures, String className) {
-        open("record");
-        note("ejected server " + serverId + " after " + failures + " failures"
-                + (className == null ? "" : " of class " + className));
+        String ofClass = className == null ? "" : " of class " + className;
+        writeNote(WireNames.NOTE, "ejected server " + serverId + " after " + failures + " failures" + ofClass);
     }
 
     @Override
     public void restored(String serverId, String className) {
-        open("record");
-        note("restored server " + serverId + (className == null ? "" : " for a class"));
+        writeNote(WireNames.NOTE, "restored server " + serverId + (className == null ? "" : " for a class"));
     }
 
-    /** The module has thrown: the day ends with this text. */
-    void fault(String line) {
-        open("fault");
-        note(line);
+    /** The balancer has thrown; the simulation ends with this text. */
+    void fault(String text) {
+        writeNote(WireNames.FAULT, text);
     }
 
-    private void note(String line) {
-        text(" noteText=");
-        text(line.replace('\n', ' ').replace('\r', ' '));
-        close();
+    private void writeNote(String action, String text) {
+        beginLine(action);
+        append(NOTE_TEXT);
+        append(text.replace('\n', ' ').replace('\r', ' '));
+        endLine();
     }
 
-    private void open(String action) {
-        text(action);
-        text(" node=");
-        text(node);
+    private void beginLine(String action) {
+        append(action);
+        append(NODE);
+        append(node);
     }
 
-    private void close() {
-        room(1);
+    private void endLine() {
+        ensureRoom(1);
         buffer[filled++] = '\n';
     }
 
-    private void handle(long id) {
-        text(" handle=");
-        room(16);
+    private void appendRequestId(long id) {
+        append(REQUEST_ID);
+        ensureRoom(ID_DIGITS);
         for (int shift = 60; shift >= 0; shift -= 4) {
-            buffer[filled++] = HEX[(int) (id >>> shift) & 15];
+            buffer[filled++] = HEX_DIGITS[(int) (id >>> shift) & 15];
         }
     }
 
-    private void text(String text) {
+    private void append(String text) {
         int length = text.length();
-        room(3 * length);
+        ensureRoom(MAX_UTF8_BYTES_PER_CHAR * length);
         for (int i = 0; i < length; i++) {
             char c = text.charAt(i);
             if (c >= 128) {
@@ -160,12 +180,12 @@
         }
     }
 
-    private void number(long value) {
+    private void append(long value) {
         if (value < 0) {
-            text(Long.toString(value));
+            append(Long.toString(value));
             return;
         }
-        room(20);
+        ensureRoom(MAX_NUMBER_DIGITS);
         int digits = 1;
         for (long v = value; v >= 10; v /= 10) {
             digits++;
@@ -179,7 +199,7 @@
         } while (v > 0);
     }
 
-    private void room(int bytes) {
+    private void ensureRoom(int bytes) {
         if (filled + bytes > buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, filled + bytes));
         }
--- /dev/null
+++ b/node/src/main/java/loadbalancer/simulator/WireNames.java
@@ -0,0 +1,82 @@
+package loadbalancer.simulator;
+
+/** The words of the simulator's wire. They are part of the protocol and never change; the code has names of its own. */
+final class WireNames {
+    // Lines that open and end a batch.
+    static final String BEGIN_BATCH = "begin_batch";
+    static final String END_BATCH = "eob";
+    static final String NEXT_BATCH = "next";
+
+    // Fields of several lines.
+    static final String NODE = "node";
+    static final String REQUEST_ID = "handle";
+    static final String ATTEMPT = "seqNo";
+    static final String SERVER_ID = "server";
+    static final String NOW_US = "timeUs";
+    static final String RESULT = "rc";
+    static final String LATENCY_US = "latencyUs";
+    static final String LOAD_REPORT = "metrics";
+    static final String ROSTER_NUMBER = "setId";
+
+    // A node boots.
+    static final String SEED = "initSeed";
+
+    // A roster, and its servers.
+    static final String ROSTER_SIZE = "nodesList";
+    static final String ROSTER_SERVER = "server";
+    static final String ZONE = "site";
+    static final String CELL = "block";
+    static final String SERVER_STATE = "lifecycle";
+    static final String STATE_READY = "Running";
+    static final String STATE_DRAINING = "Stopping";
+    static final String STATE_GONE = "Deleted";
+    static final String CAPACITY = "scale";
+    static final String STARTED_AT_US = "sinceUs";
+
+    // A notification of the endpoint list.
+    static final String LIST_KIND = "kind";
+    static final String KIND_CHANGES = "patch";
+    static final String KIND_FULL = "whole";
+    static final String KIND_CACHED = "stale_copy";
+    static final String KIND_FAILED = "broken";
+
+    // A request.
+    static final String CLASS = "lane";
+    static final String TENANT = "realm";
+    static final String NO_TENANT = "0";
+    static final String REMAINING_US = "patienceLeftUs";
+    static final String WORK_US = "workUs";
+    static final String REPEATED = "resent";
+    static final String KEY = "routeKey";
+
+    // The outcome of an attempt.
+    static final String STREAM_ENDED = "ended";
+    static final int RESULT_OK = 10;
+    static final int RESULT_ERROR = 20;
+    static final int RESULT_FULL = 30;
+    static final int RESULT_TIMEOUT = 40;
+    static final int RESULT_CONNECT_FAILED = 50;
+    static final int RESULT_RESET = 60;
+    static final int RESULT_CANCELLED = 70;
+    static final int RESULT_MOOT = 80;
+
+    // Actions.
+    static final String SEND = "route";
+    static final String SEND_UNTIL_US = "untilUs";
+    static final String CANCEL = "abort_attempt";
+    static final String REJECT = "decline";
+    static final String RETRY_AFTER_US = "retryInUs";
+    static final String FAIL = "lose";
+    static final String WAKE = "remind";
+    static final String WAKE_AT_US = "dueAtUs";
+    static final String WAKE_LABEL = "label";
+    static final String PROBE = "sound_out";
+    static final String CLOSE_IDLE = "drop_conns";
+    static final String SUBSCRIBE = "track";
+    static final String SUBSCRIBED = "want";
+    static final String NOTE = "record";
+    static final String FAULT = "fault";
+    static final String NOTE_TEXT = "noteText";
+
+    private WireNames() {}
+}
--- a/node/src/test/java/loadbalancer/simulator/WireBytesTest.java
+++ b/node/src/test/java/loadbalancer/simulator/WireBytesTest.java
@@ -23,7 +23,7 @@
     void everyActionHasItsLine() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         WireLineWriter reply = new WireLineWriter(out);
-        reply.actFor("node-3");
+        reply.setNode("node-3");
         reply.send(0xb7c6f2075d3a91c4L, "10.0.0.7:8003", 7, 1_240_000);
         reply.send(1, "s\u00e9", Long.MAX_VALUE, 0);
         reply.cancel(2, 10);
