--- a/cli/src/main/java/loadbalancer/cli/FleetMembers.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetMembers.java
@@ -57,98 +57,115 @@
 
     @Override
     public Integer call() throws IOException {
-        Map<String, MembershipView> views = new LinkedHashMap<>();
-        for (String address : addresses) {
-            InetSocketAddress at = SocketAddresses.parseOrNull(address);
-            if (at == null || timeoutMs <= 0) {
-                throw new UsageException(
-                        at == null
-                                ? "ADDRESS = " + address + ": must be address:port"
-                                : "--timeout-ms = " + timeoutMs + ": must be above 0");
-            }
-            try {
-                views.put(address, MembershipClient.fetchView(at, timeoutMs));
-            } catch (IOException e) {
-                throw new IOException(address + " does not answer: " + e.getMessage(), e);
-            }
-        }
+        Map<String, MembershipView> views = fetchViews();
         PrintWriter out = spec.commandLine().getOut();
         if (json) {
-            views.forEach((address, view) -> out.println(tree(address, view)));
+            views.forEach((address, view) -> out.println(toJson(address, view)));
         } else if (!diff) {
             views.forEach((address, view) -> print(out, address, view));
         }
-        return diff ? compare(out, views) : ExitCode.OK;
+        return diff ? printDifferences(out, views) : ExitCode.OK;
+    }
+
+    private Map<String, MembershipView> fetchViews() throws IOException {
+        if (timeoutMs <= 0) {
+            throw new UsageException("--timeout-ms = " + timeoutMs + ": must be above 0");
+        }
+        Map<String, MembershipView> views = new LinkedHashMap<>();
+        for (String address : addresses) {
+            views.put(address, fetchView(address));
+        }
+        return views;
+    }
+
+    private MembershipView fetchView(String address) throws IOException {
+        InetSocketAddress parsed = SocketAddresses.parseOrNull(address);
+        if (parsed == null) {
+            throw new UsageException("ADDRESS = " + address + ": must be address:port");
+        }
+        try {
+            return MembershipClient.fetchView(parsed, timeoutMs);
+        } catch (IOException e) {
+            throw new IOException(address + " does not answer: " + e.getMessage(), e);
+        }
     }
 
     /** All that a view holds, its own process first. */
-    private static List<Member> all(MembershipView view) {
-        List<Member> all = new ArrayList<>(List.of(view.self()));
-        all.addAll(view.others());
-        return all;
+    private static List<Member> members(MembershipView view) {
+        List<Member> members = new ArrayList<>(List.of(view.self()));
+        members.addAll(view.others());
+        return members;
     }
 
-    private static String state(Member member) {
-        return member.state().name().toLowerCase(Locale.ROOT) + " "
-                + member.incarnation().generation() + "." + member.incarnation().refutations();
+    private static String stateName(Member member) {
+        return member.state().name().toLowerCase(Locale.ROOT);
+    }
+
+    private static String stateAndIncarnation(Member member) {
+        return stateName(member) + " " + member.incarnation().generation() + "."
+                + member.incarnation().refutations();
     }
 
     private static void print(PrintWriter out, String address, MembershipView view) {
-        long live = all(view).stream().filter(m -> m.state().isLive()).count();
+        long live =
+                members(view).stream().filter(member -> member.state().isLive()).count();
         out.printf(
                 "%s at %s: %d live, view version %d, digest %016x, doubts itself by %d%n",
                 view.self().name(), address, live, view.version(), view.digest(), view.localHealth());
-        for (Member m : all(view)) {
-            out.printf("  %-24s %-24s zone %-10s role %-10s %s%n", m.name(), m.address(), m.zone(), m.role(), state(m));
+        for (Member member : members(view)) {
+            out.printf(
+                    "  %-24s %-24s zone %-10s role %-10s %s%n",
+                    member.name(), member.address(), member.zone(), member.role(), stateAndIncarnation(member));
         }
         view.metrics().forEach((name, value) -> out.printf("  %s %d%n", name, value));
     }
 
-    private static String tree(String address, MembershipView view) {
+    /** The keys stay where the code's names change: scripts read them. */
+    private static String toJson(String address, MembershipView view) {
         ObjectNode tree = JSON.createObjectNode()
                 .put("address", address)
                 .put("version", view.version())
                 .put("digest", String.format("%016x", view.digest()))
                 .put("health", view.localHealth());
-        for (Member m : all(view)) {
+        for (Member member : members(view)) {
             tree.withArray("members")
                     .addObject()
-                    .put("name", m.name())
-                    .put("address", m.address())
-                    .put("zone", m.zone())
-                    .put("role", m.role())
-                    .put("state", m.state().name().toLowerCase(Locale.ROOT))
-                    .put("birth", m.incarnation().generation())
-                    .put("count", m.incarnation().refutations());
+                    .put("name", member.name())
+                    .put("address", member.address())
+                    .put("zone", member.zone())
+                    .put("role", member.role())
+                    .put("state", stateName(member))
+                    .put("birth", member.incarnation().generation())
+                    .put("count", member.incarnation().refutations());
         }
-        ObjectNode figures = tree.putObject("figures");
-        view.metrics().forEach(figures::put);
+        ObjectNode metrics = tree.putObject("figures");
+        view.metrics().forEach(metrics::put);
         return tree.toString();
     }
 
-    /** A line for each member that is not held for the same by all. */
-    private static int compare(PrintWriter out, Map<String, MembershipView> views) {
+    /** Prints each member that is not held for the same by all, and how each process holds it. */
+    private static int printDifferences(PrintWriter out, Map<String, MembershipView> views) {
         TreeSet<String> names = new TreeSet<>();
-        views.values().forEach(view -> all(view).forEach(m -> names.add(m.name())));
+        views.values().forEach(view -> members(view).forEach(member -> names.add(member.name())));
         int differing = 0;
         for (String name : names) {
-            List<String> held = views.values().stream()
-                    .map(view -> all(view).stream()
-                            .filter(m -> m.name().equals(name))
-                            .map(FleetMembers::state)
-                            .findFirst()
-                            .orElse(UNKNOWN))
-                    .toList();
-            if (held.stream().distinct().count() > 1) {
+            Map<String, String> stateByAddress = new LinkedHashMap<>();
+            views.forEach((address, view) -> stateByAddress.put(address, stateOf(view, name)));
+            if (stateByAddress.values().stream().distinct().count() > 1) {
                 differing++;
                 out.println(name);
-                int i = 0;
-                for (String address : views.keySet()) {
-                    out.printf("  %-24s %s%n", address, held.get(i++));
-                }
+                stateByAddress.forEach((address, state) -> out.printf("  %-24s %s%n", address, state));
             }
         }
         out.println(differing == 0 ? "all alike" : differing + " of " + names.size() + " differ");
         return differing == 0 ? ExitCode.OK : ExitCode.BROKEN;
     }
+
+    private static String stateOf(MembershipView view, String name) {
+        return members(view).stream()
+                .filter(member -> member.name().equals(name))
+                .map(FleetMembers::stateAndIncarnation)
+                .findFirst()
+                .orElse(UNKNOWN);
+    }
 }
--- a/node/src/test/java/loadbalancer/membership/codec/CodecBytesTest.java
+++ b/node/src/test/java/loadbalancer/membership/codec/CodecBytesTest.java
@@ -107,6 +107,14 @@
                         metrics)));
     }
 
+    /** The ordinal of a type is its number on the wire. */
+    @Test
+    void numbersOfFrameTypes() {
+        assertEquals(
+                "[PING, ACK, PING_REQUEST, GOSSIP, NACK, STATE, VIEW_REQUEST, VIEW]",
+                List.of(FrameType.values()).toString());
+    }
+
     /** The ordinal of a state is its number on the wire. */
     @Test
     void numbersOfStates() {
