--- a/cli/src/main/java/loadbalancer/cli/Fleet.java
+++ b/cli/src/main/java/loadbalancer/cli/Fleet.java
@@ -147,11 +147,11 @@
             out().println(outcome.events() + " events" + (real ? "" : ", SHA-256 " + outcome.digest()));
             tell(outcome, played);
         }
-        return outcome.isKept() ? ExitCode.OK : ExitCode.BROKEN;
+        return outcome.keepsRules() ? ExitCode.OK : ExitCode.BROKEN;
     }
 
     private void showSecond(long nowUs, World world) {
-        err().printf(Locale.ROOT, "\r%4d s  %5d requests open", nowUs / 1_000_000, world.waiting());
+        err().printf(Locale.ROOT, "\r%4d s  %5d requests open", nowUs / 1_000_000, world.openRequests());
         err().flush();
     }
 
@@ -160,7 +160,7 @@
             out().println("BROKEN " + violation);
             out().println("again: " + played.again("run", outcome.seed()));
         }
-        if (outcome.isKept()) {
+        if (outcome.keepsRules()) {
             out().println("rules kept");
         }
     }
@@ -192,7 +192,8 @@
                         err().flush();
                     }
                 });
-        List<Outcome> broken = all.stream().filter(outcome -> !outcome.isKept()).toList();
+        List<Outcome> broken =
+                all.stream().filter(outcome -> !outcome.keepsRules()).toList();
         double[] g = all.stream()
                 .mapToDouble(outcome -> outcome.score().g())
                 .sorted()
@@ -267,8 +268,8 @@
         out().println(Comparison.of(
                 ofA.stream().mapToDouble(o -> o.score().g()).toArray(),
                 ofB.stream().mapToDouble(o -> o.score().g()).toArray()));
-        long brokenA = ofA.stream().filter(o -> !o.isKept()).count();
-        long brokenB = ofB.stream().filter(o -> !o.isKept()).count();
+        long brokenA = ofA.stream().filter(o -> !o.keepsRules()).count();
+        long brokenB = ofB.stream().filter(o -> !o.keepsRules()).count();
         out().println("seeds with a broken rule: A " + brokenA + ", B " + brokenB);
         return brokenA == 0 ? ExitCode.OK : ExitCode.BROKEN;
     }
--- a/cli/src/main/java/loadbalancer/cli/FleetDemo.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetDemo.java
@@ -87,8 +87,8 @@
         Outcome outcome = play(scenario, 1, null, event -> told(out, event), (nowUs, world) -> show(out, nowUs, world));
         out.println(outcome.score());
         outcome.violations().forEach(violation -> out.println("BROKEN " + violation));
-        out.println(outcome.isKept() ? "rules kept" : "rules broken");
-        return outcome.isKept() ? ExitCode.OK : ExitCode.BROKEN;
+        out.println(outcome.keepsRules() ? "rules kept" : "rules broken");
+        return outcome.keepsRules() ? ExitCode.OK : ExitCode.BROKEN;
     }
 
     /** Plays a scenario with processes, which are gone when this returns or this process is told to end. */
@@ -143,7 +143,7 @@
                     server.id(),
                     server.isUp() ? " " : "!",
                     served.getOrDefault(server.id(), 0),
-                    server.held()));
+                    server.requestCount()));
         }
         served.clear();
         handled.clear();
--- a/cli/src/main/java/loadbalancer/cli/Outcomes.java
+++ b/cli/src/main/java/loadbalancer/cli/Outcomes.java
@@ -21,7 +21,7 @@
         ObjectNode line = JSON.createObjectNode();
         line.put("scenario", scenario.name())
                 .put("seed", outcome.seed())
-                .put("kept", outcome.isKept())
+                .put("kept", outcome.keepsRules())
                 .put("g", score.g())
                 .put("whole", score.whole())
                 .put("worstWindow", score.worstWindow())
--- a/cli/src/main/java/loadbalancer/cli/Report.java
+++ b/cli/src/main/java/loadbalancer/cli/Report.java
@@ -33,21 +33,21 @@
     private static final int WIDTH = 1_000;
     private static final int HEIGHT = 300;
     private static final double SECOND_US = 1e6;
-    private static final long MOST_US = 120_000_000;
+    private static final long MAX_LATENCY_US = 120_000_000;
     /** Beyond so many lines a plot cannot be read: the servers with the least and the most are drawn. */
-    private static final int MOST_LINES = 12;
+    private static final int MAX_LINES = 12;
 
     private Report() {}
 
     /** What one history tells, second by second. */
-    private static final class Told implements History.Reader {
+    private static final class HistorySummary implements History.Reader {
         private String title = "";
         private final Map<String, TreeMap<Integer, Integer>> answers = new TreeMap<>();
         private final Map<String, TreeMap<Integer, Integer>> served = new TreeMap<>();
         private final Map<String, Integer> outcomes = new TreeMap<>();
         private final TreeMap<Integer, Histogram> latencies = new TreeMap<>();
         private final TreeMap<Integer, String> faults = new TreeMap<>();
-        private final Map<Long, Long> askedAt = new HashMap<>();
+        private final Map<Long, Long> arrivedAtUs = new HashMap<>();
         private int last;
         private long events;
 
@@ -60,17 +60,17 @@
                 case RUN ->
                     title = event.text("scenario") + ", seed " + event.number("seed")
                             + (event.yes("real") ? ", processes" : ", simulated");
-                case ASK -> askedAt.put(event.number("request"), event.atUs());
+                case ASK -> arrivedAtUs.put(event.number("request"), event.atUs());
                 case OUTCOME -> outcomes.merge(event.text("result"), 1, Integer::sum);
                 case SERVED -> count(served, event.process(), second);
                 case FAULT -> faults.merge(second, event.text("kind"), (a, b) -> a + ", " + b);
                 case ANSWER -> {
                     count(answers, event.text("answer"), second);
-                    Long at = askedAt.remove(event.number("request"));
+                    Long at = arrivedAtUs.remove(event.number("request"));
                     if (at != null && event.text("answer").equals("OK")) {
                         latencies
-                                .computeIfAbsent(second, s -> new Histogram(MOST_US, 2))
-                                .recordValue(Math.min(MOST_US, event.atUs() - at));
+                                .computeIfAbsent(second, s -> new Histogram(MAX_LATENCY_US, 2))
+                                .recordValue(Math.min(MAX_LATENCY_US, event.atUs() - at));
                     }
                 }
                 default -> {}
@@ -95,24 +95,24 @@
                 + "td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ddd}"
                 + "img{width:100%}</style>\n<h1>Fleet runs</h1>\n");
         for (Path file : files) {
-            Told told = new Told();
+            HistorySummary summary = new HistorySummary();
             try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
-                History.read(in, told);
+                History.read(in, summary);
             }
-            add(page, file.getFileName().toString(), told);
+            add(page, file.getFileName().toString(), summary);
         }
         return page.toString();
     }
 
-    private static void add(StringBuilder page, String file, Told told) throws IOException {
-        Histogram all = new Histogram(MOST_US, 2);
-        told.latencies.values().forEach(all::add);
+    private static void add(StringBuilder page, String file, HistorySummary summary) throws IOException {
+        Histogram all = new Histogram(MAX_LATENCY_US, 2);
+        summary.latencies.values().forEach(all::add);
         page.append("<h2>")
-                .append(escaped(told.title.isEmpty() ? file : told.title))
+                .append(escaped(summary.title.isEmpty() ? file : summary.title))
                 .append("</h2>\n<p>")
                 .append(escaped(file))
                 .append(", ")
-                .append(told.events)
+                .append(summary.events)
                 .append(" events. Latency of what was served, in" + " time or late, at the node: median ")
                 .append(String.format(
                         Locale.ROOT,
@@ -121,15 +121,15 @@
                         all.getValueAtPercentile(99) / 1e3,
                         all.getMaxValue() / 1e3))
                 .append(".</p>\n<table><tr><th>answers</th><th></th><th>attempts</th>" + "<th></th></tr>\n");
-        List<Map.Entry<String, TreeMap<Integer, Integer>>> answers = List.copyOf(told.answers.entrySet());
-        List<Map.Entry<String, Integer>> outcomes = List.copyOf(told.outcomes.entrySet());
+        List<Map.Entry<String, TreeMap<Integer, Integer>>> answers = List.copyOf(summary.answers.entrySet());
+        List<Map.Entry<String, Integer>> outcomes = List.copyOf(summary.outcomes.entrySet());
         for (int i = 0; i < Math.max(answers.size(), outcomes.size()); i++) {
             page.append("<tr>");
             cells(
                     page,
                     i < answers.size() ? answers.get(i).getKey() : "",
                     i < answers.size()
-                            ? Integer.toString(Told.sum(answers.get(i).getValue()))
+                            ? Integer.toString(HistorySummary.sum(answers.get(i).getValue()))
                             : "");
             cells(
                     page,
@@ -138,14 +138,17 @@
             page.append("</tr>\n");
         }
         page.append("</table>\n");
-        page.append(
-                plot("Answers a second; what went wrong is marked", "answers", lines(told.answers, told.last), told));
-        page.append(plot("Latency of what was served, ms", "ms", latencies(told), told));
         page.append(plot(
-                "Served a second by server" + (told.served.size() > MOST_LINES ? ", the least and the most" : ""),
+                "Answers a second; what went wrong is marked",
+                "answers",
+                lines(summary.answers, summary.last),
+                summary));
+        page.append(plot("Latency of what was served, ms", "ms", latencies(summary), summary));
+        page.append(plot(
+                "Served a second by server" + (summary.served.size() > MAX_LINES ? ", the least and the most" : ""),
                 "requests",
-                lines(extremes(told.served), told.last),
-                told));
+                lines(extremes(summary.served), summary.last),
+                summary));
     }
 
     private static void cells(StringBuilder page, String name, String value) {
@@ -161,14 +164,14 @@
     }
 
     private static Map<String, TreeMap<Integer, Integer>> extremes(Map<String, TreeMap<Integer, Integer>> of) {
-        if (of.size() <= MOST_LINES) {
+        if (of.size() <= MAX_LINES) {
             return of;
         }
         List<String> byCount = of.keySet().stream()
-                .sorted((a, b) -> Told.sum(of.get(a)) - Told.sum(of.get(b)))
+                .sorted((a, b) -> HistorySummary.sum(of.get(a)) - HistorySummary.sum(of.get(b)))
                 .toList();
         Map<String, TreeMap<Integer, Integer>> ends = new TreeMap<>();
-        for (int i = 0; i < MOST_LINES / 2; i++) {
+        for (int i = 0; i < MAX_LINES / 2; i++) {
             ends.put(byCount.get(i), of.get(byCount.get(i)));
             String most = byCount.get(byCount.size() - 1 - i);
             ends.put(most, of.get(most));
@@ -188,23 +191,25 @@
         return lines;
     }
 
-    private static XYSeriesCollection latencies(Told told) {
+    private static XYSeriesCollection latencies(HistorySummary summary) {
         XYSeriesCollection lines = new XYSeriesCollection();
         for (int percent : new int[] {50, 90, 99}) {
             XYSeries line = new XYSeries(percent + "%");
-            told.latencies.forEach((second, of) -> line.add((double) second, of.getValueAtPercentile(percent) / 1e3));
+            summary.latencies.forEach(
+                    (second, of) -> line.add((double) second, of.getValueAtPercentile(percent) / 1e3));
             lines.addSeries(line);
         }
         return lines;
     }
 
-    private static String plot(String title, String unit, XYSeriesCollection lines, Told told) throws IOException {
+    private static String plot(String title, String unit, XYSeriesCollection lines, HistorySummary summary)
+            throws IOException {
         JFreeChart chart = ChartFactory.createXYLineChart(title, "s", unit, lines);
         XYPlot plot = chart.getXYPlot();
         plot.setBackgroundPaint(Color.WHITE);
         plot.setRangeGridlinePaint(Color.LIGHT_GRAY);
         plot.setRenderer(new XYLineAndShapeRenderer(true, false));
-        told.faults.forEach((second, kinds) -> {
+        summary.faults.forEach((second, kinds) -> {
             ValueMarker marker = new ValueMarker(second, Color.GRAY, new BasicStroke(1));
             marker.setLabel(kinds);
             marker.setLabelAnchor(RectangleAnchor.TOP_RIGHT);
--- a/rig/src/main/java/loadbalancer/rig/baseline/Baselines.java
+++ b/rig/src/main/java/loadbalancer/rig/baseline/Baselines.java
@@ -149,7 +149,7 @@
 
         private double wait(String id) {
             AppServer server = servers.get(id);
-            return (server.held() + 1) / server.presentCapacity();
+            return (server.requestCount() + 1) / server.presentCapacity();
         }
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/check/Checker.java
+++ b/rig/src/main/java/loadbalancer/rig/check/Checker.java
@@ -8,7 +8,7 @@
 /** Reads a history once, forwards, and says what in it must not have happened. */
 public abstract class Checker implements History.Reader {
     /** More than so many tell nothing new. */
-    static final int MOST_VIOLATIONS = 100;
+    static final int MAX_VIOLATIONS = 100;
 
     private final List<Violation> violations = new ArrayList<>();
     private long found;
@@ -35,7 +35,7 @@
 
     protected final void violated(long atUs, String what, List<Event> events) {
         found++;
-        if (violations.size() < MOST_VIOLATIONS) {
+        if (violations.size() < MAX_VIOLATIONS) {
             violations.add(new Violation(name(), atUs, what, List.copyOf(events)));
         }
     }
--- a/rig/src/main/java/loadbalancer/rig/check/ColdServers.java
+++ b/rig/src/main/java/loadbalancer/rig/check/ColdServers.java
@@ -17,7 +17,7 @@
 
     private final long deduplicationWindowUs;
     private final Map<String, Long> startedAt = new HashMap<>();
-    private final Map<String, Set<String>> told = new HashMap<>();
+    private final Map<String, Set<String>> notified = new HashMap<>();
     private final Map<String, ArrayDeque<Event>> sent = new HashMap<>();
 
     public ColdServers(long deduplicationWindowUs) {
@@ -30,14 +30,14 @@
             case STARTED -> {
                 if (event.has("zone") && event.number("at") > 0) {
                     startedAt.put(event.process(), event.number("at"));
-                    told.put(event.process(), new HashSet<>());
+                    notified.put(event.process(), new HashSet<>());
                     sent.put(event.process(), new ArrayDeque<>());
                 }
             }
             case TOLD -> {
                 Long at = startedAt.get(event.text("server"));
                 if (at != null && event.number("started") >= at) {
-                    told.get(event.text("server")).add(event.process());
+                    notified.get(event.text("server")).add(event.process());
                 }
             }
             case SEND -> {
@@ -55,7 +55,7 @@
     }
 
     private void judge(Event fell) {
-        Set<String> knew = told.get(fell.process());
+        Set<String> knew = notified.get(fell.process());
         List<Event> all = sent.get(fell.process()).stream()
                 .filter(e -> e.atUs() >= fell.atUs() - deduplicationWindowUs)
                 .toList();
--- a/rig/src/main/java/loadbalancer/rig/check/Drains.java
+++ b/rig/src/main/java/loadbalancer/rig/check/Drains.java
@@ -11,8 +11,8 @@
  */
 public final class Drains extends Checker {
     private final long graceUs;
-    /** What each node was last told of each server. */
-    private final Map<String, Map<String, Event>> told = new HashMap<>();
+    /** The last notification of each node about each server. */
+    private final Map<String, Map<String, Event>> notified = new HashMap<>();
 
     public Drains(long graceUs) {
         this.graceUs = graceUs;
@@ -21,9 +21,9 @@
     @Override
     public void read(Event event) {
         switch (event.kind()) {
-            case STARTED -> told.remove(event.process());
+            case STARTED -> notified.remove(event.process());
             case TOLD -> {
-                Map<String, Event> toNode = told.computeIfAbsent(event.process(), node -> new HashMap<>());
+                Map<String, Event> toNode = notified.computeIfAbsent(event.process(), node -> new HashMap<>());
                 Event before = toNode.get(event.text("server"));
                 // Told to drain and later that it is gone: the grace runs from the first.
                 if (before == null || isReady(before) || isReady(event)) {
@@ -31,7 +31,7 @@
                 }
             }
             case SEND -> {
-                Event last = told.getOrDefault(event.process(), Map.of()).get(event.text("server"));
+                Event last = notified.getOrDefault(event.process(), Map.of()).get(event.text("server"));
                 if (last == null) {
                     violated(event.atUs(), "sent to a server that the node was never told of", List.of(event));
                 } else if (!isReady(last) && event.atUs() > last.atUs() + graceUs) {
@@ -45,7 +45,7 @@
         }
     }
 
-    private static boolean isReady(Event told) {
-        return told.text("state").equals("READY");
+    private static boolean isReady(Event notification) {
+        return notification.text("state").equals("READY");
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/check/Linearizable.java
+++ b/rig/src/main/java/loadbalancer/rig/check/Linearizable.java
@@ -17,9 +17,9 @@
  */
 public final class Linearizable extends Checker {
     /** Calls of one key beyond which the search is not tried: it takes exponential time at worst. */
-    static final int MOST_CALLS = 10_000;
+    static final int MAX_CALLS = 10_000;
 
-    private static final int MOST_STATES = 5_000_000;
+    private static final int MAX_STATES = 5_000_000;
 
     private final Map<String, List<Call>> byKey = new LinkedHashMap<>();
     private final Map<Long, Call> open = new LinkedHashMap<>();
@@ -64,8 +64,8 @@
     @Override
     public void end(long nowUs) {
         byKey.forEach((key, calls) -> {
-            if (calls.size() > MOST_CALLS) {
-                throw new IllegalStateException("register " + key + " has over " + MOST_CALLS + " calls");
+            if (calls.size() > MAX_CALLS) {
+                throw new IllegalStateException("register " + key + " has over " + MAX_CALLS + " calls");
             }
             if (!isLinearizable(calls)) {
                 violated(nowUs, "the calls of register " + key + " happened in no order", events(calls));
@@ -112,7 +112,7 @@
                     }
                 }
             }
-            if (seen.size() > MOST_STATES) {
+            if (seen.size() > MAX_STATES) {
                 throw new IllegalStateException("too many orders to search; keep fewer calls to a register");
             }
         }
--- a/rig/src/main/java/loadbalancer/rig/check/OneAnswer.java
+++ b/rig/src/main/java/loadbalancer/rig/check/OneAnswer.java
@@ -15,11 +15,11 @@
     }
 
     private long dueUs(Open of) {
-        return of.asked.atUs() + of.asked.number("left") + graceUs;
+        return of.arrival.atUs() + of.arrival.number("left") + graceUs;
     }
 
     @Override
-    void hear(Open of, Event event) {
+    void onRequestEvent(Open of, Event event) {
         if (event.kind() == Kind.LEFT && !of.ended && event.atUs() > dueUs(of)) {
             violated(event.atUs(), "its client gave up, due at " + dueUs(of) + " us", of.events);
         }
--- a/rig/src/main/java/loadbalancer/rig/check/OpenRequests.java
+++ b/rig/src/main/java/loadbalancer/rig/check/OpenRequests.java
@@ -12,23 +12,23 @@
  */
 abstract class OpenRequests extends Checker {
     /** Ended requests that are remembered: seconds of a large fleet. */
-    private static final int MOST_ENDED = 50_000;
+    private static final int MAX_ENDED = 50_000;
 
     private final Map<Long, Open> open = new HashMap<>();
     private final Map<Long, Open> ended = new LinkedHashMap<>();
 
     /** One request, with all that was heard of it. */
     static final class Open {
-        final Event asked;
+        final Event arrival;
         final List<Event> events = new ArrayList<>();
         boolean ended;
 
-        Open(Event asked) {
-            this.asked = asked;
+        Open(Event arrival) {
+            this.arrival = arrival;
         }
 
         String cls() {
-            return asked.text("class");
+            return arrival.text("class");
         }
     }
 
@@ -36,33 +36,33 @@
     public final void read(Event event) {
         switch (event.kind()) {
             case ASK -> {
-                Open asked = new Open(event);
-                asked.events.add(event);
-                open.put(event.number("request"), asked);
+                Open request = new Open(event);
+                request.events.add(event);
+                open.put(event.number("request"), request);
             }
-            case SEND, OUTCOME, SERVED -> heard(event);
+            case SEND, OUTCOME, SERVED -> dispatch(event);
             case ANSWER, LEFT -> {
-                Open of = heard(event);
+                Open of = dispatch(event);
                 if (of != null && !of.ended) {
                     of.ended = true;
                     open.remove(event.number("request"));
                     ended.put(event.number("request"), of);
-                    if (ended.size() > MOST_ENDED) {
+                    if (ended.size() > MAX_ENDED) {
                         ended.remove(ended.keySet().iterator().next());
                     }
                 }
             }
-            case KILLED -> open.values().removeIf(of -> of.asked.process().equals(event.process()));
+            case KILLED -> open.values().removeIf(of -> of.arrival.process().equals(event.process()));
             default -> {}
         }
     }
 
-    private Open heard(Event event) {
+    private Open dispatch(Event event) {
         long id = event.number("request");
         Open of = open.getOrDefault(id, ended.get(id));
         if (of != null) {
             of.events.add(event);
-            hear(of, event);
+            onRequestEvent(of, event);
         }
         return of;
     }
@@ -73,5 +73,5 @@
     }
 
     /** An event about a request, which stands as the last among its events. */
-    abstract void hear(Open of, Event event);
+    abstract void onRequestEvent(Open of, Event event);
 }
--- a/rig/src/main/java/loadbalancer/rig/check/Repeats.java
+++ b/rig/src/main/java/loadbalancer/rig/check/Repeats.java
@@ -23,7 +23,7 @@
     }
 
     @Override
-    void hear(Open of, Event event) {
+    void onRequestEvent(Open of, Event event) {
         boolean refused = event.kind() == Kind.ANSWER && event.text("answer").equals("REFUSED");
         if (event.kind() == Kind.SEND) {
             long sent = of.events.stream().filter(e -> e.kind() == Kind.SEND).count();
--- a/rig/src/main/java/loadbalancer/rig/check/package-info.java
+++ b/rig/src/main/java/loadbalancer/rig/check/package-info.java
@@ -1,2 +1,6 @@
-/** Checkers: each reads the history of a run once, forwards, and reports violations of one rule. */
+/**
+ * Checkers: each reads the history of a run once, forwards, and reports violations of one rule.
+ *
+ * <p>A checker knows events only, never the parts of a run: a history that was stored is judged as one that is running.
+ */
 package loadbalancer.rig.check;
--- a/rig/src/main/java/loadbalancer/rig/fault/Burst.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Burst.java
@@ -9,7 +9,7 @@
 final class Burst implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
-        world.burst(spec.size());
-        return new ActiveFault(List.of("clients"), () -> world.burst(1));
+        world.setLoadFactor(spec.size());
+        return new ActiveFault(List.of("clients"), () -> world.setLoadFactor(1));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/FastErrors.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/FastErrors.java
@@ -11,7 +11,7 @@
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
         List<AppServer> targets = world.faultTargets(spec, random);
-        targets.forEach(server -> server.fail(Math.min(1, spec.size())));
-        return ActiveFault.servers(targets, () -> targets.forEach(server -> server.fail(0)));
+        targets.forEach(server -> server.setErrorShare(Math.min(1, spec.size())));
+        return ActiveFault.servers(targets, () -> targets.forEach(server -> server.setErrorShare(0)));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/HeavyTail.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/HeavyTail.java
@@ -12,8 +12,8 @@
         int classIndex = spec.on().isEmpty()
                 ? random.nextInt(world.scenario().classes().size())
                 : spec.on().get(0);
-        world.heavy(classIndex, spec.extra(), spec.size());
+        world.setHeavyTail(classIndex, spec.extra(), spec.size());
         return new ActiveFault(
-                List.of(world.scenario().classes().get(classIndex).name()), () -> world.heavy(-1, 0, 1));
+                List.of(world.scenario().classes().get(classIndex).name()), () -> world.setHeavyTail(-1, 0, 1));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/Herd.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Herd.java
@@ -10,7 +10,7 @@
 final class Herd implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
-        List<NodePort> targets = World.some(world.nodes(), spec.part(), random);
+        List<NodePort> targets = World.randomShare(world.nodes(), spec.part(), random);
         targets.forEach(NodePort::kill);
         world.time().after(Math.round(spec.size() * 1e6), () -> targets.forEach(NodePort::start));
         return ActiveFault.nodes(targets);
--- a/rig/src/main/java/loadbalancer/rig/fault/LostAnswers.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/LostAnswers.java
@@ -11,8 +11,8 @@
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
         List<AppServer> targets = world.faultTargets(spec, random);
-        targets.forEach(server -> world.links().mute(server, true));
+        targets.forEach(server -> world.links().setMuted(server, true));
         return ActiveFault.servers(
-                targets, () -> targets.forEach(server -> world.links().mute(server, false)));
+                targets, () -> targets.forEach(server -> world.links().setMuted(server, false)));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/Partition.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Partition.java
@@ -20,9 +20,9 @@
     private static void cut(World world, int zone, boolean outwards, boolean off) {
         for (int other = 0; other < world.zones(); other++) {
             if (other != zone) {
-                world.links().cut(zone, other, off);
+                world.links().setCut(zone, other, off);
                 if (!outwards) {
-                    world.links().cut(other, zone, off);
+                    world.links().setCut(other, zone, off);
                 }
             }
         }
--- a/rig/src/main/java/loadbalancer/rig/fault/Release.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Release.java
@@ -24,10 +24,10 @@
         for (int i = 0; i < targets.size(); i++) {
             AppServer server = targets.get(i);
             world.time().after(i * gapUs, () -> {
-                world.list().drains(server.id());
+                world.list().startDraining(server.id());
                 world.time().after(toldUs + LINGERS_US, () -> {
                     server.kill();
-                    world.list().gone(server.id(), true, false);
+                    world.list().remove(server.id(), true, false);
                     world.time().after(DOWN_US, () -> world.startServer(server));
                 });
             });
--- a/rig/src/main/java/loadbalancer/rig/fault/RollingRestart.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/RollingRestart.java
@@ -6,11 +6,11 @@
 import loadbalancer.rig.world.NodePort;
 import loadbalancer.rig.world.World;
 
-/** A part of the nodes are told to end and started again, one after the other. */
+/** A part of the nodes get SIGTERM and are started again, one after the other. */
 final class RollingRestart implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
-        List<NodePort> targets = World.some(world.nodes(), spec.part(), random);
+        List<NodePort> targets = World.randomShare(world.nodes(), spec.part(), random);
         long gapUs = spec.lengthUs() / targets.size();
         for (int i = 0; i < targets.size(); i++) {
             NodePort node = targets.get(i);
--- a/rig/src/main/java/loadbalancer/rig/fault/Slow.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Slow.java
@@ -11,7 +11,7 @@
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
         List<AppServer> targets = world.faultTargets(spec, random);
-        targets.forEach(server -> server.slowBy(Math.max(1, spec.size())));
-        return ActiveFault.servers(targets, () -> targets.forEach(server -> server.slowBy(1)));
+        targets.forEach(server -> server.setSlowdown(Math.max(1, spec.size())));
+        return ActiveFault.servers(targets, () -> targets.forEach(server -> server.setSlowdown(1)));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/SlowLinks.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/SlowLinks.java
@@ -11,8 +11,8 @@
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
         List<AppServer> targets = world.faultTargets(spec, random);
-        targets.forEach(server -> world.links().slow(server, Math.round(spec.size() * 1_000)));
+        targets.forEach(server -> world.links().setExtraDelay(server, Math.round(spec.size() * 1_000)));
         return ActiveFault.servers(
-                targets, () -> targets.forEach(server -> world.links().slow(server, 0)));
+                targets, () -> targets.forEach(server -> world.links().setExtraDelay(server, 0)));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/fault/Vanish.java
+++ b/rig/src/main/java/loadbalancer/rig/fault/Vanish.java
@@ -15,10 +15,10 @@
 
     static ActiveFault silence(World world, List<AppServer> targets) {
         for (AppServer server : targets) {
-            server.fallSilent();
-            world.list().gone(server.id(), false, true);
+            server.becomeUnreachable();
+            world.list().remove(server.id(), false, true);
         }
         return ActiveFault.servers(
-                targets, () -> targets.stream().filter(AppServer::isSilent).forEach(world::startServer));
+                targets, () -> targets.stream().filter(AppServer::isUnreachable).forEach(world::startServer));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/history/Event.java
+++ b/rig/src/main/java/loadbalancer/rig/history/Event.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * One thing that happened, as the referee is told of it.
+ * One thing that happened, as the checkers read it.
  *
  * @param atUs microseconds since the run began
  * @param process whose doing it was
--- a/rig/src/main/java/loadbalancer/rig/history/History.java
+++ b/rig/src/main/java/loadbalancer/rig/history/History.java
@@ -25,7 +25,7 @@
  */
 public final class History {
     /** Most bytes of a history; a run that has more fails, as a cut history proves nothing. */
-    public static final long MOST_BYTES = 1L << 30;
+    public static final long MAX_BYTES = 1L << 30;
 
     /** Whoever reads along. */
     public interface Reader {
@@ -74,8 +74,8 @@
 
     private void write(byte[] line) {
         bytes += line.length;
-        if (bytes > MOST_BYTES) {
-            throw new IllegalStateException("the history has grown over " + MOST_BYTES + " bytes");
+        if (bytes > MAX_BYTES) {
+            throw new IllegalStateException("the history has grown over " + MAX_BYTES + " bytes");
         }
         if (digest != null) {
             digest.update(line);
--- a/rig/src/main/java/loadbalancer/rig/play/Outcome.java
+++ b/rig/src/main/java/loadbalancer/rig/play/Outcome.java
@@ -32,7 +32,7 @@
                 summed ? history.digest() : null);
     }
 
-    public boolean isKept() {
+    public boolean keepsRules() {
         return violations.isEmpty();
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/play/Shrink.java
+++ b/rig/src/main/java/loadbalancer/rig/play/Shrink.java
@@ -15,7 +15,7 @@
     /** A run goes on for so long after the violation, so that its own end does not hide it. */
     private static final long BEYOND_US = 1_000_000;
 
-    private static final int MOST_PLAYS = 200;
+    private static final int MAX_PLAYS = 200;
 
     private final Function<Scenario, Outcome> play;
     private final String rule;
@@ -37,7 +37,7 @@
         Shrink shrink = new Shrink(play, found.rule());
         Smallest best = new Smallest(scenario, found, 0);
         boolean smaller = true;
-        while (smaller && shrink.plays < MOST_PLAYS) {
+        while (smaller && shrink.plays < MAX_PLAYS) {
             smaller = false;
             for (Scenario next : lesser(best)) {
                 Optional<Violation> still = shrink.breaks(next);
--- a/rig/src/main/java/loadbalancer/rig/play/SimPlay.java
+++ b/rig/src/main/java/loadbalancer/rig/play/SimPlay.java
@@ -48,13 +48,13 @@
         history.add("rig", Kind.RUN, "scenario", scenario.name(), "seed", seed, "real", false);
         World world = World.simulated(scenario, time, history, policy);
         world.start();
-        world.open();
+        world.startClients();
         scheduleFaults(world, time);
-        for (long second = SECOND_US; second < world.settledUs(); second += SECOND_US) {
+        for (long second = SECOND_US; second < world.endUs(); second += SECOND_US) {
             time.playUntil(second);
             progress.second(second, world);
         }
-        time.playUntil(world.settledUs());
+        time.playUntil(world.endUs());
         return Outcome.of(seed, world, history, checkers, time.nowUs(), summed);
     }
 
--- a/rig/src/main/java/loadbalancer/rig/real/DatagramLink.java
+++ b/rig/src/main/java/loadbalancer/rig/real/DatagramLink.java
@@ -20,7 +20,7 @@
  */
 public final class DatagramLink implements AutoCloseable {
     /** Datagrams under way; what comes beyond is lost, as in a full buffer. */
-    private static final int MOST_HELD = 10_000;
+    private static final int MAX_QUEUED = 10_000;
 
     /**
      * What is wrong.
@@ -79,7 +79,7 @@
         if (cut.test(packet.sender().getAddress()) || random.nextDouble() < faults.lost()) {
             return;
         }
-        for (int i = random.nextDouble() < faults.doubled() ? 2 : 1; i > 0 && held < MOST_HELD; i--) {
+        for (int i = random.nextDouble() < faults.doubled() ? 2 : 1; i > 0 && held < MAX_QUEUED; i--) {
             ByteBuf bytes = packet.content().copy();
             long jitterUs = faults.jitterUs() == 0 ? 0 : random.nextLong(faults.jitterUs());
             held++;
--- a/rig/src/main/java/loadbalancer/rig/real/FakeServer.java
+++ b/rig/src/main/java/loadbalancer/rig/real/FakeServer.java
@@ -46,7 +46,7 @@
 
     /** Whether connections to it are taken: by its process, or by a machine that says nothing. */
     boolean isOpen() {
-        return server.isUp() || server.isSilent();
+        return server.isUp() || server.isUnreachable();
     }
 
     /** Follows the model: a silent machine's connections stay open, a dead process's are reset. */
@@ -70,7 +70,7 @@
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            counted = server.isSilent() || server.connect("any");
+            counted = server.isUnreachable() || server.connect("any");
             if (!counted) {
                 context.close();
             }
@@ -86,7 +86,7 @@
             }
             attempt = sent;
             int nodeZone = sent.node().zone();
-            if (server.isSilent() || world.links().isCut(nodeZone, server.zone())) {
+            if (server.isUnreachable() || world.links().isCut(nodeZone, server.zone())) {
                 return;
             }
             long remainingUs =
@@ -94,7 +94,7 @@
             long untilUs = time.nowUs() + remainingUs;
             time.after(world.links().delay(random, nodeZone, server.zone()), () -> {
                 if (attempt == sent) {
-                    job = server.take(
+                    job = server.submit(
                             new Work(
                                     sent.node().name(),
                                     sent.request().id(),
@@ -111,7 +111,7 @@
         private void onReply(
                 ChannelHandlerContext context, RequestRegistry.Attempt of, AttemptResult result, LoadReport report) {
             int nodeZone = of.node().zone();
-            if (attempt != of || server.isSilent() || world.links().isCut(server.zone(), nodeZone)) {
+            if (attempt != of || server.isUnreachable() || world.links().isCut(server.zone(), nodeZone)) {
                 return;
             }
             time.after(world.links().delay(random, server.zone(), nodeZone), () -> {
@@ -163,8 +163,8 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (attempt != null) {
-                server.giveUp(job);
-                end(server.isUp() || server.isSilent() ? AttemptResult.CANCELLED : AttemptResult.RESET);
+                server.abandon(job);
+                end(server.isUp() || server.isUnreachable() ? AttemptResult.CANCELLED : AttemptResult.RESET);
             }
             if (counted) {
                 server.disconnect("any");
--- a/rig/src/main/java/loadbalancer/rig/real/FaultLink.java
+++ b/rig/src/main/java/loadbalancer/rig/real/FaultLink.java
@@ -33,7 +33,7 @@
  */
 public final class FaultLink implements AutoCloseable {
     /** What a direction holds that is under way; beyond it, it reads no more. */
-    private static final int MOST_HELD = 1 << 20;
+    private static final int MAX_QUEUED_BYTES = 1 << 20;
     /** Pieces in which a trickle comes, a second. */
     private static final int PIECES_PER_S = 50;
 
@@ -251,7 +251,7 @@
             if (to == null) {
                 return;
             }
-            from.config().setAutoRead(!now().silent() && heldBytes < MOST_HELD);
+            from.config().setAutoRead(!now().silent() && heldBytes < MAX_QUEUED_BYTES);
             long nowNanos = System.nanoTime();
             int budget = now().bytesPerSecond() == 0
                     ? Integer.MAX_VALUE
--- a/rig/src/main/java/loadbalancer/rig/real/Listener.java
+++ b/rig/src/main/java/loadbalancer/rig/real/Listener.java
@@ -21,7 +21,7 @@
 /** An address of a stand-in, on loopback, which keeps its port while it is closed and opened again. */
 final class Listener {
     /** The largest body that a node passes on. */
-    private static final int MOST_BODY = 32 << 20;
+    private static final int MAX_BODY_BYTES = 32 << 20;
 
     private final EventLoop loop;
     private final InetAddress at;
@@ -57,7 +57,8 @@
                         connections.add(channel);
                         channel.closeFuture().addListener(closed -> connections.remove(channel));
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), handler.get());
+                                .addLast(
+                                        new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), handler.get());
                     }
                 })
                 .bind(at, port);
--- a/rig/src/main/java/loadbalancer/rig/real/NodeProcess.java
+++ b/rig/src/main/java/loadbalancer/rig/real/NodeProcess.java
@@ -20,7 +20,7 @@
  */
 final class NodeProcess implements AutoCloseable {
     /** Of what it prints the newest is kept: twice so much at the most. */
-    static final long MOST_OUTPUT = 8L << 20;
+    static final long MAX_OUTPUT_BYTES = 8L << 20;
 
     private static final long GRACE_MS = 5_000;
     /** $0 is the command. Its id comes first, then what it prints; the exit code is its own. */
@@ -76,7 +76,7 @@
                 String line = from.readLine();
                 while (line != null) {
                     byte[] bytes = (line + "\n").getBytes(StandardCharsets.UTF_8);
-                    if (printed + bytes.length > MOST_OUTPUT) {
+                    if (printed + bytes.length > MAX_OUTPUT_BYTES) {
                         to.close();
                         Files.move(
                                 output,
--- a/rig/src/main/java/loadbalancer/rig/real/RealNode.java
+++ b/rig/src/main/java/loadbalancer/rig/real/RealNode.java
@@ -208,7 +208,7 @@
         });
     }
 
-    /** Stops it at once and waits for its end; no event is told of it any more. */
+    /** Stops it at once and waits for its end; no event of it is written. */
     void close() {
         nextIncarnation();
         if (child != null) {
--- a/rig/src/main/java/loadbalancer/rig/real/RealPlay.java
+++ b/rig/src/main/java/loadbalancer/rig/real/RealPlay.java
@@ -32,7 +32,7 @@
  */
 public final class RealPlay implements AutoCloseable {
     /** The most that are started at once on one machine. */
-    public static final int MOST_NODES = 128;
+    public static final int MAX_NODES = 128;
 
     private static final long READY_WITHIN_MS = 60_000;
     /** How much later than it happened the rig may hear of something. */
@@ -63,8 +63,8 @@
     public RealPlay(
             Scenario scenario, long seed, DeployFile deploy, Path folder, OutputStream file, History.Reader reader)
             throws IOException {
-        if (scenario.fleet().nodes() > MOST_NODES || scenario.fleet().servers() > 60_000) {
-            throw new IOException("fleet.nodes = " + scenario.fleet().nodes() + ": at most " + MOST_NODES
+        if (scenario.fleet().nodes() > MAX_NODES || scenario.fleet().servers() > 60_000) {
+            throw new IOException("fleet.nodes = " + scenario.fleet().nodes() + ": at most " + MAX_NODES
                     + " processes are started on one machine");
         }
         this.scenario = scenario;
@@ -80,7 +80,7 @@
         readers.add(reader);
         history = new History(time, readers, file, false);
         world = new World(scenario, time, history);
-        world.links().carriedBy(links);
+        world.links().setCarrier(links);
         RequestRegistry requests = new RequestRegistry(world);
         int number = 0;
         for (String id : world.servers().keySet()) {
@@ -146,14 +146,14 @@
                 READY_WITHIN_MS,
                 () -> world.nodes().stream().allMatch(NodePort::isReady));
         long startedUs = onLoop(() -> {
-            world.open();
+            world.startClients();
             SimPlay.scheduleFaults(world, time);
             return time.nowUs();
         });
-        long endUs = startedUs + world.settledUs();
+        long endUs = startedUs + world.endUs();
         long lastUs = startedUs + scenario.lengthUs();
         for (long second = 1; time.nowUs() < endUs && time.failure() == null; second++) {
-            if (time.nowUs() > lastUs && onLoop(world::waiting) == 0) {
+            if (time.nowUs() > lastUs && onLoop(world::openRequests) == 0) {
                 break;
             }
             TimeUnit.MICROSECONDS.sleep(Math.max(1, Math.min(endUs, startedUs + second * 1_000_000) - time.nowUs()));
--- a/rig/src/main/java/loadbalancer/rig/real/RequestRegistry.java
+++ b/rig/src/main/java/loadbalancer/rig/real/RequestRegistry.java
@@ -57,7 +57,7 @@
         }
         boolean crossesZones = server.zone() != open.node.zone();
         Attempt attempt = new Attempt(txn, open.attempts++, open.request, open.node);
-        world.score().sent(crossesZones);
+        world.score().onAttempt(crossesZones);
         open.node.history().attempt(open.request.id(), attempt.number(), server.id(), crossesZones);
         return attempt;
     }
--- a/rig/src/main/java/loadbalancer/rig/real/package-info.java
+++ b/rig/src/main/java/loadbalancer/rig/real/package-info.java
@@ -1,2 +1,7 @@
-/** Runs with real processes: children, fake servers, links that inject faults, fleets of members. */
+/**
+ * Runs with real processes on loopback: node processes, fake app servers and lists, links that inject faults, and
+ * fleets of members.
+ *
+ * <p>Owns sockets, processes and real time. The models of {@link loadbalancer.rig.world} decide how the fakes behave.
+ */
 package loadbalancer.rig.real;
--- a/rig/src/main/java/loadbalancer/rig/scenario/Fields.java
+++ b/rig/src/main/java/loadbalancer/rig/scenario/Fields.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * One table of a scenario file, read key by key. What is wrong is gathered and not thrown, so that all problems
- * of a file are told at once.
+ * One table of a scenario file, read key by key. Problems are collected and not thrown, so that all problems
+ * of a file are reported at once.
  */
 final class Fields {
     /** A key this many edits off a known one is taken for it misspelt. */
--- a/rig/src/main/java/loadbalancer/rig/time/Simulator.java
+++ b/rig/src/main/java/loadbalancer/rig/time/Simulator.java
@@ -9,7 +9,7 @@
  */
 public final class Simulator implements Timeline {
     /** Most events that may be due at once; a world that holds more will not settle. */
-    public static final int MOST_DUE = 10_000_000;
+    public static final int MAX_SCHEDULED = 10_000_000;
 
     private final long seed;
     private final PriorityQueue<Due> due = new PriorityQueue<>();
@@ -60,7 +60,7 @@
 
     @Override
     public Timer at(long atUs, Runnable what) {
-        if (due.size() >= MOST_DUE) {
+        if (due.size() >= MAX_SCHEDULED) {
             throw new NeverSettledException("never settled: " + due.size() + " events are due at " + nowUs
                     + " us, the next at " + due.peek().atUs + " us");
         }
--- a/rig/src/main/java/loadbalancer/rig/world/AppServer.java
+++ b/rig/src/main/java/loadbalancer/rig/world/AppServer.java
@@ -19,8 +19,8 @@
 import loadbalancer.rig.time.Timeline.Timer;
 
 /**
- * The model of one app server. Its cores are shared evenly by what is in its slots; what comes beyond waits
- * in a queue, and beyond that is turned away. It works worse the more it holds, pauses now and then, starts
+ * The model of one app server. Its cores are shared evenly by the jobs in its slots; further jobs wait
+ * in a queue, and beyond that are rejected. It is less efficient the more it holds, pauses now and then, starts
  * cold, falls over when it gets far too much while it is, and does a request with a key that it remembers in
  * less time.
  */
@@ -38,32 +38,32 @@
     private final Scenario.Rules rules;
     private final Scenario.Net net;
     private final double meanWorkUs;
-    private final Runnable fell;
+    private final Runnable onCollapse;
     private final double speed;
     private final Timeline time;
     private final History history;
     private final SplittableRandom random;
 
     private boolean up;
-    private boolean silent;
-    private double slowBy = 1;
-    private double failing;
+    private boolean unreachable;
+    private double slowdown = 1;
+    private double errorShare;
     private long startedUs;
     private boolean cold;
-    /** Given back by now, per job in the slots, and when that was reckoned. */
-    private double given;
+    /** The work that a job has had that runs since the beginning, and when that was computed. */
+    private double progress;
 
-    private long givenAtUs;
+    private long progressAtUs;
     private boolean paused;
-    private final PriorityQueue<Job> inWork = new PriorityQueue<>(
-            Comparator.comparingDouble((Job job) -> job.doneAt).thenComparingLong(job -> job.number));
+    private final PriorityQueue<Job> running = new PriorityQueue<>(
+            Comparator.comparingDouble((Job job) -> job.doneAtProgress).thenComparingLong(job -> job.number));
     private final ArrayDeque<Job> queued = new ArrayDeque<>();
     private long jobs;
-    private Timer next;
-    /** Which life this is: what was planned in an earlier one comes to nothing. */
-    private int life;
+    private Timer nextStep;
+    /** Counts starts and ends: what one incarnation has scheduled must not run in another. */
+    private int incarnation;
 
-    private final LinkedHashMap<String, Long> keys = new LinkedHashMap<>(16, 0.75f, true);
+    private final LinkedHashMap<String, Long> cachedKeys = new LinkedHashMap<>(16, 0.75f, true);
     private final ArrayDeque<Arrival> pressure = new ArrayDeque<>();
     private double pressureUs;
     private final Map<String, Integer> connections = new HashMap<>();
@@ -84,8 +84,8 @@
         private final Work work;
         private final double workUs;
         private final Reply reply;
-        private double doneAt;
-        private boolean unwanted;
+        private double doneAtProgress;
+        private boolean abandoned;
 
         private Job(long number, Work work, double workUs, Reply reply) {
             this.number = number;
@@ -95,8 +95,8 @@
         }
     }
 
-    /** @param fell called once it has fallen over; starting it again is the caller's */
-    AppServer(int number, String id, Scenario scenario, Timeline time, History history, Runnable fell) {
+    /** @param onCollapse called once it has fallen over; starting it again is the caller's */
+    AppServer(int number, String id, Scenario scenario, Timeline time, History history, Runnable onCollapse) {
         this.id = id;
         Scenario.Fleet fleet = scenario.fleet();
         zone = fleet.zoneOfServer(number);
@@ -104,11 +104,11 @@
         this.rules = scenario.rules();
         net = scenario.net();
         meanWorkUs = scenario.meanWorkUs();
-        this.fell = fell;
+        this.onCollapse = onCollapse;
         this.time = time;
         this.history = history;
         random = time.stream("server " + id);
-        double drawn = kind.speed() * Chance.spread(random, kind.speedCv());
+        double drawn = kind.speed() * Distributions.spread(random, kind.speedCv());
         speed = fleet.speeds().isEmpty() ? drawn : fleet.speeds().get(number);
     }
 
@@ -125,8 +125,8 @@
         return up;
     }
 
-    public boolean isSilent() {
-        return silent;
+    public boolean isUnreachable() {
+        return unreachable;
     }
 
     /** When it last started; 0 if it was up and warm as the run began. */
@@ -135,8 +135,8 @@
     }
 
     /** Requests in its slots and its queue. */
-    public int held() {
-        return inWork.size() + queued.size();
+    public int requestCount() {
+        return running.size() + queued.size();
     }
 
     /** Work on a standard core that it can do in a second when warm and not crowded. */
@@ -148,28 +148,26 @@
         return workDoneUs;
     }
 
-    /** The same as it is now: cold, slow, failing or down. */
+    /** The same as it is now, with what a cold start, slowness and errors take off it. */
     public double presentCapacity() {
-        return up ? Math.max(1e-9, capacity() * warmth() / slowBy * (1 - failing)) : 1e-9;
+        return up ? Math.max(1e-9, capacity() * warmth() / slowdown * (1 - errorShare)) : 1e-9;
     }
 
-    /** Work that it did for nobody: given up on before it was done, or lost with the process. */
+    /** Work that it did for nobody: abandoned before it was done, or lost with the process. */
     public double workWastedUs() {
         return workWastedUs;
     }
 
-    // ---------------------------------------------------------------- its life
-
     /** Starts it; a warm start is for what ran before the run began. */
     public void start(boolean warm) {
         up = true;
-        silent = false;
-        life++;
+        unreachable = false;
+        incarnation++;
         cold = !warm;
         startedUs = warm ? 0 : Math.max(1, time.nowUs());
-        givenAtUs = time.nowUs();
+        progressAtUs = time.nowUs();
         history.add(id, Kind.STARTED, "at", startedUs, "zone", zone);
-        planPause(life);
+        schedulePause(incarnation);
     }
 
     /** Ends its process at once: what it holds is reset. */
@@ -177,19 +175,19 @@
         if (!up) {
             return;
         }
-        reckon();
+        updateProgress();
         up = false;
-        life++;
+        incarnation++;
         history.add(id, Kind.KILLED);
-        while (!inWork.isEmpty()) {
-            Job broken = inWork.poll();
-            workWastedUs += broken.workUs - Math.max(0, broken.doneAt - given);
+        while (!running.isEmpty()) {
+            Job broken = running.poll();
+            workWastedUs += broken.workUs - Math.max(0, broken.doneAtProgress - progress);
             end(broken, AttemptResult.RESET);
         }
         while (!queued.isEmpty()) {
             end(queued.poll(), AttemptResult.RESET);
         }
-        keys.clear();
+        cachedKeys.clear();
         pressure.clear();
         pressureUs = 0;
         connections.clear();
@@ -199,55 +197,55 @@
 
     /** All its connections break: what is in its slots goes on, for nobody. */
     void breakConnections() {
-        List<Job> broken = new ArrayList<>(inWork);
+        List<Job> broken = new ArrayList<>(running);
         broken.addAll(queued);
         queued.clear();
         for (Job job : broken) {
             end(job, AttemptResult.RESET);
-            job.unwanted = true;
+            job.abandoned = true;
         }
     }
 
     /** Its machine says nothing any more, though connections stay open; ended by {@link #start}. */
-    public void fallSilent() {
+    public void becomeUnreachable() {
         kill();
-        silent = true;
+        unreachable = true;
     }
 
     /** Makes all work from now on take this many times as long. */
-    public void slowBy(double factor) {
-        reckon();
-        slowBy = factor;
-        plan();
+    public void setSlowdown(double factor) {
+        updateProgress();
+        slowdown = factor;
+        scheduleNextStep();
     }
 
-    public void fail(double share) {
-        failing = share;
+    public void setErrorShare(double share) {
+        errorShare = share;
     }
 
-    private void planPause(int of) {
+    private void schedulePause(int scheduledBy) {
         if (kind.pauseEveryUs() == 0) {
             return;
         }
-        time.after(Chance.exponential(random, kind.pauseEveryUs()), () -> {
-            if (of != life) {
+        time.after(Distributions.exponential(random, kind.pauseEveryUs()), () -> {
+            if (scheduledBy != incarnation) {
                 return;
             }
             setPaused(true);
-            double grown = 1 + kind.pauseGrow() * held() / Math.max(1, kind.slots());
-            time.after(Math.round(kind.pauseUs() * grown * Chance.spread(random, 0.3)), () -> {
-                if (of == life) {
+            double grown = 1 + kind.pauseGrow() * requestCount() / Math.max(1, kind.slots());
+            time.after(Math.round(kind.pauseUs() * grown * Distributions.spread(random, 0.3)), () -> {
+                if (scheduledBy == incarnation) {
                     setPaused(false);
-                    planPause(of);
+                    schedulePause(scheduledBy);
                 }
             });
         });
     }
 
     private void setPaused(boolean to) {
-        reckon();
+        updateProgress();
         paused = to;
-        plan();
+        scheduleNextStep();
     }
 
     // ---------------------------------------------------------------- connections
@@ -259,7 +257,7 @@
         }
         connected++;
         connections.merge(node, 1, Integer::sum);
-        press(net.handshakeWorkUs());
+        recordPressure(net.handshakeWorkUs());
         return true;
     }
 
@@ -277,67 +275,70 @@
      * Takes an attempt, all of which has arrived. The reply comes later, never from inside this call; a
      * silent machine gives none.
      *
-     * @return what to give up on by {@link #giveUp}, or null
+     * @return what to abandon by {@link #abandon}, or null
      */
-    public Job take(Work work, Reply reply) {
-        if (silent) {
+    public Job submit(Work work, Reply reply) {
+        if (unreachable) {
             return null;
         }
         if (!up) {
             time.after(0, () -> reply.accept(AttemptResult.CONNECT_FAILED, null));
             return null;
         }
-        press(work.workUs());
+        recordPressure(work.workUs());
         if (!up) {
             time.after(0, () -> reply.accept(AttemptResult.RESET, null));
             return null;
         }
-        if (random.nextDouble() < Math.max(failing, kind.errorRate())) {
-            int of = life;
-            time.after(ERROR_US, () -> reply.accept(of == life ? AttemptResult.ERROR : AttemptResult.RESET, report()));
+        if (random.nextDouble() < Math.max(errorShare, kind.errorRate())) {
+            int scheduledBy = incarnation;
+            time.after(
+                    ERROR_US,
+                    () -> reply.accept(
+                            scheduledBy == incarnation ? AttemptResult.ERROR : AttemptResult.RESET, report()));
             return null;
         }
-        if (inWork.size() >= kind.slots() * kind.cores() && queued.size() >= kind.queue() * kind.cores()) {
+        if (running.size() >= kind.slots() * kind.cores() && queued.size() >= kind.queue() * kind.cores()) {
             time.after(0, () -> reply.accept(AttemptResult.FULL, report()));
             return null;
         }
-        Job job = new Job(jobs++, work, work.workUs() * (remembers(work.key()) ? 1 - kind.keyGain() : 1), reply);
-        reckon();
-        if (inWork.size() < kind.slots() * kind.cores()) {
-            begin(job);
+        Job job = new Job(jobs++, work, work.workUs() * (hasCached(work.key()) ? 1 - kind.keyGain() : 1), reply);
+        updateProgress();
+        if (running.size() < kind.slots() * kind.cores()) {
+            startJob(job);
         } else {
             queued.add(job);
         }
-        plan();
+        scheduleNextStep();
         return job;
     }
 
     /** Nobody waits for it any more; what waits is dropped, what is in work goes on, for nothing. */
-    public void giveUp(Job job) {
-        if (job != null && !job.unwanted) {
-            job.unwanted = true;
+    public void abandon(Job job) {
+        if (job != null && !job.abandoned) {
+            job.abandoned = true;
             queued.remove(job);
         }
     }
 
-    private void begin(Job job) {
-        job.doneAt = given + job.workUs;
-        inWork.add(job);
+    private void startJob(Job job) {
+        job.doneAtProgress = progress + job.workUs;
+        running.add(job);
     }
 
-    private boolean remembers(String key) {
+    private boolean hasCached(String key) {
         if (key == null || kind.keysKept() == 0) {
             return false;
         }
-        Long at = keys.put(key, time.nowUs());
-        if (keys.size() > kind.keysKept() * kind.cores()) {
-            keys.remove(keys.keySet().iterator().next());
+        Long at = cachedKeys.put(key, time.nowUs());
+        if (cachedKeys.size() > kind.keysKept() * kind.cores()) {
+            cachedKeys.remove(cachedKeys.keySet().iterator().next());
         }
         return at != null && time.nowUs() - at <= kind.keysKeptUs();
     }
 
     /** A cold server that gets far more than it can do for too long falls over. */
-    private void press(double workUs) {
+    private void recordPressure(double workUs) {
         if (!cold) {
             return;
         }
@@ -348,11 +349,11 @@
             pressureUs -= pressure.poll().workUs;
         }
         cold = warmth() < 1;
-        double bears = rules.overloadMultiple() * capacity() * warmth() * rules.overloadUs() / meanWorkUs;
-        if (cold && pressureUs > (bears + 2 * Math.sqrt(bears) + 2) * meanWorkUs) {
+        double bearable = rules.overloadMultiple() * capacity() * warmth() * rules.overloadUs() / meanWorkUs;
+        if (cold && pressureUs > (bearable + 2 * Math.sqrt(bearable) + 2) * meanWorkUs) {
             history.add(id, Kind.FELL, "work", pressureUs);
             kill();
-            fell.run();
+            onCollapse.run();
         }
     }
 
@@ -367,48 +368,48 @@
                                         / Math.max(1, kind.warmUpUs()));
     }
 
-    /** Work that each job in the slots is given in a microsecond. */
+    /** By how much work each running job progresses in a microsecond. */
     private double pace() {
-        if (paused || inWork.isEmpty()) {
+        if (paused || running.isEmpty()) {
             return 0;
         }
         double efficiency =
-                1 / (1 + kind.thrash() * Math.max(0, held() - kind.thrashAt() * kind.cores()) / kind.cores());
-        return speed * warmth() * efficiency / slowBy * Math.min(1, (double) kind.cores() / inWork.size());
+                1 / (1 + kind.thrash() * Math.max(0, requestCount() - kind.thrashAt() * kind.cores()) / kind.cores());
+        return speed * warmth() * efficiency / slowdown * Math.min(1, (double) kind.cores() / running.size());
     }
 
-    private void reckon() {
+    private void updateProgress() {
         long now = time.nowUs();
-        given += pace() * (now - givenAtUs);
-        givenAtUs = now;
+        progress += pace() * (now - progressAtUs);
+        progressAtUs = now;
     }
 
-    private void plan() {
-        if (next != null) {
-            next.cancel();
-            next = null;
+    private void scheduleNextStep() {
+        if (nextStep != null) {
+            nextStep.cancel();
+            nextStep = null;
         }
         double pace = pace();
         if (pace == 0) {
             return;
         }
-        double remainingUs = Math.max(0, inWork.peek().doneAt - given) / pace;
+        double remainingUs = Math.max(0, running.peek().doneAtProgress - progress) / pace;
         long atUs = time.nowUs() + (long) Math.ceil(Math.min(remainingUs, 1e12));
-        int of = life;
-        next = time.at(cold ? Math.min(atUs, time.nowUs() + WARMING_STEP_US) : atUs, () -> {
-            if (of == life) {
-                work();
+        int scheduledBy = incarnation;
+        nextStep = time.at(cold ? Math.min(atUs, time.nowUs() + WARMING_STEP_US) : atUs, () -> {
+            if (scheduledBy == incarnation) {
+                completeDue();
             }
         });
     }
 
-    private void work() {
-        reckon();
+    private void completeDue() {
+        updateProgress();
         cold = cold && warmth() < 1;
-        while (!inWork.isEmpty() && inWork.peek().doneAt <= given + DONE_US) {
-            Job done = inWork.poll();
+        while (!running.isEmpty() && running.peek().doneAtProgress <= progress + DONE_US) {
+            Job done = running.poll();
             workDoneUs += done.workUs;
-            if (done.unwanted) {
+            if (done.abandoned) {
                 workWastedUs += done.workUs;
             } else {
                 history.add(
@@ -423,19 +424,19 @@
             }
             end(done, AttemptResult.OK);
         }
-        while (!queued.isEmpty() && inWork.size() < kind.slots() * kind.cores()) {
+        while (!queued.isEmpty() && running.size() < kind.slots() * kind.cores()) {
             Job job = queued.poll();
             if (kind.dropsExpired() && job.work.untilUs() <= time.nowUs()) {
                 end(job, AttemptResult.FULL);
             } else {
-                begin(job);
+                startJob(job);
             }
         }
-        plan();
+        scheduleNextStep();
     }
 
     private void end(Job job, AttemptResult result) {
-        if (!job.unwanted) {
+        if (!job.abandoned) {
             LoadReport report = result == AttemptResult.RESET ? null : report();
             time.after(0, () -> job.reply.accept(result, report));
         }
@@ -446,13 +447,13 @@
         long now = time.nowUs();
         if (now - reportedAtUs >= kind.reportEveryUs()) {
             reportedAtUs = now;
-            double[] fresh = {noisy(queued.size()), noisy(held())};
+            double[] fresh = {noisy(queued.size()), noisy(requestCount())};
             time.after(kind.reportDelayUs(), () -> reported = fresh);
         }
         return LoadReport.of(reported);
     }
 
     private double noisy(int count) {
-        return Math.max(0, count * (1 + kind.reportNoise() * Chance.gaussian(random)));
+        return Math.max(0, count * (1 + kind.reportNoise() * Distributions.gaussian(random)));
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/world/Clients.java
+++ b/rig/src/main/java/loadbalancer/rig/world/Clients.java
@@ -15,7 +15,7 @@
  * before. A client retries what may be retried, and a few disconnect early.
  */
 final class Clients {
-    /** Rates change over time: no wait is drawn for longer than this. */
+    /** Rates change over time: no longer wait than this is drawn. */
     private static final long STEP_US = 20_000;
 
     private final Scenario scenario;
@@ -27,7 +27,7 @@
     private double heavyShare;
     private double heavyFactor;
     private long lastId;
-    private long open;
+    private long openRequests;
     private boolean stopped;
     private long openedUs;
 
@@ -52,30 +52,30 @@
         }
     }
 
-    /** From now on nothing new is asked. */
+    /** No request arrives from now on. */
     void stop() {
         stopped = true;
     }
 
     /** Requests whose client still waits. */
-    long open() {
-        return open;
+    long openRequests() {
+        return openRequests;
     }
 
-    /** From now on so many times as much is asked. */
-    void burst(double factor) {
+    /** Multiplies the rate of arrivals from now on. */
+    void setLoadFactor(double factor) {
         burstFactor = factor;
     }
 
-    /** From now on this share of a class takes so many times the work; -1 for no class. */
-    void heavy(int classIndex, double share, double factor) {
+    /** Multiplies the work of this share of a class from now on; -1 for no class. */
+    void setHeavyTail(int classIndex, double share, double factor) {
         heavyClass = classIndex;
         heavyShare = share;
         heavyFactor = factor;
     }
 
-    /** By how much more or less is asked for now. */
-    private double shape() {
+    /** By how much the present rate differs from the mean. */
+    private double rateFactor() {
         List<Double> shape = scenario.load().shape();
         int second = (int) Math.min((time.nowUs() - openedUs) / 1_000_000, shape.size() - 1);
         return burstFactor * (shape.isEmpty() ? 1 : shape.get(second));
@@ -111,12 +111,12 @@
             if (stopped || perUs == 0) {
                 return;
             }
-            double now = perUs * shape();
-            long wait = now == 0 ? Long.MAX_VALUE : Chance.exponential(random, 1 / now);
-            // Chance has no memory: what does not come in this step is drawn anew in the next.
-            boolean comes = wait <= STEP_US;
-            time.after(Math.min(wait, STEP_US), () -> {
-                if (comes && !stopped) {
+            double now = perUs * rateFactor();
+            long waitUs = now == 0 ? Long.MAX_VALUE : Distributions.exponential(random, 1 / now);
+            // The exponential distribution has no memory: an arrival beyond this step is drawn anew in the next.
+            boolean arrives = waitUs <= STEP_US;
+            time.after(Math.min(waitUs, STEP_US), () -> {
+                if (arrives && !stopped) {
                     new LogicalRequest(this).send();
                 }
                 scheduleNext();
@@ -154,10 +154,10 @@
             key = stream.key();
             double heavier =
                     stream.classIndex == heavyClass && stream.random.nextDouble() < heavyShare ? heavyFactor : 1;
-            workUs = cls.workUs() * Chance.spread(stream.random, cls.cv()) * heavier;
+            workUs = cls.workUs() * Distributions.spread(stream.random, cls.cv()) * heavier;
             deadlineUs = firstSentAtUs + cls.deadlineUs();
             leaves = stream.random.nextDouble() < scenario.clients().leaving();
-            open++;
+            openRequests++;
         }
 
         void send() {
@@ -170,13 +170,12 @@
                 end(Answer.FAILED);
                 return;
             }
-            world.score().tried(tries == 1, workUs);
+            world.score().onClientAttempt(tries == 1, workUs);
             id = ++lastId;
             node = world.front().choose(stream.zone, stream.random);
             int attempt = ++current;
             boolean leavesNow = leaves && tries == 1;
-            // A client waits for what is late by no more than the rules bear, so that the referee sees it
-            // come.
+            // A client waits a little beyond its deadline, so that the checkers see responses that are late.
             long waitsUs = leavesNow
                     ? (long) (patienceUs * stream.random.nextDouble())
                     : patienceUs + 2 * scenario.rules().answerGraceUs();
@@ -188,14 +187,14 @@
                     time.after(world.links().clientDelay(stream.random), () -> target.clientGone(requestId));
                 }
                 if (leavesNow) {
-                    open--;
-                    world.score().leftEarly();
+                    openRequests--;
+                    world.score().onClientGone();
                 } else {
                     retryOrEnd(Answer.FAILED);
                 }
             });
             if (node == null) {
-                time.after(0, () -> answered(attempt, Answer.UNREACHABLE));
+                time.after(0, () -> onAnswer(attempt, Answer.UNREACHABLE));
                 return;
             }
             NodePort target = node;
@@ -205,16 +204,16 @@
                     () -> target.send(
                             request,
                             answer -> time.after(
-                                    world.links().clientDelay(stream.random), () -> answered(attempt, answer))));
+                                    world.links().clientDelay(stream.random), () -> onAnswer(attempt, answer))));
         }
 
-        private void answered(int attempt, Answer answer) {
+        private void onAnswer(int attempt, Answer answer) {
             if (attempt == current) {
-                answered(answer);
+                onAnswer(answer);
             }
         }
 
-        private void answered(Answer answer) {
+        private void onAnswer(Answer answer) {
             current++;
             timeout.cancel();
             if (answer == Answer.OK) {
@@ -237,8 +236,8 @@
         }
 
         private void end(Answer answer) {
-            open--;
-            world.score().ended(stream.classIndex, firstSentAtUs, time.nowUs() - firstSentAtUs, answer);
+            openRequests--;
+            world.score().onRequestEnd(stream.classIndex, firstSentAtUs, time.nowUs() - firstSentAtUs, answer);
         }
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/world/Links.java
+++ b/rig/src/main/java/loadbalancer/rig/world/Links.java
@@ -10,9 +10,9 @@
 /** The network between zones: how long a message takes, and what does not come through. */
 public final class Links {
     private final Scenario.Net net;
-    private final Set<String> cut = new HashSet<>();
-    private final Map<String, Long> slower = new HashMap<>();
-    private final Set<String> mute = new HashSet<>();
+    private final Set<String> cutWays = new HashSet<>();
+    private final Map<String, Long> extraDelaysUs = new HashMap<>();
+    private final Set<String> mutedServers = new HashSet<>();
     private Carrier carrier;
 
     /** What carries messages to app servers and back where that is more than a model. */
@@ -36,37 +36,37 @@
     }
 
     /** From now on faults of single servers' links are carried out there and not in the model. */
-    public void carriedBy(Carrier by) {
-        carrier = by;
+    public void setCarrier(Carrier carrier) {
+        this.carrier = carrier;
     }
 
     /** How long a message takes one way between a node and an app server. */
     long delay(SplittableRandom random, int node, AppServer server) {
-        return delay(random, node, server.zone()) + slower.getOrDefault(server.id(), 0L);
+        return delay(random, node, server.zone()) + extraDelaysUs.getOrDefault(server.id(), 0L);
     }
 
-    /** From now on each way to this server and back takes so much longer. */
-    public void slow(AppServer server, long us) {
+    /** Delays messages to this server and from it by this much more from now on. */
+    public void setExtraDelay(AppServer server, long us) {
         if (carrier == null) {
-            slower.put(server.id(), us);
+            extraDelaysUs.put(server.id(), us);
         } else {
             carrier.slow(server.id(), us);
         }
     }
 
-    /** From now on what this server says does not come through, or does again; it hears and works on. */
-    public void mute(AppServer server, boolean to) {
+    /** Drops what this server sends from now on, or no longer; it receives and works on. */
+    public void setMuted(AppServer server, boolean muted) {
         if (carrier != null) {
-            carrier.mute(server.id(), to);
-        } else if (to) {
-            mute.add(server.id());
+            carrier.mute(server.id(), muted);
+        } else if (muted) {
+            mutedServers.add(server.id());
         } else {
-            mute.remove(server.id());
+            mutedServers.remove(server.id());
         }
     }
 
-    boolean isMute(AppServer server) {
-        return mute.contains(server.id());
+    boolean isMuted(AppServer server) {
+        return mutedServers.contains(server.id());
     }
 
     /** All connections to this server break, amid whatever is under way on them. */
@@ -80,26 +80,26 @@
 
     /** How long a message takes one way. */
     public long delay(SplittableRandom random, int from, int to) {
-        return Chance.delay(random, from == to ? net.sameZoneUs() : net.crossZoneUs(), net.jitter());
+        return Distributions.delay(random, from == to ? net.sameZoneUs() : net.crossZoneUs(), net.jitter());
     }
 
     /** Between a client and a node of its zone. */
     long clientDelay(SplittableRandom random) {
-        return Chance.delay(random, net.clientUs(), net.jitter());
+        return Distributions.delay(random, net.clientUs(), net.jitter());
     }
 
     /**
      * From now on nothing comes through from one zone to another, one way; connections stay open and silent.
      */
-    public void cut(int from, int to, boolean off) {
-        if (off) {
-            cut.add(from + ">" + to);
+    public void setCut(int from, int to, boolean isCut) {
+        if (isCut) {
+            cutWays.add(from + ">" + to);
         } else {
-            cut.remove(from + ">" + to);
+            cutWays.remove(from + ">" + to);
         }
     }
 
     public boolean isCut(int from, int to) {
-        return !cut.isEmpty() && cut.contains(from + ">" + to);
+        return !cutWays.isEmpty() && cutWays.contains(from + ">" + to);
     }
 }
--- a/rig/src/main/java/loadbalancer/rig/world/ListModel.java
+++ b/rig/src/main/java/loadbalancer/rig/world/ListModel.java
@@ -31,12 +31,12 @@
         void listed(long version, ListKind kind, List<ServerEntry> entries);
     }
 
-    /** What stands on a node's machine between it and discovery. */
+    /** The agent of discovery on a node's machine. */
     private final class Agent {
         private final String node;
         private final SplittableRandom random;
-        private final Map<String, ServerEntry> told = new LinkedHashMap<>();
-        private final ArrayList<Change> held = new ArrayList<>();
+        private final Map<String, ServerEntry> delivered = new LinkedHashMap<>();
+        private final ArrayList<Change> queuedWhileDown = new ArrayList<>();
         private long version;
         private long lastUs;
         private Follower follower;
@@ -48,28 +48,28 @@
 
         private void send(Change change) {
             if (down) {
-                held.add(change);
+                queuedWhileDown.add(change);
                 return;
             }
             lastUs = Math.max(lastUs, time.nowUs() + random.nextLong(delays.spreadUs() + 1));
-            time.at(lastUs, () -> tell(change));
+            time.at(lastUs, () -> deliver(change));
         }
 
-        private void tell(Change change) {
+        private void deliver(Change change) {
             if (change.entry.state() == ServerState.GONE) {
-                told.remove(change.entry.id());
+                delivered.remove(change.entry.id());
             } else {
-                told.put(change.entry.id(), change.entry);
+                delivered.put(change.entry.id(), change.entry);
             }
             version = change.version;
             if (follower != null) {
                 follower.listed(version, ListKind.CHANGES, List.of(change.entry));
             }
-            // What the agent has counts as told, whether or not the node follows.
-            told(change.entry);
+            // What the agent has counts as delivered to the node, whether or not the node follows.
+            recordDelivery(change.entry);
         }
 
-        private void told(ServerEntry entry) {
+        private void recordDelivery(ServerEntry entry) {
             history.add(
                     node,
                     Kind.TOLD,
@@ -94,21 +94,21 @@
     }
 
     /** An app server that is there from the start, known to all. */
-    public void begin(ServerEntry entry) {
+    public void addInitial(ServerEntry entry) {
         known.put(entry.id(), entry);
     }
 
-    /** From now on this follower is told, first all that the agent of its node has. */
+    /** Delivers the list to this follower from now on, first all that the agent of its node has. */
     public void follow(String node, Follower follower) {
         Agent agent = agents.computeIfAbsent(node, name -> {
             Agent added = new Agent(name);
-            added.told.putAll(known);
+            added.delivered.putAll(known);
             added.version = version;
             return added;
         });
         agent.follower = follower;
-        follower.listed(agent.version, ListKind.FULL, List.copyOf(agent.told.values()));
-        agent.told.values().forEach(agent::told);
+        follower.listed(agent.version, ListKind.FULL, List.copyOf(agent.delivered.values()));
+        agent.delivered.values().forEach(agent::recordDelivery);
     }
 
     public void unfollow(String node) {
@@ -116,25 +116,25 @@
     }
 
     /** An app server has started, or started again. */
-    public void started(ServerEntry entry) {
+    public void add(ServerEntry entry) {
         change(entry, delays.addUs());
     }
 
-    /** It was asked to take nothing new. */
-    public void drains(String id) {
+    /** A server was asked to take no new requests. */
+    public void startDraining(String id) {
         ServerEntry entry = known.get(id);
         if (entry != null) {
             change(inState(entry, ServerState.DRAINING), delays.changeUs());
         }
     }
 
-    /** It has ended; how late that shows depends on whether anything says so. */
-    public void gone(String id, boolean planned, boolean silently) {
+    /** A server has ended; how late discovery notices depends on how it ended. */
+    public void remove(String id, boolean planned, boolean unreachable) {
         ServerEntry entry = known.get(id);
         if (entry != null) {
             change(
                     inState(entry, ServerState.GONE),
-                    planned ? delays.changeUs() : silently ? delays.silenceUs() : delays.deathUs());
+                    planned ? delays.changeUs() : unreachable ? delays.silenceUs() : delays.deathUs());
         }
     }
 
@@ -145,7 +145,7 @@
     private void change(ServerEntry entry, long delayUs) {
         time.after(delayUs, () -> {
             ServerEntry before = known.get(entry.id());
-            // Word of a death that comes after word of a new start tells nothing any more.
+            // A removal that arrives after a new start is out of date.
             if (before != null && before.startedAtUs() > entry.startedAtUs()) {
                 return;
             }
@@ -160,13 +160,13 @@
         });
     }
 
-    /** While it is down agents hear nothing; afterwards they hear all of it. */
-    public void setDown(boolean to) {
-        down = to;
+    /** While it is down nothing is delivered to agents; afterwards all of it is. */
+    public void setDown(boolean isDown) {
+        down = isDown;
         if (!down) {
             for (Agent agent : agents.values()) {
-                List<Change> late = List.copyOf(agent.held);
-                agent.held.clear();
+                List<Change> late = List.copyOf(agent.queuedWhileDown);
+                agent.queuedWhileDown.clear();
                 late.forEach(agent::send);
             }
         }
--- a/rig/src/main/java/loadbalancer/rig/world/NodePort.java
+++ b/rig/src/main/java/loadbalancer/rig/world/NodePort.java
@@ -28,7 +28,7 @@
      */
     record ClientRequest(long id, int classIndex, String key, double workUs, long remainingUs, boolean repeat) {}
 
-    /** Is told of the answer, once. */
+    /** Gets the answer, once. */
     interface ResponseListener {
         void onAnswer(Answer answer);
     }
--- a/rig/src/main/java/loadbalancer/rig/world/Score.java
+++ b/rig/src/main/java/loadbalancer/rig/world/Score.java
@@ -7,21 +7,22 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a run earned: the worth answered within its aim over the worth asked for, in three views, less prices.
+ * The score of a run: the weight served within the latency objective over the weight offered, in three views, less
+ * prices.
  */
 public final class Score {
     private static final int WINDOW_S = 10;
     private static final long SECOND_US = 1_000_000;
-    /** Longest time told apart, and to how many digits. */
-    private static final long MOST_US = 60 * SECOND_US;
+    /** Longest latency that the histogram tells apart. */
+    private static final long MAX_LATENCY_US = 60 * SECOND_US;
 
     private final Scenario scenario;
-    private final double[] askedBySecond;
+    private final double[] offeredBySecond;
     private final double[] earnedBySecond;
-    private final double[] askedByClass;
+    private final double[] offeredByClass;
     private final double[] earnedByClass;
-    private final Histogram latency = new Histogram(MOST_US, 3);
-    private long openedUs;
+    private final Histogram latency = new Histogram(MAX_LATENCY_US, 3);
+    private long startedUs;
     private double lateWeight;
     private double offeredUs;
     private long firstTries;
@@ -36,43 +37,43 @@
     Score(Scenario scenario) {
         this.scenario = scenario;
         int seconds = (int) (scenario.lengthUs() / SECOND_US) + 1;
-        askedBySecond = new double[seconds];
+        offeredBySecond = new double[seconds];
         earnedBySecond = new double[seconds];
-        askedByClass = new double[scenario.classes().size()];
+        offeredByClass = new double[scenario.classes().size()];
         earnedByClass = new double[scenario.classes().size()];
     }
 
-    /** An attempt has left a node. */
-    public void sent(boolean crosses) {
+    /** A node has sent an attempt. */
+    public void onAttempt(boolean crosses) {
         attempts++;
         crossing += crosses ? 1 : 0;
     }
 
-    /** Clients begin to ask. */
-    void openedAt(long nowUs) {
-        openedUs = nowUs;
+    /** Clients begin to send. */
+    void onClientsStarted(long nowUs) {
+        startedUs = nowUs;
     }
 
-    void tried(boolean first, double workUs) {
+    void onClientAttempt(boolean first, double workUs) {
         tries++;
         firstTries += first ? 1 : 0;
         offeredUs += first ? workUs : 0;
     }
 
-    void leftEarly() {
+    void onClientGone() {
         left++;
     }
 
     /**
      * A client's request is over, and it was still there; how long it took counts only where it was served.
      */
-    void ended(int classIndex, long askedAtUs, long tookUs, NodePort.Answer answer) {
+    void onRequestEnd(int classIndex, long firstSentAtUs, long tookUs, NodePort.Answer answer) {
         Scenario.RequestClass cls = scenario.classes().get(classIndex);
-        int second = (int) Math.min((askedAtUs - openedUs) / SECOND_US, askedBySecond.length - 1);
-        askedBySecond[second] += cls.priorityWeight();
-        askedByClass[classIndex] += cls.priorityWeight();
+        int second = (int) Math.min((firstSentAtUs - startedUs) / SECOND_US, offeredBySecond.length - 1);
+        offeredBySecond[second] += cls.priorityWeight();
+        offeredByClass[classIndex] += cls.priorityWeight();
         if (answer == NodePort.Answer.OK) {
-            latency.recordValue(Math.min(tookUs, MOST_US));
+            latency.recordValue(Math.min(tookUs, MAX_LATENCY_US));
         }
         if (answer == NodePort.Answer.OK && tookUs <= cls.latencyObjectiveUs()) {
             earnedBySecond[second] += cls.priorityWeight();
@@ -92,26 +93,26 @@
     double whole() {
         return share(
                 Arrays.stream(earnedBySecond).sum(),
-                Arrays.stream(askedBySecond).sum());
+                Arrays.stream(offeredBySecond).sum());
     }
 
     double worstWindow() {
         double worst = 1;
-        for (int from = 0; from + WINDOW_S <= Math.max(WINDOW_S, askedBySecond.length - 1); from++) {
-            int to = Math.min(from + WINDOW_S, askedBySecond.length);
+        for (int from = 0; from + WINDOW_S <= Math.max(WINDOW_S, offeredBySecond.length - 1); from++) {
+            int to = Math.min(from + WINDOW_S, offeredBySecond.length);
             worst = Math.min(
                     worst,
                     share(
                             Arrays.stream(earnedBySecond, from, to).sum(),
-                            Arrays.stream(askedBySecond, from, to).sum()));
+                            Arrays.stream(offeredBySecond, from, to).sum()));
         }
         return worst;
     }
 
     double worstClass() {
         double worst = 1;
-        for (int c = 0; c < askedByClass.length; c++) {
-            worst = Math.min(worst, share(earnedByClass[c], askedByClass[c]));
+        for (int c = 0; c < offeredByClass.length; c++) {
+            worst = Math.min(worst, share(earnedByClass[c], offeredByClass[c]));
         }
         return worst;
     }
@@ -120,16 +121,16 @@
     public Result result(List<AppServer> servers) {
         Scenario.Prices prices = scenario.prices();
         double wastedUs = servers.stream().mapToDouble(AppServer::workWastedUs).sum();
-        double off = prices.crossZone() * share(crossing, Math.max(1, firstTries))
+        double deductions = prices.crossZone() * share(crossing, Math.max(1, firstTries))
                 + prices.waste() * share(wastedUs, Math.max(1, offeredUs))
                 + prices.lateFail()
                         * share(
                                 lateWeight,
-                                Math.max(1e-9, Arrays.stream(askedBySecond).sum()));
+                                Math.max(1e-9, Arrays.stream(offeredBySecond).sum()));
         double g = prices.whole() * whole()
                 + prices.worstWindow() * worstWindow()
                 + prices.worstClass() * worstClass()
-                - off;
+                - deductions;
         return new Result(
                 g,
                 whole(),
@@ -151,8 +152,8 @@
      * What came of a run. Latencies are microseconds over all that was served, late or not.
      *
      * @param g the one figure
-     * @param inTime first tries that were served within their aim, by whichever try
-     * @param left first tries whose client left early; they count for nothing else
+     * @param inTime requests that were served within their latency objective, by whichever attempt
+     * @param left requests whose client disconnected early; they count for nothing else
      */
     public record Result(
             double g,
--- a/rig/src/main/java/loadbalancer/rig/world/SimAttempt.java
+++ b/rig/src/main/java/loadbalancer/rig/world/SimAttempt.java
@@ -36,7 +36,7 @@
             return;
         }
         timeout = node.schedule(untilUs - sentAtUs, () -> {
-            server.giveUp(job);
+            server.abandon(job);
             end(connected ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, null);
         });
         long tripUs = links().delay(node.random(), node.zone(), server);
@@ -52,7 +52,7 @@
     }
 
     private boolean isCutOff() {
-        return server.isSilent()
+        return server.isUnreachable()
                 || links().isCut(node.zone(), server.zone())
                 || links().isCut(server.zone(), node.zone());
     }
@@ -79,7 +79,7 @@
         double workUs = node.world().attemptWork(request.request, node.random());
         node.schedule(tripUs, () -> {
             if (!ended) {
-                job = server.take(work(workUs, untilUs), this::onReply);
+                job = server.submit(work(workUs, untilUs), this::onReply);
             }
         });
     }
@@ -96,7 +96,7 @@
     }
 
     private void onReply(AttemptResult result, LoadReport report) {
-        if (isCutOff() || links().isMute(server)) {
+        if (isCutOff() || links().isMuted(server)) {
             return;
         }
         node.schedule(links().delay(node.random(), node.zone(), server), () -> {
@@ -111,7 +111,7 @@
 
     void cancel() {
         if (!ended) {
-            server.giveUp(job);
+            server.abandon(job);
             if (connected) {
                 server.disconnect(node.name());
             }
@@ -122,7 +122,7 @@
     /** The node's process has ended; nothing is reported any more. */
     void abandon() {
         if (!ended) {
-            server.giveUp(job);
+            server.abandon(job);
         }
     }
 
--- a/rig/src/main/java/loadbalancer/rig/world/SimNode.java
+++ b/rig/src/main/java/loadbalancer/rig/world/SimNode.java
@@ -193,7 +193,7 @@
         request.attempts.add(attempt);
         boolean crossesZones = server.zone() != zone();
         history().attempt(requestId, attempt.number(), serverId, crossesZones);
-        world().score().sent(crossesZones);
+        world().score().onAttempt(crossesZones);
         attempt.start(untilUs == 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs));
     }
 
--- a/rig/src/main/java/loadbalancer/rig/world/World.java
+++ b/rig/src/main/java/loadbalancer/rig/world/World.java
@@ -16,8 +16,8 @@
 import loadbalancer.rig.time.Timeline;
 
 /**
- * All that one run has: app servers, nodes, clients and their front, the list and the network. It lives in
- * whichever time it is given; what goes wrong comes from outside.
+ * Everything in one run: app servers, nodes, clients and their front, the list and the network. It lives in
+ * whichever time it is given; faults are injected from outside.
  */
 public final class World {
     /** App servers that share which keys they have seen. */
@@ -46,11 +46,11 @@
         clients = new Clients(this);
         for (int i = 0; i < scenario.fleet().servers(); i++) {
             String id = "s" + i;
-            servers.put(id, new AppServer(i, id, scenario, time, history, () -> fell(id)));
+            servers.put(id, new AppServer(i, id, scenario, time, history, () -> onCollapse(id)));
         }
     }
 
-    /** One more node; before the start. */
+    /** Adds a node; before the start. */
     public void add(NodePort node) {
         nodes.add(node);
     }
@@ -64,24 +64,24 @@
         return world;
     }
 
-    /** Begins: servers warm and known to all, then nodes. */
+    /** Starts the servers, warm and known to all, and then the nodes. */
     public void start() {
         for (AppServer server : servers.values()) {
             server.start(true);
-            list.begin(entry(server));
+            list.addInitial(entry(server));
         }
         nodes.forEach(NodePort::start);
     }
 
-    /** Clients begin to ask, until the scenario's time is over. */
-    public void open() {
-        score.openedAt(time.nowUs());
+    /** Clients begin to send, until the scenario's time is over. */
+    public void startClients() {
+        score.onClientsStarted(time.nowUs());
         clients.start();
         time.after(scenario.lengthUs(), clients::stop);
     }
 
-    /** How long after the first was asked all that was asked has had its time. */
-    public long settledUs() {
+    /** How long after the start of the clients every request is past its deadline. */
+    public long endUs() {
         long longest = scenario.classes().stream()
                 .mapToLong(Scenario.RequestClass::deadlineUs)
                 .max()
@@ -133,37 +133,37 @@
         return scenario.fleet().zones().size();
     }
 
-    /** Requests whose client still waits. */
-    public long waiting() {
-        return clients.open();
+    /** Requests whose client still waits for a response. */
+    public long openRequests() {
+        return clients.openRequests();
     }
 
-    /** What an attempt takes; it differs from attempt to attempt of the same request. */
+    /** The work of an attempt, which differs from attempt to attempt of the same request. */
     public double attemptWork(NodePort.ClientRequest request, SplittableRandom random) {
         return request.workUs()
-                * Chance.spread(
+                * Distributions.spread(
                         random, scenario.classes().get(request.classIndex()).attemptNoise());
     }
 
     // ---------------------------------------------------------------- what faults do
 
-    /** A share of some things, at least one of them, in an order by chance. */
-    public static <T> List<T> some(List<T> of, double part, SplittableRandom random) {
-        List<T> mixed = new ArrayList<>(of);
+    /** A random share of these, at least one, in random order. */
+    public static <T> List<T> randomShare(List<T> all, double share, SplittableRandom random) {
+        List<T> mixed = new ArrayList<>(all);
         for (int i = mixed.size() - 1; i > 0; i--) {
             int j = random.nextInt(i + 1);
             T moved = mixed.get(i);
             mixed.set(i, mixed.get(j));
             mixed.set(j, moved);
         }
-        return mixed.subList(0, Math.min(mixed.size(), Math.max(1, (int) Math.round(part * mixed.size()))));
+        return mixed.subList(0, Math.min(mixed.size(), Math.max(1, (int) Math.round(share * mixed.size()))));
     }
 
     /** The servers that a fault is injected into. */
     public List<AppServer> faultTargets(Scenario.FaultSpec fault, SplittableRandom random) {
         List<AppServer> all = List.copyOf(servers.values());
         return fault.on().isEmpty()
-                ? some(all, fault.part(), random)
+                ? randomShare(all, fault.part(), random)
                 : fault.on().stream()
                         .filter(number -> number < all.size())
                         .map(all::get)
@@ -173,30 +173,30 @@
     /** Starts an app server that had ended; it is cold. */
     public void startServer(AppServer server) {
         server.start(false);
-        list.started(entry(server));
+        list.add(entry(server));
     }
 
-    /** Ends an app server's process with no word to anybody. */
+    /** Kills an app server. Discovery is not notified, and finds out late. */
     public void killServer(AppServer server) {
         server.kill();
-        list.gone(server.id(), false, false);
+        list.remove(server.id(), false, false);
     }
 
-    /** Asks for so many times as much. */
-    public void burst(double factor) {
-        clients.burst(factor);
+    /** Multiplies the load by this; 1 ends it. */
+    public void setLoadFactor(double factor) {
+        clients.setLoadFactor(factor);
     }
 
-    /** Makes a share of one class take so many times the work; -1 ends it. */
-    public void heavy(int classIndex, double share, double by) {
-        clients.heavy(classIndex, share, by);
+    /** Multiplies the work of a share of one class; a class of -1 ends it. */
+    public void setHeavyTail(int classIndex, double share, double factor) {
+        clients.setHeavyTail(classIndex, share, factor);
     }
 
-    private void fell(String id) {
+    private void onCollapse(String id) {
         AppServer server = servers.get(id);
-        list.gone(id, false, false);
+        list.remove(id, false, false);
         time.after(scenario.rules().downUs(), () -> {
-            if (!server.isUp() && !server.isSilent()) {
+            if (!server.isUp() && !server.isUnreachable()) {
                 startServer(server);
             }
         });
@@ -207,12 +207,12 @@
         return new ServerEntry(server.id(), server.zone(), number / CELL, ServerState.READY, 1, server.startedUs());
     }
 
-    /** What a node is told at its start. */
-    public BalancerSettings settings(int me) {
+    /** The settings of a node, as its configuration file has them. */
+    public BalancerSettings settings(int nodeIndex) {
         BalancerSettings settings = new BalancerSettings();
         settings.nodes = scenario.fleet().nodes();
-        settings.nodeIndex = me;
-        settings.localZone = scenario.fleet().zoneOfNode(me);
+        settings.nodeIndex = nodeIndex;
+        settings.localZone = scenario.fleet().zoneOfNode(nodeIndex);
         settings.zones.addAll(scenario.fleet().zones());
         for (Scenario.RequestClass c : scenario.classes()) {
             settings.classes.add(new RequestClass(
--- a/rig/src/test/java/loadbalancer/rig/check/CheckersTest.java
+++ b/rig/src/test/java/loadbalancer/rig/check/CheckersTest.java
@@ -22,16 +22,16 @@
     private record Case(
             String name,
             Supplier<Checker> checker,
-            Function<Told, Told> start,
-            Function<Told, Told> right,
-            Function<Told, Told> wrong) {}
+            Function<HistoryBuilder, HistoryBuilder> start,
+            Function<HistoryBuilder, HistoryBuilder> right,
+            Function<HistoryBuilder, HistoryBuilder> wrong) {}
 
     private static Case of(
             String name,
             Supplier<Checker> checker,
-            Function<Told, Told> start,
-            Function<Told, Told> right,
-            Function<Told, Told> wrong) {
+            Function<HistoryBuilder, HistoryBuilder> start,
+            Function<HistoryBuilder, HistoryBuilder> right,
+            Function<HistoryBuilder, HistoryBuilder> wrong) {
         return new Case(name, checker, start, right, wrong);
     }
 
@@ -46,45 +46,45 @@
         }
     }
 
-    private static Told ask(Told t, String cls) {
+    private static HistoryBuilder ask(HistoryBuilder t, String cls) {
         return t.add(Kind.ASK, "request", 1L, "class", cls, "left", 1_000L);
     }
 
-    private static Told send(Told t, int attempt) {
+    private static HistoryBuilder send(HistoryBuilder t, int attempt) {
         return t.add(Kind.SEND, "request", 1L, "attempt", attempt, "server", "s");
     }
 
-    private static Told outcome(Told t, int attempt, String result) {
+    private static HistoryBuilder outcome(HistoryBuilder t, int attempt, String result) {
         return t.add(Kind.OUTCOME, "request", 1L, "attempt", attempt, "result", result);
     }
 
-    private static Told answer(Told t, String answer) {
+    private static HistoryBuilder answer(HistoryBuilder t, String answer) {
         return t.add(Kind.ANSWER, "request", 1L, "answer", answer);
     }
 
-    private static Told served(Told t) {
+    private static HistoryBuilder served(HistoryBuilder t) {
         return t.by("s", Kind.SERVED, "request", 1L, "attempt", 0);
     }
 
-    private static Told invoke(Told t, long call, String op, String value) {
+    private static HistoryBuilder invoke(HistoryBuilder t, long call, String op, String value) {
         return t.add(Kind.INVOKE, "call", call, "op", op, "key", "k", "value", value);
     }
 
-    private static Told list(Told t, long call, long revision, String digest) {
+    private static HistoryBuilder list(HistoryBuilder t, long call, long revision, String digest) {
         return t.add(Kind.INVOKE, "call", call, "op", "list")
                 .add(Kind.RETURN, "call", call, "ok", true, "revision", revision, "digest", digest);
     }
 
-    private static Told put(Told t, long call, long revision) {
+    private static HistoryBuilder put(HistoryBuilder t, long call, long revision) {
         return t.add(Kind.INVOKE, "call", call, "op", "put", "entry", "a", "value", "v" + call)
                 .add(Kind.RETURN, "call", call, "ok", true, "revision", revision);
     }
 
-    private static Told watched(Told t, long from, long version, boolean whole) {
+    private static HistoryBuilder watched(HistoryBuilder t, long from, long version, boolean whole) {
         return t.add(Kind.WATCHED, "from", from, "version", version, "whole", whole);
     }
 
-    private static Told told(Told t, String state) {
+    private static HistoryBuilder told(HistoryBuilder t, String state) {
         return t.add(Kind.TOLD, "server", "s", "state", state, "started", 0L);
     }
 
@@ -256,9 +256,12 @@
         return cases().map(c -> DynamicTest.dynamicTest(c.name, () -> {
             assertEquals(
                     List.of(),
-                    c.right.apply(c.start.apply(new Told(c.checker.get()))).end());
-            List<Violation> found =
-                    c.wrong.apply(c.start.apply(new Told(c.checker.get()))).end();
+                    c.right
+                            .apply(c.start.apply(new HistoryBuilder(c.checker.get())))
+                            .end());
+            List<Violation> found = c.wrong
+                    .apply(c.start.apply(new HistoryBuilder(c.checker.get())))
+                    .end();
             assertFalse(found.isEmpty(), "not caught");
             assertTrue(!found.get(0).events().isEmpty(), "tells nothing of what led to it");
         }));
--- a/rig/src/test/java/loadbalancer/rig/check/Told.java
+++ b/rig/src/test/java/loadbalancer/rig/check/HistoryBuilder.java
@@ -6,26 +6,26 @@
 import loadbalancer.rig.history.Event;
 import loadbalancer.rig.history.Event.Kind;
 
-/** Histories made by hand, or drawn, told to one checker. */
-final class Told {
+/** Feeds a history that is made by hand, or drawn, to one checker. */
+final class HistoryBuilder {
     private final Checker checker;
     private long nowUs;
 
-    Told(Checker checker) {
+    HistoryBuilder(Checker checker) {
         this.checker = checker;
     }
 
-    Told at(long us) {
+    HistoryBuilder at(long us) {
         nowUs = us;
         return this;
     }
 
     /** An event of process p. */
-    Told add(Kind kind, Object... fields) {
+    HistoryBuilder add(Kind kind, Object... fields) {
         return by("p", kind, fields);
     }
 
-    Told by(String process, Kind kind, Object... fields) {
+    HistoryBuilder by(String process, Kind kind, Object... fields) {
         Map<String, Object> named = new LinkedHashMap<>();
         for (int i = 0; i < fields.length; i += 2) {
             named.put((String) fields[i], fields[i + 1]);
--- a/rig/src/test/java/loadbalancer/rig/check/LinearizableTest.java
+++ b/rig/src/test/java/loadbalancer/rig/check/LinearizableTest.java
@@ -89,7 +89,7 @@
     }
 
     private static List<Violation> judge(List<Step> steps) {
-        Told told = new Told(new Linearizable());
+        HistoryBuilder told = new HistoryBuilder(new Linearizable());
         steps.forEach(step -> told.at(step.atUs).add(step.kind, step.fields));
         return told.end();
     }
--- a/rig/src/test/java/loadbalancer/rig/real/NodeProcessTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/NodeProcessTest.java
@@ -90,8 +90,8 @@
             await(child::isCut);
             child.kill();
             assertEquals(137, codes.poll(20, TimeUnit.SECONDS));
-            assertTrue(Files.size(folder.resolve("log")) <= NodeProcess.MOST_OUTPUT);
-            assertTrue(Files.size(folder.resolve("log.1")) <= NodeProcess.MOST_OUTPUT);
+            assertTrue(Files.size(folder.resolve("log")) <= NodeProcess.MAX_OUTPUT_BYTES);
+            assertTrue(Files.size(folder.resolve("log.1")) <= NodeProcess.MAX_OUTPUT_BYTES);
         }
     }
 
