--- a/node/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/node/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void rankIsTheValueAgainstThatOfTheMostValuableClassWithAnswers() {
+    void rankComparesWithTheHighestValueOfClassesWithAnswers() {
         PendingRequest request = fixture.request(FakeNode.IDEMPOTENT);
         request.value = fixture.rules.priority.valueOf(1, FakeNode.IDEMPOTENT);
         assertEquals(1, fixture.rules.priority.rank(request));
--- a/node/src/test/java/loadbalancer/policy/RetuningTest.java
+++ b/node/src/test/java/loadbalancer/policy/ChangedSettingsTest.java
@@ -8,113 +8,113 @@
 import org.junit.jupiter.api.Test;
 
 /** Settings that change while requests are open. */
-class RetuningTest {
+class ChangedSettingsTest {
     private static final int NEW = 5;
 
     /** The usual settings, with one class more at their end. */
     private static BalancerSettings withNew(Idempotency repeat) {
-        BalancerSettings set = FakeNode.settings();
-        set.classes.add(FakeNode.requestClass("safe", repeat, DeduplicationScope.ALL));
-        return set;
+        BalancerSettings settings = FakeNode.settings();
+        settings.classes.add(FakeNode.requestClass("safe", repeat, DeduplicationScope.ALL));
+        return settings;
     }
 
     @Test
     void openRequestsKeepTheRulesOfTheirClassAndNewOnesHaveTheNewRules() {
-        FakeNode node = new FakeNode().with(3);
-        long before = node.ask(FakeNode.IDEMPOTENT);
+        FakeNode node = new FakeNode().withServers(3);
+        long before = node.request(FakeNode.IDEMPOTENT);
         node.balancer.onSettings(node.now, withNew(Idempotency.NON_IDEMPOTENT));
-        long after = node.ask(NEW);
-        node.answer(before, AttemptResult.RESET, 1_000);
-        node.answer(after, AttemptResult.RESET, 1_000);
+        long after = node.request(NEW);
+        node.endAttempt(before, AttemptResult.RESET, 1_000);
+        node.endAttempt(after, AttemptResult.RESET, 1_000);
         assertEquals(2, node.attempts(before), "safe when it was asked");
         assertEquals(1, node.attempts(after), "unsafe by now");
         assertEquals(List.of(after), node.failed);
     }
 
     @Test
-    void howLongClientsWaitedByTheOldRulesSaysNothingOfTheNewOnes() {
-        FakeNode node = new FakeNode().with(1);
-        while (node.last(node.ask(FakeNode.NON_IDEMPOTENT)) != null) {
+    void remainingTimesUnderOldRulesAreNotUsedForNewOnes() {
+        FakeNode node = new FakeNode().withServers(1);
+        while (node.lastAttempt(node.request(FakeNode.NON_IDEMPOTENT)) != null) {
             node.advance(1);
         }
-        node.askFor(null, FakeNode.IDEMPOTENT, 600_000, false);
+        node.requestWithKey(null, FakeNode.IDEMPOTENT, 600_000, false);
         node.balancer.onSettings(node.now, withNew(Idempotency.NON_IDEMPOTENT));
-        node.askFor(null, NEW, 300_000, false);
-        long again = node.askFor(null, NEW, 300_000, true);
-        assertTrue(!node.refused.contains(again), "it has what every try has: it is not late");
+        node.requestWithKey(null, NEW, 300_000, false);
+        long again = node.requestWithKey(null, NEW, 300_000, true);
+        assertTrue(!node.rejected.contains(again), "it has what every try has: it is not late");
     }
 
     @Test
     void openRequestsKeepTheirAttempts() {
-        FakeNode node = new FakeNode().with(6);
-        long before = node.ask(FakeNode.IDEMPOTENT);
+        FakeNode node = new FakeNode().withServers(6);
+        long before = node.request(FakeNode.IDEMPOTENT);
         BalancerSettings fewer = FakeNode.settings();
         fewer.maxAttempts = 2;
         node.balancer.onSettings(node.now, fewer);
-        long after = node.ask(FakeNode.IDEMPOTENT);
+        long after = node.request(FakeNode.IDEMPOTENT);
         for (long id : new long[] {before, after}) {
-            for (int i = 0; i < 4 && !node.refused.contains(id); i++) {
-                node.answer(id, AttemptResult.CONNECT_FAILED, 1_000);
+            for (int i = 0; i < 4 && !node.rejected.contains(id); i++) {
+                node.endAttempt(id, AttemptResult.CONNECT_FAILED, 1_000);
             }
         }
         assertEquals(4, node.attempts(before));
         assertEquals(2, node.attempts(after));
-        assertEquals(List.of(before, after), node.refused);
+        assertEquals(List.of(before, after), node.rejected);
     }
 
     @Test
-    void whatWasLearnedOfServersStays() {
-        FakeNode node = new FakeNode().with(3);
-        node.ejects("s1");
+    void serverHealthSurvivesChangedSettings() {
+        FakeNode node = new FakeNode().withServers(3);
+        node.failUntilEjected("s1");
         node.balancer.onSettings(node.now, withNew(Idempotency.IDEMPOTENT));
         assertEquals(1, node.balancer.excludedServers(), "still ejected");
         long before = node.sentTo("s1");
         for (int i = 0; i < 50; i++) {
-            node.serve(NEW, AttemptResult.OK, 1_000);
+            node.completeRequest(NEW, AttemptResult.OK, 1_000);
         }
         assertTrue(node.sentTo("s1") - before <= 2, "trials at most");
     }
 
     @Test
-    void badSettingsChangeNothing() {
-        FakeNode node = new FakeNode().with(3);
+    void invalidSettingsChangeNothing() {
+        FakeNode node = new FakeNode().withServers(3);
         BalancerSettings bad = FakeNode.settings();
         bad.maxAttempts = 0;
         assertThrows(IllegalArgumentException.class, () -> node.balancer.onSettings(node.now, bad));
-        long id = node.ask(FakeNode.IDEMPOTENT);
-        node.answer(id, AttemptResult.RESET, 1_000);
+        long id = node.request(FakeNode.IDEMPOTENT);
+        node.endAttempt(id, AttemptResult.RESET, 1_000);
         assertEquals(2, node.attempts(id));
     }
 
     @Test
-    void aRequestWhoseAnswerHasBegunIsNotTriedAgainAndItsOtherAttemptsAreCalledOff() {
-        FakeNode node = new FakeNode().with(3);
+    void boundRequestIsNotRetriedAndItsOtherAttemptsAreCancelled() {
+        FakeNode node = new FakeNode().withServers(3);
         for (int i = 0; i < 100; i++) {
-            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 1_000);
+            node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 1_000);
         }
-        long id = node.ask(FakeNode.IDEMPOTENT);
+        long id = node.request(FakeNode.IDEMPOTENT);
         node.advance(100_000);
         assertEquals(2, node.attempts(id), "hedged");
         node.balancer.onFirstByte(node.now, id, 1);
         assertEquals(List.of(id + "/0"), node.cancelled);
         node.advance(2_000_000);
-        node.answer(id, AttemptResult.RESET, 0);
+        node.endAttempt(id, AttemptResult.RESET, 0);
         assertEquals(2, node.attempts(id));
     }
 
     @Test
-    void whatFlowsAtThePaceOfItsTwoEndsTakesNoPlaceAtAServer() {
-        FakeNode node = new FakeNode().with(2);
+    void boundAttemptsDoNotCountAgainstLimits() {
+        FakeNode node = new FakeNode().withServers(2);
         for (int i = 0; i < 200; i++) {
-            long id = node.ask(FakeNode.NON_IDEMPOTENT);
+            long id = node.request(FakeNode.NON_IDEMPOTENT);
             assertEquals(1, node.attempts(id), "request " + i + " waits");
             node.advance(1_000);
             node.balancer.onFirstByte(node.now, id, 0);
         }
-        assertEquals(List.of(), node.closed);
+        assertEquals(List.of(), node.closedIdle);
         for (long id = 1; id <= 200; id++) {
-            node.answer(id, AttemptResult.OK, 1_000);
+            node.endAttempt(id, AttemptResult.OK, 1_000);
         }
-        assertEquals(1, node.attempts(node.ask(FakeNode.NON_IDEMPOTENT)));
+        assertEquals(1, node.attempts(node.request(FakeNode.NON_IDEMPOTENT)));
     }
 }
--- /dev/null
+++ b/node/src/test/java/loadbalancer/policy/ClientRetryTest.java
@@ -0,0 +1,78 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Retries by clients: their latency objective, 200 ms here, runs from the client's first attempt. */
+class ClientRetryTest {
+    private static final long DEADLINE = 1_000_000;
+
+    /** A node with one server that is full. */
+    private static FakeNode full() {
+        FakeNode node = new FakeNode().withServers(1);
+        while (node.lastAttempt(node.requestWithKey(null, FakeNode.NON_IDEMPOTENT, DEADLINE, false)) != null) {
+            node.advance(1);
+        }
+        return node;
+    }
+
+    @Test
+    void retryAfterItsObjectiveDoesNotWaitAndOneBeforeItDoes() {
+        FakeNode node = full();
+        long late = node.requestWithKey(null, FakeNode.NON_IDEMPOTENT, DEADLINE - 300_000, true);
+        assertEquals(List.of(late), node.rejected, "at once");
+        long inTime = node.requestWithKey(null, FakeNode.NON_IDEMPOTENT, DEADLINE - 50_000, true);
+        long atOnce = node.requestWithKey(null, FakeNode.NON_IDEMPOTENT, DEADLINE, true);
+        node.advance(100_000);
+        assertEquals(List.of(late), node.rejected);
+        node.advance(60_000);
+        assertEquals(List.of(late, inTime), node.rejected, "its aim came first");
+        node.advance(100_000);
+        assertTrue(node.rejected.contains(atOnce));
+    }
+
+    @Test
+    void retryWithAFirstAttemptsRemainingTimeWaits() {
+        FakeNode node = full();
+        // Clients give up a try of this class after six tenths of their time.
+        node.requestWithKey(null, FakeNode.IDEMPOTENT, 600_000, false);
+        long middle = node.requestWithKey(null, FakeNode.IDEMPOTENT, 600_500, true);
+        long last = node.requestWithKey(null, FakeNode.IDEMPOTENT, 750_000, true);
+        assertEquals(List.of(last), node.rejected, "the rest of the time: 250 ms are over");
+        node.advance(100_000);
+        assertTrue(!node.rejected.contains(middle));
+        // One client in haste does not hide what a try has, nor make repeats look late.
+        node.requestWithKey(null, FakeNode.IDEMPOTENT, 100_000, false);
+        long next = node.requestWithKey(null, FakeNode.IDEMPOTENT, 600_000, true);
+        assertTrue(!node.rejected.contains(next));
+    }
+
+    @Test
+    void lateRetryIsServedWhereThereIsRoom() {
+        FakeNode node = new FakeNode().withServers(2);
+        node.requestWithKey(null, FakeNode.NON_IDEMPOTENT, DEADLINE, false);
+        long late = node.requestWithKey(null, FakeNode.NON_IDEMPOTENT, DEADLINE - 500_000, true);
+        assertNotNull(node.lastAttempt(late));
+        node.endAttempt(late, AttemptResult.OK, 1_000);
+        assertEquals(List.of(), node.rejected);
+    }
+
+    @Test
+    void lateRetryDoesNotPassRequestsThatWaitForAnotherKey() {
+        BalancerSettings settings = FakeNode.settings();
+        settings.keyAffinity = true;
+        FakeNode node = new FakeNode(settings, 7).withServers(20);
+        while (node.lastAttempt(node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT)) != null) {
+            node.advance(1);
+        }
+        long late = node.requestWithKey("cool", FakeNode.NON_IDEMPOTENT, DEADLINE - 300_000, true);
+        assertNull(node.lastAttempt(late));
+        assertEquals(List.of(late), node.rejected);
+        assertNotNull(node.lastAttempt(node.requestWithKey("cool", FakeNode.NON_IDEMPOTENT)), "one in time is");
+    }
+}
--- a/node/src/test/java/loadbalancer/policy/ConcurrencyLimiterTest.java
+++ b/node/src/test/java/loadbalancer/policy/ConcurrencyLimiterTest.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void limitUnderOneIsKeptByAPauseAfterEachAttempt() {
+    void limitUnderOneMakesAPauseAfterEachAttempt() {
         fixture.rules.serversInUse.shareAmong(10);
         server.limit = 0.5;
         PendingRequest request = fixture.sent(FakeNode.IDEMPOTENT, server, now);
--- a/node/src/test/java/loadbalancer/policy/CordonTest.java
+++ b/node/src/test/java/loadbalancer/policy/CordonTest.java
@@ -15,18 +15,18 @@
     }
 
     @Test
-    void aCordonedServerGetsNeitherFirstTriesNorRepeatsWhateverTheListSays() {
-        FakeNode node = new FakeNode().with(3);
+    void cordonedServerGetsNoAttemptsWhateverTheListSays() {
+        FakeNode node = new FakeNode().withServers(3);
         cordon(node, "s1");
         assertEquals(1, node.balancer.excludedServers());
-        node.list(ListKind.CHANGES, List.of(new ServerEntry("s1", 0, 0, ServerState.GONE, 1, 0)));
+        node.deliverList(ListKind.CHANGES, List.of(new ServerEntry("s1", 0, 0, ServerState.GONE, 1, 0)));
         assertEquals(0, node.balancer.excludedServers(), "not listed");
-        node.list(ListKind.FULL, List.of(FakeNode.server("s0"), FakeNode.server("s1"), FakeNode.server("s2")));
+        node.deliverList(ListKind.FULL, List.of(FakeNode.server("s0"), FakeNode.server("s1"), FakeNode.server("s2")));
         for (int i = 0; i < 200; i++) {
-            long id = node.ask(FakeNode.IDEMPOTENT);
-            node.answer(id, i % 3 == 0 ? AttemptResult.FULL : AttemptResult.OK, 1_000);
+            long id = node.request(FakeNode.IDEMPOTENT);
+            node.endAttempt(id, i % 3 == 0 ? AttemptResult.FULL : AttemptResult.OK, 1_000);
             if (i % 3 == 0) {
-                node.answer(id, AttemptResult.OK, 1_000);
+                node.endAttempt(id, AttemptResult.OK, 1_000);
             }
         }
         assertEquals(0, node.sentTo("s1"));
@@ -34,28 +34,28 @@
     }
 
     @Test
-    void anEjectedServerThatIsCordonedGetsNoTrial() {
-        FakeNode node = new FakeNode().with(3);
-        node.ejects("s1");
+    void ejectedServerThatIsCordonedGetsNoTrialRequest() {
+        FakeNode node = new FakeNode().withServers(3);
+        node.failUntilEjected("s1");
         cordon(node, "s1");
         assertEquals(1, node.balancer.excludedServers(), "counted once");
         long before = node.sentTo("s1");
         for (int i = 0; i < 500; i++) {
-            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 1_000);
+            node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 1_000);
             node.advance(20_000);
         }
         assertEquals(before, node.sentTo("s1"));
     }
 
     @Test
-    void aServerComesBackColdWithItsErrorsForgotten() {
-        FakeNode node = new FakeNode().with(4);
+    void uncordonedServerWarmsUpWithItsErrorsForgotten() {
+        FakeNode node = new FakeNode().withServers(4);
         for (int i = 0; i < 400; i++) {
-            long id = node.ask(FakeNode.IDEMPOTENT);
-            boolean bad = node.last(id).server().equals("s1");
-            node.answer(id, bad ? AttemptResult.ERROR : AttemptResult.OK, 10_000);
+            long id = node.request(FakeNode.IDEMPOTENT);
+            boolean bad = node.lastAttempt(id).server().equals("s1");
+            node.endAttempt(id, bad ? AttemptResult.ERROR : AttemptResult.OK, 10_000);
             if (bad) {
-                node.answer(id, AttemptResult.OK, 0);
+                node.endAttempt(id, AttemptResult.OK, 0);
             }
         }
         assertEquals(1, node.balancer.excludedServers(), "ejected");
@@ -65,7 +65,7 @@
         assertEquals(1, node.balancer.excludedServers());
         long before = node.sentTo("s1");
         for (int i = 0; i < 500; i++) {
-            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
+            node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         long since = node.sentTo("s1") - before;
         // In five seconds 500 answers from three servers: an even part is 167, of which a cold one can do a
@@ -74,28 +74,28 @@
     }
 
     @Test
-    void aServerThatTheListSaysHasStartedMeanwhileIsAsWarmAsItSays() {
-        FakeNode node = new FakeNode().with(4);
+    void uncordonedServerIsAsWarmAsTheListSays() {
+        FakeNode node = new FakeNode().withServers(4);
         for (int i = 0; i < 400; i++) {
-            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
+            node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         cordon(node, "s1");
-        node.list(ListKind.CHANGES, List.of(new ServerEntry("s1", 0, 0, ServerState.READY, 1, node.now)));
+        node.deliverList(ListKind.CHANGES, List.of(new ServerEntry("s1", 0, 0, ServerState.READY, 1, node.now)));
         node.advance(node.settings.warmUpUs);
         cordon(node);
         long before = node.sentTo("s1");
         for (int i = 0; i < 400; i++) {
-            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
+            node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         // Warm by now: it gets about a quarter.
         assertTrue(node.sentTo("s1") - before > 70, "sent since: " + (node.sentTo("s1") - before));
     }
 
     @Test
-    void whatWaitsForWantOfAServerIsSentOnceOneIsBack() {
-        FakeNode node = new FakeNode().with(1);
+    void waitingRequestIsSentOnceAServerIsUncordoned() {
+        FakeNode node = new FakeNode().withServers(1);
         cordon(node, "s0");
-        long id = node.ask(FakeNode.NON_IDEMPOTENT);
+        long id = node.request(FakeNode.NON_IDEMPOTENT);
         assertEquals(0, node.sent.size());
         node.advance(20_000);
         cordon(node);
--- a/node/src/test/java/loadbalancer/policy/DecisionStream.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionStream.java
@@ -159,30 +159,30 @@
     }
 
     private BalancerSettings settings(boolean changed) {
-        BalancerSettings set = new BalancerSettings();
-        set.nodes = shape.nodes;
-        set.nodeIndex = shape.nodes / 3;
+        BalancerSettings settings = new BalancerSettings();
+        settings.nodes = shape.nodes;
+        settings.nodeIndex = shape.nodes / 3;
         for (int zone = 0; zone < shape.zones; zone++) {
-            set.zones.add("zone" + zone);
-        }
-        set.crossZoneCost = shape.crossZoneCost;
-        set.keyAffinity = shape.keys;
-        set.cancellation = shape.cancel;
-        set.hedging = shape.hedges;
-        set.pollsEndpointList = shape.poll;
-        set.maxAttempts = shape.maxAttempts;
-        set.maxOpen = shape.maxOpen;
-        set.weightByWork = shape.weightByWork;
-        set.maxRetryAfterUs = shape.poll ? 2_000_000 : 0;
-        set.warmUpUs = 6_000_000;
-        set.tickUs = 2_000;
-        set.tenants.add(new Tenant("tenant"));
+            settings.zones.add("zone" + zone);
+        }
+        settings.crossZoneCost = shape.crossZoneCost;
+        settings.keyAffinity = shape.keys;
+        settings.cancellation = shape.cancel;
+        settings.hedging = shape.hedges;
+        settings.pollsEndpointList = shape.poll;
+        settings.maxAttempts = shape.maxAttempts;
+        settings.maxOpen = shape.maxOpen;
+        settings.weightByWork = shape.weightByWork;
+        settings.maxRetryAfterUs = shape.poll ? 2_000_000 : 0;
+        settings.warmUpUs = 6_000_000;
+        settings.tickUs = 2_000;
+        settings.tenants.add(new Tenant("tenant"));
         if (shape.reports) {
-            set.reportFields.addAll(List.of(LoadReportField.UTILISATION, LoadReportField.IN_FLIGHT));
+            settings.reportFields.addAll(List.of(LoadReportField.UTILISATION, LoadReportField.IN_FLIGHT));
         }
-        set.classes.add(new RequestClass(
+        settings.classes.add(new RequestClass(
                 "read", 150_000, 0, 900_000, 1, 0.4, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
-        set.classes.add(new RequestClass(
+        settings.classes.add(new RequestClass(
                 "order",
                 250_000,
                 2,
@@ -193,7 +193,7 @@
                 DeduplicationScope.ZONE,
                 changed ? 200_000 : 400_000,
                 false));
-        set.classes.add(new RequestClass(
+        settings.classes.add(new RequestClass(
                 "note",
                 200_000,
                 0,
@@ -204,7 +204,7 @@
                 DeduplicationScope.ALL,
                 300_000,
                 false));
-        set.classes.add(new RequestClass(
+        settings.classes.add(new RequestClass(
                 "cell",
                 200_000,
                 0,
@@ -215,7 +215,7 @@
                 DeduplicationScope.CELL,
                 300_000,
                 false));
-        set.classes.add(new RequestClass(
+        settings.classes.add(new RequestClass(
                 "pay",
                 300_000,
                 0,
@@ -227,10 +227,10 @@
                 0,
                 false));
         if (changed) {
-            set.classes.add(new RequestClass(
+            settings.classes.add(new RequestClass(
                     "read", 100_000, 0, 600_000, 1, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, true));
         }
-        return set;
+        return settings;
     }
 
     /** Plays all phases and returns the digest of what the balancer did. */
--- /dev/null
+++ b/node/src/test/java/loadbalancer/policy/EjectionTest.java
@@ -0,0 +1,260 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Ejection, trial requests, servers without answers, and zones. */
+class EjectionTest {
+
+    /** Serves one request; {@code s0} fails, all others succeed. */
+    private static boolean hitsFailingServer(FakeNode node, int classIndex) {
+        long id = node.request(classIndex);
+        boolean bad = node.lastAttempt(id).server().equals("s0");
+        node.endAttempt(id, bad ? AttemptResult.ERROR : AttemptResult.OK, 5_000);
+        if (bad && node.attempts(id) > 1) {
+            node.endAttempt(id, AttemptResult.OK, 5_000);
+        }
+        return bad;
+    }
+
+    /** Four servers, of which {@code s0} has failed all it was sent among 400 requests. */
+    private static FakeNode withFailingServer() {
+        FakeNode node = new FakeNode().withServers(4);
+        for (int i = 0; i < 400; i++) {
+            hitsFailingServer(node, FakeNode.IDEMPOTENT);
+        }
+        return node;
+    }
+
+    private static void assertEjected(FakeNode node) {
+        assertTrue(
+                node.ejectionLog.stream().anyMatch(l -> l.startsWith("ejected server s0")),
+                node.ejectionLog.toString());
+    }
+
+    @Test
+    void failingServerIsEjectedAndGetsTrialRequestsEverMoreSparingly() {
+        FakeNode node = withFailingServer();
+        assertEjected(node);
+        int hits = 0;
+        long from = node.now;
+        while (node.now < from + 20_000_000) {
+            hits += hitsFailingServer(node, FakeNode.IDEMPOTENT) ? 1 : 0;
+        }
+        assertTrue(hits >= 2 && hits <= 14, "trials in 20 s: " + hits);
+    }
+
+    /** Asks for so many at once that the good servers are full; how many went to {@code s0}. */
+    private static long overflow(FakeNode node, int classIndex, AttemptResult result) {
+        List<Long> crowd = new ArrayList<>();
+        for (int i = 0; i < 60; i++) {
+            crowd.add(node.request(classIndex));
+        }
+        long before = node.sentTo("s0");
+        for (int round = 0; round < 100; round++) {
+            node.advance(1_000);
+            for (long id : crowd) {
+                FakeNode.Sent last = node.lastAttempt(id);
+                if (last != null && last.server().equals("s0") && last.atUs() == node.now - 1_000) {
+                    node.endAttempt(id, result, 0);
+                }
+            }
+        }
+        return node.sentTo("s0") - before;
+    }
+
+    @Test
+    void whenOthersAreFullServerWithErrorsGetsIdempotentRequestsButNotTheirLastAttempt() {
+        FakeNode node = withFailingServer();
+        assertEjected(node);
+        long sent = overflow(node, FakeNode.IDEMPOTENT, AttemptResult.ERROR);
+        assertTrue(sent >= 10, "sent as a last resort: " + sent);
+        for (long id = 401; id <= 460; id++) {
+            long request = id;
+            long toBad = node.sent.stream()
+                    .filter(s -> s.request() == request && s.server().equals("s0"))
+                    .count();
+            assertTrue(toBad < node.settings.maxAttempts, "attempts of one request: " + toBad);
+        }
+        assertEquals(0, overflow(withFailingServer(), FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR), "unsafe");
+    }
+
+    @Test
+    void whenOthersAreFullServerWithoutAnswersGetsNothing() {
+        long sent = overflow(withFailingServer(), FakeNode.IDEMPOTENT, AttemptResult.RESET);
+        assertTrue(sent <= 2, "sent: " + sent);
+    }
+
+    @Test
+    void nonIdempotentRequestsAreNotUsedAsTrialRequests() {
+        FakeNode node = withFailingServer();
+        node.advance(20_000_000);
+        for (int i = 0; i < 200; i++) {
+            assertTrue(!hitsFailingServer(node, FakeNode.NON_IDEMPOTENT));
+        }
+    }
+
+    @Test
+    void threeSuccessesInARowEndAnEjectionAndOneDoesNot() {
+        FakeNode node = withFailingServer();
+        node.advance(20_000_000);
+        assertEquals("s0", node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 5_000));
+        assertTrue(node.ejectionLog.stream().noneMatch(l -> l.startsWith("restored")));
+        assertEquals("s0", node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 5_000));
+        assertEquals("s0", node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 5_000));
+        assertTrue(node.ejectionLog.stream().anyMatch(l -> l.equals("restored server s0")));
+    }
+
+    /** Asks for something safe and ends each attempt; counts those at the first {@code lost} servers. */
+    private static int attemptsAtLostServers(FakeNode node, int lost) {
+        long id = node.request(FakeNode.IDEMPOTENT);
+        int hits = 0;
+        for (int tried = 0; tried < node.attempts(id); tried++) {
+            boolean hit = Integer.parseInt(node.lastAttempt(id).server().substring(1)) < lost;
+            hits += hit ? 1 : 0;
+            node.endAttempt(id, hit ? AttemptResult.ERROR : AttemptResult.OK, 100);
+        }
+        return hits;
+    }
+
+    /** Trials of a lost zone, from every node of a large fleet, took up most of the safe requests. */
+    @Test
+    void trialRequestsOfManyEjectedServersAreASmallShareOfRequests() {
+        FakeNode node = new FakeNode().withServers(40);
+        for (int i = 0; i < 2_000; i++) {
+            attemptsAtLostServers(node, 15);
+        }
+        int trials = 0;
+        for (int i = 0; i < 250; i++) {
+            trials += attemptsAtLostServers(node, 15);
+            node.advance(20_000);
+        }
+        assertTrue(trials >= 4 && trials <= 25, "trials among 250 requests: " + trials);
+    }
+
+    /** It may have come back as a new process, of which the list tells only later. */
+    @Test
+    void returnedServerIsNotFilledAtOnceWithKeyAffinity() {
+        BalancerSettings settings = FakeNode.settings();
+        settings.nodes = 14;
+        settings.keyAffinity = true;
+        FakeNode node = new FakeNode(settings, 5).withServers(10);
+        boolean back = false;
+        for (int i = 0; node.ejectionLog.stream().noneMatch(l -> l.equals("restored server s0")); i++) {
+            assertTrue(i < 3_000, node.ejectionLog.toString());
+            long id = node.requestWithKey("k" + i, FakeNode.IDEMPOTENT);
+            for (int tried = 0; tried < node.attempts(id); tried++) {
+                boolean fails = node.lastAttempt(id).server().equals("s0") && !back;
+                node.endAttempt(id, fails ? AttemptResult.ERROR : AttemptResult.OK, 5_000);
+            }
+            if (!back && node.ejectionLog.stream().anyMatch(l -> l.startsWith("ejected server s0"))) {
+                back = true;
+                // Until the log takes another line.
+                node.advance(2_000_000);
+            }
+        }
+        long before = node.sentTo("s0");
+        for (int i = 0; i < 200; i++) {
+            node.requestWithKey("k" + i, FakeNode.NON_IDEMPOTENT);
+        }
+        assertTrue(node.sentTo("s0") - before <= 1, "sent at once: " + (node.sentTo("s0") - before));
+    }
+
+    @Test
+    void noMoreThanHalfOfTheServersAreEjected() {
+        FakeNode node = new FakeNode().withServers(4);
+        for (int i = 0; i < 300; i++) {
+            node.completeRequest(FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR, 5_000);
+        }
+        // All fail: two may be out, and requests must still be tried on the others, not held.
+        long id = node.request(FakeNode.NON_IDEMPOTENT);
+        assertNotEquals(null, node.lastAttempt(id));
+    }
+
+    @Test
+    void serverWithoutAnswersIsAvoidedBeforeAnyDeadlinePasses() {
+        FakeNode node = new FakeNode().withServers(4);
+        for (int i = 0; i < 100; i++) {
+            node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
+        }
+        int toUnresponsive = 0;
+        for (int i = 0; i < 80; i++) {
+            long id = node.request(FakeNode.NON_IDEMPOTENT);
+            if (node.lastAttempt(id).server().equals("s0")) {
+                toUnresponsive++;
+            } else {
+                node.endAttempt(id, AttemptResult.OK, 10_000);
+            }
+        }
+        assertTrue(toUnresponsive <= 5, "sent to the silent server: " + toUnresponsive);
+    }
+
+    @Test
+    void overloadedServerThatStillAnswersIsNotEjectedForTimeOuts() {
+        FakeNode node = new FakeNode().withServers(2);
+        for (int round = 0; round < 80; round++) {
+            // Ever one more than fits, so that the limits are met and grow.
+            List<Long> burst = new ArrayList<>();
+            do {
+                burst.add(node.request(FakeNode.IDEMPOTENT));
+            } while (node.lastAttempt(burst.get(burst.size() - 1)) != null && burst.size() < 40);
+            burst.forEach(id -> node.endAttempt(id, AttemptResult.OK, 100));
+        }
+        List<Long> crowd = new ArrayList<>();
+        for (int i = 0; i < 14; i++) {
+            crowd.add(node.request(FakeNode.IDEMPOTENT, 30_000));
+        }
+        for (String server : List.of("s0", "s1")) {
+            long answered = crowd.stream()
+                    .filter(id -> node.lastAttempt(id).server().equals(server))
+                    .findFirst()
+                    .get();
+            node.endAttempt(answered, AttemptResult.OK, 1_000);
+            crowd.remove(answered);
+        }
+        node.advance(28_000);
+        crowd.forEach(id -> node.endAttempt(id, AttemptResult.TIMEOUT, 0));
+        assertTrue(node.ejectionLog.stream().noneMatch(l -> l.startsWith("ejected")), node.ejectionLog.toString());
+    }
+
+    @Test
+    void localServersComeFirstWhereCrossingZonesCostsAndOthersWhenTheyAreBusy() {
+        BalancerSettings settings = FakeNode.settings();
+        settings.crossZoneCost = 0.02;
+        FakeNode node = new FakeNode(settings, 5);
+        List<ServerEntry> entries = new ArrayList<>();
+        for (int i = 0; i < 8; i++) {
+            entries.add(new ServerEntry("s" + i, i < 2 ? 0 : 1, 0, ServerState.READY, 1, 0));
+        }
+        node.deliverList(ListKind.CACHED, entries);
+        for (int i = 0; i < 50; i++) {
+            assertTrue(
+                    List.of("s0", "s1").contains(node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 5_000)));
+        }
+        long crossed = 0;
+        for (int i = 0; i < 12; i++) {
+            long id = node.request(FakeNode.IDEMPOTENT);
+            crossed += List.of("s0", "s1").contains(node.lastAttempt(id).server()) ? 0 : 1;
+        }
+        assertTrue(crossed >= 6, "crossed " + crossed);
+    }
+
+    @Test
+    void attemptsStuckAtARemovedServerDoNotLimitTheOthers() {
+        // Guards against a node whose whole allowance in flight hangs at servers no longer in use.
+        FakeNode node = new FakeNode().withServers(1);
+        for (int i = 0; i < 4; i++) {
+            assertNotEquals(null, node.lastAttempt(node.request(FakeNode.NON_IDEMPOTENT)));
+        }
+        node.deliverList(ListKind.FULL, List.of(FakeNode.server("other")));
+        for (int i = 0; i < 3; i++) {
+            FakeNode.Sent sent = node.lastAttempt(node.request(FakeNode.NON_IDEMPOTENT));
+            assertTrue(sent != null && sent.server().equals("other"), "request " + i + " at " + sent);
+        }
+    }
+}
--- a/node/src/test/java/loadbalancer/policy/ExampleTest.java
+++ b/node/src/test/java/loadbalancer/policy/ExampleTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aRequestIsSentAndServed() {
+    void requestIsSentAndServed() {
         BalancerSettings settings = new BalancerSettings();
         settings.classes.add(new RequestClass(
                 "page", 200_000, 0, 1_000_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
--- a/node/src/test/java/loadbalancer/policy/BlackHoleTest.java
+++ b/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
@@ -17,7 +17,7 @@
  * to it, with what is lost there too. Servers of one core take what they are sent in turn; the first
  * fails.
  */
-class BlackHoleTest {
+class FailFastServerTest {
     private static final int SERVERS = 6;
     private static final long WORK_US = 20_000;
     private static final long FAILURE_US = 1_000;
@@ -26,7 +26,7 @@
     /** An attempt that a server will have dealt with, or that its node gives up before. */
     private record Due(long atUs, Sent sent, AttemptResult result) {}
 
-    private final FakeNode node = new FakeNode().with(SERVERS);
+    private final FakeNode node = new FakeNode().withServers(SERVERS);
     private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::atUs));
     private final Map<String, Long> busyUntil = new HashMap<>();
     private SplittableRandom chance = new SplittableRandom(11);
@@ -49,7 +49,7 @@
             if (!due.isEmpty() && due.peek().atUs <= node.now) {
                 end(due.poll());
             } else if (nextAt <= node.now) {
-                node.ask(asked++ % 5 < 3 ? FakeNode.IDEMPOTENT : FakeNode.NON_IDEMPOTENT);
+                node.request(asked++ % 5 < 3 ? FakeNode.IDEMPOTENT : FakeNode.NON_IDEMPOTENT);
                 nextAt += gapUs;
             }
             take(failing);
@@ -98,7 +98,7 @@
      */
     @ParameterizedTest
     @CsvSource({"1, 11", "1, 12", "0.9, 11", "0.7, 11", "0.7, 12", "0.5, 11", "0.5, 12", "0.5, 13"})
-    void aServerThatFailsAtOnceDrawsNextToNothingUnsafeWhateverTheOthersHold(double failing, long seed) {
+    void serverThatFailsAtOnceGetsHardlyAnyNonIdempotentRequests(double failing, long seed) {
         chance = new SplittableRandom(seed);
         play(10 * SECOND, 5_000, 0);
         int before = asked;
@@ -114,7 +114,7 @@
      */
     @ParameterizedTest
     @CsvSource({"1, 11", "1, 12", "1, 13"})
-    void aServerThatFailsAllAtOnceDrawsNoMoreThanItsTrialsWhateverTheOthersHold(double failing, long seed) {
+    void serverThatFailsEverythingAtOnceGetsNoMoreThanItsTrialRequests(double failing, long seed) {
         chance = new SplittableRandom(seed);
         play(10 * SECOND, 5_000, 0);
         int before = asked;
@@ -124,7 +124,7 @@
 
     /** What is asked for once the jam is over is a third less than the servers can do. */
     @Test
-    void aSecondAfterAJamAllIsServedInTimeAgain() {
+    void allIsServedOnTimeOneSecondAfterAnOverload() {
         play(10 * SECOND, 5_000, 0);
         play(20 * SECOND, 2_000, 0.7);
         play(SECOND, 5_000, 0);
--- a/node/src/test/java/loadbalancer/policy/FakeNode.java
+++ b/node/src/test/java/loadbalancer/policy/FakeNode.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A node for tests: a clock, a module and a record of what it asked for. */
+/** A node for tests: a clock, a balancer and a record of its actions. */
 final class FakeNode implements BalancerActions {
     static final int IDEMPOTENT = 0;
     static final int KEYED_ALL = 1;
@@ -11,16 +11,16 @@
     static final int KEYED_CELL = 3;
     static final int NON_IDEMPOTENT = 4;
 
-    /** An attempt as it was asked for. */
+    /** An attempt as it was sent. */
     record Sent(long atUs, long request, int attempt, String server, long untilUs) {}
 
     final BalancerSettings settings;
     final List<Sent> sent = new ArrayList<>();
-    final List<Long> refused = new ArrayList<>();
+    final List<Long> rejected = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
-    final List<String> logged = new ArrayList<>();
-    final List<String> closed = new ArrayList<>();
+    final List<String> ejectionLog = new ArrayList<>();
+    final List<String> closedIdle = new ArrayList<>();
     final List<String> probed = new ArrayList<>();
     int subscriptions;
     long now = 1_000_000;
@@ -38,19 +38,19 @@
     }
 
     static BalancerSettings settings() {
-        BalancerSettings set = new BalancerSettings();
-        set.zones.add("here");
-        set.zones.add("there");
-        set.classes.add(requestClass("safe", Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
-        set.classes.add(requestClass("keyed-all", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL));
-        set.classes.add(requestClass("keyed-zone", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE));
-        set.classes.add(requestClass("keyed-cell", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL));
-        set.classes.add(requestClass("unsafe", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL));
-        set.tenants.add(new Tenant("tenant"));
-        set.maxAttempts = 4;
-        set.hedging = true;
-        set.cancellation = true;
-        return set;
+        BalancerSettings settings = new BalancerSettings();
+        settings.zones.add("here");
+        settings.zones.add("there");
+        settings.classes.add(requestClass("safe", Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
+        settings.classes.add(requestClass("keyed-all", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL));
+        settings.classes.add(requestClass("keyed-zone", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE));
+        settings.classes.add(requestClass("keyed-cell", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL));
+        settings.classes.add(requestClass("unsafe", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL));
+        settings.tenants.add(new Tenant("tenant"));
+        settings.maxAttempts = 4;
+        settings.hedging = true;
+        settings.cancellation = true;
+        return settings;
     }
 
     static RequestClass requestClass(String name, Idempotency repeat, DeduplicationScope group) {
@@ -62,41 +62,41 @@
     }
 
     /** Gives the first list: servers s0, s1, ... all warm, in one zone and cell. */
-    FakeNode with(int servers) {
+    FakeNode withServers(int servers) {
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             entries.add(server("s" + i));
         }
-        return list(ListKind.CACHED, entries);
+        return deliverList(ListKind.CACHED, entries);
     }
 
-    FakeNode list(ListKind kind, List<ServerEntry> entries) {
+    FakeNode deliverList(ListKind kind, List<ServerEntry> entries) {
         balancer.onServers(now, kind, entries);
         return this;
     }
 
-    long ask(int classIndex) {
-        return ask(classIndex, 1_000_000);
+    long request(int classIndex) {
+        return request(classIndex, 1_000_000);
     }
 
-    long ask(int classIndex, long remainingUs) {
+    long request(int classIndex, long remainingUs) {
         long id = nextId++;
         balancer.onRequest(now, new BalancerRequest(id, classIndex, 0, remainingUs, 0, false, null));
         return id;
     }
 
-    long askFor(String key, int classIndex) {
-        return askFor(key, classIndex, 1_000_000, false);
+    long requestWithKey(String key, int classIndex) {
+        return requestWithKey(key, classIndex, 1_000_000, false);
     }
 
-    long askFor(String key, int classIndex, long remainingUs, boolean repeat) {
+    long requestWithKey(String key, int classIndex, long remainingUs, boolean repeat) {
         long id = nextId++;
         balancer.onRequest(now, new BalancerRequest(id, classIndex, 0, remainingUs, 0, repeat, key));
         return id;
     }
 
     /** The newest attempt of a request, or null. */
-    Sent last(long request) {
+    Sent lastAttempt(long request) {
         for (int i = sent.size() - 1; i >= 0; i--) {
             if (sent.get(i).request == request) {
                 return sent.get(i);
@@ -114,31 +114,31 @@
     }
 
     /** Ends a request's newest attempt after some time. */
-    void answer(long request, AttemptResult result, long afterUs) {
+    void endAttempt(long request, AttemptResult result, long afterUs) {
         advance(afterUs);
-        Sent attempt = last(request);
+        Sent attempt = lastAttempt(request);
         balancer.onOutcome(
                 now,
                 new AttemptOutcome(
                         request, attempt.attempt, result, now - attempt.atUs, result == AttemptResult.OK, null));
     }
 
-    /** One request sent and ended; its server. */
-    String serve(int classIndex, AttemptResult result, long afterUs) {
-        long id = ask(classIndex);
-        String server = last(id).server;
-        answer(id, result, afterUs);
+    /** Sends one request and ends its attempt; returns its server. */
+    String completeRequest(int classIndex, AttemptResult result, long afterUs) {
+        long id = request(classIndex);
+        String server = lastAttempt(id).server;
+        endAttempt(id, result, afterUs);
         return server;
     }
 
     /** Serves requests, of which this server fails all that it gets, until it is ejected. */
-    void ejects(String server) {
+    void failUntilEjected(String server) {
         while (balancer.excludedServers() == 0) {
-            long id = ask(IDEMPOTENT);
-            boolean bad = last(id).server.equals(server);
-            answer(id, bad ? AttemptResult.ERROR : AttemptResult.OK, 1_000);
+            long id = request(IDEMPOTENT);
+            boolean bad = lastAttempt(id).server.equals(server);
+            endAttempt(id, bad ? AttemptResult.ERROR : AttemptResult.OK, 1_000);
             if (bad) {
-                answer(id, AttemptResult.OK, 1_000);
+                endAttempt(id, AttemptResult.OK, 1_000);
             }
         }
     }
@@ -170,7 +170,7 @@
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        refused.add(requestId);
+        rejected.add(requestId);
     }
 
     @Override
@@ -185,7 +185,7 @@
 
     @Override
     public void closeIdle(String serverId) {
-        closed.add(serverId);
+        closedIdle.add(serverId);
     }
 
     @Override
@@ -200,12 +200,12 @@
 
     @Override
     public void ejected(String serverId, int failures, String className) {
-        logged.add(ejection(serverId, failures, className));
+        ejectionLog.add(ejection(serverId, failures, className));
     }
 
     @Override
     public void restored(String serverId, String className) {
-        logged.add(restoration(serverId, className));
+        ejectionLog.add(restoration(serverId, className));
     }
 
     /** What tests write down of an ejection. */
--- a/node/src/test/java/loadbalancer/policy/KeysTest.java
+++ b/node/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -12,24 +12,24 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Exception, keys: draws fixed by the request's key where servers remember keys. */
-class KeysTest {
+/** Draws that are fixed by the request's key, where servers remember keys. */
+class KeyAffinityTest {
     private static final int SERVERS = 20;
     private static final int KEYS = 400;
 
     private static FakeNode node(int me, boolean keyAffinity) {
-        BalancerSettings set = FakeNode.settings();
-        set.nodes = 4;
-        set.nodeIndex = me;
-        set.keyAffinity = keyAffinity;
-        set.crossZoneCost = 0.01;
-        return new FakeNode(set, 50 + me).with(SERVERS);
+        BalancerSettings settings = FakeNode.settings();
+        settings.nodes = 4;
+        settings.nodeIndex = me;
+        settings.keyAffinity = keyAffinity;
+        settings.crossZoneCost = 0.01;
+        return new FakeNode(settings, 50 + me).withServers(SERVERS);
     }
 
     private static String serve(FakeNode node, String key, AttemptResult result) {
-        long id = node.askFor(key, FakeNode.NON_IDEMPOTENT);
-        String server = node.last(id).server();
-        node.answer(id, result, 5_000);
+        long id = node.requestWithKey(key, FakeNode.NON_IDEMPOTENT);
+        String server = node.lastAttempt(id).server();
+        node.endAttempt(id, result, 5_000);
         return server;
     }
 
@@ -52,25 +52,26 @@
     }
 
     @Test
-    void whereCrossingZonesCostsAKeyStaysNearUntilItsNearServersAreBusy() {
+    void keyStaysLocalWhereCrossingZonesCostsUntilItsServersAreBusy() {
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             entries.add(new ServerEntry("s" + i, i % 4 == 0 ? 0 : 1, 0, ServerState.READY, 1, 0));
         }
-        FakeNode node = node(0, true).list(ListKind.FULL, entries);
-        FakeNode other = node(1, true).list(ListKind.FULL, entries);
+        FakeNode node = node(0, true).deliverList(ListKind.FULL, entries);
+        FakeNode other = node(1, true).deliverList(ListKind.FULL, entries);
         Map<String, String> places = placesOf(node);
         assertEquals(places, placesOf(other), "nodes of a zone send a key to the same server");
         assertEquals(Set.of("s0", "s4", "s8", "s12", "s16"), new HashSet<>(places.values()));
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 16; i++) {
-            used.add(node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server());
+            used.add(node.lastAttempt(node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT))
+                    .server());
         }
         assertTrue(!places.values().containsAll(used), "crowded near servers keep it: " + used);
     }
 
     @Test
-    void whereServersForgetKeysTheyDoNotMatter() {
+    void keysDoNotMatterWithoutKeyAffinity() {
         FakeNode node = node(0, false);
         Map<String, Integer> hits = new HashMap<>();
         for (int i = 0; i < 100; i++) {
@@ -80,25 +81,31 @@
     }
 
     @Test
-    void theSecondDrawOfAKeyTakesOverWhileTheFirstHasMoreInFlight() {
+    void secondServerOfAKeyTakesOverWhileTheFirstHasMoreInFlight() {
         FakeNode node = node(0, true);
-        String first = node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server();
-        String second = node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server();
+        String first = node.lastAttempt(node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT))
+                .server();
+        String second = node.lastAttempt(node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT))
+                .server();
         assertTrue(!first.equals(second));
         assertEquals(
                 List.of(first, second, first, second),
                 List.of(
-                        node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server(),
-                        node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server(),
-                        node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server(),
-                        node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT)).server()));
+                        node.lastAttempt(node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT))
+                                .server(),
+                        node.lastAttempt(node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT))
+                                .server(),
+                        node.lastAttempt(node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT))
+                                .server(),
+                        node.lastAttempt(node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT))
+                                .server()));
     }
 
     @Test
-    void aLostServerMovesItsOwnKeysAndFewOthers() {
+    void removedServerMovesItsOwnKeysAndFewOthers() {
         FakeNode node = node(0, true);
         Map<String, String> before = placesOf(node);
-        node.list(ListKind.CHANGES, List.of(new ServerEntry("s7", 0, 0, ServerState.GONE, 1, 0)));
+        node.deliverList(ListKind.CHANGES, List.of(new ServerEntry("s7", 0, 0, ServerState.GONE, 1, 0)));
         Map<String, String> after = placesOf(node);
         long moved = before.keySet().stream()
                 .filter(k -> !before.get(k).equals("s7") && !before.get(k).equals(after.get(k)))
@@ -108,7 +115,7 @@
     }
 
     @Test
-    void aServerWithErrorsLosesKeysAndTheOthersKeepTheirs() {
+    void serverWithErrorsLosesKeysAndTheOthersKeepTheirs() {
         FakeNode node = node(0, true);
         Map<String, String> before = placesOf(node);
         String key = before.keySet().stream()
@@ -119,18 +126,18 @@
         // Two failures: two in three of its keys are now drawn elsewhere.
         assertEquals("s3", serve(node, key, AttemptResult.ERROR));
         for (int i = 0; i < KEYS && !serve(node, "x" + i, AttemptResult.ERROR).equals("s3"); i++) {
-            node.list(ListKind.FULL, List.of());
-            node.with(SERVERS);
+            node.deliverList(ListKind.FULL, List.of());
+            node.withServers(SERVERS);
         }
         long kept = 0;
         long moved = 0;
         for (Map.Entry<String, String> e : before.entrySet()) {
-            long id = node.askFor(e.getKey(), FakeNode.NON_IDEMPOTENT);
-            String now = node.last(id).server();
+            long id = node.requestWithKey(e.getKey(), FakeNode.NON_IDEMPOTENT);
+            String now = node.lastAttempt(id).server();
             kept += e.getValue().equals("s3") && now.equals("s3") ? 1 : 0;
             moved += !e.getValue().equals("s3") && !now.equals(e.getValue()) ? 1 : 0;
             node.balancer.onClientGone(node.now, id);
-            node.answer(id, AttemptResult.CANCELLED, 0);
+            node.endAttempt(id, AttemptResult.CANCELLED, 0);
         }
         long had = before.values().stream().filter("s3"::equals).count();
         assertTrue(kept < had, "keys kept: " + kept + " of " + had);
@@ -138,37 +145,37 @@
     }
 
     @Test
-    void whenAKeysServersAreFullItWaitsAndDoesNotGoWhereItIsUnknown() {
+    void keyWaitsWhenItsServersAreFull() {
         FakeNode node = node(0, true);
         Map<String, Integer> used = new HashMap<>();
         long id = 0;
         for (int i = 0; i < 400; i++) {
-            id = node.askFor("hot", FakeNode.NON_IDEMPOTENT);
-            if (node.last(id) != null) {
-                used.merge(node.last(id).server(), 1, Integer::sum);
+            id = node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT);
+            if (node.lastAttempt(id) != null) {
+                used.merge(node.lastAttempt(id).server(), 1, Integer::sum);
             }
         }
         assertTrue(used.size() >= 2 && used.size() <= 8, used.toString());
-        assertNull(node.last(id));
+        assertNull(node.lastAttempt(id));
         // Others are not held back by it for long: it waits in the queue, and they have room.
-        long other = node.askFor("cool", FakeNode.NON_IDEMPOTENT);
+        long other = node.requestWithKey("cool", FakeNode.NON_IDEMPOTENT);
         node.advance(10_000);
-        assertTrue(node.last(other) != null || used.size() == SERVERS);
+        assertTrue(node.lastAttempt(other) != null || used.size() == SERVERS);
     }
 
     @Test
-    void limitsStartHighWhereKeysAreWarmAndAFullAnswerCutsThemToWhatWasHeld() {
+    void limitsStartHighWithKeyAffinityAndARejectionCutsThemToTheLoad() {
         FakeNode node = node(0, true);
         long[] ids = new long[24];
         for (int i = 0; i < ids.length; i++) {
-            ids[i] = node.askFor("hot", FakeNode.NON_IDEMPOTENT);
+            ids[i] = node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT);
             assertEquals(1, node.attempts(ids[i]));
         }
-        node.answer(ids[0], AttemptResult.FULL, 1_000);
+        node.endAttempt(ids[0], AttemptResult.FULL, 1_000);
         String full = node.sent.get(0).server();
         long more = 0;
         for (int i = 0; i < 24; i++) {
-            FakeNode.Sent sent = node.last(node.askFor("hot", FakeNode.NON_IDEMPOTENT));
+            FakeNode.Sent sent = node.lastAttempt(node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT));
             more += sent != null && sent.server().equals(full) ? 1 : 0;
         }
         assertTrue(more <= 1, "sent to the full server: " + more);
@@ -176,13 +183,13 @@
 
     /** Guards i629bed: turned away in a burst, requests hopped on to servers that did not know their key. */
     @Test
-    void aRequestThatWasTurnedAwayPassesOnToServersThatItsKeyDraws() {
+    void rejectedRequestIsRetriedAtItsKeysServers() {
         List<List<String>> paths = new ArrayList<>();
         for (int me = 0; me < 4; me++) {
             FakeNode node = node(me, true);
-            long id = node.askFor("hot", FakeNode.NON_IDEMPOTENT);
-            node.answer(id, AttemptResult.FULL, 1_000);
-            node.answer(id, AttemptResult.FULL, 1_000);
+            long id = node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT);
+            node.endAttempt(id, AttemptResult.FULL, 1_000);
+            node.endAttempt(id, AttemptResult.FULL, 1_000);
             paths.add(node.sent.stream().map(FakeNode.Sent::server).toList());
         }
         assertEquals(3, new HashSet<>(paths.get(0)).size());
--- a/node/src/test/java/loadbalancer/policy/RulesTest.java
+++ b/node/src/test/java/loadbalancer/policy/LawfulAttemptTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Rules 1 to 3 in named cases. */
-class RulesTest {
+/** Which attempts and final answers are lawful, in named cases; polling of the list; invalid input. */
+class LawfulAttemptTest {
 
     private static ServerEntry in(String id, int zone, int cell, ServerState state) {
         return new ServerEntry(id, zone, cell, state, 1, 0);
@@ -42,109 +42,109 @@
         "4, CANCELLED, failed",
         "4, MOOT, again"
     })
-    void repeatsFollowTheClass(int classIndex, AttemptResult result, String then) {
-        FakeNode node = new FakeNode().with(4);
-        long id = node.ask(classIndex);
-        node.answer(id, result, 1_000);
+    void retriesFollowTheClass(int classIndex, AttemptResult result, String then) {
+        FakeNode node = new FakeNode().withServers(4);
+        long id = node.request(classIndex);
+        node.endAttempt(id, result, 1_000);
         assertEquals(then.equals("again") ? 2 : 1, node.attempts(id));
         assertEquals(then.equals("failed") ? List.of(id) : List.of(), node.failed);
-        assertEquals(List.of(), node.refused);
+        assertEquals(List.of(), node.rejected);
     }
 
     @Test
-    void aKeyedRequestThatMayHaveRunStaysInItsCellAndZone() {
+    void keyedRequestThatMayHaveRunStaysInItsCellOrZone() {
         for (int classIndex : new int[] {FakeNode.KEYED_CELL, FakeNode.KEYED_ZONE}) {
             FakeNode node = new FakeNode();
-            node.list(
+            node.deliverList(
                     ListKind.CACHED,
                     List.of(
                             in("a", 0, 1, ServerState.READY),
                             in("x", 1, 2, ServerState.READY),
                             in("b", 0, 1, ServerState.READY),
                             in("y", 1, 2, ServerState.READY)));
-            long id = node.ask(classIndex);
-            String first = node.last(id).server();
-            node.answer(id, AttemptResult.RESET, 1_000);
-            String second = node.last(id).server();
+            long id = node.request(classIndex);
+            String first = node.lastAttempt(id).server();
+            node.endAttempt(id, AttemptResult.RESET, 1_000);
+            String second = node.lastAttempt(id).server();
             assertEquals(2, node.attempts(id));
             assertTrue((first + second).matches("ab|ba|xy|yx"), first + second);
         }
     }
 
     @Test
-    void aKeyedRequestThatSurelyNeverRanMayGoAnywhere() {
+    void keyedRequestThatNeverRanMayGoAnywhere() {
         FakeNode node = new FakeNode();
-        node.list(ListKind.CACHED, List.of(in("a", 0, 1, ServerState.READY), in("x", 1, 2, ServerState.READY)));
-        long id = node.ask(FakeNode.KEYED_CELL);
-        node.answer(id, AttemptResult.FULL, 1_000);
+        node.deliverList(ListKind.CACHED, List.of(in("a", 0, 1, ServerState.READY), in("x", 1, 2, ServerState.READY)));
+        long id = node.request(FakeNode.KEYED_CELL);
+        node.endAttempt(id, AttemptResult.FULL, 1_000);
         assertEquals(2, node.attempts(id));
     }
 
     @Test
-    void aKeyedRequestIsNotRepeatedAfterItsWindowAndRefusedOnlyIfAllDropRepeats() {
+    void keyedRequestIsNotRetriedAfterItsWindowAndRejectedOnlyIfAllServersDeduplicate() {
         for (int classIndex : new int[] {FakeNode.KEYED_ALL, FakeNode.KEYED_CELL}) {
-            FakeNode node = new FakeNode().with(3);
-            long id = node.ask(classIndex);
-            node.answer(id, AttemptResult.ERROR, 400_001);
+            FakeNode node = new FakeNode().withServers(3);
+            long id = node.request(classIndex);
+            node.endAttempt(id, AttemptResult.ERROR, 400_001);
             assertEquals(1, node.attempts(id));
-            assertEquals(classIndex == FakeNode.KEYED_ALL ? List.of(id) : List.of(), node.refused);
+            assertEquals(classIndex == FakeNode.KEYED_ALL ? List.of(id) : List.of(), node.rejected);
             assertEquals(classIndex == FakeNode.KEYED_ALL ? List.of() : List.of(id), node.failed);
         }
     }
 
     @Test
-    void theWindowCountsFromTheFirstAttemptThatMayHaveRun() {
-        FakeNode node = new FakeNode().with(4);
-        long id = node.ask(FakeNode.KEYED_ALL);
-        node.answer(id, AttemptResult.CONNECT_FAILED, 300_000);
-        node.answer(id, AttemptResult.ERROR, 300_000);
+    void deduplicationWindowCountsFromTheFirstAttemptThatMayHaveRun() {
+        FakeNode node = new FakeNode().withServers(4);
+        long id = node.request(FakeNode.KEYED_ALL);
+        node.endAttempt(id, AttemptResult.CONNECT_FAILED, 300_000);
+        node.endAttempt(id, AttemptResult.ERROR, 300_000);
         assertEquals(3, node.attempts(id));
-        node.answer(id, AttemptResult.ERROR, 100_001);
+        node.endAttempt(id, AttemptResult.ERROR, 100_001);
         assertEquals(3, node.attempts(id));
     }
 
     @Test
-    void aTimeOutAtTheDeadlineIsAnsweredAtOnceAndNothingFollows() {
-        FakeNode node = new FakeNode().with(3);
-        long safe = node.ask(FakeNode.IDEMPOTENT, 100_000);
-        long unsafe = node.ask(FakeNode.NON_IDEMPOTENT, 100_000);
-        node.answer(safe, AttemptResult.TIMEOUT, 100_000);
-        node.answer(unsafe, AttemptResult.TIMEOUT, 0);
-        assertEquals(List.of(safe), node.refused);
+    void timeOutAtTheDeadlineIsAnsweredAtOnceAndNothingFollows() {
+        FakeNode node = new FakeNode().withServers(3);
+        long safe = node.request(FakeNode.IDEMPOTENT, 100_000);
+        long unsafe = node.request(FakeNode.NON_IDEMPOTENT, 100_000);
+        node.endAttempt(safe, AttemptResult.TIMEOUT, 100_000);
+        node.endAttempt(unsafe, AttemptResult.TIMEOUT, 0);
+        assertEquals(List.of(safe), node.rejected);
         assertEquals(List.of(unsafe), node.failed);
         node.advance(1_000_000);
         assertEquals(1, node.attempts(safe));
     }
 
     @Test
-    void noAttemptIsSentToEndAfterTheClientsTime() {
-        FakeNode node = new FakeNode().with(3);
-        long id = node.ask(FakeNode.IDEMPOTENT, 123_000);
-        assertEquals(node.now + 123_000, node.last(id).untilUs());
+    void attemptsEndByTheDeadline() {
+        FakeNode node = new FakeNode().withServers(3);
+        long id = node.request(FakeNode.IDEMPOTENT, 123_000);
+        assertEquals(node.now + 123_000, node.lastAttempt(id).untilUs());
     }
 
     @Test
-    void nothingIsOwedToAClientThatHasGone() {
-        FakeNode node = new FakeNode().with(1);
-        long id = node.ask(FakeNode.IDEMPOTENT);
+    void clientThatHasGoneGetsNoFinalAnswer() {
+        FakeNode node = new FakeNode().withServers(1);
+        long id = node.request(FakeNode.IDEMPOTENT);
         node.balancer.onClientGone(node.now, id);
-        node.answer(id, AttemptResult.ERROR, 1_000);
+        node.endAttempt(id, AttemptResult.ERROR, 1_000);
         node.advance(2_000_000);
         assertEquals(1, node.attempts(id));
-        assertTrue(node.refused.isEmpty() && node.failed.isEmpty());
+        assertTrue(node.rejected.isEmpty() && node.failed.isEmpty());
         node.balancer.onClientGone(node.now, id);
         node.balancer.onOutcome(node.now, new AttemptOutcome(id, 0, AttemptResult.OK, 1, true, null));
     }
 
     @Test
-    void nothingGoesToADrainingOrGoneServer() {
+    void drainingAndRemovedServersGetNoAttempts() {
         for (ServerState state : new ServerState[] {ServerState.DRAINING, ServerState.GONE}) {
-            FakeNode node = new FakeNode().with(2);
-            node.list(ListKind.CHANGES, List.of(in("s0", 0, 0, state)));
+            FakeNode node = new FakeNode().withServers(2);
+            node.deliverList(ListKind.CHANGES, List.of(in("s0", 0, 0, state)));
             for (int i = 0; i < 50; i++) {
                 assertEquals(
                         "s1",
-                        node.serve(
+                        node.completeRequest(
                                 FakeNode.NON_IDEMPOTENT, i % 3 == 0 ? AttemptResult.ERROR : AttemptResult.OK, 1_000));
                 node.advance(1_100_000);
             }
@@ -152,53 +152,53 @@
     }
 
     @Test
-    void serversThatComeAndGoLeaveNothingBehind() {
-        FakeNode node = new FakeNode().with(1);
+    void removedServersAreForgotten() {
+        FakeNode node = new FakeNode().withServers(1);
         for (int i = 0; i < 500; i++) {
-            node.list(ListKind.CHANGES, List.of(FakeNode.server("t" + i)));
-            node.serve(FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR, 1_000);
-            node.list(ListKind.CHANGES, List.of(in("t" + i, 0, 0, ServerState.GONE)));
+            node.deliverList(ListKind.CHANGES, List.of(FakeNode.server("t" + i)));
+            node.completeRequest(FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR, 1_000);
+            node.deliverList(ListKind.CHANGES, List.of(in("t" + i, 0, 0, ServerState.GONE)));
         }
         assertEquals(1, ((ServiceQBalancer) node.balancer).knownServers());
     }
 
     @Test
-    void aServerThatAFullListLeavesOutHasGone() {
-        FakeNode node = new FakeNode().with(2);
-        node.list(ListKind.FULL, List.of(FakeNode.server("s1")));
+    void fullListRemovesServersThatItLacks() {
+        FakeNode node = new FakeNode().withServers(2);
+        node.deliverList(ListKind.FULL, List.of(FakeNode.server("s1")));
         for (int i = 0; i < 20; i++) {
-            assertEquals("s1", node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 1_000));
+            assertEquals("s1", node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 1_000));
         }
     }
 
     @Test
-    void aListOnRequestIsAskedForAtOnceAndAgainAfterFailuresWithGrowingJitteredWaits() {
-        BalancerSettings set = FakeNode.settings();
-        set.pollsEndpointList = true;
-        FakeNode node = new FakeNode(set, 1).with(1);
+    void listIsPolledAtOnceAndAfterFailuresWithJitteredBackoff() {
+        BalancerSettings settings = FakeNode.settings();
+        settings.pollsEndpointList = true;
+        FakeNode node = new FakeNode(settings, 1).withServers(1);
         assertEquals(1, node.subscriptions);
         for (int failures = 1; failures <= 6; failures++) {
             node.balancer.onListFailed(node.now);
             assertEquals(failures, node.subscriptions);
-            node.advance(set.pollIntervalUs / 2);
+            node.advance(settings.pollIntervalUs / 2);
             assertEquals(failures + 1, node.subscriptions);
         }
-        node.list(ListKind.CHANGES, List.of());
-        node.advance(10 * set.pollIntervalUs);
+        node.deliverList(ListKind.CHANGES, List.of());
+        node.advance(10 * settings.pollIntervalUs);
         assertEquals(7, node.subscriptions);
     }
 
     @Test
-    void aCallThatIsNeverAnsweredIsMadeAgainInsideTheTimeAllowed() {
-        BalancerSettings set = FakeNode.settings();
-        set.pollsEndpointList = true;
-        FakeNode node = new FakeNode(set, 1).with(1);
-        node.advance(set.pollIntervalUs - 1);
+    void unansweredPollIsRepeatedWithinThePollInterval() {
+        BalancerSettings settings = FakeNode.settings();
+        settings.pollsEndpointList = true;
+        FakeNode node = new FakeNode(settings, 1).withServers(1);
+        node.advance(settings.pollIntervalUs - 1);
         assertTrue(node.subscriptions >= 2);
     }
 
     @Test
-    void settingsAndRequestsOutOfRangeAreRejectedByName() {
+    void settingsAndRequestsOutOfRangeThrow() {
         BalancerSettings none = new BalancerSettings();
         assertThrows(IllegalArgumentException.class, () -> new FakeNode(none, 1));
         BalancerSettings negative = FakeNode.settings();
@@ -207,8 +207,8 @@
         BalancerSettings zone = FakeNode.settings();
         zone.localZone = 9;
         assertThrows(IllegalArgumentException.class, () -> new FakeNode(zone, 1));
-        FakeNode node = new FakeNode().with(1);
-        assertThrows(IllegalArgumentException.class, () -> node.ask(99));
+        FakeNode node = new FakeNode().withServers(1);
+        assertThrows(IllegalArgumentException.class, () -> node.request(99));
         assertThrows(
                 IllegalArgumentException.class,
                 () -> node.balancer.onRequest(node.now, new BalancerRequest(5, 0, 7, 1_000, 0, false, null)));
--- a/node/src/test/java/loadbalancer/policy/LoadReportTest.java
+++ b/node/src/test/java/loadbalancer/policy/OverloadedServerTest.java
@@ -7,17 +7,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Exception, load reports: a server that holds well more than the others is passed over for a while. */
-class LoadReportTest {
+/** Load reports: a server that is loaded well beyond the others is passed over for a time. */
+class OverloadedServerTest {
     private static final int SERVERS = 20;
     private static final long LATENCY_US = 20_000;
     /** A class with time enough to wait behind many. */
     private static final int LEISURELY = 5;
 
     private static FakeNode node() {
-        BalancerSettings set = FakeNode.settings();
-        set.nodes = 14;
-        set.classes.add(new RequestClass(
+        BalancerSettings settings = FakeNode.settings();
+        settings.nodes = 14;
+        settings.classes.add(new RequestClass(
                 "leisurely",
                 4_000_000,
                 0,
@@ -28,26 +28,26 @@
                 DeduplicationScope.ALL,
                 0,
                 false));
-        set.keyAffinity = true;
-        set.reportFields.add(LoadReportField.QUEUED);
-        set.reportFields.add(LoadReportField.IN_FLIGHT);
-        return new FakeNode(set, 5).with(SERVERS);
+        settings.keyAffinity = true;
+        settings.reportFields.add(LoadReportField.QUEUED);
+        settings.reportFields.add(LoadReportField.IN_FLIGHT);
+        return new FakeNode(settings, 5).withServers(SERVERS);
     }
 
     /** One request served; its server says that it holds so many. */
     private static String serve(FakeNode node, String key, int classIndex, long latencyUs, double held) {
-        long id = node.askFor(key, classIndex);
+        long id = node.requestWithKey(key, classIndex);
         node.advance(latencyUs);
         node.balancer.onOutcome(
                 node.now, new AttemptOutcome(id, 0, AttemptResult.OK, latencyUs, true, LoadReport.of(0, held)));
-        return node.last(id).server();
+        return node.lastAttempt(id).server();
     }
 
     private static String serve(FakeNode node, String key, double held) {
         return serve(node, key, FakeNode.NON_IDEMPOTENT, LATENCY_US, held);
     }
 
-    private static FakeNode amongServersThatHold(double held) {
+    private static FakeNode amongServersWithLoad(double held) {
         FakeNode node = node();
         for (int k = 0; k < 400; k++) {
             serve(node, "k" + k, held);
@@ -56,22 +56,22 @@
     }
 
     @Test
-    void aKeyGoesToItsNextDrawWhileItsServerIsLadenBeyondTheOthers() {
-        FakeNode node = amongServersThatHold(2);
+    void keyGoesToItsNextServerWhileItsFirstIsOverloaded() {
+        FakeNode node = amongServersWithLoad(2);
         String home = serve(node, "key", 9);
         assertNotEquals(home, serve(node, "key", 2));
     }
 
     @Test
-    void itStaysWhereAllServersAreLadenAlike() {
-        FakeNode node = amongServersThatHold(9);
+    void keyStaysWhereAllServersReportTheSameLoad() {
+        FakeNode node = amongServersWithLoad(9);
         String home = serve(node, "key", 9);
         assertEquals(home, serve(node, "key", 9));
     }
 
     @Test
-    void itComesBackOnceTheReportHasWornOff() {
-        FakeNode node = amongServersThatHold(2);
+    void keyReturnsOnceTheReportHasFaded() {
+        FakeNode node = amongServersWithLoad(2);
         String home = serve(node, "key", 9);
         node.advance(10 * LATENCY_US);
         assertEquals(home, serve(node, "key", 2));
@@ -79,9 +79,9 @@
 
     /** The class with the shortest aim waits behind all others, of which their own aims say nothing. */
     @Test
-    void aServerThatHoldsMoreThanTheShortestAimAllowsGetsFewer() {
-        FakeNode node = amongServersThatHold(1);
-        assertTrue(takenAtOnce(amongServersThatHold(1)) > 2 * SERVERS);
+    void serverLoadedBeyondTheShortestObjectiveGetsFewer() {
+        FakeNode node = amongServersWithLoad(1);
+        assertTrue(takenAtOnce(amongServersWithLoad(1)) > 2 * SERVERS);
         for (int k = 0; k < 200; k++) {
             serve(node, "k" + k, LEISURELY, 400_000, 40);
         }
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void theFirstAnswersOfANodeTellThatItsServersHoldTooMuch() {
+    void firstAnswersShowThatServersAreOverloaded() {
         FakeNode node = node();
         for (int k = 0; k < 2 * SERVERS; k++) {
             // Forty held requests take 400 ms; the shortest aim is 200 ms.
@@ -102,18 +102,18 @@
     private static int takenAtOnce(FakeNode node) {
         int before = node.sent.size();
         for (int k = 0; k < 100; k++) {
-            node.askFor("more" + k, FakeNode.NON_IDEMPOTENT);
+            node.requestWithKey("more" + k, FakeNode.NON_IDEMPOTENT);
         }
         return node.sent.size() - before;
     }
 
     /** How many of 4,000 requests go to a cold server that says it holds so many, where others hold four. */
     private static long toColdThatHolds(double held) {
-        FakeNode node = amongServersThatHold(4);
-        node.list(ListKind.CHANGES, List.of(new ServerEntry("cold", 0, 0, ServerState.READY, 1, node.now)));
+        FakeNode node = amongServersWithLoad(4);
+        node.deliverList(ListKind.CHANGES, List.of(new ServerEntry("cold", 0, 0, ServerState.READY, 1, node.now)));
         for (int k = 0; k < 4_000; k++) {
-            long id = node.askFor("k" + k % 400, FakeNode.NON_IDEMPOTENT);
-            FakeNode.Sent sent = node.last(id);
+            long id = node.requestWithKey("k" + k % 400, FakeNode.NON_IDEMPOTENT);
+            FakeNode.Sent sent = node.lastAttempt(id);
             node.advance(2_000);
             if (sent != null) {
                 node.balancer.onOutcome(
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void aColdServerThatHoldsHalfOfWhatOthersHoldGetsMoreOfItsBudget() {
+    void warmingServerWithHalfTheMeanLoadGetsMoreOfItsBudget() {
         long idle = toColdThatHolds(1);
         long busy = toColdThatHolds(3);
         assertTrue(idle > 1.3 * busy, "idle " + idle + ", busy " + busy);
@@ -139,8 +139,8 @@
     }
 
     @Test
-    void aReportWithoutTheFigureSaysNothing() {
-        FakeNode node = amongServersThatHold(2);
+    void reportWithoutTheFieldIsIgnored() {
+        FakeNode node = amongServersWithLoad(2);
         String home = serve(node, "key", Double.NaN);
         assertEquals(home, serve(node, "key", 2));
     }
--- a/node/src/test/java/loadbalancer/policy/PendingRequestFactoryTest.java
+++ b/node/src/test/java/loadbalancer/policy/PendingRequestFactoryTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void retryWithTheRestOfTheWholeTimeShowsWhenTheFirstAttemptWas() {
+    void retryWithTheRestOfTheDeadlineShowsWhenTheFirstAttemptWas() {
         create(600_000, false, 0);
         assertEquals(NOW_US + OBJECTIVE_US - 150_000, create(850_000, true, 0).objectiveAtUs);
     }
--- a/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long odd sequences of events with fixed seeds; what the module does is held against all four rules. */
+/** Long odd sequences of events with fixed seeds; what the balancer does is checked against all four rules. */
 class RandomEventsTest {
 
     /** An attempt as the judge knows it. */
@@ -25,7 +25,7 @@
     }
 
     /** A request as the judge knows it. */
-    private static final class Held {
+    private static final class OpenRequest {
         RequestClass cls;
         long deadlineAt;
         boolean over;
@@ -42,9 +42,9 @@
     /** Plays a node's part and fails the test on the first broken rule. */
     private static final class Judge implements BalancerActions {
         final SplittableRandom random;
-        final BalancerSettings set = FakeNode.settings();
+        final BalancerSettings settings = FakeNode.settings();
         final Balancer balancer;
-        final Map<Long, Held> held = new LinkedHashMap<>();
+        final Map<Long, OpenRequest> requests = new LinkedHashMap<>();
         final Map<String, ServerEntry> servers = new LinkedHashMap<>();
         final Map<ServerEntry, List<long[]>> coldSends = new LinkedHashMap<>();
         final PriorityQueue<long[]> answers = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
@@ -57,7 +57,7 @@
 
         Judge(long seed) {
             random = new SplittableRandom(seed);
-            set.classes.replaceAll(c -> new RequestClass(
+            settings.classes.replaceAll(c -> new RequestClass(
                     c.name(),
                     c.latencyObjectiveUs(),
                     0,
@@ -68,18 +68,18 @@
                     c.deduplicationScope(),
                     80_000,
                     false));
-            set.nodes = 1 + random.nextInt(5);
-            set.maxAttempts = 1 + random.nextInt(5);
-            set.cancellation = random.nextBoolean();
-            set.hedging = random.nextBoolean();
-            set.pollsEndpointList = random.nextBoolean();
-            set.crossZoneCost = random.nextBoolean() ? 0.02 : 0;
-            set.tickUs = 1_000 * (1 + random.nextInt(5));
-            set.drainGraceUs = 0;
-            set.warmUpUs = 8_000_000;
-            set.warmUpInitialShare = 0.2;
-            set.keyAffinity = random.nextBoolean();
-            balancer = new ServiceQBalancer(set, seed, this);
+            settings.nodes = 1 + random.nextInt(5);
+            settings.maxAttempts = 1 + random.nextInt(5);
+            settings.cancellation = random.nextBoolean();
+            settings.hedging = random.nextBoolean();
+            settings.pollsEndpointList = random.nextBoolean();
+            settings.crossZoneCost = random.nextBoolean() ? 0.02 : 0;
+            settings.tickUs = 1_000 * (1 + random.nextInt(5));
+            settings.drainGraceUs = 0;
+            settings.warmUpUs = 8_000_000;
+            settings.warmUpInitialShare = 0.2;
+            settings.keyAffinity = random.nextBoolean();
+            balancer = new ServiceQBalancer(settings, seed, this);
         }
 
         @Override
@@ -89,13 +89,13 @@
                     .append(requestId)
                     .append(serverId)
                     .append('\n');
-            Held request = held.get(requestId);
+            OpenRequest request = requests.get(requestId);
             ServerEntry server = servers.get(serverId);
             assertNotNull(request, "a request that is held");
             assertFalse(request.over, "rule 1: nothing is sent after the end");
             assertTrue(untilUs <= request.deadlineAt, "rule 1: inside the client's time");
             assertTrue(now < request.deadlineAt, "rule 1: time is left");
-            assertTrue(request.attempts.size() < set.maxAttempts);
+            assertTrue(request.attempts.size() < settings.maxAttempts);
             Attempt binding = request.binding();
             if (binding != null) {
                 assertTrue(
@@ -105,13 +105,13 @@
                     assertTrue(
                             now <= binding.sentAt + request.cls.deduplicationWindowUs(), "rule 2: inside the window");
                     assertTrue(
-                            sameGroup(request.cls.deduplicationScope(), binding.server, server),
+                            sameDeduplicationScope(request.cls.deduplicationScope(), binding.server, server),
                             "rule 2: in the group");
                 }
-                assertTrue(set.hedging || request.attempts.stream().allMatch(a -> a.result != null));
+                assertTrue(settings.hedging || request.attempts.stream().allMatch(a -> a.result != null));
             }
             assertTrue(server.state() == ServerState.READY, "rule 3: nothing to a draining or gone server");
-            if (server.startedAtUs() > 0 && now < server.startedAtUs() + set.warmUpUs) {
+            if (server.startedAtUs() > 0 && now < server.startedAtUs() + settings.warmUpUs) {
                 coldSends.computeIfAbsent(server, k -> new ArrayList<>()).add(new long[] {now, ready()});
             }
             Attempt attempt = new Attempt();
@@ -139,23 +139,26 @@
             return (random.nextInt(8) > 0 ? AttemptResult.OK : bad[random.nextInt(bad.length)]).ordinal();
         }
 
-        private static boolean sameGroup(DeduplicationScope group, ServerEntry a, ServerEntry b) {
+        private static boolean sameDeduplicationScope(DeduplicationScope group, ServerEntry a, ServerEntry b) {
             return group == DeduplicationScope.ALL
                     || (group == DeduplicationScope.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
         }
 
-        private void finish(long id, boolean refusal) {
-            trace.append(now).append(refusal ? " refuse " : " fail ").append(id).append('\n');
-            Held request = held.get(id);
+        private void finish(long id, boolean rejection) {
+            trace.append(now)
+                    .append(rejection ? " refuse " : " fail ")
+                    .append(id)
+                    .append('\n');
+            OpenRequest request = requests.get(id);
             assertNotNull(request);
             assertFalse(request.over, "rule 1: one final answer only");
-            assertTrue(now <= request.deadlineAt + set.tickUs, "rule 1: the answer comes in time");
-            if (refusal && request.binding() != null) {
+            assertTrue(now <= request.deadlineAt + settings.tickUs, "rule 1: the answer comes in time");
+            if (rejection && request.binding() != null) {
                 assertTrue(
                         request.cls.idempotency() == Idempotency.IDEMPOTENT
                                 || request.cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                                         && request.cls.deduplicationScope() == DeduplicationScope.ALL,
-                        "rule 2: a refusal promises that trying again is harmless");
+                        "rule 2: a rejection promises that trying again is harmless");
             }
             request.over = true;
             finals++;
@@ -173,8 +176,8 @@
 
         @Override
         public void cancel(long requestId, int attempt) {
-            assertTrue(set.cancellation);
-            Attempt out = held.get(requestId).attempts.get(attempt);
+            assertTrue(settings.cancellation);
+            Attempt out = requests.get(requestId).attempts.get(attempt);
             if (out.result == null) {
                 answers.removeIf(a -> a[1] == requestId && a[2] == attempt);
                 answers.add(new long[] {now, requestId, attempt, AttemptResult.CANCELLED.ordinal()});
@@ -192,12 +195,12 @@
 
         @Override
         public void probe(String serverId) {
-            assertTrue(set.probes);
+            assertTrue(settings.probes);
         }
 
         @Override
         public void subscribe() {
-            assertTrue(set.pollsEndpointList);
+            assertTrue(settings.pollsEndpointList);
         }
 
         @Override
@@ -210,14 +213,14 @@
             trace.append(FakeNode.restoration(serverId, className)).append('\n');
         }
 
-        void ask() {
-            Held request = new Held();
-            int classIndex = random.nextInt(set.classes.size());
-            request.cls = set.classes.get(classIndex);
+        void request() {
+            OpenRequest request = new OpenRequest();
+            int classIndex = random.nextInt(settings.classes.size());
+            request.cls = settings.classes.get(classIndex);
             long left = random.nextInt(10) == 0 ? random.nextInt(3_000) : 20_000 + random.nextInt(900_000);
             request.deadlineAt = now + left;
             long id = nextId++;
-            held.put(id, request);
+            requests.put(id, request);
             balancer.onRequest(
                     now,
                     new BalancerRequest(
@@ -259,7 +262,7 @@
         }
 
         void answer(long[] due) {
-            Held request = held.get(due[1]);
+            OpenRequest request = requests.get(due[1]);
             Attempt attempt = request.attempts.get((int) due[2]);
             attempt.result = AttemptResult.values()[(int) due[3]];
             if (attempt.result == AttemptResult.OK && !request.over) {
@@ -300,7 +303,7 @@
                     } else if (what < 5 && nextId > 1) {
                         leave(1 + random.nextLong(nextId - 1));
                     } else {
-                        ask();
+                        request();
                     }
                 }
             }
@@ -313,11 +316,11 @@
         }
 
         private long open() {
-            return held.values().stream().filter(h -> !h.over).count();
+            return requests.values().stream().filter(h -> !h.over).count();
         }
 
         private void leave(long id) {
-            Held request = held.get(id);
+            OpenRequest request = requests.get(id);
             if (!request.over) {
                 request.over = true;
                 finals++;
@@ -328,27 +331,28 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-    void allRulesHoldOverOddSequences(long seed) {
+    void allRulesHoldOverRandomSequences(long seed) {
         Judge judge = new Judge(seed);
         judge.run(1_500);
-        assertEquals(judge.held.size(), judge.finals, "rule 1: every request has its one final answer");
+        assertEquals(judge.requests.size(), judge.finals, "rule 1: every request has its one final answer");
         assertTrue(judge.served > 100, "the run must do real work: " + judge.served);
         // Rule 4: in any span this node stays under its part of the multiple of what a cold server can
         // do, taking its answers over the servers then ready (three at most: many are always gone) as its
         // part of what a warm one does; two requests more are chance.
         double rate = judge.served / ((judge.now - 5_000_000) / 1e6);
-        BalancerSettings set = judge.set;
+        BalancerSettings settings = judge.settings;
         judge.coldSends.forEach((start, sends) -> {
             for (long[] first : sends) {
                 List<long[]> span = sends.stream()
-                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.overloadUs)
+                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + settings.overloadUs)
                         .toList();
                 double ready =
                         Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
-                double age = Math.min(1, (first[0] + set.overloadUs - start.startedAtUs()) / (double) set.warmUpUs);
-                double share = set.warmUpInitialShare + (1 - set.warmUpInitialShare) * age;
+                double age = Math.min(
+                        1, (first[0] + settings.overloadUs - start.startedAtUs()) / (double) settings.warmUpUs);
+                double share = settings.warmUpInitialShare + (1 - settings.warmUpInitialShare) * age;
                 assertTrue(
-                        span.size() - 2 <= set.overloadMultiple * share * rate / ready * set.overloadUs / 1e6,
+                        span.size() - 2 <= settings.overloadMultiple * share * rate / ready * settings.overloadUs / 1e6,
                         "rule 4: " + span.size() + " sends in one span");
             }
         });
@@ -356,7 +360,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {21, 22})
-    void theSameEventsAndSeedGiveTheSameActions(long seed) {
+    void sameEventsAndSeedGiveTheSameActions(long seed) {
         Judge one = new Judge(seed);
         Judge two = new Judge(seed);
         one.run(800);
--- a/node/src/test/java/loadbalancer/policy/RetryPolicyTest.java
+++ b/node/src/test/java/loadbalancer/policy/RetryPolicyTest.java
@@ -32,7 +32,7 @@
         "4, FULL, true, true",
         "4, CONNECT_FAILED, true, true",
     })
-    void whatIsLawfulFollowsFromTheClassAndWhetherTheRequestMayHaveRun(
+    void retryIsLawfulByClassAndByWhetherTheRequestMayHaveRun(
             int classIndex, AttemptResult result, boolean mayRetry, boolean harmless) {
         PendingRequest request = afterAttempt(classIndex, result);
         assertEquals(mayRetry, RetryPolicy.mayRetry(request, SENT_US + 1));
--- a/node/src/test/java/loadbalancer/policy/TrialRequestsTest.java
+++ b/node/src/test/java/loadbalancer/policy/TrialRequestsTest.java
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void fallbackThatOnlyFailsRestsUpToAMeanLatency() {
+    void fallbackThatOnlyFailsPausesUpToAMeanLatency() {
         fixture.learnLatency(FakeNode.IDEMPOTENT, 16_000);
         server.lastAttemptAnswered = true;
         server.health.history = 0xFFF;
--- /dev/null
+++ b/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
@@ -0,0 +1,197 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Attempts without an answer, hedged requests, and ejection by class. */
+class UnresponsiveAttemptTest {
+    private static final long MEAN_LATENCY_US = 10_000;
+
+    private static FakeNode used(BalancerSettings settings, int servers) {
+        FakeNode node = new FakeNode(settings, 11).withServers(servers);
+        for (int i = 0; i < 200; i++) {
+            node.completeRequest(i % 5, AttemptResult.OK, MEAN_LATENCY_US);
+        }
+        return node;
+    }
+
+    private static boolean said(FakeNode node, String start) {
+        return node.ejectionLog.stream().anyMatch(l -> l.startsWith(start));
+    }
+
+    /** Lets a request of this class go unanswered at {@code s0}, and answers all others. */
+    private static boolean goesUnanswered(FakeNode node, int classIndex) {
+        long id = node.request(classIndex);
+        if (!node.lastAttempt(id).server().equals("s0")) {
+            node.endAttempt(id, AttemptResult.OK, MEAN_LATENCY_US);
+            return false;
+        }
+        node.advance(30 * MEAN_LATENCY_US);
+        // The client leaves long before its deadline: no time-out ever tells.
+        node.balancer.onClientGone(node.now, id);
+        node.balancer.onOutcome(
+                node.now, new AttemptOutcome(id, 0, AttemptResult.CANCELLED, 30 * MEAN_LATENCY_US, true, null));
+        return true;
+    }
+
+    @Test
+    void serverThatSwallowsRequestsIsEjectedThoughClientsLeaveBeforeTheTimeOut() {
+        FakeNode node = used(FakeNode.settings(), 4);
+        int met = 0;
+        for (int i = 0; i < 200; i++) {
+            met += goesUnanswered(node, FakeNode.NON_IDEMPOTENT) ? 1 : 0;
+        }
+        assertTrue(said(node, "ejected server s0"), node.ejectionLog.toString());
+        assertTrue(met <= 8, "lost at the silent server: " + met);
+    }
+
+    @Test
+    void clientsThatLeaveAfterAShortWaitDoNotCountAgainstTheServer() {
+        FakeNode node = used(FakeNode.settings(), 4);
+        for (int i = 0; i < 200; i++) {
+            long id = node.request(FakeNode.NON_IDEMPOTENT);
+            node.advance(MEAN_LATENCY_US / 2);
+            node.balancer.onClientGone(node.now, id);
+            node.balancer.onOutcome(
+                    node.now, new AttemptOutcome(id, 0, AttemptResult.CANCELLED, MEAN_LATENCY_US / 2, true, null));
+        }
+        assertTrue(node.ejectionLog.isEmpty(), node.ejectionLog.toString());
+    }
+
+    @Test
+    void clientThatLeavesCancelsBothAttemptsOfItsRequest() {
+        FakeNode node = used(FakeNode.settings(), 4);
+        long id = node.request(FakeNode.IDEMPOTENT);
+        node.advance(10 * MEAN_LATENCY_US);
+        assertEquals(2, node.attempts(id));
+        node.balancer.onClientGone(node.now, id);
+        assertEquals(List.of(id + "/0", id + "/1"), node.cancelled);
+        node.balancer.onOutcome(
+                node.now, new AttemptOutcome(id, 0, AttemptResult.RESET, 10 * MEAN_LATENCY_US, true, null));
+        node.advance(10 * MEAN_LATENCY_US);
+        assertEquals(2, node.attempts(id), "nothing more is sent");
+    }
+
+    @Test
+    void idempotentRequestIsHedgedAtASecondServerWhenTheFirstIsUnresponsive() {
+        FakeNode node = used(FakeNode.settings(), 4);
+        long id = node.request(FakeNode.IDEMPOTENT);
+        String silent = node.lastAttempt(id).server();
+        node.advance(10 * MEAN_LATENCY_US);
+        assertEquals(2, node.attempts(id));
+        assertNotEquals(silent, node.lastAttempt(id).server());
+        long unsafe = node.request(FakeNode.NON_IDEMPOTENT);
+        node.advance(10 * MEAN_LATENCY_US);
+        assertEquals(1, node.attempts(unsafe));
+    }
+
+    @Test
+    void nothingIsHedgedWhereSettingsForbidIt() {
+        BalancerSettings settings = FakeNode.settings();
+        settings.hedging = false;
+        FakeNode node = used(settings, 4);
+        long id = node.request(FakeNode.IDEMPOTENT);
+        node.advance(10 * MEAN_LATENCY_US);
+        assertEquals(1, node.attempts(id));
+    }
+
+    @Test
+    void hedgedRequestsAreABudgetedShareOfFirstAttempts() {
+        FakeNode node = used(FakeNode.settings(), 40);
+        int before = node.sent.size();
+        for (int i = 0; i < 300; i++) {
+            long id = node.request(FakeNode.IDEMPOTENT);
+            node.advance(10 * MEAN_LATENCY_US);
+            int tries = node.attempts(id);
+            for (int attempt = 0; attempt < tries; attempt++) {
+                node.balancer.onOutcome(
+                        node.now, new AttemptOutcome(id, attempt, AttemptResult.OK, 10_000, true, null));
+            }
+        }
+        int hedges = node.sent.size() - before - 300;
+        assertTrue(hedges >= 20 && hedges <= 85, "hedges for 300 requests: " + hedges);
+    }
+
+    @Test
+    void pauseOfTheNodeItselfIsNotTakenForUnresponsiveServers() {
+        FakeNode node = used(FakeNode.settings(), 4);
+        List<Long> ids = new ArrayList<>();
+        for (int i = 0; i < 8; i++) {
+            ids.add(node.request(FakeNode.IDEMPOTENT));
+        }
+        int sent = node.sent.size();
+        // The node stands still for a second; the late wake-up is handled first, then the answers.
+        node.now += 1_000_000 - 1;
+        node.balancer.onWake(node.now);
+        ids.forEach(id -> node.balancer.onOutcome(
+                node.now, new AttemptOutcome(id, 0, AttemptResult.OK, MEAN_LATENCY_US, true, null)));
+        assertEquals(sent, node.sent.size());
+        assertTrue(node.ejectionLog.isEmpty(), node.ejectionLog.toString());
+    }
+
+    @Test
+    void serverThatFailsOneClassIsEjectedForItAndServesTheOthers() {
+        FakeNode node = used(FakeNode.settings(), 4);
+        int failed = 0;
+        int served = 0;
+        for (int i = 0; i < 600; i++) {
+            int classIndex = i % 2 == 0 ? FakeNode.NON_IDEMPOTENT : FakeNode.IDEMPOTENT;
+            long id = node.request(classIndex);
+            boolean bad = node.lastAttempt(id).server().equals("s0") && classIndex == FakeNode.NON_IDEMPOTENT;
+            failed += bad ? 1 : 0;
+            served += node.lastAttempt(id).server().equals("s0") && !bad ? 1 : 0;
+            node.endAttempt(id, bad ? AttemptResult.ERROR : AttemptResult.OK, MEAN_LATENCY_US);
+        }
+        assertTrue(said(node, "ejected server s0 after 4 failures of class unsafe"), node.ejectionLog.toString());
+        assertTrue(failed <= 8, "failed at the server: " + failed);
+        assertTrue(served >= 40, "served by it in the other class: " + served);
+    }
+
+    @Test
+    void nonIdempotentClassReturnsAfterRareTrialRequests() {
+        FakeNode node = used(FakeNode.settings(), 4);
+        for (int i = 0; i < 200 && node.ejectionLog.isEmpty(); i++) {
+            long id = node.request(FakeNode.NON_IDEMPOTENT);
+            node.endAttempt(
+                    id,
+                    node.lastAttempt(id).server().equals("s0") ? AttemptResult.ERROR : AttemptResult.OK,
+                    MEAN_LATENCY_US);
+            node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, MEAN_LATENCY_US);
+        }
+        assertTrue(said(node, "ejected server s0"), node.ejectionLog.toString());
+        for (int i = 0; i < 400; i++) {
+            node.completeRequest(FakeNode.NON_IDEMPOTENT, AttemptResult.OK, MEAN_LATENCY_US);
+        }
+        assertTrue(said(node, "restored server s0"), node.ejectionLog.toString());
+    }
+
+    /** Guards against limits that rose until servers choked, as slow answers went unseen. */
+    @Test
+    void longWaitsOfClientsThatLeaveLowerLimits() {
+        int[] held = new int[2];
+        for (int leave = 0; leave < 2; leave++) {
+            FakeNode node = used(FakeNode.settings(), 1);
+            for (int i = 0; i < 30; i++) {
+                long id = node.request(FakeNode.NON_IDEMPOTENT);
+                if (leave == 1) {
+                    node.advance(12 * MEAN_LATENCY_US);
+                    node.balancer.onClientGone(node.now, id);
+                    node.endAttempt(id, AttemptResult.CANCELLED, 0);
+                } else {
+                    node.endAttempt(id, AttemptResult.OK, MEAN_LATENCY_US);
+                }
+            }
+            int before = node.sent.size();
+            for (int i = 0; i < 20; i++) {
+                node.request(FakeNode.NON_IDEMPOTENT);
+            }
+            held[leave] = node.sent.size() - before;
+        }
+        assertTrue(held[1] < held[0] && held[1] <= 2, "held at once: " + held[1] + " and " + held[0]);
+    }
+}
--- a/node/src/test/java/loadbalancer/policy/WakeUpTimerTest.java
+++ b/node/src/test/java/loadbalancer/policy/WakeUpTimerTest.java
@@ -12,7 +12,7 @@
     private final WakeUpTimer timer = new WakeUpTimer(actions);
 
     @Test
-    void onlyAnEarlierWakeUpIsAskedFor() {
+    void onlyAnEarlierWakeUpIsScheduled() {
         timer.schedule(500, 0);
         timer.schedule(600, 0);
         timer.schedule(400, 0);
--- a/node/src/test/java/loadbalancer/policy/ColdServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/WarmUpTest.java
@@ -11,37 +11,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Rule 4: a node's part of a cold server's budget. */
-class ColdServerTest {
+/** What one node may send of the budget of a server that warms up. */
+class WarmUpTest {
 
     private static final int WARM = 19;
-    private static final int ASKED_A_SECOND = 300;
+    private static final int REQUESTS_PER_SECOND = 300;
 
     private static ServerEntry started(String id, long atUs) {
         return new ServerEntry(id, 0, 0, ServerState.READY, 1, atUs);
     }
 
     @Test
-    void aColdServerGetsAtMostItsShareOfAnEvenPartEvenWhenClientsAskManyTimesOver() {
-        FakeNode node = new FakeNode().with(4);
+    void warmingServerGetsAtMostItsShareHoweverManyRequestsArrive() {
+        FakeNode node = new FakeNode().withServers(4);
         for (int i = 0; i < 400; i++) {
-            node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
+            node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
-        node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
+        node.deliverList(ListKind.CHANGES, List.of(started("cold", node.now)));
         // 100 answers a second from five servers: an even part is 20 a second, a fifth of which a cold
         // one can do.
         for (int round = 0; round < 200; round++) {
             List<Long> burst = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                burst.add(node.ask(FakeNode.IDEMPOTENT));
+                burst.add(node.request(FakeNode.IDEMPOTENT));
             }
             node.advance(10_000);
             // Only one of ten is answered, so that arrivals are ten times what the fleet gets done.
             burst.stream()
-                    .map(node::last)
+                    .map(node::lastAttempt)
                     .filter(s -> s != null && !s.server().equals("cold"))
                     .findFirst()
-                    .ifPresent(s -> node.answer(s.request(), AttemptResult.OK, 0));
+                    .ifPresent(s -> node.endAttempt(s.request(), AttemptResult.OK, 0));
         }
         long toCold = node.sentTo("cold");
         assertTrue(toCold >= 1 && toCold <= 16, "sent to the cold server in two seconds: " + toCold);
@@ -50,15 +50,15 @@
     /** Nodes that know nothing of each other, some of which start together with the cold server. */
     @ParameterizedTest
     @CsvSource({"20, 0", "30, 0", "30, 30"})
-    void whatAllNodesTogetherSendAColdServerStaysInItsBudget(int count, int fresh) {
-        BalancerSettings set = FakeNode.settings();
-        set.nodes = count;
+    void allNodesTogetherStayWithinAWarmingServersBudget(int count, int fresh) {
+        BalancerSettings settings = FakeNode.settings();
+        settings.nodes = count;
         List<FakeNode> nodes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             BalancerSettings own = FakeNode.settings();
             own.nodes = count;
             own.nodeIndex = i;
-            nodes.add(new FakeNode(own, i).with(WARM));
+            nodes.add(new FakeNode(own, i).withServers(WARM));
         }
         SplittableRandom chance = new SplittableRandom(5);
         serve(nodes, 4_000, chance);
@@ -73,7 +73,7 @@
                 restarted.now = startedAt;
                 nodes.set(i, restarted);
             }
-            nodes.get(i).list(i < fresh ? ListKind.CACHED : ListKind.FULL, all);
+            nodes.get(i).deliverList(i < fresh ? ListKind.CACHED : ListKind.FULL, all);
         }
         serve(nodes, 8_000, chance);
         List<Long> sentAt = nodes.stream()
@@ -83,14 +83,14 @@
                 .sorted()
                 .toList();
         // Every server can do just what it is asked on average: an even part of what all nodes ask.
-        double capacity = ASKED_A_SECOND / 1e6 / (WARM + 1);
+        double capacity = REQUESTS_PER_SECOND / 1e6 / (WARM + 1);
         for (int first = 0; first < sentAt.size(); first++) {
             long from = sentAt.get(first);
-            double age = (double) (from - startedAt) / set.warmUpUs;
-            double share = set.warmUpInitialShare + (1 - set.warmUpInitialShare) * age;
-            double budget = set.overloadMultiple * share * capacity * set.overloadUs;
+            double age = (double) (from - startedAt) / settings.warmUpUs;
+            double share = settings.warmUpInitialShare + (1 - settings.warmUpInitialShare) * age;
+            double budget = settings.overloadMultiple * share * capacity * settings.overloadUs;
             long sent = sentAt.stream()
-                    .filter(at -> at >= from && at < from + set.overloadUs)
+                    .filter(at -> at >= from && at < from + settings.overloadUs)
                     .count();
             assertTrue(
                     sent <= budget + 2 * Math.sqrt(budget) + 2,
@@ -104,15 +104,15 @@
         ArrayDeque<Runnable> due = new ArrayDeque<>();
         for (int round = 0; round < rounds; round++) {
             nodes.forEach(node -> node.advance(1_000));
-            while (due.size() > 20 * ASKED_A_SECOND / 1_000) {
+            while (due.size() > 20 * REQUESTS_PER_SECOND / 1_000) {
                 due.poll().run();
             }
-            if (chance.nextInt(1_000) < ASKED_A_SECOND) {
+            if (chance.nextInt(1_000) < REQUESTS_PER_SECOND) {
                 FakeNode node = nodes.get(chance.nextInt(nodes.size()));
-                long id = node.ask(FakeNode.IDEMPOTENT);
+                long id = node.request(FakeNode.IDEMPOTENT);
                 due.add(() -> {
-                    if (node.last(id) != null && !node.refused.contains(id)) {
-                        node.answer(id, AttemptResult.OK, 0);
+                    if (node.lastAttempt(id) != null && !node.rejected.contains(id)) {
+                        node.endAttempt(id, AttemptResult.OK, 0);
                     }
                 });
             }
@@ -120,11 +120,11 @@
     }
 
     @Test
-    void aNodeThatHasJustStartedDoesNotFloodAColdServer() {
+    void nodeThatHasJustStartedDoesNotFloodAWarmingServer() {
         FakeNode node = new FakeNode();
-        node.list(ListKind.CACHED, List.of(started("cold", node.now - 100_000), FakeNode.server("warm")));
+        node.deliverList(ListKind.CACHED, List.of(started("cold", node.now - 100_000), FakeNode.server("warm")));
         for (int i = 0; i < 200; i++) {
-            node.ask(FakeNode.IDEMPOTENT);
+            node.request(FakeNode.IDEMPOTENT);
             node.advance(1_000);
         }
         long toCold = node.sentTo("cold");
@@ -132,12 +132,12 @@
     }
 
     @Test
-    void aNodeWhoseServersAreAllColdFromTheFirstListOnSendsToThem() {
+    void nodeSendsToServersThatAreAllWarmingUp() {
         FakeNode node = new FakeNode();
         node.now = 1_700_000_000_000_000L;
-        node.list(ListKind.CACHED, List.of(started("c0", node.now - 9_000), started("c1", node.now - 9_000)));
+        node.deliverList(ListKind.CACHED, List.of(started("c0", node.now - 9_000), started("c1", node.now - 9_000)));
         for (int i = 0; i < 10; i++) {
-            node.ask(FakeNode.IDEMPOTENT);
+            node.request(FakeNode.IDEMPOTENT);
             node.advance(100_000);
         }
         assertTrue(node.sent.size() > 0, "nothing was sent in a second");
@@ -150,13 +150,13 @@
         for (long epoch : new long[] {1_000_000, 900_000_000_000L}) {
             FakeNode node = new FakeNode();
             node.now = epoch;
-            node.with(3);
+            node.withServers(3);
             for (int i = 0; i < 100; i++) {
-                node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
+                node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
             }
-            node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
+            node.deliverList(ListKind.CHANGES, List.of(started("cold", node.now)));
             for (int i = 0; i < 300; i++) {
-                node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
+                node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
             }
             sentToCold.add(node.sentTo("cold"));
         }
@@ -165,31 +165,31 @@
     }
 
     @Test
-    void aColdServersLimitDoesNotGrowPastTheOthersWhileOnlySlowStartHoldsItBack() {
+    void warmingServersLimitDoesNotPassTheMean() {
         // Quick answers to single requests raised limits that choked servers once warm.
-        BalancerSettings set = FakeNode.settings();
-        set.nodes = 8;
-        FakeNode node = new FakeNode(set, 5);
-        node.list(ListKind.CACHED, List.of(started("cold", node.now), FakeNode.server("warm")));
-        long warmAt = node.now + set.warmUpUs;
+        BalancerSettings settings = FakeNode.settings();
+        settings.nodes = 8;
+        FakeNode node = new FakeNode(settings, 5);
+        node.deliverList(ListKind.CACHED, List.of(started("cold", node.now), FakeNode.server("warm")));
+        long warmAt = node.now + settings.warmUpUs;
         int answered = 0;
         while (node.now < warmAt) {
             for (int i = 0; i < 3; i++) {
-                node.ask(FakeNode.IDEMPOTENT);
+                node.request(FakeNode.IDEMPOTENT);
             }
             for (; answered < node.sent.size(); answered++) {
                 FakeNode.Sent sent = node.sent.get(answered);
-                node.answer(sent.request(), AttemptResult.OK, sent.server().equals("cold") ? 10_000 : 150_000);
+                node.endAttempt(sent.request(), AttemptResult.OK, sent.server().equals("cold") ? 10_000 : 150_000);
             }
             node.advance(50_000);
         }
         node.advance(3_000_000);
         long before = node.sentTo("cold");
         for (int step = 0; step < 20; step++) {
-            node.ask(FakeNode.IDEMPOTENT);
+            node.request(FakeNode.IDEMPOTENT);
             node.advance(50_000);
             while (answered < node.sent.size() && node.sent.get(answered).atUs() <= node.now - 150_000) {
-                node.answer(node.sent.get(answered++).request(), AttemptResult.OK, 0);
+                node.endAttempt(node.sent.get(answered++).request(), AttemptResult.OK, 0);
             }
         }
         long toOneJustWarm = node.sentTo("cold") - before;
@@ -198,19 +198,19 @@
 
     /** Guards i5680d6: all nodes hear of a start at once; their first sends together pushed servers over. */
     @Test
-    void firstSendsOfManyNodesToAColdServerDoNotComeTogether() {
+    void firstSendsOfManyNodesToAWarmingServerAreSpread() {
         int within = 0;
         for (int me = 0; me < 40; me++) {
-            BalancerSettings set = FakeNode.settings();
-            set.nodes = 24;
-            set.nodeIndex = me % 24;
-            FakeNode node = new FakeNode(set, 300 + me).with(10);
+            BalancerSettings settings = FakeNode.settings();
+            settings.nodes = 24;
+            settings.nodeIndex = me % 24;
+            FakeNode node = new FakeNode(settings, 300 + me).withServers(10);
             for (int i = 0; i < 200; i++) {
-                node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 20_000);
+                node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 20_000);
             }
-            node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
+            node.deliverList(ListKind.CHANGES, List.of(started("cold", node.now)));
             for (int i = 0; i < 15; i++) {
-                node.serve(FakeNode.IDEMPOTENT, AttemptResult.OK, 20_000);
+                node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 20_000);
             }
             within += node.sentTo("cold") > 0 ? 1 : 0;
         }
@@ -219,16 +219,16 @@
     }
 
     @Test
-    void whereKeysAreWarmAColdServerGetsLessSinceItKnowsNone() {
+    void warmingServerGetsLessWithKeyAffinity() {
         long[] sent = new long[2];
         for (int warm = 0; warm < 2; warm++) {
-            BalancerSettings set = FakeNode.settings();
-            set.keyAffinity = warm == 1;
-            FakeNode node = new FakeNode(set, 9).with(4);
-            node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
+            BalancerSettings settings = FakeNode.settings();
+            settings.keyAffinity = warm == 1;
+            FakeNode node = new FakeNode(settings, 9).withServers(4);
+            node.deliverList(ListKind.CHANGES, List.of(started("cold", node.now)));
             for (int i = 0; i < 1_000; i++) {
-                long id = node.askFor("k" + i % 300, FakeNode.NON_IDEMPOTENT);
-                node.answer(id, AttemptResult.OK, 10_000);
+                long id = node.requestWithKey("k" + i % 300, FakeNode.NON_IDEMPOTENT);
+                node.endAttempt(id, AttemptResult.OK, 10_000);
             }
             sent[warm] = node.sentTo("cold");
         }
@@ -237,36 +237,36 @@
 
     /** A limit that slow start kept from being met let all nodes fill a server as soon as it was warm. */
     @Test
-    void aServerThatHasJustWarmedUpIsNotFilledAtOnceWhereKeysAreWarm() {
-        BalancerSettings set = FakeNode.settings();
-        set.nodes = 14;
-        set.keyAffinity = true;
-        FakeNode node = new FakeNode(set, 11).with(20);
+    void serverThatHasJustWarmedUpIsNotFilledAtOnceWithKeyAffinity() {
+        BalancerSettings settings = FakeNode.settings();
+        settings.nodes = 14;
+        settings.keyAffinity = true;
+        FakeNode node = new FakeNode(settings, 11).withServers(20);
         for (int i = 0; i < 400; i++) {
-            node.answer(node.askFor("k" + i, FakeNode.NON_IDEMPOTENT), AttemptResult.OK, 10_000);
+            node.endAttempt(node.requestWithKey("k" + i, FakeNode.NON_IDEMPOTENT), AttemptResult.OK, 10_000);
         }
-        node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
-        node.advance(set.warmUpUs);
+        node.deliverList(ListKind.CHANGES, List.of(started("cold", node.now)));
+        node.advance(settings.warmUpUs);
         for (int i = 0; i < 400; i++) {
-            node.askFor("k" + i, FakeNode.NON_IDEMPOTENT);
+            node.requestWithKey("k" + i, FakeNode.NON_IDEMPOTENT);
         }
         assertTrue(node.sentTo("cold") <= 1, "sent at once by one of 14 nodes: " + node.sentTo("cold"));
     }
 
     /** Until its own word was heeded, a cold server stood all but idle for as long as it might be cold. */
     @Test
-    void aColdServerThatReportsEaseGetsMoreThanOneThatReportsNothing() {
+    void warmingServerThatReportsLittleLoadGetsMore() {
         long[] sent = new long[2];
         for (int reports = 0; reports < 2; reports++) {
-            BalancerSettings set = FakeNode.settings();
-            set.keyAffinity = true;
-            set.reportFields.add(LoadReportField.IN_FLIGHT);
-            FakeNode node = new FakeNode(set, 12).with(4);
-            node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
+            BalancerSettings settings = FakeNode.settings();
+            settings.keyAffinity = true;
+            settings.reportFields.add(LoadReportField.IN_FLIGHT);
+            FakeNode node = new FakeNode(settings, 12).withServers(4);
+            node.deliverList(ListKind.CHANGES, List.of(started("cold", node.now)));
             for (int i = 0; i < 1_000; i++) {
-                long id = node.askFor("k" + i % 300, FakeNode.NON_IDEMPOTENT);
+                long id = node.requestWithKey("k" + i % 300, FakeNode.NON_IDEMPOTENT);
                 node.advance(10_000);
-                boolean cold = node.last(id).server().equals("cold");
+                boolean cold = node.lastAttempt(id).server().equals("cold");
                 node.balancer.onOutcome(
                         node.now,
                         new AttemptOutcome(
