--- a/node/src/main/java/loadbalancer/policy/LoadReports.java
+++ b/node/src/main/java/loadbalancer/policy/LoadReports.java
@@ -60,6 +60,9 @@
 
     /** Whether a server is to be passed over. */
     boolean isOverloaded(ServerRecord server, long nowUs) {
+        if (inFlightField < 0) {
+            return false;
+        }
         double mean = state.totalReportedLoad / Math.max(1, state.servers.length);
         double freshness = Math.exp((server.reportedAtUs - nowUs) / server.reportLatencyUs);
         return mean + (server.reportedLoad - mean) * freshness > OVERLOADED_FACTOR * mean + 1;
