--- a/node/src/main/java/loadbalancer/policy/LoadReports.java
+++ b/node/src/main/java/loadbalancer/policy/LoadReports.java
@@ -13,7 +13,7 @@
 final class LoadReports {
     /** A server is overloaded with this many times the mean load, and one request more. */
     private static final double OVERLOADED_FACTOR = 1.5;
-    /** Predicted latency, in shortest objectives, from which a server's limit is cut; at one, servers ran dry. */
+    /** Predicted latency, in shortest objectives, from which a server's limit is cut; the margin keeps servers busy. */
     private static final double LATE_FACTOR = 1.5;
 
     private final BalancerState state;
--- a/node/src/main/java/loadbalancer/policy/PendingQueue.java
+++ b/node/src/main/java/loadbalancer/policy/PendingQueue.java
@@ -12,7 +12,7 @@
  * <p>The queue is bounded by the settings' maximum of open requests: beyond that clients would find no connection, so
  * the request of the lowest value makes room.
  *
- * <p>Single-threaded; sends and final answers are the {@link Dispatcher}'s.
+ * <p>Single-threaded; sends and final answers are the owner's.
  */
 final class PendingQueue {
     /** Shortest time between sweeps: long against the cost of one, short against any latency objective. */
@@ -31,18 +31,22 @@
 
     static final int KEYS_PER_SWEEP = 64;
 
-    /** What the queue's owner does for it. */
-    interface Dispatcher {
-        /** Sends the request if a server may take it now; false if none may. */
+    /** Sends a request if a server may take it now; false if none may. */
+    @FunctionalInterface
+    interface Sender {
         boolean trySend(PendingRequest request, long nowUs);
+    }
 
-        /** Gives the request its final answer, which ends it. */
+    /** Gives a request its final answer, which ends it. */
+    @FunctionalInterface
+    interface Answerer {
         void answerUnserved(PendingRequest request);
     }
 
     private final BalancerState state;
     private final PerClass<ClassLatency> latencies;
-    private final Dispatcher dispatcher;
+    private final Sender sender;
+    private final Answerer answerer;
     /** Holds requests that have ended or were sent until the next pass removes them. */
     private final List<PendingRequest> queue = new ArrayList<>();
 
@@ -53,10 +57,11 @@
     private boolean fullForNonIdempotent;
     private int keysToTry;
 
-    PendingQueue(BalancerState state, PerClass<ClassLatency> latencies, Dispatcher dispatcher) {
+    PendingQueue(BalancerState state, PerClass<ClassLatency> latencies, Sender sender, Answerer answerer) {
         this.state = state;
         this.latencies = latencies;
-        this.dispatcher = dispatcher;
+        this.sender = sender;
+        this.answerer = answerer;
     }
 
     void applySettings(BalancerSettings settings) {
@@ -111,7 +116,7 @@
             }
             boolean late = isLate(request, nowUs);
             if (hasNoUse(request, late, nowUs)) {
-                dispatcher.answerUnserved(request);
+                answerer.answerUnserved(request);
             } else if (late && !request.valuedAsLate) {
                 request.valuedAsLate = true;
                 request.value *= request.requestClass.lateWeight();
@@ -137,7 +142,7 @@
     private boolean trySend(PendingRequest request, long nowUs) {
         boolean nonIdempotent = request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT;
         boolean isFull = fullForAll || nonIdempotent && fullForNonIdempotent;
-        if (!isFull && dispatcher.trySend(request, nowUs)) {
+        if (!isFull && sender.trySend(request, nowUs)) {
             return true;
         }
         // A request that was not sent yet may go anywhere, but for those which are not idempotent and ejected servers:
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -36,7 +36,7 @@
         rules = new BalancerRules(settings, new SplittableRandom(seed), actions);
         state = rules.state;
         outcomeRecorder = new OutcomeRecorder(rules);
-        queue = new PendingQueue(state, rules.latencies, new QueueDispatcher());
+        queue = new PendingQueue(state, rules.latencies, this::trySend, this::answerUnserved);
         wakeUpTimer = new WakeUpTimer(actions);
         applySettings(settings);
         rules.serversInUse.shareAmong(settings.nodes);
@@ -293,17 +293,4 @@
             throw new IllegalArgumentException("unknown class or tenant, or an id that is in use: " + request);
         }
     }
-
-    /** What the queue asks of the balancer. */
-    private final class QueueDispatcher implements PendingQueue.Dispatcher {
-        @Override
-        public boolean trySend(PendingRequest request, long nowUs) {
-            return ServiceQBalancer.this.trySend(request, nowUs);
-        }
-
-        @Override
-        public void answerUnserved(PendingRequest request) {
-            ServiceQBalancer.this.answerUnserved(request);
-        }
-    }
 }
--- a/node/src/test/java/loadbalancer/policy/PendingQueueTest.java
+++ b/node/src/test/java/loadbalancer/policy/PendingQueueTest.java
@@ -17,22 +17,20 @@
     private final List<PendingRequest> unserved = new ArrayList<>();
     private boolean full;
     private final PendingQueue queue =
-            new PendingQueue(fixture.state, fixture.rules.latencies, new PendingQueue.Dispatcher() {
-                @Override
-                public boolean trySend(PendingRequest request, long nowUs) {
-                    tried.add(request);
-                    if (!full) {
-                        request.addAttempt(fixture.state.servers[0], nowUs);
-                    }
-                    return !full;
-                }
+            new PendingQueue(fixture.state, fixture.rules.latencies, this::trySend, this::answerUnserved);
 
-                @Override
-                public void answerUnserved(PendingRequest request) {
-                    unserved.add(request);
-                    request.end();
-                }
-            });
+    private boolean trySend(PendingRequest request, long nowUs) {
+        tried.add(request);
+        if (!full) {
+            request.addAttempt(fixture.state.servers[0], nowUs);
+        }
+        return !full;
+    }
+
+    private void answerUnserved(PendingRequest request) {
+        unserved.add(request);
+        request.end();
+    }
 
     private PendingRequest waiting(int classIndex, double value) {
         PendingRequest request = fixture.request(classIndex);
