--- a/node/src/test/java/loadbalancer/policy/BalancerPathTest.java
+++ b/node/src/test/java/loadbalancer/policy/BalancerPathTest.java
@@ -152,7 +152,7 @@
 
     @Test
     void nodeAmongManyHasNoMoreInFlightThanTheSumOfItsLimits() {
-        // Guards a fleet whose servers choke: one request from each node at every server choked the fleet.
+        // One request from each node of a large fleet at every server at once would overload all servers.
         BalancerSettings settings = FakeNode.settings();
         settings.nodes = 8;
         FakeNode node = new FakeNode(settings, 3).withServers(8);
@@ -198,7 +198,7 @@
     }
 
     /**
-     * Guards i8c4c9a: while half of the answers came late, timely ones raised limits again and held the jam.
+     * While half of the answers came late, those on time raised the limits again and prolonged the overload.
      */
     @Test
     void quickAnswersRaiseLimitsLessWhileOthersComeLate() {
--- a/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
@@ -122,7 +122,7 @@
         assertTrue(drawn <= 0.05 * (asked - before), "drawn: " + drawn + " of " + (asked - before));
     }
 
-    /** What is asked for once the jam is over is a third less than the servers can do. */
+    /** Once the overload is over, requests come to two thirds of what the servers can do. */
     @Test
     void allIsServedOnTimeOneSecondAfterAnOverload() {
         play(10 * SECOND, 5_000, 0);
--- a/node/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/node/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -181,7 +181,7 @@
         assertTrue(more <= 1, "sent to the full server: " + more);
     }
 
-    /** Guards i629bed: turned away in a burst, requests hopped on to servers that did not know their key. */
+    /** Requests that were rejected in a burst were retried at servers that did not know their key. */
     @Test
     void rejectedRequestIsRetriedAtItsKeysServers() {
         List<List<String>> paths = new ArrayList<>();
--- a/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
+++ b/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
@@ -170,7 +170,7 @@
         assertTrue(said(node, "restored server s0"), node.ejectionLog.toString());
     }
 
-    /** Guards against limits that rose until servers choked, as slow answers went unseen. */
+    /** Clients left before slow answers came. Limits rose until servers were overloaded, as only quick answers were seen. */
     @Test
     void longWaitsOfClientsThatLeaveLowerLimits() {
         int[] held = new int[2];
--- a/node/src/test/java/loadbalancer/policy/WarmUpTest.java
+++ b/node/src/test/java/loadbalancer/policy/WarmUpTest.java
@@ -166,7 +166,7 @@
 
     @Test
     void warmingServersLimitDoesNotPassTheMean() {
-        // Quick answers to single requests raised limits that choked servers once warm.
+        // Quick answers to single requests raised limits that overloaded servers once they were warm.
         BalancerSettings settings = FakeNode.settings();
         settings.nodes = 8;
         FakeNode node = new FakeNode(settings, 5);
@@ -196,7 +196,7 @@
         assertTrue(toOneJustWarm <= 3, "sent in a second to the server that is now warm: " + toOneJustWarm);
     }
 
-    /** Guards i5680d6: all nodes hear of a start at once; their first sends together pushed servers over. */
+    /** All nodes learn of a start at once. Their first sends together overloaded the server. */
     @Test
     void firstSendsOfManyNodesToAWarmingServerAreSpread() {
         int within = 0;
@@ -253,7 +253,7 @@
         assertTrue(node.sentTo("cold") <= 1, "sent at once by one of 14 nodes: " + node.sentTo("cold"));
     }
 
-    /** Until its own word was heeded, a cold server stood all but idle for as long as it might be cold. */
+    /** Before its load report was taken into account, a warming server was almost idle until its warm-up time ended. */
     @Test
     void warmingServerThatReportsLittleLoadGetsMore() {
         long[] sent = new long[2];
