--- a/node/src/main/java/loadbalancer/policy/LoadReports.java
+++ b/node/src/main/java/loadbalancer/policy/LoadReports.java
@@ -13,7 +13,7 @@
 final class LoadReports {
     /** A server is overloaded with this many times the mean load, and one request more. */
     private static final double OVERLOADED_FACTOR = 1.5;
-    /** Predicted latency, in shortest objectives, from which a server's limit is cut; at one, servers ran dry. */
+    /** Predicted latency, in shortest objectives, from which a server's limit is cut; the margin keeps servers busy. */
     private static final double LATE_FACTOR = 1.5;
 
     private final BalancerState state;
@@ -60,6 +60,9 @@
 
     /** Whether a server is to be passed over. */
     boolean isOverloaded(ServerRecord server, long nowUs) {
+        if (inFlightField < 0) {
+            return false;
+        }
         double mean = state.totalReportedLoad / Math.max(1, state.servers.length);
         double freshness = Math.exp((server.reportedAtUs - nowUs) / server.reportLatencyUs);
         return mean + (server.reportedLoad - mean) * freshness > OVERLOADED_FACTOR * mean + 1;
