--- a/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
+++ b/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
@@ -170,7 +170,7 @@
         assertTrue(said(node, "restored server s0"), node.ejectionLog.toString());
     }
 
-    /** Clients left before slow answers came. Limits rose until servers were overloaded, as only quick answers were seen. */
+    /** Clients left before slow answers came. Only quick answers were seen, so limits rose into an overload. */
     @Test
     void longWaitsOfClientsThatLeaveLowerLimits() {
         int[] held = new int[2];
