--- a/cli/src/main/java/loadbalancer/cli/Fleet.java
+++ b/cli/src/main/java/loadbalancer/cli/Fleet.java
@@ -56,26 +56,26 @@
         return spec.commandLine().getErr();
     }
 
-    private static boolean onTerminal() {
+    private static boolean isTerminal() {
         return System.console() != null;
     }
 
-    /** A scenario file and what goes before it. */
-    static final class Played {
+    /** A scenario file and the options that override it. */
+    static final class ScenarioOptions {
         @Parameters(paramLabel = "SCENARIO", description = "A scenario file; docs/rig.md tells its keys.")
         private Path file;
 
         @Option(
                 names = "--set",
                 paramLabel = "KEY=VALUE",
-                description = "Goes before the file's value:" + " --set load.per_second=200 --set fault.0.size=4")
+                description = "Overrides the file's value: --set load.per_second=200 --set fault.0.size=4")
         private Map<String, String> overrides = new LinkedHashMap<>();
 
         Scenario read() {
             return read(Map.of());
         }
 
-        /** With more that goes before the file, and before what is given for all. */
+        /** With further overrides, which win over those that are given for all. */
         Scenario read(Map<String, String> more) {
             Map<String, String> all = new LinkedHashMap<>(overrides);
             all.putAll(more);
@@ -86,8 +86,8 @@
             }
         }
 
-        /** The command line that plays it again. */
-        String again(String command, long seed) {
+        /** The command line that repeats the run. */
+        String replayCommand(String command, long seed) {
             String set = overrides.entrySet().stream()
                     .map(e -> " --set " + e.getKey() + "=" + e.getValue())
                     .collect(Collectors.joining());
@@ -117,7 +117,7 @@
             description = "Plays a scenario once.",
             footer = {"%nExample: lb fleet run scenarios/jam.toml --seed 7 --history jam.jsonl", ExitCode.HELP})
     int run(
-            @Mixin Played played,
+            @Mixin ScenarioOptions options,
             @Option(names = "--seed", defaultValue = "1", description = "Seed of all chance; default 1.") long seed,
             @Option(
                             names = "--policy",
@@ -128,12 +128,12 @@
             @Option(names = "--real", description = "With processes on loopback, in real time.") boolean real,
             @Option(names = "--history", paramLabel = "FILE", description = "Writes down all that happens.") Path file)
             throws IOException, InterruptedException {
-        Scenario scenario = played.read();
+        Scenario scenario = options.read();
         Policy policy = policy(policyName);
         if (real && policy != Policy.MODULE) {
             throw new UsageException("--policy " + policyName + ": must be module with --real");
         }
-        SimPlay.Progress progress = onTerminal() && !json ? this::showSecond : (nowUs, world) -> {};
+        SimPlay.Progress progress = isTerminal() && !json ? this::showSecond : (nowUs, world) -> {};
         Outcome outcome;
         try (OutputStream to = file == null ? null : new BufferedOutputStream(Files.newOutputStream(file))) {
             outcome = real
@@ -145,7 +145,7 @@
         } else {
             out().println(outcome.score());
             out().println(outcome.events() + " events" + (real ? "" : ", SHA-256 " + outcome.digest()));
-            tell(outcome, played);
+            printViolations(outcome, options);
         }
         return outcome.keepsRules() ? ExitCode.OK : ExitCode.BROKEN;
     }
@@ -155,10 +155,10 @@
         err().flush();
     }
 
-    private void tell(Outcome outcome, Played played) {
+    private void printViolations(Outcome outcome, ScenarioOptions options) {
         for (Violation violation : outcome.violations()) {
             out().println("BROKEN " + violation);
-            out().println("again: " + played.again("run", outcome.seed()));
+            out().println("again: " + options.replayCommand("run", outcome.seed()));
         }
         if (outcome.keepsRules()) {
             out().println("rules kept");
@@ -172,13 +172,13 @@
                     + " for broken rules, and makes the first that it finds as small as it can.",
             footer = {"%nExample: lb fleet hunt scenarios/herd.toml --seeds 1000", ExitCode.HELP})
     int hunt(
-            @Mixin Played played,
+            @Mixin ScenarioOptions options,
             @Option(names = "--seeds", defaultValue = "100", description = "How many; default 100.") int seeds,
             @Option(names = "--first", defaultValue = "1", description = "The first seed; default 1.") long first,
             @Option(names = "--cores", description = "How many at a time; default all.") Integer cores,
             @Option(names = "--policy", defaultValue = "module", description = "What decides.") String policyName)
             throws InterruptedException {
-        Scenario scenario = played.read();
+        Scenario scenario = options.read();
         Policy policy = policy(policyName);
         int[] count = {0};
         List<Outcome> all = Seeds.play(
@@ -187,7 +187,7 @@
                 cores(cores),
                 seed -> SimPlay.play(scenario, seed, policy),
                 outcome -> {
-                    if (onTerminal()) {
+                    if (isTerminal()) {
                         err().printf("\r%d of %d seeds", ++count[0], seeds);
                         err().flush();
                     }
@@ -215,7 +215,7 @@
                         .map(outcome -> Long.toString(outcome.seed()))
                         .collect(Collectors.joining(", ")));
         Outcome worst = broken.get(0);
-        tell(worst, played);
+        printViolations(worst, options);
         Shrink.Smallest least = Shrink.shrink(
                 scenario, worst.violations().get(0), lesser -> SimPlay.play(lesser, worst.seed(), policy));
         Scenario s = least.scenario();
@@ -243,7 +243,7 @@
                 ExitCode.HELP
             })
     int compare(
-            @Mixin Played played,
+            @Mixin ScenarioOptions options,
             @Option(names = "--a", defaultValue = "module", description = "Default: module.") String a,
             @Option(
                             names = "--b",
@@ -261,8 +261,8 @@
             @Option(names = "--cores", description = "How many at a time; default all.") Integer cores)
             throws InterruptedException {
         atLeastOne("--seeds", seeds);
-        List<Outcome> ofA = play(played.read(setA == null ? Map.of() : setA), policy(a), first, seeds, cores(cores));
-        List<Outcome> ofB = play(played.read(setB == null ? Map.of() : setB), policy(b), first, seeds, cores(cores));
+        List<Outcome> ofA = play(options.read(setA == null ? Map.of() : setA), policy(a), first, seeds, cores(cores));
+        List<Outcome> ofB = play(options.read(setB == null ? Map.of() : setB), policy(b), first, seeds, cores(cores));
         out().println("G of A = " + a + (setA == null ? "" : " " + setA) + ", B = " + b
                 + (setB == null ? "" : " " + setB) + ", " + seeds + " seeds from " + first);
         out().println(Comparison.of(
--- a/cli/src/test/java/loadbalancer/cli/FleetTest.java
+++ b/cli/src/test/java/loadbalancer/cli/FleetTest.java
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aRunTellsItsOutcomeAsJsonAndTheSameOneEachTime() throws Exception {
+    void runPrintsTheSameOutcomeAsJsonEachTime() throws Exception {
         String[] words = {"fleet", "run", "scenarios/calm.toml", "--seed", "3", "--json", "--set", "length_s=8"};
         assertEquals(0, run(words));
         JsonNode first = new ObjectMapper().readTree(out.toString());
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aBadScenarioIsToldInFullAndEndsWithTwo() throws Exception {
+    void badScenarioIsReportedInFullWithExitCodeTwo() throws Exception {
         Path bad = scenario("name = \"x\"\n[fleet]\nnodes = 0\n[load]\nper_sekond = 3\n");
         assertEquals(2, run("fleet", "run", bad.toString()));
         assertTrue(err.toString().contains("fleet.nodes = 0: must be a number from 1 to 10000"), err.toString());
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void unknownWordsEndWithTwoAndSuggestTheNearest() {
+    void unknownWordsSuggestTheNearestWithExitCodeTwo() {
         assertEquals(2, run("fleet", "comapre"));
         assertTrue(err.toString().contains("Did you mean: fleet compare"), err.toString());
         assertEquals(2, run("fleet", "compare", "scenarios/calm.toml", "--b", "best"));
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aBrokenRuleEndsWithOneAndTellsHowToPlayItAgain() {
+    void brokenRulePrintsTheReplayCommandWithExitCodeOne() {
         // Random choice knows of no slow start: with little room cold servers fall over.
         assertEquals(
                 1,
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void theModuleOfTheNodesJarIsTheModule() {
+    void balancerOfTheNodeJarDecidesLikeTheBuiltInOne() {
         assertEquals(
                 0,
                 run(
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void aReportIsOnePageWithoutLinks() throws Exception {
+    void reportIsOnePageWithoutLinks() throws Exception {
         Path history = folder.resolve("jam.jsonl");
         assertEquals(
                 0, run("fleet", "run", "scenarios/jam.toml", "--history", history.toString(), "--set", "length_s=30"));
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aDayThatIsNoneIsTurnedDown() throws Exception {
+    void fileThatIsNoDayIsRejected() throws Exception {
         Path day = Files.writeString(folder.resolve("day.json"), "{\"v\":1}");
         assertEquals(2, run("fleet", "import", day.toString()));
         assertTrue(err.toString().contains("is no day"), err.toString());
--- a/rig/src/main/java/loadbalancer/rig/real/FaultLink.java
+++ b/rig/src/main/java/loadbalancer/rig/real/FaultLink.java
@@ -26,39 +26,39 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A way between two parties over TCP that can be hurt: it listens in place of the one and passes on to it
+ * A TCP proxy that injects faults between two parties: it listens in place of the one and forwards to it
  * what the other sends. Each direction has faults of its own, which hold for what comes from then on. What it
  * cannot do is keep the system from accepting a connection: one that is to say nothing is taken, and then
  * says nothing.
  */
 public final class FaultLink implements AutoCloseable {
-    /** What a direction holds that is under way; beyond it, it reads no more. */
+    /** How many bytes a direction buffers; at this limit it stops reading. */
     private static final int MAX_QUEUED_BYTES = 1 << 20;
     /** Pieces in which a trickle comes, a second. */
     private static final int PIECES_PER_S = 50;
 
-    /** Which way bytes go. */
-    public enum Way {
+    /** The direction in which bytes go. */
+    public enum Direction {
         TO_TARGET,
         FROM_TARGET
     }
 
     /**
-     * What is wrong with a direction.
+     * The faults of one direction.
      *
-     * @param silent nothing comes through until that is over; what was sent meanwhile comes then, as TCP
+     * @param blocked nothing comes through until that is over; what was sent meanwhile comes then, as TCP
      *    sends it again
-     * @param delayUs how much longer everything takes
-     * @param jitterUs and up to so much more; order is kept
+     * @param delayUs the delay of everything
+     * @param jitterUs and up to this much more at random; order is kept
      * @param bytesPerSecond no more than this; 0 for no limit
      * @param resetAfter the connection breaks once so many bytes of it have come through, amid whatever they
      *    are; 0 for never
-     * @param halfOpen an end of the connection on one side is not told on the other
+     * @param halfOpen the close of the connection on one side is not passed on to the other
      */
     public record Faults(
-            boolean silent, long delayUs, long jitterUs, long bytesPerSecond, long resetAfter, boolean halfOpen) {
+            boolean blocked, long delayUs, long jitterUs, long bytesPerSecond, long resetAfter, boolean halfOpen) {
         public static final Faults NONE = new Faults(false, 0, 0, 0, 0, false);
-        public static final Faults SILENT = new Faults(true, 0, 0, 0, 0, true);
+        public static final Faults BLOCKED = new Faults(true, 0, 0, 0, 0, true);
 
         public static Faults delayed(long us, long jitterUs) {
             return new Faults(false, us, jitterUs, 0, 0, false);
@@ -76,22 +76,22 @@
     private final EventLoop loop;
     private final InetSocketAddress target;
     private final SplittableRandom random;
-    private final Map<Way, Faults> faults = new EnumMap<>(Way.class);
-    private final Set<Passage> passages = new HashSet<>();
+    private final Map<Direction, Faults> faults = new EnumMap<>(Direction.class);
+    private final Set<Tunnel> tunnels = new HashSet<>();
     private final InetAddress at;
     private final int port;
     private Channel listening;
     private Predicate<InetAddress> cut = from -> false;
     private UnaryOperator<ByteBuf> tampered = UnaryOperator.identity();
-    private Way tamperedWay = Way.FROM_TARGET;
+    private Direction tamperedDirection = Direction.FROM_TARGET;
 
     /** Listens at this address; called from outside the loop. */
     public FaultLink(EventLoop loop, String address, InetSocketAddress target, SplittableRandom random) {
         this.loop = loop;
         this.target = target;
         this.random = random;
-        for (Way way : Way.values()) {
-            faults.put(way, Faults.NONE);
+        for (Direction direction : Direction.values()) {
+            faults.put(direction, Faults.NONE);
         }
         at = new InetSocketAddress(address, 0).getAddress();
         listening = listen(0).syncUninterruptibly().channel();
@@ -139,26 +139,26 @@
         });
     }
 
-    /** From now on what goes this way is changed so; it takes over what it is given, for what it gives. */
-    public void tamper(Way way, UnaryOperator<ByteBuf> by) {
+    /** From now on what goes this direction is changed so; it takes over what it is given, for what it gives. */
+    public void tamper(Direction direction, UnaryOperator<ByteBuf> by) {
         loop.execute(() -> {
-            tamperedWay = way;
+            tamperedDirection = direction;
             tampered = by;
         });
     }
 
     /** From now on this holds for one direction of all connections. */
-    public void set(Way way, Faults to) {
+    public void set(Direction direction, Faults to) {
         loop.execute(() -> {
-            faults.put(way, to);
-            passages.stream().filter(passage -> passage.way == way).forEach(Passage::pass);
+            faults.put(direction, to);
+            tunnels.stream().filter(tunnel -> tunnel.direction == direction).forEach(Tunnel::pass);
         });
     }
 
     /** The same for both. */
     public void set(Faults to) {
-        for (Way way : Way.values()) {
-            set(way, to);
+        for (Direction direction : Direction.values()) {
+            set(direction, to);
         }
     }
 
@@ -166,18 +166,18 @@
     public void cut(Predicate<InetAddress> from) {
         loop.execute(() -> {
             cut = from;
-            passages.forEach(Passage::pass);
+            tunnels.forEach(Tunnel::pass);
         });
     }
 
     /** Breaks all connections. */
     public void reset() {
-        loop.execute(() -> Set.copyOf(passages).forEach(Passage::reset));
+        loop.execute(() -> Set.copyOf(tunnels).forEach(Tunnel::reset));
     }
 
     private void connect(SocketChannel from) {
         InetAddress source = from.remoteAddress().getAddress();
-        Passage there = new Passage(Way.TO_TARGET, from, source);
+        Tunnel there = new Tunnel(Direction.TO_TARGET, from, source);
         from.pipeline().addLast(there);
         new Bootstrap()
                 .group(loop)
@@ -187,19 +187,19 @@
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel to) {
-                        Passage back = new Passage(Way.FROM_TARGET, to, source);
+                        Tunnel back = new Tunnel(Direction.FROM_TARGET, to, source);
                         to.pipeline().addLast(back);
                         there.to = to;
                         back.to = from;
-                        passages.add(back);
+                        tunnels.add(back);
                     }
                 })
                 .connect(target)
                 .addListener(done -> {
                     if (done.isSuccess()) {
-                        passages.add(there);
+                        tunnels.add(there);
                         there.pass();
-                        there.to.pipeline().get(Passage.class).pass();
+                        there.to.pipeline().get(Tunnel.class).pass();
                     } else {
                         from.close();
                     }
@@ -207,8 +207,8 @@
     }
 
     /** One direction of one connection. */
-    private final class Passage extends ChannelInboundHandlerAdapter {
-        private final Way way;
+    private final class Tunnel extends ChannelInboundHandlerAdapter {
+        private final Direction direction;
         private final SocketChannel from;
         /** Where the connection came from. */
         private final InetAddress source;
@@ -225,19 +225,19 @@
 
         private record Piece(long dueNanos, ByteBuf bytes) {}
 
-        Passage(Way way, SocketChannel from, InetAddress source) {
-            this.way = way;
+        Tunnel(Direction direction, SocketChannel from, InetAddress source) {
+            this.direction = direction;
             this.from = from;
             this.source = source;
         }
 
         private Faults now() {
-            return cut.test(source) ? Faults.SILENT : faults.get(way);
+            return cut.test(source) ? Faults.BLOCKED : faults.get(direction);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
-            ByteBuf bytes = way == tamperedWay ? tampered.apply((ByteBuf) message) : (ByteBuf) message;
+            ByteBuf bytes = direction == tamperedDirection ? tampered.apply((ByteBuf) message) : (ByteBuf) message;
             long jitter = now().jitterUs() == 0 ? 0 : random.nextLong(now().jitterUs());
             lastDueNanos =
                     Math.max(lastDueNanos, System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(now().delayUs() + jitter));
@@ -251,15 +251,15 @@
             if (to == null) {
                 return;
             }
-            from.config().setAutoRead(!now().silent() && heldBytes < MAX_QUEUED_BYTES);
+            from.config().setAutoRead(!now().blocked() && heldBytes < MAX_QUEUED_BYTES);
             long nowNanos = System.nanoTime();
             int budget = now().bytesPerSecond() == 0
                     ? Integer.MAX_VALUE
                     : (int) Math.max(1, now().bytesPerSecond() / PIECES_PER_S);
-            while (!now().silent() && !planned && budget > 0 && !held.isEmpty() && held.peek().dueNanos <= nowNanos) {
+            while (!now().blocked() && !planned && budget > 0 && !held.isEmpty() && held.peek().dueNanos <= nowNanos) {
                 budget -= passSome(budget);
             }
-            if (!held.isEmpty() && !planned && !now().silent()) {
+            if (!held.isEmpty() && !planned && !now().blocked()) {
                 planned = true;
                 long waitNanos = Math.max(
                         held.peek().dueNanos - nowNanos, budget > 0 ? 0 : TimeUnit.SECONDS.toNanos(1) / PIECES_PER_S);
@@ -320,7 +320,7 @@
             } else {
                 to.closeFuture().addListener(closed -> {
                     releaseAll();
-                    passages.remove(this);
+                    tunnels.remove(this);
                 });
             }
         }
--- a/rig/src/main/java/loadbalancer/rig/real/ServerLinks.java
+++ b/rig/src/main/java/loadbalancer/rig/real/ServerLinks.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
+import loadbalancer.rig.real.FaultLink.Direction;
 import loadbalancer.rig.real.FaultLink.Faults;
-import loadbalancer.rig.real.FaultLink.Way;
 import loadbalancer.rig.world.Links;
 
 /** The ways of nodes to app servers, a fault link for each pair, on a loop of their own. */
@@ -64,8 +64,8 @@
     private void hurt(String server) {
         Faults slow = Faults.delayed(slower.getOrDefault(server, 0L), 0);
         for (FaultLink link : to(server)) {
-            link.set(Way.TO_TARGET, slow);
-            link.set(Way.FROM_TARGET, mute.contains(server) ? Faults.SILENT : slow);
+            link.set(Direction.TO_TARGET, slow);
+            link.set(Direction.FROM_TARGET, mute.contains(server) ? Faults.BLOCKED : slow);
         }
     }
 
--- a/rig/src/main/java/loadbalancer/rig/scenario/Scenario.java
+++ b/rig/src/main/java/loadbalancer/rig/scenario/Scenario.java
@@ -122,7 +122,7 @@
             long idleUs) {}
 
     /** How late nodes hear of what: starts, planned changes, deaths, and machines that fall silent. */
-    public record ServerList(long addUs, long changeUs, long deathUs, long silenceUs, long spreadUs) {}
+    public record ServerList(long addUs, long changeUs, long deathUs, long unreachableUs, long spreadUs) {}
 
     /** What an app server is; see {@code AppServer}. */
     public record ServerKind(
@@ -139,8 +139,8 @@
             long pauseUs,
             double pauseGrow,
             double errorRate,
-            int keysKept,
-            long keysKeptUs,
+            int keyCacheSize,
+            long keyCacheUs,
             double keyGain,
             long reportEveryUs,
             long reportDelayUs,
--- a/rig/src/main/java/loadbalancer/rig/world/AppServer.java
+++ b/rig/src/main/java/loadbalancer/rig/world/AppServer.java
@@ -327,14 +327,14 @@
     }
 
     private boolean hasCached(String key) {
-        if (key == null || kind.keysKept() == 0) {
+        if (key == null || kind.keyCacheSize() == 0) {
             return false;
         }
         Long at = cachedKeys.put(key, time.nowUs());
-        if (cachedKeys.size() > kind.keysKept() * kind.cores()) {
+        if (cachedKeys.size() > kind.keyCacheSize() * kind.cores()) {
             cachedKeys.remove(cachedKeys.keySet().iterator().next());
         }
-        return at != null && time.nowUs() - at <= kind.keysKeptUs();
+        return at != null && time.nowUs() - at <= kind.keyCacheUs();
     }
 
     /** A cold server that gets far more than it can do for too long falls over. */
--- a/rig/src/main/java/loadbalancer/rig/world/ListModel.java
+++ b/rig/src/main/java/loadbalancer/rig/world/ListModel.java
@@ -134,7 +134,7 @@
         if (entry != null) {
             change(
                     inState(entry, ServerState.GONE),
-                    planned ? delays.changeUs() : unreachable ? delays.silenceUs() : delays.deathUs());
+                    planned ? delays.changeUs() : unreachable ? delays.unreachableUs() : delays.deathUs());
         }
     }
 
--- a/rig/src/test/java/loadbalancer/rig/check/CheckersTest.java
+++ b/rig/src/test/java/loadbalancer/rig/check/CheckersTest.java
@@ -252,7 +252,7 @@
     }
 
     @TestFactory
-    Stream<DynamicTest> eachCheckerTellsGoodFromBad() {
+    Stream<DynamicTest> eachCheckerTellsGoodHistoriesFromBad() {
         return cases().map(c -> DynamicTest.dynamicTest(c.name, () -> {
             assertEquals(
                     List.of(),
--- a/rig/src/test/java/loadbalancer/rig/check/LinearizableTest.java
+++ b/rig/src/test/java/loadbalancer/rig/check/LinearizableTest.java
@@ -96,7 +96,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void trueHistoriesPassAndALieIsFound(long seed) {
+    void linearizableHistoriesPassAndOthersAreDetected(long seed) {
         assertEquals(List.of(), judge(history(seed, -1)));
         assertTrue(judge(history(seed, (int) seed % 10)).size() == 1);
     }
--- a/rig/src/test/java/loadbalancer/rig/play/PlantedFaultsTest.java
+++ b/rig/src/test/java/loadbalancer/rig/play/PlantedFaultsTest.java
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void theModuleItselfKeepsTheRulesOnTheSameScenarios() throws Exception {
+    void unmodifiedBalancerKeepsTheRulesOnTheSameScenarios() throws Exception {
         for (String name : List.of("calm", "jam", "herd", "hands", "links", "zone")) {
             for (long seed = 1; seed <= 4; seed++) {
                 assertEquals(
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void aViolationIsShrunkToWhatItNeeds() throws Exception {
+    void violationIsShrunkToTheSmallestScenario() throws Exception {
         Scenario scenario = scenario("hands");
         Policy faulty = Planted.policy(() -> new Planted() {
             @Override
--- a/rig/src/test/java/loadbalancer/rig/play/SimPlayTest.java
+++ b/rig/src/test/java/loadbalancer/rig/play/SimPlayTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameBytesOnOneCoreAndOnEight() throws Exception {
+    void sameSeedGivesSameBytesOnOneCoreAndOnEight() throws Exception {
         Scenario scenario = PlantedFaultsTest.scenario("hands");
         List<String> alone = digests(scenario, 1);
         assertEquals(alone, digests(scenario, 8));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aPolicyThatSeesAllIsAheadOfOneThatSeesNothing() throws Exception {
+    void oraclePolicyBeatsRandom() throws Exception {
         Scenario scenario = PlantedFaultsTest.scenario("jam");
         double[][] g = new double[2][6];
         for (int seed = 0; seed < 6; seed++) {
--- a/rig/src/test/java/loadbalancer/rig/real/FaultLinkTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/FaultLinkTest.java
@@ -18,8 +18,8 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.rig.real.FaultLink.Direction;
 import loadbalancer.rig.real.FaultLink.Faults;
-import loadbalancer.rig.real.FaultLink.Way;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -54,8 +54,8 @@
     }
 
     /** What is set holds once this returns: the loop has run it. */
-    private void set(Way way, Faults faults) {
-        link.set(way, faults);
+    private void set(Direction direction, Faults faults) {
+        link.set(direction, faults);
         loop.submit(() -> {}).awaitUninterruptibly();
     }
 
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void withoutFaultsAllComesThroughBothWaysAndTheEndIsTold() throws Exception {
+    void withoutFaultsBothDirectionsAndTheCloseComeThrough() throws Exception {
         byte[] sent = bytes(MEGABYTE);
         CompletableFuture<byte[]> read = CompletableFuture.supplyAsync(() -> readAll(far));
         near.getOutputStream().write(sent);
@@ -83,21 +83,21 @@
     }
 
     @Test
-    void aSilentWayKeepsWhatIsSentUntilItHealsWhileTheOtherGoesOn() throws Exception {
-        set(Way.TO_TARGET, Faults.SILENT);
+    void blockedDirectionQueuesUntilItHealsWhileTheOtherGoesOn() throws Exception {
+        set(Direction.TO_TARGET, Faults.BLOCKED);
         near.getOutputStream().write(7);
         far.getOutputStream().write(8);
         assertEquals(8, near.getInputStream().read());
         far.setSoTimeout(100);
         assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
-        set(Way.TO_TARGET, Faults.NONE);
+        set(Direction.TO_TARGET, Faults.NONE);
         far.setSoTimeout(20_000);
         assertEquals(7, far.getInputStream().read());
     }
 
     @Test
-    void delayAndTrickleTakeTheirTimeAndKeepOrder() throws Exception {
-        set(Way.TO_TARGET, Faults.delayed(50_000, 20_000));
+    void delayAndRateLimitTakeTimeAndKeepOrder() throws Exception {
+        set(Direction.TO_TARGET, Faults.delayed(50_000, 20_000));
         long start = System.nanoTime();
         byte[] sent = bytes(200);
         for (byte b : sent) {
@@ -105,7 +105,7 @@
         }
         assertArrayEquals(sent, far.getInputStream().readNBytes(200));
         assertTrue(System.nanoTime() - start >= 50_000_000L);
-        set(Way.TO_TARGET, Faults.trickling(5_000));
+        set(Direction.TO_TARGET, Faults.trickling(5_000));
         start = System.nanoTime();
         near.getOutputStream().write(bytes(1_000));
         far.getInputStream().readNBytes(1_000);
@@ -113,8 +113,8 @@
     }
 
     @Test
-    void aLinkThatBreaksAmidAMegabyteLetsJustSoMuchThrough() throws Exception {
-        set(Way.TO_TARGET, Faults.breakingAfter(300_000));
+    void linkThatBreaksAfterSomeBytesForwardsJustThose() throws Exception {
+        set(Direction.TO_TARGET, Faults.breakingAfter(300_000));
         CompletableFuture<Integer> read = CompletableFuture.supplyAsync(() -> {
             int count = 0;
             try {
@@ -136,10 +136,10 @@
     }
 
     @Test
-    void aSecondFaultOnTheSameLinkTakesThePlaceOfTheFirst() throws Exception {
-        set(Way.FROM_TARGET, Faults.SILENT);
+    void secondFaultOnALinkReplacesTheFirst() throws Exception {
+        set(Direction.FROM_TARGET, Faults.BLOCKED);
         far.getOutputStream().write(1);
-        set(Way.FROM_TARGET, Faults.delayed(1_000, 0));
+        set(Direction.FROM_TARGET, Faults.delayed(1_000, 0));
         assertEquals(1, near.getInputStream().read());
         link.reset();
         assertThrows(IOException.class, () -> {
--- a/rig/src/test/java/loadbalancer/rig/real/NodeProcessTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/NodeProcessTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void itsExitCodeAndWhatItPrintsAreItsOwn() throws Exception {
+    void exitCodeAndOutputAreThoseOfTheProcess() throws Exception {
         try (NodeProcess child = start("echo $GREETING; echo again >&2; exit 7")) {
             assertEquals(7, codes.poll(20, TimeUnit.SECONDS));
             assertEquals("hello\nagain\n", printed());
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void oneThatIgnoresSigtermIsKilledAllTheSame() throws Exception {
+    void processThatIgnoresSigtermIsKilled() throws Exception {
         NodeProcess child = start("exec sh -c 'trap \"\" TERM; echo up; while :; do read x; done </dev/zero'");
         await(() -> printed().startsWith("up"));
         child.terminate();
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void itEndsWithTheRigHoweverThatEnds() throws Exception {
+    void processEndsWithTheRigHoweverThatEnds() throws Exception {
         // The guard's pipe closes with the process that holds its other end: here a shell that stands in for
         // the rig.
         Path id = folder.resolve("id");
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void ofOneThatPrintsWithoutEndTheNewestIsKept() throws Exception {
+    void newestOutputOfAProcessThatPrintsWithoutEndIsRetained() throws Exception {
         try (NodeProcess child = start("exec yes 0123456789012345678901234567890123456789")) {
             await(child::isCut);
             child.kill();
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aPausedOneDoesNothingUntilItGoesOn() throws Exception {
+    void pausedProcessDoesNothingUntilItIsResumed() throws Exception {
         try (NodeProcess child = start("exec sh -c 'i=0; while :; do i=$((i+1)); echo $i; sleep 0.01; done'")) {
             await(() -> printed().contains("3\n"));
             child.pause(true);
--- a/rig/src/test/java/loadbalancer/rig/real/RealPlayTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/RealPlayTest.java
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aFleetOfProcessesServesRoundWhatFailsAndKeepsTheRules() throws Exception {
+    void fleetOfProcessesRoutesAroundFaultsAndKeepsTheRules() throws Exception {
         Outcome outcome = play("""
                 [[fault]]
                 kind = "fast_errors"
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void nodesThatAreKilledAndServersThatCrashComeBack() throws Exception {
+    void killedNodesAndCrashedServersComeBack() throws Exception {
         Outcome outcome = play("""
                 [[fault]]
                 kind = "herd"
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void linksThatLoseAnswersAndBreakAmidRequestsMakeNodesBreakNoRule() throws Exception {
+    void lostResponsesAndResetLinksBreakNoRule() throws Exception {
         Outcome outcome = play("""
                 [[fault]]
                 kind = "slow_links"
@@ -153,12 +153,12 @@
 
     /** Faults planted in what stands in: a referee that believed its own side would be none. */
     @Test
-    void anAnswerThatWasMadeForAnotherRequestIsCaught() throws Exception {
+    void misdirectedResponseIsDetected() throws Exception {
         Outcome outcome = play(
                 "",
                 play -> play.link(0, "s0")
                         .tamper(
-                                FaultLink.Way.FROM_TARGET,
+                                FaultLink.Direction.FROM_TARGET,
                                 changing(text -> text.startsWith("HTTP/1.1 200")
                                         ? text.substring(0, text.length() - 1) + "x"
                                         : text)));
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void aListThatTellsNoDrainIsCaught() throws Exception {
+    void listThatDoesNotAnnounceDrainsIsDetected() throws Exception {
         Outcome outcome = play(
                 """
                 [rules]
@@ -181,7 +181,7 @@
                 """,
                 play -> play.listLink(0)
                         .tamper(
-                                FaultLink.Way.FROM_TARGET,
+                                FaultLink.Direction.FROM_TARGET,
                                 changing(text -> text.replace("\"Terminating\"", "\"Ready\"      "))));
         assertTrue(
                 outcome.violations().stream().anyMatch(v -> v.rule().equals("Drains")),
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void nodesToldToEndLoseNothing() throws Exception {
+    void nodesThatShutDownLoseNoRequest() throws Exception {
         Outcome outcome = play("""
                 [[fault]]
                 kind = "rolling_restart"
--- a/rig/src/test/java/loadbalancer/rig/time/SimulatorTest.java
+++ b/rig/src/test/java/loadbalancer/rig/time/SimulatorTest.java
@@ -12,7 +12,7 @@
     private final List<String> seen = new ArrayList<>();
 
     @Test
-    void whatIsDueAtOnceRunsInTheOrderAskedForAndWhatIsCalledOffNever() {
+    void tasksDueTogetherRunInOrderAndCancelledOnesNever() {
         time.at(20, () -> seen.add("c at " + time.nowUs()));
         time.at(10, () -> {
             seen.add("a at " + time.nowUs());
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void anActorDrawsTheSameWhateverElseThereIs() {
+    void randomStreamOfAnActorIsIndependentOfOthers() {
         long alone = time.stream("server s1").nextLong();
         time.stream("server s0").nextLong();
         assertEquals(alone, time.stream("server s1").nextLong());
