--- a/rig/src/main/java/loadbalancer/rig/real/NodeProcess.java
+++ b/rig/src/main/java/loadbalancer/rig/real/NodeProcess.java
@@ -23,8 +23,12 @@
     static final long MAX_OUTPUT_BYTES = 8L << 20;
 
     private static final long GRACE_MS = 5_000;
-    /** $0 is the command. Its id comes first, then what it prints; the exit code is its own. */
-    static final String GUARD = "exec 3<&0; sh -c \"$0\" </dev/null 3<&- & p=$!; echo $p;"
+    /**
+     * Starts the command ($0) and kills it when standard input closes; its exit code is the command's. The first line
+     * is the command's process id. A shell prints its own id and then becomes the command: were the id printed beside
+     * the command, a quick one's output could come ahead of it.
+     */
+    static final String GUARD = "exec 3<&0; sh -c 'echo $$; exec sh -c \"$0\"' \"$0\" </dev/null 3<&- & p=$!;"
             + " { cat <&3; kill -9 $p; } >/dev/null 2>&1 & w=$!; exec 3<&-; wait $p; c=$?;"
             // Once it has ended its id may be another's: nobody may be killed by it any more.
             + " kill $w; exit $c";
--- a/rig/src/test/java/loadbalancer/rig/real/NodeProcessTest.java
+++ b/rig/src/test/java/loadbalancer/rig/real/NodeProcessTest.java
@@ -51,6 +51,21 @@
         }
     }
 
+    /**
+     * A process prints as soon as it runs. The rig takes the first line for the process's id, so that output that came
+     * ahead of it broke the start by chance. The id comes first, however quick the process is.
+     */
+    @Test
+    void idComesAheadOfAnythingThatTheProcessPrints() throws Exception {
+        for (int i = 0; i < 200; i++) {
+            try (NodeProcess child = start("echo quick")) {
+                assertEquals(0, codes.poll(20, TimeUnit.SECONDS));
+                assertEquals("quick\n", printed());
+                assertFalse(child.isAlive());
+            }
+        }
+    }
+
     @Test
     void processThatIgnoresSigtermIsKilled() throws Exception {
         NodeProcess child = start("exec sh -c 'trap \"\" TERM; echo up; while :; do read x; done </dev/zero'");
