--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Discovery moves to another address: no news is missed that either agent has told, in whatever order the two
- * speak and fall silent, and nothing that is known is unlearned.
+ * The discovery service moves to another address. No list of either address is missed, in whatever order the two write
+ * and fall silent, and no list is replaced by an older one.
  */
 class EndpointWatcherMoveTest {
-    private static final WatchTimeouts PATIENCE = new WatchTimeouts(300_000, 20_000_000, 60_000_000);
+    private static final WatchTimeouts TIMEOUTS = new WatchTimeouts(300_000, 20_000_000, 60_000_000);
 
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
     private NodeHarness harness;
     private FakeServer next;
     private EndpointWatcher discovery;
@@ -36,10 +36,10 @@
     void follow() throws Exception {
         harness = NodeHarness.withSilentDiscovery();
         next = silent();
-        start(PATIENCE);
+        start(TIMEOUTS);
         before = FakeServer.awaitNext(harness.discovery.answeredConnections);
         say(before, 42, false);
-        assertEquals("42", FakeServer.awaitNext(told));
+        assertEquals("42", FakeServer.awaitNext(notifications));
     }
 
     @AfterEach
@@ -49,15 +49,15 @@
         harness.close();
     }
 
-    private void start(WatchTimeouts patience) throws Exception {
+    private void start(WatchTimeouts timeouts) throws Exception {
         discovery = new EndpointWatcher(
                 harness.loop,
                 harness.config(NodeHarness.endpointList(41, true)).watchConfig(),
-                patience,
+                timeouts,
                 new EndpointWatcher.Listener() {
                     @Override
                     public void onEndpointList(EndpointList list) {
-                        told.add(Long.toString(list.version()));
+                        notifications.add(Long.toString(list.version()));
                     }
 
                     @Override
@@ -95,13 +95,13 @@
     }
 
     @Test
-    void theOldAddressIsHeardUntilTheNewOneHasSpokenAndThenLeft() throws Exception {
+    void theOldAddressCountsUntilTheNewOneHasAnswered() throws Exception {
         move(next);
         FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
         say(before, 43, false);
-        assertEquals("43", FakeServer.awaitNext(told));
+        assertEquals("43", FakeServer.awaitNext(notifications));
         begin(after, 44, false);
-        assertEquals("44", FakeServer.awaitNext(told));
+        assertEquals("44", FakeServer.awaitNext(notifications));
         FakeServer.awaitNext(harness.discovery.closedConnections);
         assertEquals(
                 "/discovery/hosts?watch=1&after=42",
@@ -109,26 +109,26 @@
     }
 
     @Test
-    void anAddressThatTakesTheWatchAndSaysNothingIsAskedAgainWhileTheOldOneIsHeard() throws Exception {
+    void aSilentNewAddressIsConnectedAgainWhileTheOldOneCounts() throws Exception {
         move(next);
         FakeServer.awaitNext(next.answeredConnections);
         FakeServer.Connection second = FakeServer.awaitNext(next.answeredConnections);
         say(before, 43, false);
-        assertEquals("43", FakeServer.awaitNext(told));
+        assertEquals("43", FakeServer.awaitNext(notifications));
         begin(second, 44, false);
-        assertEquals("44", FakeServer.awaitNext(told));
+        assertEquals("44", FakeServer.awaitNext(notifications));
     }
 
     @Test
-    void anAddressThatOnlyBeginsAnAnswerIsAskedAgain() throws Exception {
+    void aNewAddressThatSendsOnlyAHeadIsConnectedAgain() throws Exception {
         move(next);
         FakeServer.awaitNext(next.answeredConnections).write(NodeHarness.watchResponseHead());
         begin(FakeServer.awaitNext(next.answeredConnections), 43, false);
-        assertEquals("43", FakeServer.awaitNext(told));
+        assertEquals("43", FakeServer.awaitNext(notifications));
     }
 
     @Test
-    void anAddressThatRefusesIsAskedUntilItListens() throws Exception {
+    void aNewAddressThatRefusesIsConnectedAgainUntilItListens() throws Exception {
         // On another address than all else, so that nobody takes its port meanwhile.
         InetAddress apart = InetAddress.getByName("127.0.0.77");
         int port;
@@ -143,33 +143,33 @@
                 Socket watch = late.accept()) {
             Http.readMessage(watch.getInputStream());
             begin(new FakeServer.Connection(watch), 43, false);
-            assertEquals("43", FakeServer.awaitNext(told));
+            assertEquals("43", FakeServer.awaitNext(notifications));
         }
     }
 
     @Test
-    void anAgentThatLagsUnlearnsNothingAndIsHeardOnceItIsPastWhatIsKnown() throws Exception {
+    void anOlderListIsIgnoredUntilTheNewAddressHasCaughtUp() throws Exception {
         move(next);
         FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
         begin(after, 40, true);
         say(after, 41, false);
         // It has not caught up, so the old one still counts.
         say(before, 43, false);
-        assertEquals("43", FakeServer.awaitNext(told));
+        assertEquals("43", FakeServer.awaitNext(notifications));
         say(after, 43, false);
-        assertEquals("43", FakeServer.awaitNext(told));
+        assertEquals("43", FakeServer.awaitNext(notifications));
         FakeServer.awaitNext(harness.discovery.closedConnections);
         say(after, 44, false);
-        assertEquals("44", FakeServer.awaitNext(told));
+        assertEquals("44", FakeServer.awaitNext(notifications));
     }
 
     @Test
-    void anAgentThatLagsForGoodIsAskedForAllThatItHas() throws Exception {
+    void aServiceThatStaysBehindIsAskedForAll() throws Exception {
         harness.loop.execute(discovery::close);
         start(new WatchTimeouts(20_000_000, 20_000_000, 100_000));
         FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
         say(peer, 42, false);
-        assertEquals("42", FakeServer.awaitNext(told));
+        assertEquals("42", FakeServer.awaitNext(notifications));
         move(next);
         FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
         begin(after, 3, true);
@@ -180,7 +180,7 @@
             Thread.onSpinWait();
         }
         begin(FakeServer.awaitNext(next.answeredConnections), 3, true);
-        assertEquals("3", FakeServer.awaitNext(told));
+        assertEquals("3", FakeServer.awaitNext(notifications));
         assertEquals(
                 "/discovery/hosts?watch=1&after=42",
                 FakeServer.awaitNext(next.requests).path());
@@ -200,20 +200,20 @@
     }
 
     @Test
-    void aMoveAmidALineLosesNothingOfIt() throws Exception {
+    void aMoveAmidALineLosesNoPartOfIt() throws Exception {
         String line = line(43, false);
         before.write(line.substring(0, line.length() / 2));
         move(next);
         FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
         before.write(line.substring(line.length() / 2));
-        assertEquals("43", FakeServer.awaitNext(told));
+        assertEquals("43", FakeServer.awaitNext(notifications));
         before.write(line(44, false).substring(0, 20));
         begin(after, 44, false);
-        assertEquals("44", FakeServer.awaitNext(told));
+        assertEquals("44", FakeServer.awaitNext(notifications));
     }
 
     @Test
-    void aSecondMoveBeforeTheFirstIsAnsweredLeavesTheOneThatSpokeOpen() throws Exception {
+    void aSecondMoveKeepsTheWatchThatHasBeenAnswered() throws Exception {
         try (FakeServer third = silent()) {
             move(next);
             FakeServer.awaitNext(next.answeredConnections);
@@ -221,9 +221,9 @@
             FakeServer.Connection last = FakeServer.awaitNext(third.answeredConnections);
             FakeServer.awaitNext(next.closedConnections);
             say(before, 43, false);
-            assertEquals("43", FakeServer.awaitNext(told));
+            assertEquals("43", FakeServer.awaitNext(notifications));
             begin(last, 44, false);
-            assertEquals("44", FakeServer.awaitNext(told));
+            assertEquals("44", FakeServer.awaitNext(notifications));
             FakeServer.awaitNext(harness.discovery.closedConnections);
         }
     }
--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The watch on the list. */
+/** The watch on the endpoint list, over sockets. */
 class EndpointWatcherTest {
     private static final String KNOWN = NodeHarness.endpointList(41, true);
     /** As short as a slow machine allows. */
@@ -23,20 +23,20 @@
     private static final String ENTRY = "s0=10.0.0.1:80=Ready";
 
     /** A watch alone; what it tells comes as a line. */
-    private static EndpointWatcher watch(NodeHarness harness, WatchTimeouts patience, BlockingQueue<String> told)
-            throws Exception {
+    private static EndpointWatcher watch(
+            NodeHarness harness, WatchTimeouts timeouts, BlockingQueue<String> notifications) throws Exception {
         EndpointWatcher discovery = new EndpointWatcher(
-                harness.loop, harness.config(KNOWN).watchConfig(), patience, new EndpointWatcher.Listener() {
+                harness.loop, harness.config(KNOWN).watchConfig(), timeouts, new EndpointWatcher.Listener() {
                     @Override
                     public void onEndpointList(EndpointList list) {
-                        told.add(list.version()
+                        notifications.add(list.version()
                                 + (list.full() ? " all " : " changes ")
                                 + list.endpoints().size());
                     }
 
                     @Override
                     public void onWatchFailed(String reason) {
-                        told.add("failed");
+                        notifications.add("failed");
                     }
                 });
         harness.loop.execute(discovery::subscribe);
@@ -46,8 +46,8 @@
     @Test
     void listsComeInPiecesAndTheNextWatchGoesOnFromTheLast() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            EndpointWatcher discovery = watch(harness, WatchTimeouts.DEFAULT, told);
+            BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
+            EndpointWatcher discovery = watch(harness, WatchTimeouts.DEFAULT, notifications);
             assertEquals(
                     "/discovery/hosts?watch=1&after=41",
                     FakeServer.awaitNext(harness.discovery.requests).path());
@@ -56,10 +56,10 @@
             peer.write(NodeHarness.chunk(line.substring(0, 20)));
             peer.write(
                     NodeHarness.chunk(line.substring(20) + "\n\n" + NodeHarness.endpointList(44, false, ENTRY) + "\n"));
-            assertEquals("43 all 2", FakeServer.awaitNext(told));
-            assertEquals("44 changes 1", FakeServer.awaitNext(told));
+            assertEquals("43 all 2", FakeServer.awaitNext(notifications));
+            assertEquals("44 changes 1", FakeServer.awaitNext(notifications));
             peer.socket().close();
-            assertEquals("failed", FakeServer.awaitNext(told));
+            assertEquals("failed", FakeServer.awaitNext(notifications));
             harness.loop.execute(discovery::subscribe);
             assertEquals(
                     "/discovery/hosts?watch=1&after=44",
@@ -70,34 +70,34 @@
     @Test
     void aWatchThatIsResetAmidALineIsAskedForThatLineAgain() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            EndpointWatcher discovery = watch(harness, WatchTimeouts.DEFAULT, told);
+            BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
+            EndpointWatcher discovery = watch(harness, WatchTimeouts.DEFAULT, notifications);
             FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
             String line = NodeHarness.endpointList(42, false, ENTRY) + "\n";
             peer.write(NodeHarness.chunk(line.substring(0, 30)));
             peer.reset();
-            assertEquals("failed", FakeServer.awaitNext(told));
+            assertEquals("failed", FakeServer.awaitNext(notifications));
             harness.loop.execute(discovery::subscribe);
             FakeServer.awaitNext(harness.discovery.requests);
             assertEquals(
                     "/discovery/hosts?watch=1&after=41",
                     FakeServer.awaitNext(harness.discovery.requests).path());
             FakeServer.awaitNext(harness.discovery.answeredConnections).write(NodeHarness.chunk(line));
-            assertEquals("42 changes 1", FakeServer.awaitNext(told));
+            assertEquals("42 changes 1", FakeServer.awaitNext(notifications));
         }
     }
 
     @Test
-    void aBeatAsTheFirstWordSaysThatNothingHasChanged() throws Exception {
+    void aHeartbeatAsTheAnswerSaysThatNothingHasChanged() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(harness, WatchTimeouts.DEFAULT, told);
+            BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
+            watch(harness, WatchTimeouts.DEFAULT, notifications);
             FakeServer.awaitNext(harness.discovery.answeredConnections)
                     .write(NodeHarness.chunk("\n")
                             + NodeHarness.chunk("\n")
                             + NodeHarness.chunk(NodeHarness.endpointList(42, false, ENTRY) + "\n"));
-            assertEquals("41 changes 0", FakeServer.awaitNext(told));
-            assertEquals("42 changes 1", FakeServer.awaitNext(told));
+            assertEquals("41 changes 0", FakeServer.awaitNext(notifications));
+            assertEquals("42 changes 1", FakeServer.awaitNext(notifications));
         }
     }
 
@@ -110,12 +110,12 @@
                 "[]",
                 "{\"rev\":42,\"all\":false,\"targets\":[{\"uid\":\"s\",\"endpoint\":\"x\",\"state\":\"Ready\"}]}",
             })
-    void aBadLineBreaksTheWatch(String line) throws Exception {
+    void aBadLineFailsTheWatch(String line) throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(harness, WatchTimeouts.DEFAULT, told);
+            BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
+            watch(harness, WatchTimeouts.DEFAULT, notifications);
             FakeServer.awaitNext(harness.discovery.answeredConnections).write(NodeHarness.chunk(line + "\n"));
-            assertEquals("failed", FakeServer.awaitNext(told));
+            assertEquals("failed", FakeServer.awaitNext(notifications));
             FakeServer.awaitNext(harness.discovery.closedConnections);
         }
     }
@@ -123,8 +123,8 @@
     @Test
     void aListMayComeIndentedAndInPieces() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(harness, WatchTimeouts.DEFAULT, told);
+            BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
+            watch(harness, WatchTimeouts.DEFAULT, notifications);
             FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
             String indented = new ObjectMapper()
                             .readTree(NodeHarness.endpointList(42, true, "s\\\"]{=10.0.0.1:80=Ready"))
@@ -136,35 +136,35 @@
             }
             peer.write(NodeHarness.chunk("\n")
                     + NodeHarness.chunk(NodeHarness.endpointList(43, false, ENTRY, ENTRY) + "\n"));
-            assertEquals("42 all 1", FakeServer.awaitNext(told));
-            assertEquals("43 changes 2", FakeServer.awaitNext(told));
+            assertEquals("42 all 1", FakeServer.awaitNext(notifications));
+            assertEquals("43 changes 2", FakeServer.awaitNext(notifications));
         }
     }
 
     @Test
-    void aHeadThatCannotBeReadBreaksTheWatch() throws Exception {
-        BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    void aResponseHeadThatCannotBeReadFailsTheWatch() throws Exception {
+        BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
         try (FakeServer discovery = new FakeServer((request, peer) ->
                         peer.write(NodeHarness.watchResponseHead().replace("OK\r\n", "OK\r\nno colon here\r\n")
                                 + NodeHarness.chunk(NodeHarness.endpointList(42, false, ENTRY) + "\n")));
                 NodeHarness harness = new NodeHarness(discovery)) {
-            watch(harness, WatchTimeouts.DEFAULT, told);
-            assertEquals("failed", FakeServer.awaitNext(told));
+            watch(harness, WatchTimeouts.DEFAULT, notifications);
+            assertEquals("failed", FakeServer.awaitNext(notifications));
         }
     }
 
     @Test
-    void aSilentWatchIsBroken() throws Exception {
+    void aSilentWatchFails() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(harness, BRIEF, told);
-            assertEquals("failed", FakeServer.awaitNext(told));
-            assertTrue(told.isEmpty());
+            BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
+            watch(harness, BRIEF, notifications);
+            assertEquals("failed", FakeServer.awaitNext(notifications));
+            assertTrue(notifications.isEmpty());
         }
     }
 
     @Test
-    void aNodeAsksAgainAfterARefusalAndThenUsesTheList() throws Exception {
+    void aNodePollsAgainAfterARefusalAndThenUsesTheList() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (FakeServer server = FakeServer.respondingWith("x");
                 FakeServer discovery = new FakeServer((request, peer) -> peer.write(
