--- a/node/src/main/java/loadbalancer/net/package-info.java
+++ b/node/src/main/java/loadbalancer/net/package-info.java
@@ -1,2 +1,2 @@
-/** Parsing and printing of network addresses. */
+/** Parsing and formatting of network addresses. Knows no other package of the node, and looks up no names. */
 package loadbalancer.net;
--- a/node/src/test/java/loadbalancer/process/ControlServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ControlServerTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What operators see of a node, and do to it. */
+/** The control address of a whole node: health, metrics and cordons. */
 class ControlServerTest {
 
     private static NodeHarness operated() throws Exception {
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void healthIsYesFromWhenClientsCanConnectUntilTheDrain() throws Exception {
+    void aNodeIsHealthyFromWhenClientsCanConnectUntilItDrains() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = operated()) {
             harness.createNode(NodeHarness.endpointList(1, true, "s0=" + server.endpoint() + "=Ready"));
@@ -54,7 +54,7 @@
                 "uncordon none",
                 "GET / HTTP/1.1"
             })
-    void aCallThatIsNoneGetsNo(String call) throws Exception {
+    void aLineThatIsNoCallIsRejected(String call) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = operated().start(server)) {
             String answer = harness.controlCall(call + "\n");
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aCallTooLongGetsNoAndACallInPiecesIsRead() throws Exception {
+    void aLineTooLongIsRejectedAndACallInPiecesIsRead() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = operated().start(server)) {
             assertEquals("NO line too long\n", harness.controlCall("cordon " + "s".repeat(5_000)));
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void callersThatSayNothingDelayNobodyAndAreClosed() throws Exception {
+    void silentConnectionsDelayNobodyAndAreClosed() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = operated().start(server)) {
             List<Socket> silent = new ArrayList<>();
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void theFiguresAgreeWithWhatThePeersSaw() throws Exception {
+    void metricsAgreeWithWhatClientsAndServersSaw() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch left = new CountDownLatch(1);
         try (FakeServer server = new FakeServer((request, peer) -> {
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void aCordonedServerGetsNothingFromTheYesUntilItIsCalledBack() throws Exception {
+    void aCordonedServerGetsNoRequestsUntilItIsUncordoned() throws Exception {
         try (FakeServer one = FakeServer.respondingWith("one");
                 FakeServer two = FakeServer.respondingWith("two");
                 NodeHarness harness = operated().start(one, two)) {
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void aCordonBindsAllProcessesOfANodeAndTheNextOne(@TempDir Path folder) throws Exception {
+    void aCordonBindsAllProcessesOfANodeAndTheNextProcess(@TempDir Path folder) throws Exception {
         try (FakeServer one = FakeServer.respondingWith("one");
                 FakeServer two = FakeServer.respondingWith("two");
                 NodeHarness first = operated();
@@ -230,7 +230,7 @@
     }
 
     @Test
-    void cordonsThatCannotBeReadDoNotStopTheNodeAndOnesThatCannotBeKeptGetNo(@TempDir Path folder) throws Exception {
+    void anUnreadableCordonFileDoesNotStopTheNodeAndAFailedWriteIsRejected(@TempDir Path folder) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = operated()) {
             harness.sharedFolder = folder;
--- a/node/src/test/java/loadbalancer/process/LargeListTest.java
+++ b/node/src/test/java/loadbalancer/process/LargeListTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long lists of servers, told to a node with the memory that it has in service. */
+/** A node with the memory that it has in service gets a long endpoint list. */
 class LargeListTest {
     private static final String HEAP = "-Xmx64m";
 
@@ -27,7 +27,7 @@
                 + "\"state\":\"Ready\",\"capacity_hint\":1.0,\"boot_ms\":1764600000000}";
     }
 
-    private static String wholeList(int servers, String endpoint) {
+    private static String fullList(int servers, String endpoint) {
         StringBuilder list = new StringBuilder("{\"rev\":2,\"all\":true,\"targets\":[");
         for (int i = 0; i < servers; i++) {
             list.append(i == 0 ? "" : ",").append(entry(i, endpoint));
@@ -37,7 +37,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1_024, 5_000, 19_000})
-    void aNodeServesBeforeAndAfterItIsToldALongList(int servers, @TempDir Path folder) throws Exception {
+    void aNodeServesBeforeAndAfterALongListComes(int servers, @TempDir Path folder) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 FakeServer discovery = new FakeServer((request, peer) -> peer.write(NodeHarness.watchResponseHead()))) {
             String known = NodeHarness.endpointList(1, true, "s0=" + server.endpoint() + "=Ready");
@@ -46,7 +46,7 @@
                 String listening = awaitLine(program, line -> line.startsWith("level=info event=listening "));
                 int port = Integer.parseInt(listening.substring(listening.lastIndexOf(':') + 1));
                 assertEquals(200, ask(port, "before"));
-                String list = wholeList(servers, server.endpoint());
+                String list = fullList(servers, server.endpoint());
                 FakeServer.awaitNext(discovery.answeredConnections).write(NodeHarness.chunk(list + "\n"));
                 awaitLine(
                         program,
--- a/node/src/test/java/loadbalancer/process/ReloadTest.java
+++ b/node/src/test/java/loadbalancer/process/ReloadTest.java
@@ -50,7 +50,7 @@
         Files.writeString(folder.resolve("config.json"), text);
     }
 
-    /** A node that runs by the file, with these servers. */
+    /** Starts a node with this configuration file and these servers. */
     private NodeHarness start(NodeHarness harness, String text, FakeServer... servers) throws Exception {
         write(text);
         harness.hasControl = true;
@@ -60,7 +60,7 @@
         return harness.start(servers);
     }
 
-    /** What SIGHUP does, until it is done. */
+    /** Does what SIGHUP does, and waits until it is done. */
     private void reload(NodeHarness harness, String text) throws Exception {
         write(text);
         harness.node.reload(env);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void classesAreAddedAndDroppedAndTheirFiguresWithThem() throws Exception {
+    void classesAndTheirMetricsAreAddedAndDropped() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             start(harness, file(harness, 4, PAGE, ORDER), server);
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aDroppedClassIsRefusedOnceNobodyCanBeRepeatingIt() throws Exception {
+    void aDroppedClassIsRejectedOnceNobodyCanRepeatIt() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             start(harness, file(harness, 4, PAGE, CLASS.formatted("order", 200_000, "unsafe")), server);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void anOpenRequestIsNotRepeatedByRulesThatCameLater() throws Exception {
+    void anOpenRequestIsRetriedByTheRulesItCameUnder() throws Exception {
         CountDownLatch arrived = new CountDownLatch(2);
         CountDownLatch reset = new CountDownLatch(1);
         try (FakeServer server = new FakeServer((request, peer) -> {
@@ -147,9 +147,9 @@
         }
     }
 
-    /** The signal comes ahead of the file's end: it is taken once, and counts as no broken one. */
+    /** SIGHUP comes before the file has been written to its end. It must be loaded once, and not count as an error. */
     @Test
-    void aFileThatIsStillBeingWrittenIsTakenOnceItIsWhole() throws Exception {
+    void aFileThatIsStillBeingWrittenIsLoadedOnceItIsComplete() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             String text = file(harness, 4, PAGE, ORDER);
@@ -194,7 +194,7 @@
                 "\"name\":\"n0\", | `` | name is missing",
                 "\"memory_mb\":128, | `` | limits.memory_mb is missing",
             })
-    void aBrokenFileChangesNothingAndIsCounted(String good, String bad, String reason) throws Exception {
+    void anInvalidFileChangesNothingAndIsCounted(String good, String bad, String reason) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 FakeServer moved = FakeServer.respondingWith("");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
--- a/node/src/test/java/loadbalancer/simulator/SimulatorConnectionTest.java
+++ b/node/src/test/java/loadbalancer/simulator/SimulatorConnectionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter on small pieces of the wire. */
+/** The adapter on short inputs of the wire. */
 class SimulatorConnectionTest {
     private static final String BOOT = "boot node=node-3 initSeed=5 balancers=1 classes.count=1"
             + " classes.0.name=view"
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void anOutcomeEndsARequestAndAFailureFollowsTheModule() throws Exception {
+    void aTimedOutRequestIsRejected() throws Exception {
         String reply = run(OPEN + BOOT + LIST + ITEM + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
                 + " handle=b7c6f2075d3a91c4 latencyUs=240000 rc=40 seqNo=0 server=10.0.0.7:8003\neob\n");
         assertTrue(reply.contains("decline node=node-3 handle=b7c6f2075d3a91c4\n"), reply);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void theKeyOfARequestAndWarmKeysReachTheModule() throws Exception {
+    void theKeyOfARequestAndKeyAffinityReachTheBalancer() throws Exception {
         String boot = BOOT.replace("unknown.key=1", "extra.warmKeys=true");
         StringBuilder list = new StringBuilder("roster setId=0 nodesList=9\n");
         for (int i = 0; i < 9; i++) {
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void anExceptionInTheModuleIsReportedAsAFault() throws Exception {
+    void anExceptionOfTheBalancerIsReportedAsAFault() throws Exception {
         String reply = run(OPEN + BOOT + LIST + ITEM + ITEM + "eob\n");
         assertTrue(reply.contains("fault node=node-3 noteText=java.lang.IllegalArgumentException"), reply);
         assertTrue(reply.endsWith("next\n"));
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void instancesActAlikeAloneAndTogether() throws Exception {
+    void nodesActAlikeAloneAndTogether() throws Exception {
         String one = run(OPEN + BOOT + LIST + ITEM + "eob\n");
         out.reset();
         String both = run(OPEN + BOOT.replace("node-3", "node-5") + LIST.replace("node=node-3", "node=node-5") + BOOT
