--- a/node/src/test/java/loadbalancer/policy/WarmUpTest.java
+++ b/node/src/test/java/loadbalancer/policy/WarmingServerTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What one node may send of the budget of a server that warms up. */
-class WarmUpTest {
+class WarmingServerTest {
 
     private static final int WARM = 19;
     private static final int REQUESTS_PER_SECOND = 300;
