--- a/node/src/main/java/loadbalancer/admin/ControlServer.java
+++ b/node/src/main/java/loadbalancer/admin/ControlServer.java
@@ -25,7 +25,7 @@
 
 /**
  * The server at the control address: accepts operators' connections, each of which carries one call, a line, and its
- * answer. All of it runs on the event loop of the node.
+ * answer. Runs on the event loop of the node; {@link #listen} may be called from any thread.
  */
 public final class ControlServer {
     private static final int MAX_CONNECTIONS = 16;
--- a/node/src/main/java/loadbalancer/client/ClientServer.java
+++ b/node/src/main/java/loadbalancer/client/ClientServer.java
@@ -23,7 +23,8 @@
  * The server towards clients: it accepts connections, limits and closes them, and passes their requests to the handler.
  *
  * <p>It ends gracefully in one of two ways: {@link #drain} where the node goes away, {@link #drainForHandover} where
- * another process goes on accepting on the same socket. All methods run on the event loop.
+ * another process goes on accepting on the same socket. All methods run on the event loop, but for {@link #listen},
+ * which any thread may call.
  */
 public final class ClientServer implements ClientConnection.Owner {
     /** Serves requests. */
--- a/node/src/main/java/loadbalancer/discovery/ReconnectBackoff.java
+++ b/node/src/main/java/loadbalancer/discovery/ReconnectBackoff.java
@@ -9,7 +9,7 @@
 final class ReconnectBackoff {
     private static final long INITIAL_MILLIS = 50;
     private static final long MAX_MILLIS = 1_000;
-    /** Of many nodes the maximum grows, so that all of them together connect ten times a second. */
+    /** The maximum grows with the nodes: up to 30 of them together connect ten times a second. */
     private static final long MAX_MILLIS_PER_NODE = 100;
     /** A node must follow each change within 6 s; half of that is left to connect and to be answered. */
     private static final long MAX_MILLIS_OF_MANY_NODES = 3_000;
@@ -35,7 +35,11 @@
         nextMillis = INITIAL_MILLIS;
     }
 
-    /** @param uniform a random number from 0 to 1 */
+    /**
+     * A random delay between half of the given one and all of it.
+     *
+     * @param uniform a random number from 0 to 1
+     */
     static long jittered(long delayMillis, double uniform) {
         return (long) (delayMillis * (0.5 + uniform / 2));
     }
--- a/node/src/main/java/loadbalancer/membership/core/Gossiper.java
+++ b/node/src/main/java/loadbalancer/membership/core/Gossiper.java
@@ -70,7 +70,7 @@
         return settings.retransmitFactor() * log2(table.liveCount() + 1);
     }
 
-    /** Rounded up, and 1 at least. */
+    /** The number of binary digits, 1 at least: the logarithm rounded down, and one. */
     private static int log2(int members) {
         return Math.max(1, Integer.SIZE - Integer.numberOfLeadingZeros(members));
     }
--- a/node/src/main/java/loadbalancer/membership/core/MembershipChange.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipChange.java
@@ -26,7 +26,7 @@
         NAME_YIELDED,
         /** Another process has this one's name and has to yield it. */
         NAME_TAKEN_OVER,
-        /** Not admitted, as all places are taken by live members. */
+        /** Not admitted, as all places are taken. */
         REJECTED
     }
 }
--- a/node/src/main/java/loadbalancer/membership/core/MembershipProtocol.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipProtocol.java
@@ -10,7 +10,8 @@
  * machine. Events come with the time, and what is to be done goes to {@link MembershipActions}.
  *
  * <p>Views are eventually consistent: two processes may hold different ones, changes may come in another order
- * elsewhere, and two halves of a partitioned network both go on. Whoever needs more asks the list service.
+ * elsewhere, and two halves of a partitioned network both go on. Whoever needs more than that must not rest on
+ * membership.
  *
  * <p>Not thread-safe. The same events and seed give the same actions.
  */
--- a/node/src/main/java/loadbalancer/policy/AttemptResult.java
+++ b/node/src/main/java/loadbalancer/policy/AttemptResult.java
@@ -10,13 +10,13 @@
     FULL(true),
     /** No answer in time; it may have run or still be running. */
     TIMEOUT(false),
-    /** No connection in time. */
+    /** No connection in time, or the request could not be written in full. */
     CONNECT_FAILED(true),
     /** The connection broke; it may have run. */
     RESET(false),
     /** Cancelled; it may have run. */
     CANCELLED(false),
-    /** Never sent. */
+    /** Never sent, as it was no longer wanted or lawful when its turn came. */
     MOOT(true);
 
     /** Whether the request is known never to have run. */
--- a/node/src/main/java/loadbalancer/policy/BalancerRules.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerRules.java
@@ -4,7 +4,7 @@
 
 /**
  * The rules of one balancer, each built once and given the rules and the state that it rests on. Rules know neither
- * the balancer nor each other beyond what their constructors take, so the arrows between them have no cycle.
+ * the balancer nor each other beyond what their constructors take, so their dependencies are acyclic.
  */
 final class BalancerRules {
     final BalancerState state = new BalancerState();
--- a/node/src/main/java/loadbalancer/policy/BalancerSettings.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerSettings.java
@@ -30,7 +30,7 @@
     public boolean hedging;
     /** Whether attempts may be cancelled. */
     public boolean cancellation;
-    /** Whether servers may be probed. */
+    /** Whether servers may be probed. Part of the protocol; no rule probes. */
     public boolean probes;
     /** Longest advice to a client on when to retry; 0 means none may be given. */
     public long maxRetryAfterUs;
@@ -42,15 +42,15 @@
     public boolean pollsEndpointList;
     /** Where it must be polled: without a subscription, at least this often. */
     public long pollIntervalUs = 10_000_000;
-    /** Sends to a server must end this long after the notification that it drains or is gone. */
+    /** Sends to a server must end this long after the notification that it drains or is gone; they end at once. */
     public long drainGraceUs = 1_000_000;
     /** A server starts with this share of its capacity or more. */
     public double warmUpInitialShare = 0.2;
-    /** And is warm after this long at most. */
+    /** A server is warm this long after its start at most. */
     public long warmUpUs = 20_000_000;
     /** A server that warms up is overloaded when all nodes send it more than this many times what it can do. */
     public double overloadMultiple = 3;
-    /** For this long. */
+    /** How long an overloaded server that warms up fails. Part of the protocol; no rule reads it. */
     public long overloadUs = 2_000_000;
     /** Cost of an attempt that crosses zones; 0 if crossing is free. */
     public double crossZoneCost;
--- a/node/src/main/java/loadbalancer/policy/OutcomeRecorder.java
+++ b/node/src/main/java/loadbalancer/policy/OutcomeRecorder.java
@@ -78,6 +78,7 @@
         LoadSignal signal = LoadSignal.of(request, outcome, latency);
         if (signal != LoadSignal.NONE) {
             boolean answered = signal == LoadSignal.ANSWERED;
+            // By its arrival here, not by its client's first attempt: the ratio measures this node and its servers.
             rules.onTimeRatio.record(answered && nowUs <= request.arrivedAtUs + request.latencyObjectiveUs);
         }
         if (signal == LoadSignal.ANSWERED) {
--- a/node/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/node/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -18,10 +18,10 @@
     private static final int MIN_FAILURES = 4;
     /** Successful trial requests in a row that end an ejection: one may be luck, three hardly. */
     private static final int SUCCESSES_TO_RETURN = 3;
-    /** First mean time until a trial request, doubled with each failed one, and the longest. */
-    private static final long BASE_EJECTION_US = 250_000;
-
-    private static final long MAX_EJECTION_US = 4_000_000;
+    /** Mean time from an ejection to its first trial request. */
+    private static final long BASE_TRIAL_INTERVAL_US = 250_000;
+    /** The longest mean time between trial requests, which doubles with each that fails. */
+    private static final long MAX_TRIAL_INTERVAL_US = 4_000_000;
 
     /** What a success did to an ejection. */
     enum Recovery {
@@ -66,13 +66,20 @@
     private void recordFailure(ServerRecord server, ServerHealth health, ServerHealth classHealth, long nowUs) {
         health.history = health.history << 1 | 1;
         health.trialsSucceeded = 0;
-        boolean isOutlier = health.recentFailures() >= MIN_FAILURES
-                && (health == classHealth || !servesOtherClasses(server, classHealth));
-        if (health.ejected || isOutlier) {
+        if (health.ejected || isOutlier(server, health, classHealth)) {
             eject(server, health, nowUs);
         }
     }
 
+    /** A server that fails one class and serves the others is an outlier for that class only. */
+    private static boolean isOutlier(ServerRecord server, ServerHealth health, ServerHealth classHealth) {
+        if (health.recentFailures() < MIN_FAILURES) {
+            return false;
+        }
+        boolean concernsOneClass = health == classHealth;
+        return concernsOneClass || !servesOtherClasses(server, classHealth);
+    }
+
     /** Whether another class has succeeded since this one did, without a failure among its last answers. */
     private static boolean servesOtherClasses(ServerRecord server, ServerHealth classHealth) {
         for (int classIndex = 0; classIndex < server.classHealth.size(); classIndex++) {
@@ -88,19 +95,24 @@
     private void eject(ServerRecord server, ServerHealth health, long nowUs) {
         if (!health.ejected) {
             int classIndex = server.classHealth.indexOf(health);
-            if (2 * (countEjectedFor(classIndex) + 1) > state.servers.length) {
+            if (!mayEjectOneMore(classIndex)) {
                 return;
             }
             health.ejected = true;
-            health.ejectionUs = BASE_EJECTION_US / 2;
+            health.trialIntervalUs = BASE_TRIAL_INTERVAL_US / 2;
             actions.ejected(server.id, health.recentFailures(), className(classIndex));
         }
-        health.ejectionUs = Math.min(MAX_EJECTION_US, 2 * health.ejectionUs);
+        health.trialIntervalUs = Math.min(MAX_TRIAL_INTERVAL_US, 2 * health.trialIntervalUs);
         // Jitter: nodes that ejected a server together must not try it together.
-        health.trialAtUs = nowUs + health.ejectionUs / 2 + random.nextLong(health.ejectionUs);
+        health.trialAtUs = nowUs + health.trialIntervalUs / 2 + random.nextLong(health.trialIntervalUs);
         refresh();
     }
 
+    /** Never more than half are ejected: when most servers fail, the fault is not theirs. */
+    private boolean mayEjectOneMore(int classIndex) {
+        return 2 * (countEjectedFor(classIndex) + 1) <= state.servers.length;
+    }
+
     /** How many servers are ejected for this class, or with -1 for all. */
     private int countEjectedFor(int classIndex) {
         int count = 0;
--- a/node/src/main/java/loadbalancer/policy/PendingRequest.java
+++ b/node/src/main/java/loadbalancer/policy/PendingRequest.java
@@ -45,7 +45,10 @@
     boolean valuedAsLate;
 
     boolean clientGone;
-    /** The attempt whose answer has begun to reach the client. */
+    /**
+     * The attempt that the request is bound to: part of its answer or of the request has gone, see {@link
+     * Balancer#onFirstByte}.
+     */
     int boundAttempt = UNBOUND;
 
     private State state = State.IN_PROGRESS;
@@ -55,6 +58,7 @@
             RequestClass requestClass,
             int maxAttempts,
             long arrivedAtUs,
+            long deadlineAtUs,
             long latencyObjectiveUs,
             long objectiveAtUs,
             long keySeed) {
@@ -65,7 +69,7 @@
         this.latencyObjectiveUs = latencyObjectiveUs;
         this.objectiveAtUs = objectiveAtUs;
         this.keySeed = keySeed;
-        deadlineAtUs = arrivedAtUs + Math.max(0, request.remainingUs());
+        this.deadlineAtUs = deadlineAtUs;
         servers = new ServerRecord[maxAttempts];
         sentAtUs = new long[maxAttempts];
         results = new AttemptResult[maxAttempts];
@@ -98,7 +102,7 @@
     }
 
     boolean hasKey() {
-        return keySeed != 0;
+        return keySeed != KeyAffinityPicker.NO_KEY;
     }
 
     int maxAttempts() {
@@ -138,7 +142,7 @@
      * The earliest attempt that is not known never to have run, or -1. It is what restricts further attempts and what
      * may be said to the client.
      */
-    int bindingAttempt() {
+    int earliestThatMayHaveRun() {
         for (int attempt = 0; attempt < attempts; attempt++) {
             if (results[attempt] == null || !results[attempt].neverRan) {
                 return attempt;
--- a/node/src/main/java/loadbalancer/policy/PendingRequestFactory.java
+++ b/node/src/main/java/loadbalancer/policy/PendingRequestFactory.java
@@ -47,6 +47,7 @@
                 requestClass,
                 settings.maxAttempts,
                 arrivedAtUs,
+                deadlineAtUs,
                 latencyObjectiveUs,
                 Math.min(deadlineAtUs, arrivedAtUs + latencyObjectiveUs - sinceFirstUs),
                 settings.keyAffinity ? KeyAffinityPicker.seedOf(request.key()) : KeyAffinityPicker.NO_KEY);
--- a/node/src/main/java/loadbalancer/policy/RetryPicker.java
+++ b/node/src/main/java/loadbalancer/policy/RetryPicker.java
@@ -17,7 +17,7 @@
 
     /** A server for the next attempt after one at {@code previous}, or null if none may be sent to now. */
     ServerRecord pick(PendingRequest request, ServerRecord previous, long nowUs) {
-        if (request.hasKey() && request.bindingAttempt() < 0) {
+        if (request.hasKey() && request.earliestThatMayHaveRun() < 0) {
             return keyAffinityPicker.pickUntried(request, state.allServers, nowUs);
         }
         ServerRecord[] servers = state.servers;
--- a/node/src/main/java/loadbalancer/policy/RetryPolicy.java
+++ b/node/src/main/java/loadbalancer/policy/RetryPolicy.java
@@ -17,7 +17,7 @@
         if (request.attempts >= request.maxAttempts() || nowUs >= request.deadlineAtUs || request.isBound()) {
             return false;
         }
-        int binding = request.bindingAttempt();
+        int binding = request.earliestThatMayHaveRun();
         return binding < 0
                 || request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT
                         && nowUs <= beginByUs(request, binding);
@@ -25,7 +25,7 @@
 
     /** When the next attempt must have begun; Long.MAX_VALUE if that does not matter. */
     static long beginByUs(PendingRequest request) {
-        return beginByUs(request, request.bindingAttempt());
+        return beginByUs(request, request.earliestThatMayHaveRun());
     }
 
     private static long beginByUs(PendingRequest request, int binding) {
@@ -39,7 +39,7 @@
         if (request.requestClass.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY) {
             return true;
         }
-        int binding = request.bindingAttempt();
+        int binding = request.earliestThatMayHaveRun();
         if (binding < 0) {
             return true;
         }
@@ -52,7 +52,7 @@
 
     /** Whether the client may be told that sending the request again does no harm. */
     static boolean isRetryByClientHarmless(PendingRequest request) {
-        if (request.bindingAttempt() < 0) {
+        if (request.earliestThatMayHaveRun() < 0) {
             return true;
         }
         return switch (request.requestClass.idempotency()) {
--- a/node/src/main/java/loadbalancer/policy/ServerEligibility.java
+++ b/node/src/main/java/loadbalancer/policy/ServerEligibility.java
@@ -18,11 +18,11 @@
                 && !server.classHealth.get(request.classIndex).ejected
                 && !loadReports.isOverloaded(server, nowUs)
                 && !limiter.isAtLimit(request, server, nowUs)
-                && isLawful(request, server, nowUs);
+                && maySendTrial(request, server, nowUs);
     }
 
-    /** Whether even a trial request may go there: the rules that hold whatever the server's health and load. */
-    boolean isLawful(PendingRequest request, ServerRecord server, long nowUs) {
+    /** Whether a trial request may go there: by the rules that hold whatever the server's health and load. */
+    boolean maySendTrial(PendingRequest request, ServerRecord server, long nowUs) {
         return server.state == ServerState.READY
                 && slowStart.maySend(server, nowUs)
                 && RetryPolicy.mayRunAt(request, server);
--- a/node/src/main/java/loadbalancer/policy/ServerHealth.java
+++ b/node/src/main/java/loadbalancer/policy/ServerHealth.java
@@ -11,9 +11,9 @@
     boolean ejected;
     /** When an ejected server is due for its next trial request. */
     long trialAtUs;
-    /** Current length of the ejection, which doubles with each failed trial request. */
-    long ejectionUs;
-    /** Trial requests that succeeded in a row. */
+    /** Mean time until the next trial request of an ejected server; doubles with each that fails. */
+    long trialIntervalUs;
+    /** Successes since the last failure, of which enough end an ejection. */
     int trialsSucceeded;
 
     long answeredAtUs;
--- a/node/src/main/java/loadbalancer/policy/ServerRecord.java
+++ b/node/src/main/java/loadbalancer/policy/ServerRecord.java
@@ -29,7 +29,7 @@
     // Written by ErrorCounter.
     int errors;
 
-    // Written by OutlierDetector.
+    // Written by OutlierDetector, and as answers come by OutcomeRecorder.
     /** What all its answers show, and those of each class: it may fail one class and serve the others. */
     final ServerHealth health = new ServerHealth();
 
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -10,7 +10,8 @@
  * The path of a request through the balancer; each rule on it stands in a class of its own (see
  * {@link BalancerRules}).
  *
- * <p>The path is ServiceQ's. A first attempt goes to the better of two servers drawn by weights that fall with their
+ * <p>The path is that of ServiceQ, a published load balancer that weighs servers by their errors. A first attempt goes
+ * to the better of two servers drawn by weights that fall with their
  * errors ({@link FirstAttemptPicker}); a failed one is retried at the next server in list order ({@link RetryPolicy},
  * {@link RetryPicker}); when no server may be sent to, the request waits within its client's time
  * ({@link PendingQueue}), or gets a final answer.
--- a/node/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/node/src/main/java/loadbalancer/policy/SlowStart.java
@@ -19,6 +19,8 @@
     private static final double UNKNOWN_KEY_COST = 3;
     /** A server that reports less load than the mean by this factor has room for all that is allowed. */
     private static final double IDLE_FACTOR = 2;
+    /** What a server that has no such room gets of what is allowed: chance adds the rest. */
+    private static final double NORMAL_BUDGET_SHARE = 0.5;
 
     private final BalancerState state;
     private long lastAnswerAtUs;
@@ -77,15 +79,19 @@
         BalancerSettings settings = state.settings;
         double age = Math.max(0, nowUs - server.startedAtUs) / (double) settings.warmUpUs;
         double capacityShare = settings.warmUpInitialShare + (1 - settings.warmUpInitialShare) * Math.min(1, age);
-        double room = meanLoadAgainst(server);
-        double multiple = Math.max(1, settings.overloadMultiple / (room < IDLE_FACTOR ? 2 : 1));
+        double room = meanLoadRatio(server);
+        double budgetShare = room < IDLE_FACTOR ? NORMAL_BUDGET_SHARE : 1;
+        double multiple = Math.max(1, settings.overloadMultiple * budgetShare);
         // Once it reports no more load than others, it bears what unknown keys cost.
         double requestCost = settings.keyAffinity && room < 1 ? UNKNOWN_KEY_COST : 1;
         return (long) (evenGapUs(nowUs) * requestCost / (capacityShare * multiple));
     }
 
-    /** The mean reported load divided by the server's; 0 if it has reported none since it started. */
-    private double meanLoadAgainst(ServerRecord server) {
+    /**
+     * The mean reported load divided by the server's; 0 if it has reported none since it started. Where neither it nor
+     * any other holds anything, this is NaN, which no comparison holds for: the server then counts as idle.
+     */
+    private double meanLoadRatio(ServerRecord server) {
         return server.reportedAtUs > server.startedAtUs
                 ? state.totalReportedLoad / state.servers.length / server.reportedLoad
                 : 0;
--- a/node/src/main/java/loadbalancer/policy/SubsetSelector.java
+++ b/node/src/main/java/loadbalancer/policy/SubsetSelector.java
@@ -25,6 +25,14 @@
     private static final int MIN_SUBSET_SIZE = 4;
     /** Least places in the table for each server, so that all have about equally many. */
     private static final int MIN_PLACES_PER_SERVER = 4;
+    /** Least servers, however few there are, where there is one zone: one may fail. */
+    private static final int MIN_SERVERS_OF_ONE_ZONE = 2;
+    /** Least servers of the own zone, and of all others, where there are several. */
+    private static final int MIN_SERVERS_OF_EACH_SIDE = 1;
+    /** Most nodes that share a server: more would exceed the cap on connections. */
+    private static final int MAX_NODES_PER_SERVER = 2 * NODES_PER_SERVER;
+    /** Servers of the own zone to each of another: these are used only where the own zone's do not suffice. */
+    private static final int LOCAL_PER_REMOTE = 2;
 
     private final BalancerState state;
     private int localSubsetSize;
@@ -48,14 +56,16 @@
         ServerRecord[] remote = Arrays.stream(candidates)
                 .filter(server -> zones > 1 && server.zone != settings.localZone)
                 .toArray(ServerRecord[]::new);
-        int localSize = subsetSize(local.length, (double) settings.nodes / zones, zones == 1 ? 2 : 1);
-        int remoteSize = subsetSize(remote.length, settings.nodes, 1);
+        int leastLocal = zones == 1 ? MIN_SERVERS_OF_ONE_ZONE : MIN_SERVERS_OF_EACH_SIDE;
+        int localSize = subsetSize(local.length, (double) settings.nodes / zones, leastLocal);
+        int remoteSize = subsetSize(remote.length, settings.nodes, MIN_SERVERS_OF_EACH_SIDE);
         if (localSize == local.length && remoteSize == remote.length) {
             return Arrays.asList(candidates);
         }
         keepSizeUnlessDoubledOrHalved(localSize);
         List<ServerRecord> used = new ArrayList<>(subset(local, Math.min(local.length, localSubsetSize)));
-        used.addAll(subset(remote, Math.min(remoteSize, Math.max(MIN_SUBSET_SIZE, localSubsetSize / 2))));
+        used.addAll(
+                subset(remote, Math.min(remoteSize, Math.max(MIN_SUBSET_SIZE, localSubsetSize / LOCAL_PER_REMOTE))));
         return used;
     }
 
@@ -66,8 +76,7 @@
     }
 
     private static int subsetSize(int servers, double nodes, int atLeast) {
-        // Where servers are few, the least size of all nodes together would exceed the cap on connections.
-        int least = (int) Math.max(atLeast, Math.min(MIN_SUBSET_SIZE, 2 * NODES_PER_SERVER * servers / nodes));
+        int least = (int) Math.max(atLeast, Math.min(MIN_SUBSET_SIZE, MAX_NODES_PER_SERVER * servers / nodes));
         return Math.min(servers, Math.max(least, (int) Math.ceil(NODES_PER_SERVER * servers / nodes)));
     }
 
--- a/node/src/main/java/loadbalancer/policy/TrialRequests.java
+++ b/node/src/main/java/loadbalancer/policy/TrialRequests.java
@@ -84,7 +84,7 @@
     }
 
     private boolean isFree(PendingRequest request, ServerRecord server, long nowUs) {
-        return server.inFlight == 0 && eligibility.isLawful(request, server, nowUs);
+        return server.inFlight == 0 && eligibility.maySendTrial(request, server, nowUs);
     }
 
     private static boolean isDue(PendingRequest request, ServerRecord server, long nowUs) {
@@ -93,7 +93,7 @@
         if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return !health.ejected
                     && classHealth.ejected
-                    && nowUs >= classHealth.trialAtUs + NON_IDEMPOTENT_WAIT_FACTOR * classHealth.ejectionUs;
+                    && nowUs >= classHealth.trialAtUs + NON_IDEMPOTENT_WAIT_FACTOR * classHealth.trialIntervalUs;
         }
         return health.ejected && nowUs >= health.trialAtUs || classHealth.ejected && nowUs >= classHealth.trialAtUs;
     }
--- a/node/src/main/java/loadbalancer/process/GracefulShutdown.java
+++ b/node/src/main/java/loadbalancer/process/GracefulShutdown.java
@@ -26,11 +26,9 @@
  * where the platform holds the listening socket and the next process of the node accepts on it.
  */
 final class GracefulShutdown {
-    /**
-     * The platform lets a node run for its longest deadline after SIGTERM, of which it counts at most this much, ...
-     */
-    private static final long MAX_COUNTED_DEADLINE_US = 3_000_000;
-    /** ... and for this much longer; then it kills the process. */
+    /** The platform lets a node run for its longest deadline after SIGTERM; of a longer one it counts this much. */
+    private static final long MAX_GRACE_DEADLINE_US = 3_000_000;
+    /** After that time the platform waits for this long, then it kills the process. */
     private static final long KILL_DELAY_US = 700_000;
     /** How long before the kill the last response is written, so that it still reaches its client. */
     private static final long RESPONSE_MARGIN_US = 200_000;
@@ -76,7 +74,7 @@
     /** By when every request has its response; reckoned from the file as it is now, as the platform does. */
     private long drainTimeoutUs() {
         long countedDeadlineUs =
-                Math.min(MAX_COUNTED_DEADLINE_US, config.classes().longestDeadlineUs());
+                Math.min(MAX_GRACE_DEADLINE_US, config.classes().longestDeadlineUs());
         return countedDeadlineUs + KILL_DELAY_US - RESPONSE_MARGIN_US;
     }
 }
--- a/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -63,8 +63,8 @@
     /**
      * Joins the membership of the fleet, if the node takes part in one.
      *
-     * @return leaves it again; null where there is nothing to leave. An interface of the JDK's, so that a node
-     *     without a fleet does not load the classes of the membership.
+     * @return leaves it again; null where there is nothing to leave. A Runnable, so that a node without a
+     *     fleet loads no class of the membership.
      */
     private Runnable joinMembership() {
         if (config.membership() == null) {
--- a/node/src/main/java/loadbalancer/upstream/UpstreamExchange.java
+++ b/node/src/main/java/loadbalancer/upstream/UpstreamExchange.java
@@ -30,7 +30,7 @@
     void onLoadReport(String report);
 
     /**
-     * A response has started that is too large to be buffered.
+     * A response has started that is too large to be buffered, or whose length and end are not known in time.
      *
      * @param length its announced length, or -1 where there is none
      * @param source pauses and resumes it
--- a/node/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
+++ b/node/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
@@ -67,13 +67,15 @@
     @Test
     void ejectionDoublesWithEachFailureUpToFourSeconds() {
         fail(server, 0, 4);
-        long ejectionUs = 250_000;
+        long trialIntervalUs = 250_000;
         for (int i = 0; i < 7; i++) {
-            assertEquals(ejectionUs, server.health.ejectionUs);
+            assertEquals(trialIntervalUs, server.health.trialIntervalUs);
             long untilTrialUs = server.health.trialAtUs - now;
-            assertTrue(untilTrialUs >= ejectionUs / 2 && untilTrialUs < ejectionUs * 3 / 2, "in " + untilTrialUs);
+            assertTrue(
+                    untilTrialUs >= trialIntervalUs / 2 && untilTrialUs < trialIntervalUs * 3 / 2,
+                    "in " + untilTrialUs);
             fail(server, 0, 1);
-            ejectionUs = Math.min(2 * ejectionUs, 4_000_000);
+            trialIntervalUs = Math.min(2 * trialIntervalUs, 4_000_000);
         }
     }
 
