--- a/rig/src/main/java/loadbalancer/rig/real/MemberFleet.java
+++ b/rig/src/main/java/loadbalancer/rig/real/MemberFleet.java
@@ -146,7 +146,8 @@
         StringBuilder lines = new StringBuilder();
         members.forEach(member -> lines.append('\n')
                 .append(member.name())
-                .append(member.isUp() ? " " + member.liveNames() : " has no process"));
+                .append(member.isUp() ? " " + member.liveNames() : " has no process")
+                .append(member.liveNames().isEmpty() ? member.lastLogged() : ""));
         return lines.toString();
     }
 
--- a/rig/src/main/java/loadbalancer/rig/real/MemberProcess.java
+++ b/rig/src/main/java/loadbalancer/rig/real/MemberProcess.java
@@ -36,6 +36,7 @@
     private static final String FLEET_NAME = "rig";
     private static final int CLIENT_TIMEOUT_MILLIS = 2_000;
     private static final long IDLE_TIMEOUT_US = 15_000_000;
+    private static final int LAST_LINES = 12;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final MemberFleet fleet;
@@ -183,6 +184,17 @@
         return Files.readString(log());
     }
 
+    /** The end of its log, for a test that failed: why it ended, or why it does not answer. */
+    String lastLogged() {
+        try {
+            List<String> lines = Files.readAllLines(log());
+            return "\n    "
+                    + String.join("\n    ", lines.subList(Math.max(0, lines.size() - LAST_LINES), lines.size()));
+        } catch (IOException e) {
+            return " and no log: " + e;
+        }
+    }
+
     @Override
     public void close() {
         if (process != null) {
--- a/rig/src/test/java/loadbalancer/rig/ArchitectureTest.java
+++ b/rig/src/test/java/loadbalancer/rig/ArchitectureTest.java
@@ -44,6 +44,10 @@
                     "loadbalancer.discovery..",
                     "loadbalancer.transfer..",
                     "loadbalancer.common..",
+                    "loadbalancer.http..",
+                    "loadbalancer.settings..",
+                    "loadbalancer.eventloop..",
+                    "loadbalancer.net..",
                     "loadbalancer.simulator..",
                     "org..",
                     "com..")
