--- a/node/src/main/java/loadbalancer/client/RequestReader.java
+++ b/node/src/main/java/loadbalancer/client/RequestReader.java
@@ -16,7 +16,9 @@
  * <p>Immutable; a new configuration gets a new reader.
  */
 public final class RequestReader {
-    private static final String REQUEST_ROOT = "/api";
+    /** Requests are for paths below this one. */
+    public static final String REQUEST_ROOT = "/api";
+
     private static final String SCHEME = "http://";
     private static final int UNKNOWN_TENANT = -1;
 
--- a/node/src/main/java/loadbalancer/process/WarmUp.java
+++ b/node/src/main/java/loadbalancer/process/WarmUp.java
@@ -26,6 +26,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.client.RequestReader;
 import loadbalancer.config.NodeConfig;
 import loadbalancer.discovery.Endpoint;
 import loadbalancer.discovery.EndpointList;
@@ -182,7 +183,7 @@
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     idempotent ? HttpMethod.GET : HttpMethod.POST,
-                    "/api/" + NAME,
+                    RequestReader.REQUEST_ROOT + "/" + NAME,
                     Unpooled.wrappedBuffer(new byte[bodyBytes]));
             request.headers()
                     .set(HttpHeaderNames.HOST, NAME)
--- a/node/src/test/java/loadbalancer/process/LargeListTest.java
+++ b/node/src/test/java/loadbalancer/process/LargeListTest.java
@@ -1,17 +1,13 @@
 package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.function.Predicate;
-import loadbalancer.Main;
+import java.util.Map;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -43,12 +39,13 @@
             String known = NodeHarness.endpointList(1, true, "s0=" + server.endpoint() + "=Ready");
             Process program = start(folder, discovery.endpoint(), known);
             try {
-                String listening = awaitLine(program, line -> line.startsWith("level=info event=listening "));
+                String listening =
+                        NodeProgram.awaitLine(program, line -> line.startsWith("level=info event=listening "));
                 int port = Integer.parseInt(listening.substring(listening.lastIndexOf(':') + 1));
                 assertEquals(200, ask(port, "before"));
                 String list = fullList(servers, server.endpoint());
                 FakeServer.awaitNext(discovery.answeredConnections).write(NodeHarness.chunk(list + "\n"));
-                awaitLine(
+                NodeProgram.awaitLine(
                         program,
                         line -> line.endsWith("event=endpoint_list version=2 kind=full first_of_watch=true ready="
                                 + servers + " draining=0 gone=0"));
@@ -68,33 +65,14 @@
                  "limits":{"attemptsCap":4},
                  "classes":[{"name":"page","onTimeUs":60000000,"giveUpUs":60000000,"repeat":"safe"}]}}
                 """.formatted(discovery, known));
-        String java = ProcessHandle.current().info().command().orElseThrow();
-        ProcessBuilder builder = new ProcessBuilder(
-                java,
+        return NodeProgram.start(
+                Map.of("PROXY_CONFIG", config.toString()),
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
                 HEAP,
                 "-Xss256k",
                 "-XX:MaxDirectMemorySize=16m",
-                "-XX:+ExitOnOutOfMemoryError",
-                "-cp",
-                System.getProperty("java.class.path"),
-                Main.class.getName(),
-                "node");
-        builder.environment().put("PROXY_CONFIG", config.toString());
-        return builder.redirectErrorStream(true).start();
-    }
-
-    private static String awaitLine(Process program, Predicate<String> awaited) throws IOException {
-        List<String> lines = new ArrayList<>();
-        while (true) {
-            String line = program.inputReader().readLine();
-            assertNotNull(line, "the program has ended: " + lines);
-            lines.add(line);
-            if (awaited.test(line)) {
-                return line;
-            }
-        }
+                "-XX:+ExitOnOutOfMemoryError");
     }
 
     private static int ask(int port, String txn) throws IOException {
--- a/node/src/test/java/loadbalancer/process/StalledLoopTest.java
+++ b/node/src/test/java/loadbalancer/process/StalledLoopTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import java.lang.reflect.Proxy;
 import java.net.Socket;
 import java.util.concurrent.CountDownLatch;
@@ -31,6 +32,11 @@
         release.countDown();
     }
 
+    private static void assertServed(Socket client, String requestId) throws IOException {
+        Http.Message response = NodeHarness.exchange(client, Http.pageRequest("/api/p", requestId, "15000m"));
+        assertEquals(200, response.status());
+    }
+
     /**
      * A request waits in the socket for 300 ms, as the loop is stalled. Its deadline counts from when it arrived: the
      * server must be given the time that is left, or it works for a client that has given up.
@@ -41,10 +47,7 @@
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket open = harness.connect();
-            assertEquals(
-                    200,
-                    NodeHarness.exchange(open, Http.pageRequest("/api/p", "first", "15000m"))
-                            .status());
+            assertServed(open, "first");
             CountDownLatch release = harness.blockEventLoop();
             Socket client = newConnection ? harness.connect() : open;
             NodeHarness.write(client, Http.pageRequest("/api/p", "second", "15000m"));
@@ -67,19 +70,13 @@
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket open = harness.connect();
-            assertEquals(
-                    200,
-                    NodeHarness.exchange(open, Http.pageRequest("/api/p", "first", "15000m"))
-                            .status());
+            assertServed(open, "first");
             CountDownLatch release = harness.blockEventLoop();
             Socket client = newConnection ? harness.connect() : open;
             NodeHarness.write(client, Http.pageRequest("/api/p", "late", "200m"));
             stall(release);
             assertEquals(503, Http.readMessage(client.getInputStream()).status());
-            assertEquals(
-                    200,
-                    NodeHarness.exchange(client, Http.pageRequest("/api/p", "last", "15000m"))
-                            .status());
+            assertServed(client, "last");
             assertEquals(
                     "first", FakeServer.awaitNext(server.requests).headers().get("x-txn"));
             assertEquals("last", FakeServer.awaitNext(server.requests).headers().get("x-txn"));
--- a/rig/src/main/java/loadbalancer/rig/real/MemberFleet.java
+++ b/rig/src/main/java/loadbalancer/rig/real/MemberFleet.java
@@ -144,10 +144,13 @@
 
     private String liveNames() {
         StringBuilder lines = new StringBuilder();
-        members.forEach(member -> lines.append('\n')
-                .append(member.name())
-                .append(member.isUp() ? " " + member.liveNames() : " has no process")
-                .append(member.liveNames().isEmpty() ? member.lastLogged() : ""));
+        for (MemberProcess member : members) {
+            List<String> live = member.liveNames();
+            lines.append('\n').append(member.name()).append(member.isUp() ? " " + live : " has no process");
+            if (live.isEmpty()) {
+                lines.append(member.lastLogged());
+            }
+        }
         return lines.toString();
     }
 
