--- a/node/src/main/java/loadbalancer/client/BadRequestException.java
+++ b/node/src/main/java/loadbalancer/client/BadRequestException.java
@@ -1,13 +1,13 @@
 package loadbalancer.client;
 
 /**
- * A request that cannot be used. The message is sent to the client as the body of the response, so its text is part of
- * what clients see.
+ * Thrown for a request whose head violates the protocol. Its message is the body of the response with status 400,
+ * except to HEAD, so clients see the text.
  */
 final class BadRequestException extends Exception {
     private static final long serialVersionUID = 2;
 
-    /** Why a request cannot be used. */
+    /** The rule that a request violates. */
     enum Reason {
         MISSING_HEADER,
         DUPLICATE_HEADER,
@@ -36,17 +36,17 @@
         return new BadRequestException(Reason.UNREADABLE_HEADER, name + " cannot be read");
     }
 
-    /** The field that names the class names none that is in force. */
+    /** The header names a class that no configuration in force accepts. */
     static BadRequestException unknownClass(String header) {
         return new BadRequestException(Reason.UNKNOWN_CLASS, header + " names no class");
     }
 
-    /** The class is known, but its requests come with another method. */
+    /** The class is known, but its requests use another method. */
     static BadRequestException methodMismatch() {
         return new BadRequestException(Reason.METHOD_MISMATCH, "the class does not go with the method");
     }
 
-    /** An idempotency key where the class has none, or none where the class wants one. */
+    /** The request has an idempotency key that its class does not allow, or lacks one that its class requires. */
     static BadRequestException idempotencyKeyMismatch(String header) {
         return new BadRequestException(Reason.IDEMPOTENCY_KEY_MISMATCH, header + " does not go with the class");
     }
--- a/node/src/main/java/loadbalancer/client/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -16,43 +16,54 @@
 import loadbalancer.transfer.FlowControl;
 
 /**
- * The last handler of a client's connection. It serves one request at a time; pipelined ones wait their turn.
+ * The last handler in the pipeline of a client's connection. It serves one request at a time and queues pipelined ones.
  *
- * <p>{@link RequestAssembler} reads requests, {@link ResponseWriter} writes responses, {@link LingeringClose} ends the
- * connection, and {@link ConnectionState} is what they share. Whoever handles a request owes it exactly one response,
- * by {@link #sendResponse} or by {@link #startResponse} and what follows it.
+ * <p>{@link RequestAssembler} reads requests, {@link ResponseWriter} writes responses, and {@link ConnectionTimeouts}
+ * detects slow clients; they share the {@link ConnectionState}. {@link LingeringClose} closes the connection. The
+ * handler of a request sends exactly one response: by {@link #sendResponse}, or by {@link #startResponse} followed by
+ * {@link #endResponse} or {@link #abortResponse}.
  *
- * <p>All methods run on the event loop. Parts of requests are released by this handler, parts of responses that are
- * given to it by the channel.
+ * <p>A half-closed connection is not kept open. {@code ChannelOption.ALLOW_HALF_CLOSURE} is off, so Netty closes the
+ * channel when it reads the end of the client's stream, even if the client has shut down only its output and still
+ * waits for a response. The end of the stream is noticed only while the channel is being read. When the channel becomes
+ * inactive, the {@link CloseListener} of the open request is notified, and pipelined requests are dropped without being
+ * sent to a server.
+ *
+ * <p>All methods are called on the event loop. This handler releases the inbound messages that it reads. The channel
+ * releases the parts of responses that are written to it.
  */
 public final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
-    /** Learns that the client of an open request is gone. */
+    /** Notified when the client of an open request is gone. */
     public interface CloseListener {
-        /** Called once if the client has closed before it had its response, or has lost the right to one. */
+        /**
+         * Called at most once, after which no response can be sent any more: the connection has closed before the
+         * end of the response was written to the channel, or the rest of the request could not be read and the
+         * connection has sent an error response itself.
+         */
         void onClientGone();
     }
 
-    /** The server that has accepted the connection. */
+    /** The server that accepted the connection. */
     interface Owner {
-        /** How far what is read is behind what has arrived. */
+        /** Measures how long received bytes may have waited in the sockets before they were read. */
         LoopLagMeter lagMeter();
 
-        /** The reader for requests that begin now. */
+        /** Returns the reader for the heads of new requests. */
         RequestReader reader();
 
-        /** Whether every response is to end its connection. */
+        /** Whether each response closes its connection unless requests are pipelined. */
         boolean isDraining();
 
-        /** The status that a readiness check gets. */
+        /** Returns the status of the response to a readiness check. */
         HttpResponseStatus readiness();
 
-        /** The client has begun a request: others have been idle for longer. */
+        /** The client has started a request, which makes its connection the most recently used one. */
         void onRequestStarted(ClientConnection client);
 
-        /** A request can be served; it is owed one {@link #sendResponse}. */
+        /** A request is ready to be served. The owner is responsible for exactly one response to it. */
         void onRequest(ClientConnection client, ClientRequest request);
 
-        /** The connection is closed. */
+        /** Called when the connection has closed. */
         void onClosed(ClientConnection client);
     }
 
@@ -66,19 +77,20 @@
     private final ConnectionTimeouts timeouts;
     private final LingeringClose lingeringClose;
 
-    /** The turn of the loop in which the connection was accepted, and when it may have been opened. */
+    /** The turn of the event loop in which the connection was accepted. */
     private final long acceptedInTurn;
 
+    /** The earliest time at which the client may have opened the connection, by {@link System#nanoTime}. */
     private final long openedAtNanos;
 
-    /** The request that is open, as its handler knows it; null where no response is due to one. */
+    /** Set by the handler of the open request; null if there is none or its whole response has been passed on. */
     private CloseListener closeListener;
 
     ClientConnection(SocketChannel channel, StrictServerCodec codec, Owner owner) {
         this.channel = channel;
         this.codec = codec;
         this.owner = owner;
-        assembler = new RequestAssembler(channel, state, pipelined, owner, new AssembledRequests());
+        assembler = new RequestAssembler(channel, state, pipelined, owner, new AssemblerListener());
         writer = new ResponseWriter(channel, state, written -> onResponseWritten());
         timeouts = new ConnectionTimeouts(state, assembler, writer);
         lingeringClose = new LingeringClose(channel);
@@ -86,33 +98,39 @@
         openedAtNanos = owner.lagMeter().earliestArrivalNanos();
     }
 
-    /** Whether it is open and nothing is owed on it. One that is being closed is not idle: it frees no room again. */
+    /**
+     * Returns whether the connection is open and has no request, neither in service nor pipelined. A closed connection
+     * is not idle: closing it again would free no further socket.
+     */
     boolean isIdle() {
         return !state.isServing() && pipelined.isEmpty() && channel.isOpen();
     }
 
-    /** Whether it is idle and no part of a request has arrived either: its client has been promised nothing. */
+    /** Returns whether the connection is idle and not even a part of a request has arrived. */
     boolean isQuiescent() {
-        return isIdle() && !codec.isAmidMessage();
+        return isIdle() && !codec.isMessageInProgress();
     }
 
-    /** Whether the client has let it wait for too long. */
+    /** Returns whether one of the timeouts for an inactive or slow client has passed. */
     boolean isOverdue(long nowNanos) {
         return timeouts.isOverdue(nowNanos, closeListener != null);
     }
 
-    /** Closes it at once. */
+    /** Closes the connection immediately; responses that are still in transit may be lost. */
     void close() {
         channel.close();
     }
 
-    /** Closes it such that responses on their way still arrive. */
+    /** Closes the connection gracefully: pipelined requests are dropped, responses in transit still arrive. */
     void shutDown() {
         state.disableKeepAlive();
         lingeringClose.start(pipelined::release);
     }
 
-    /** Notifies the listener, once, if the client's end has been read; else that happens a little later. */
+    /**
+     * Notifies the close listener if the channel is already inactive. Netty calls {@link #channelInactive} in a later
+     * task, and until then the client would seem to be connected. The listener is not notified a second time.
+     */
     public void notifyIfClosed() {
         CloseListener listener = closeListener;
         if (!channel.isActive() && listener != null) {
@@ -121,7 +139,7 @@
         }
     }
 
-    /** Sets who is notified if the client leaves before the response to the open request has ended. */
+    /** Sets the listener that is notified if the client is gone before the response to the open request has ended. */
     public void setCloseListener(CloseListener listener) {
         closeListener = listener;
     }
@@ -135,7 +153,7 @@
         }
         long arrivedAtNanos = earliestArrivalNanos();
         if (state.isRequestReceived()) {
-            // Pipelined. Reading goes on as long as there is room: that the client has left shows only by reading.
+            // A pipelined request. Reads on until the queue is full, as a disconnect is noticed only while reading.
             pipelined.add(part, arrivedAtNanos);
             if (pipelined.isFull()) {
                 channel.config().setAutoRead(false);
@@ -145,7 +163,10 @@
         assembler.read(part, arrivedAtNanos);
     }
 
-    /** What is read in the first turn after the accept may have arrived with the connection. */
+    /**
+     * Returns the earliest time at which the current message may have arrived. Data that is read no later than one turn
+     * after the accept may have arrived together with the connection.
+     */
     private long earliestArrivalNanos() {
         long arrivedAtNanos = owner.lagMeter().earliestArrivalNanos();
         boolean arrivedWithConnection = owner.lagMeter().turnNumber() <= acceptedInTurn + 1;
@@ -157,8 +178,8 @@
         assembler.flush();
     }
 
-    /** What the assembler makes of the parts that it is given. */
-    private final class AssembledRequests implements RequestAssembler.Listener {
+    /** Passes assembled requests to the owner and sends the responses that need no server. */
+    private final class AssemblerListener implements RequestAssembler.Listener {
         @Override
         public void onRequestStarted() {
             owner.onRequestStarted(ClientConnection.this);
@@ -169,7 +190,8 @@
             try {
                 owner.onRequest(ClientConnection.this, request);
             } catch (RuntimeException e) {
-                // A programming error that one request meets must not leave the request without a response.
+                // A programming error must not leave the request without a response. A handler that has set a close
+                // listener has taken the request over and is responsible for its response.
                 Log.error("request_error", e, "uri", request.head().uri());
                 if (closeListener == null) {
                     sendResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, HttpBodies.EMPTY, 0);
@@ -205,7 +227,11 @@
 
     // ---------------------------------------------------------------- responses
 
-    /** Sends the whole response to the open request; {@code retryAfterUs} of 0 gives no advice on when to retry. */
+    /**
+     * Sends a complete response to the open request.
+     *
+     * @param retryAfterUs sent as Retry-After, in seconds; 0 leaves the header out
+     */
     public void sendResponse(HttpResponseStatus status, byte[] body, long retryAfterUs) {
         FullHttpResponse response = ResponseWriter.fullResponse(status, body, retryAfterUs);
         closeListener = null;
@@ -213,50 +239,58 @@
         writer.write(response);
     }
 
-    /** Starts a streamed response of this length, or of -1 where the length is not known. */
+    /**
+     * Starts a streamed response.
+     *
+     * @param length the length of the body in bytes, or -1 if it is unknown
+     * @param source paused while the client does not read the response
+     */
     public void startResponse(long length, FlowControl source) {
         HttpResponse response = writer.streamedResponse(length, assembler.head());
         onResponseStarted(response);
         writer.start(response, source);
     }
 
-    /** Writes the next part of a streamed response; takes the part over. */
+    /** Writes the next part of a streamed response without flushing it; takes ownership of the part. */
     public void writeResponsePart(ByteBuf part) {
         writer.writePart(part);
     }
 
-    /** Flushes what has been written of a streamed response. */
+    /** Flushes the parts of a streamed response that have been written. */
     public void flushResponse() {
         writer.flush();
     }
 
-    /** Ends a streamed response and goes on to the next request. */
+    /** Ends a streamed response. The next request is served once the end has been written to the socket. */
     public void endResponse() {
         closeListener = null;
         writer.end();
     }
 
-    /** Breaks off a streamed response whose rest will not come, so that the client can tell. */
+    /** Aborts a streamed response that cannot be completed, by a reset, so that the client detects the truncation. */
     public void abortResponse() {
         closeListener = null;
         writer.abort();
     }
 
-    /** What the client still sends of the request is of no more use. */
+    /** Records that the response has started. Input that still arrives for the request is dropped. */
     private void onResponseStarted(HttpResponse response) {
         assembler.discardBuffered();
         assembler.cancelLocalResponse();
         state.responseStarted();
         assembler.stopStreaming();
         state.touch();
-        // Pipelined requests have been accepted, and are answered before the connection ends.
+        // Pipelined requests have already been accepted: a draining node serves them before it closes the connection.
         boolean last = !state.isKeepAlive() || owner.isDraining() && pipelined.isEmpty();
         if (last) {
             writer.markLast(response);
         }
     }
 
-    /** The next request is served only once a response is written out: a client may send requests and never read. */
+    /**
+     * Called when the end of the response has been written to the socket, or its write has failed. Only then is the
+     * next request served; otherwise responses would pile up for a client that sends requests and never reads.
+     */
     private void onResponseWritten() {
         state.responseWritten();
         endExchangeIfDone();
@@ -266,7 +300,7 @@
         if (!state.endExchangeIfDone()) {
             return;
         }
-        assembler.forgetHead();
+        assembler.clearHead();
         if (!state.isKeepAlive()) {
             shutDown();
         } else if (!pipelined.isEmpty()) {
@@ -294,7 +328,7 @@
         writer.onWritabilityChanged();
     }
 
-    // ---------------------------------------------------------------- the end
+    // ---------------------------------------------------------------- closing
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
@@ -308,7 +342,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // An I/O error is the client's, who may leave amid a request; anything else is a programming error.
+        // The client causes I/O errors, e.g. by a reset in the middle of a request; any other error is a bug.
         if (!(cause instanceof IOException)) {
             Log.error("client_connection_error", cause);
         }
--- a/node/src/main/java/loadbalancer/client/ClientServer.java
+++ b/node/src/main/java/loadbalancer/client/ClientServer.java
@@ -20,38 +20,40 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * The server towards clients: it accepts connections, limits and closes them, and passes their requests to the handler.
+ * The server for clients: it accepts connections, limits their number, closes inactive ones, and passes requests to the
+ * handler.
  *
- * <p>It ends gracefully in one of two ways: {@link #drain} where the node goes away, {@link #drainForHandover} where
- * another process goes on accepting on the same socket. All methods run on the event loop, but for {@link #listen},
- * which any thread may call.
+ * <p>A graceful shutdown is either {@link #drain}, if the node goes away, or {@link #drainForHandover}, if another
+ * process continues to accept on the same socket. {@link #listen} may be called from any thread, all other methods only
+ * on the event loop.
  */
 public final class ClientServer implements ClientConnection.Owner {
-    /** Serves requests. */
+    /** Handles the requests of all clients. */
     public interface RequestHandler {
         /**
-         * A request can be served: it has arrived in full, or its body is streamed. It is owed one response, by
-         * {@link ClientConnection#sendResponse} or {@link ClientConnection#startResponse} and what follows.
+         * Handles a request that has arrived in full or whose body is streamed. The handler sends exactly one response:
+         * by {@link ClientConnection#sendResponse}, or by {@link ClientConnection#startResponse} followed by
+         * {@link ClientConnection#endResponse} or {@link ClientConnection#abortResponse}.
          */
         void onRequest(ClientConnection client, ClientRequest request);
     }
 
-    /** After SIGTERM connections arrive for 0.4 s more; a tenth of a second is room for those under way. */
+    /** New connections arrive for up to 0.4 s after SIGTERM; the other 0.1 s covers those being established. */
     private static final long ACCEPT_WHILE_DRAINING_MS = 500;
 
     private final MeasuredEventLoop loop;
     private RequestReader reader;
     private final SocketBudget sockets;
     private final RequestHandler handler;
-    /** All connections, the least recently used first. */
+    /** All connections, least recently used first: by the start of their last request, or by their accept. */
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
 
     private Channel listeningChannel;
-    /** Whether another process of this node may accept on the same socket. */
+    /** Whether the listening socket is inherited, so that another process of this node may accept on it too. */
     private boolean socketShared;
 
     private boolean draining;
-    /** Whether no further connection is accepted. */
+    /** Whether accepting has stopped for good. */
     private boolean acceptingEnded;
 
     private Runnable onDrained = () -> {};
@@ -64,7 +66,12 @@
         this.handler = handler;
     }
 
-    /** Listens at this address, or on the inherited socket where there is one; null if there is none. */
+    /**
+     * Starts to listen. The returned future is done when the socket is bound or, if inherited, registered.
+     *
+     * @param address the address to bind; unused with an inherited socket
+     * @param inherited the socket to listen on, or null to open one
+     */
     public ChannelFuture listen(InetSocketAddress address, ServerSocketChannel inherited) {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loop)
@@ -76,8 +83,8 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_SNDBUF, TransferLimits.SOCKET_SEND_BUFFER_BYTES)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, TransferLimits.WRITE_WATER_MARK)
-                // Reads until nothing is left. Else a client's end right behind its request would be read a turn later,
-                // after the request has been sent to a server for nobody.
+                // Reads again even if the last read did not fill its buffer. Otherwise a disconnect right after a
+                // request would be read a turn later, when the request has already been sent to a server.
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         TransferLimits.newReadAllocator().respectMaybeMoreData(false))
@@ -93,7 +100,7 @@
         return opening;
     }
 
-    /** Sets the reader for requests that begin from now on. */
+    /** Sets the reader for the heads of requests that start from now on. */
     public void setRequestReader(RequestReader next) {
         reader = next;
     }
@@ -102,7 +109,7 @@
         sockets.clientOpened();
         channel.closeFuture().addListener(done -> sockets.clientClosed());
         if (!sockets.hasRoomForClient() && !closeOldestIdle()) {
-            // Every connection serves a request: one more would take file descriptors that those requests need.
+            // No connection is idle: one more would take file descriptors that the open requests need.
             channel.close();
             return;
         }
@@ -122,7 +129,9 @@
         return false;
     }
 
-    /** Closes the connections that have been idle, or amid a request or an unread response, for too long. */
+    /**
+     * Closes connections that have been idle, or stalled while receiving a request or sending a response, for too long.
+     */
     public void closeExpired() {
         long nowNanos = System.nanoTime();
         for (ClientConnection client : new ArrayList<>(clients)) {
@@ -133,33 +142,39 @@
     }
 
     /**
-     * Ends gracefully where other processes accept on the same socket. No connection is lost with this process, so it
-     * accepts none from now on, and every response ends its connection. Idle connections stay open for as long as a
-     * request on them can still be answered: a request that crosses the end of its connection would be dropped.
+     * Shuts down gracefully if other processes accept on the same socket. They accept the connections that are still
+     * queued on it, so this process stops accepting immediately. Each response closes its connection unless requests
+     * are pipelined. Idle connections stay open for {@code idleMs}, in which a request on them can still be served: a
+     * request that arrives as its connection is being closed would be lost.
      *
-     * @param idleMs how long idle connections may stay
+     * @param idleMs how long idle connections stay open, in milliseconds
      * @param drained called once no connection is left
      */
     public void drainForHandover(long idleMs, Runnable drained) {
         draining = true;
         acceptingEnded = true;
         onDrained = drained;
-        // Not closed: the JDK would close the standard streams with an inherited socket, and the log with them.
+        // Not closed: closing an inherited socket makes the JDK close the standard streams, which carry the log.
         listeningChannel.config().setAutoRead(false);
         loop.schedule(this::shutDownQuiescent, idleMs, TimeUnit.MILLISECONDS);
         notifyIfDrained();
     }
 
-    /** Shuts down connections without a request; one that is arriving is waited for, and its response ends the rest. */
+    /**
+     * Shuts down the connections without a request. Those on which a part of a request has arrived stay open: the
+     * response to that request closes them.
+     */
     private void shutDownQuiescent() {
         new ArrayList<>(clients).stream().filter(ClientConnection::isQuiescent).forEach(ClientConnection::shutDown);
     }
 
     /**
-     * Ends gracefully where the node goes away. It is no longer ready from now on and every response ends its
-     * connection; connections that the balancer in front still deals out are served, and then idle ones are closed.
+     * Shuts down gracefully if the node goes away. Readiness checks fail from now on unless the socket is inherited,
+     * and each response closes its connection unless requests are pipelined. New connections, which the balancer in
+     * front of the node still opens for a while, are accepted for {@link #ACCEPT_WHILE_DRAINING_MS} more; then the
+     * listening socket and the idle connections are closed.
      *
-     * @param drained called once no connection is left and none can come
+     * @param drained called once no connection is left and no new one can be accepted
      */
     public void drain(Runnable drained) {
         draining = true;
@@ -174,7 +189,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Closes the listening socket and all connections at once. */
+    /** Closes the listening socket and all connections immediately. */
     public void close() {
         listeningChannel.close();
         new ArrayList<>(clients).forEach(ClientConnection::close);
@@ -186,7 +201,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- the owner of its connections
+    // ---------------------------------------------------------------- ClientConnection.Owner
 
     @Override
     public LoopLagMeter lagMeter() {
--- a/node/src/main/java/loadbalancer/client/ConnectionState.java
+++ b/node/src/main/java/loadbalancer/client/ConnectionState.java
@@ -1,30 +1,32 @@
 package loadbalancer.client;
 
 /**
- * Where a client connection stands: the request that is being served, the response to it, and whether the connection
- * goes on afterwards. Reading, answering and closing share it; all transitions stand here.
+ * The state of a client connection: the request in service, its response, and whether the connection is kept alive
+ * afterwards. All transitions are made by methods of this class.
  *
- * <p>A request and its response advance apart, as a response may start before its request has arrived in full. The next
- * request begins once both are over.
+ * <p>Request and response have separate states, as a response may start before its request has arrived in full. The
+ * next request starts once both are complete.
  */
 final class ConnectionState {
-    /** How far the request has arrived that is being served. */
+    /** The state of the request in service. */
     private enum RequestState {
-        /** No request is being served. */
+        /** No request is in service. */
         NONE,
-        /** Its first part has arrived, its end has not. */
+        /** The first part of the request has been read, the last one has not. */
         RECEIVING,
-        /** It has arrived in full, or nobody wants the rest. */
+        /**
+         * The request has been read in full, or its rest will not be used: it was rejected or the connection closed.
+         */
         RECEIVED
     }
 
-    /** How far the response is. Between requests it is what the last response has come to. */
+    /** The state of the response to the request in service or, between requests, to the last one. */
     private enum ResponseState {
-        /** Nothing is written yet. */
+        /** Nothing has been written yet. */
         PENDING,
-        /** It has been started; its end may still be to come, or not be written out yet. */
+        /** The response has started; its end has not been written to the socket. */
         STARTED,
-        /** Its end is written out. */
+        /** The end of the response has been written to the socket, or its write has failed. */
         WRITTEN
     }
 
@@ -32,43 +34,43 @@
     private ResponseState response = ResponseState.PENDING;
     private boolean keepAlive = true;
 
-    /** Whether a request that could be used has arrived: the peer is a client of the protocol, not just any peer. */
-    private boolean clientProven;
+    /** Whether a request to be served has arrived in full, which shows that the peer speaks the protocol. */
+    private boolean clientValidated;
 
     private final long connectedAtNanos = System.nanoTime();
     private long lastActivityNanos = connectedAtNanos;
 
     // ---------------------------------------------------------------- transitions
 
-    /** The first part of a request is read. */
+    /** Records that the head of a request has been read. */
     void requestStarted(boolean keepsAlive) {
         request = RequestState.RECEIVING;
         response = ResponseState.PENDING;
         keepAlive = keepsAlive;
     }
 
-    /** The last part of the request is read. */
+    /** Records that the last part of the request has been read. */
     void requestReceived() {
         request = RequestState.RECEIVED;
     }
 
-    /** The request, or what should have been one, is to be answered without reading on. */
+    /** Records that the request, or malformed input in its place, is to be rejected without reading the rest. */
     void requestRejected() {
         request = RequestState.RECEIVED;
         response = ResponseState.PENDING;
     }
 
-    /** The head of the response is about to be written. */
+    /** Records that the head of the response is about to be written. */
     void responseStarted() {
         response = ResponseState.STARTED;
     }
 
-    /** The end of the response is written out, or could not be written. */
+    /** Records that the end of the response has been written to the socket, or that its write has failed. */
     void responseWritten() {
         response = ResponseState.WRITTEN;
     }
 
-    /** Ends the exchange if its request has arrived and its response is written out; returns whether it is over. */
+    /** Ends the exchange and returns true if the request has been read and the end of its response written. */
     boolean endExchangeIfDone() {
         boolean done = request != RequestState.RECEIVING && response == ResponseState.WRITTEN;
         if (done) {
@@ -77,45 +79,45 @@
         return done;
     }
 
-    /** The connection is closed: nothing more is read or served. */
+    /** Records that the connection has closed: nothing more is read or served. */
     void connectionClosed() {
         request = RequestState.RECEIVED;
         keepAlive = false;
     }
 
-    /** No further request is served on this connection. */
+    /** Makes the request in service the last one on this connection. */
     void disableKeepAlive() {
         keepAlive = false;
     }
 
-    /** A request that can be used has arrived in full. */
-    void proveClient() {
-        clientProven = true;
+    /** Records that a request to be served has arrived in full. */
+    void markClientValidated() {
+        clientValidated = true;
     }
 
-    /** Something has moved on the connection. */
+    /** Records activity on the connection, which restarts its inactivity timeouts. */
     void touch() {
         lastActivityNanos = System.nanoTime();
     }
 
     // ---------------------------------------------------------------- queries
 
-    /** Whether a request is being served. */
+    /** Returns whether a request is in service. Also true once the connection has closed. */
     boolean isServing() {
         return request != RequestState.NONE;
     }
 
-    /** Whether a request is being served whose end has not arrived. */
+    /** Returns whether the end of the request in service has not been read yet. */
     boolean isReceiving() {
         return request == RequestState.RECEIVING;
     }
 
-    /** Whether a request has arrived in full and is not over: what arrives now belongs to the next one. */
+    /** Returns whether the request in service has been read in full: further input belongs to the next request. */
     boolean isRequestReceived() {
         return request == RequestState.RECEIVED;
     }
 
-    /** Whether the response to the request has been started. */
+    /** Returns whether the response to the request in service has started. */
     boolean isResponseStarted() {
         return response != ResponseState.PENDING;
     }
@@ -124,8 +126,8 @@
         return keepAlive;
     }
 
-    boolean isClientProven() {
-        return clientProven;
+    boolean isClientValidated() {
+        return clientValidated;
     }
 
     long connectedAtNanos() {
--- a/node/src/main/java/loadbalancer/client/ConnectionTimeouts.java
+++ b/node/src/main/java/loadbalancer/client/ConnectionTimeouts.java
@@ -3,26 +3,34 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.transfer.TransferLimits;
 
-/** The rules by which a client connection has been waited on for too long. They only judge; the owner closes. */
+/**
+ * Detects client connections that have been idle or stalled for too long. The caller closes them.
+ *
+ * <p>The stricter limits for a first request apply until the client has sent a whole request that can be served.
+ */
 final class ConnectionTimeouts {
-    /** A client that has sent no request for this long makes room for others. */
+    /** Maximum time between requests, after which the socket is freed for other clients. */
     private static final long IDLE_NANOS = TimeUnit.SECONDS.toNanos(120);
 
-    /** A peer that sends no request is to be closed within 3 s, while the head of a request may take 2 s. */
+    /**
+     * Time since the accept after which the limits for a first request apply. The head of a request may take 2 s, and a
+     * peer that sends no request must be disconnected within 3 s.
+     */
     private static final long FIRST_REQUEST_NANOS = TimeUnit.MILLISECONDS.toNanos(2_300);
 
-    /** After {@link #FIRST_REQUEST_NANOS} a first request may pause no longer than this. */
+    /** Maximum pause within the first request once {@link #FIRST_REQUEST_NANOS} have passed. */
     private static final long FIRST_REQUEST_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
     /**
-     * After {@link #FIRST_REQUEST_NANOS} a first request must arrive this fast: half the rate of the slowest client.
+     * Minimum rate of the first request's body once {@link #FIRST_REQUEST_NANOS} have passed: half the rate of the
+     * slowest client.
      */
     private static final double FIRST_REQUEST_MIN_BYTES_PER_NANO = 32e3 / 1e9;
 
-    /** A client that has begun a request and sends no more of it holds a socket and memory for nothing. */
+    /** Maximum pause within a later request, during which the client holds a socket and memory. */
     private static final long REQUEST_READ_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-    /** A client that takes no more of a response holds a connection to a server, too. */
+    /** Maximum time that a client may stall a streamed response, which holds a server connection as well. */
     private static final long RESPONSE_WRITE_NANOS = TimeUnit.SECONDS.toNanos(20);
 
     private final ConnectionState state;
@@ -36,10 +44,10 @@
     }
 
     /**
-     * Whether the client has let its connection wait for too long: for a request, for the rest of one, or for taking a
-     * response.
+     * Returns whether a timeout of the client has passed: for its next request, for the rest of the current one, or for
+     * reading a streamed response.
      *
-     * @param responseDue whether a request is open that the node has yet to answer
+     * @param responseDue whether the handler of a request has not completed the response yet
      */
     boolean isOverdue(long nowNanos, boolean responseDue) {
         if (response.isStreaming()) {
@@ -49,13 +57,13 @@
             return false;
         }
         long inactiveNanos = nowNanos - state.lastActivityNanos();
-        if (state.isClientProven()) {
+        if (state.isClientValidated()) {
             return inactiveNanos > (state.isReceiving() ? REQUEST_READ_NANOS : IDLE_NANOS);
         }
         return isFirstRequestOverdue(nowNanos - state.connectedAtNanos(), inactiveNanos);
     }
 
-    /** Whether it is the node or the server that keeps the exchange from going on. */
+    /** Returns whether the exchange is waiting for the node or the server rather than for the client. */
     private boolean awaitsNode(boolean responseDue) {
         boolean awaitsResponse = responseDue && !request.isStreaming();
         boolean bodyPaused = request.isReadingPaused() && !state.isResponseStarted();
@@ -70,7 +78,7 @@
     }
 
     private boolean isTooSlow(long connectedNanos) {
-        // A streamed body is no slower than the server that takes it.
+        // The server that reads a streamed body may be what slows it down, so no minimum rate applies to it.
         double dueBytes = FIRST_REQUEST_MIN_BYTES_PER_NANO * (connectedNanos - FIRST_REQUEST_NANOS);
         return !request.isStreaming() && request.receivedBytes() + TransferLimits.MAX_READ_BYTES < dueBytes;
     }
--- a/node/src/main/java/loadbalancer/client/LingeringClose.java
+++ b/node/src/main/java/loadbalancer/client/LingeringClose.java
@@ -5,24 +5,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes a connection in two steps: first the node's side, then, once the client has closed its own or a while has
- * passed, the rest. What the client still sends in between is read and dropped.
+ * Closes a client connection in two steps, so that responses in transit are not lost.
  *
- * <p>This guards against lost responses: a socket that is closed over unread bytes resets the connection, and the
- * client then loses responses that are still on their way. Reading until the client's end leaves nothing unread.
+ * <p>The first step shuts down the node's output. From then on input is read and dropped. When the client closes its
+ * side, Netty closes the channel on reading the end of the stream; if that takes longer than {@link #LINGER_MS}, the
+ * channel is closed by a timer.
+ *
+ * <p>Closing a socket that has unread input resets the connection, and the client may then lose a response that it has
+ * not read yet. Reading until the client closes leaves no unread input.
  */
 final class LingeringClose {
     private static final long LINGER_MS = 2_000;
 
     private final SocketChannel channel;
-    /** The end of the second step; null until the first one is taken. */
+    /** Closes the channel after {@link #LINGER_MS}; null until {@link #start}. */
     private Future<?> timeout;
 
     LingeringClose(SocketChannel channel) {
         this.channel = channel;
     }
 
-    /** Takes the first step, once, on a connection that is open; {@code beforeEnd} runs ahead of it. */
+    /** Shuts down the output, once, if the channel is active. {@code beforeEnd} runs before that. */
     void start(Runnable beforeEnd) {
         if (timeout == null && channel.isActive()) {
             beforeEnd.run();
@@ -32,7 +35,7 @@
         }
     }
 
-    /** The connection is closed. */
+    /** Cancels the timer; to be called when the channel has closed. */
     void cancel() {
         if (timeout != null) {
             timeout.cancel(false);
--- a/node/src/main/java/loadbalancer/client/PipelinedMessages.java
+++ b/node/src/main/java/loadbalancer/client/PipelinedMessages.java
@@ -7,16 +7,22 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * The parts of requests that a client has pipelined behind the one that is being served, in order. Their size is
- * bounded, as a client may never stop sending.
+ * The queue of the HTTP messages that a client has pipelined behind the request in service. The caller stops reading
+ * when the queue {@linkplain #isFull is full}, as a client may never stop sending.
  *
- * <p>Holds a reference to each part until {@link #poll} hands it over or {@link #release} drops it. Not thread-safe.
+ * <p>Holds a reference to each part until {@link #poll} passes it to the caller or {@link #release} releases it. Not
+ * thread-safe.
  */
 public final class PipelinedMessages {
-    /** What a part counts for beside its content: its head's fields, or the objects that hold it. */
+    /** Estimated size of a part without its content: the header fields of a head, or the objects that hold a part. */
     private static final int PART_OVERHEAD_BYTES = 512;
 
-    /** A part of a request, and when it arrived at the earliest: its client's time runs while it waits here. */
+    /**
+     * A part of a request.
+     *
+     * @param arrivedAtNanos the earliest time at which it may have arrived; the client's remaining time runs while the
+     *     part is queued
+     */
     record Part(HttpObject message, long arrivedAtNanos) {}
 
     private final ArrayDeque<Part> parts = new ArrayDeque<>();
@@ -28,7 +34,7 @@
         bytes += sizeOf(message);
     }
 
-    /** Returns the next part, which the caller is to release, or null if there is none. */
+    /** Returns the next part, whose release passes to the caller, or null if there is none. */
     public Part poll() {
         Part next = parts.poll();
         bytes -= next == null ? 0 : sizeOf(next.message());
@@ -39,7 +45,7 @@
         return parts.isEmpty();
     }
 
-    /** Whether nothing more should be read from the client until parts have been taken. */
+    /** Returns whether reading from the client should pause until parts have been polled. */
     public boolean isFull() {
         return bytes >= TransferLimits.MAX_BUFFERED_BYTES;
     }
--- a/node/src/main/java/loadbalancer/client/RequestAssembler.java
+++ b/node/src/main/java/loadbalancer/client/RequestAssembler.java
@@ -22,31 +22,35 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * Assembles a client's request from its parts: it checks the head, buffers a small body and streams a large one.
+ * Assembles a client's request from its parts: checks the head, buffers a small body and streams a large one.
  *
- * <p>It owns the buffered body until the request is handed to the listener, the body turns into a stream, or
- * {@link #discardBuffered} is called. It borrows the parts that it is given. Runs on the event loop.
+ * <p>Owns the buffered body until the request is passed to the listener, the body becomes a {@link RequestBody}, or
+ * {@link #discardBuffered} is called. The caller of {@link #read} releases the part. All methods are called on the
+ * event loop.
  */
 final class RequestAssembler implements FlowControl {
-    /** What becomes of the parts. */
+    /** Receives the assembled requests. */
     interface Listener {
-        /** The head of a request is about to be read. */
+        /** The head of a request has arrived and is about to be parsed. */
         void onRequestStarted();
 
-        /** A request can be served: it has arrived in full, or its body is streamed. */
+        /** A request is ready to be served: it has arrived in full, or its body is streamed. */
         void onRequest(ClientRequest request);
 
-        /** A request has arrived in full that the node answers itself, by this response. */
+        /** A request has arrived in full to which the node itself responds, with this status and body. */
         void onLocalResponse(HttpResponseStatus status, byte[] body);
 
-        /** This is no request that can be read on: where the next one would begin is not known. */
+        /**
+         * The input is rejected with this status and not read any further, so the start of the next request is unknown
+         * and the connection must be closed.
+         */
         void onUnreadable(HttpResponseStatus status);
 
-        /** The rest of a request has arrived whose response has been started. */
+        /** The end of a request whose response has already started has been read; its rest was dropped. */
         void onRestDiscarded();
     }
 
-    /** The response to a request that the node answers itself, once the request has arrived in full. */
+    /** The response that the node itself sends, once the request has arrived in full. */
     private record LocalResponse(HttpResponseStatus status, byte[] body) {}
 
     private static final String READINESS_PATH = "/up";
@@ -58,7 +62,7 @@
     private final ClientConnection.Owner owner;
     private final Listener listener;
 
-    /** The request that is being read; null where the node answers it itself, and between requests. */
+    /** The head of the current request; null if the node itself responds to it, and between requests. */
     private ClientRequest.Head head;
 
     private LocalResponse localResponse;
@@ -68,7 +72,7 @@
     private RequestBody streamedBody;
     private boolean readingPaused;
 
-    /** When, at the earliest, the part arrived that is read now. */
+    /** The earliest time at which the current part may have arrived, by {@link System#nanoTime}. */
     private long partArrivedAtNanos;
 
     RequestAssembler(
@@ -89,7 +93,7 @@
     /** Reads the next part of a request; the caller releases it. */
     void read(HttpObject part, long arrivedAtNanos) {
         partArrivedAtNanos = arrivedAtNanos;
-        if (state.isClientProven() || head != null) {
+        if (state.isClientValidated() || head != null) {
             state.touch();
         }
         if (part.decoderResult().isFailure()) {
@@ -108,7 +112,10 @@
         }
     }
 
-    /** The rest of a request that has its response: read to its end, as the client may read only then. */
+    /**
+     * Drops a part of a request whose response has started. The request is read to its end, as the client may read the
+     * response only then; a body that exceeds the limit closes the connection.
+     */
     private void discard(HttpContent content) {
         receivedBytes += content.content().readableBytes();
         if (receivedBytes > TransferLimits.MAX_BODY_BYTES) {
@@ -130,16 +137,16 @@
         } catch (BadRequestException e) {
             localResponse = new LocalResponse(HttpResponseStatus.BAD_REQUEST, rejectionBody(request, e));
         }
-        if (!TransferCodings.hasNoCodingButChunked(request)) {
+        if (!TransferCodings.hasOnlyChunkedCoding(request)) {
             listener.onUnreadable(HttpResponseStatus.BAD_REQUEST);
         } else if (contentLength > maxBodyBytes()) {
             listener.onUnreadable(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         } else if (request.headers().contains(HttpHeaderNames.EXPECT)) {
-            answerExpectation(request);
+            handleExpectation(request);
         }
     }
 
-    /** Finds out who answers the request: a server, or the node itself. */
+    /** Decides whether the request goes to a server or the node itself responds to it. */
     private void route(HttpRequest request) throws BadRequestException {
         String path = RequestReader.path(request.uri());
         if (path.equals(READINESS_PATH)) {
@@ -161,7 +168,7 @@
         return head == null ? TransferLimits.MAX_BUFFERED_BYTES : TransferLimits.MAX_BODY_BYTES;
     }
 
-    private void answerExpectation(HttpRequest request) {
+    private void handleExpectation(HttpRequest request) {
         if (!HttpUtil.is100ContinueExpected(request)) {
             listener.onUnreadable(HttpResponseStatus.EXPECTATION_FAILED);
         } else if (head != null) {
@@ -188,13 +195,13 @@
         } else if (receivedBytes > TransferLimits.MAX_BUFFERED_BYTES && streamedBody == null) {
             streamedBody = new RequestBody(this, contentLength, buffered);
             buffered = null;
-            hand(HttpBodies.EMPTY);
+            dispatch(HttpBodies.EMPTY);
         }
     }
 
     private void buffer(ByteBuf bytes) {
         if (buffered == null) {
-            // Not of the announced length, as the body may never arrive.
+            // Not sized by Content-Length, as the body may never arrive.
             buffered = TransferLimits.ALLOCATOR.buffer(bytes.readableBytes());
         }
         buffered.writeBytes(bytes);
@@ -204,18 +211,18 @@
         if (localResponse != null) {
             listener.onLocalResponse(localResponse.status, localResponse.body);
         } else if (streamedBody != null) {
-            state.proveClient();
+            state.markClientValidated();
             streamedBody.end();
         } else {
             byte[] body = buffered == null ? HttpBodies.EMPTY : ByteBufUtil.getBytes(buffered);
             discardBuffered();
-            hand(body);
+            dispatch(body);
         }
     }
 
-    private void hand(byte[] body) {
+    private void dispatch(byte[] body) {
         if (!state.isReceiving()) {
-            state.proveClient();
+            state.markClientValidated();
         }
         listener.onRequest(new ClientRequest(head, body, streamedBody, partArrivedAtNanos));
     }
@@ -239,7 +246,7 @@
         }
     }
 
-    /** Sends on to the server what has been read of a streamed body. */
+    /** Flushes to the server the parts of a streamed body that have been read. */
     void flush() {
         if (streamedBody != null) {
             streamedBody.flush();
@@ -248,7 +255,7 @@
 
     // ---------------------------------------------------------------- the end of a request
 
-    /** Drops what is buffered of the body. */
+    /** Releases the buffered body, if any. */
     void discardBuffered() {
         if (buffered != null) {
             buffered.release();
@@ -256,12 +263,12 @@
         }
     }
 
-    /** The response has been started: a local one is no longer due. */
+    /** Drops the local response, as the response to the request has started. */
     void cancelLocalResponse() {
         localResponse = null;
     }
 
-    /** The response has been started: the rest of a streamed body is read on and dropped. */
+    /** Stops streaming the body, as the response has started; the rest of it is read and dropped. */
     void stopStreaming() {
         if (streamedBody != null) {
             streamedBody = null;
@@ -269,12 +276,12 @@
         }
     }
 
-    /** The exchange is over. */
-    void forgetHead() {
+    /** Forgets the head once the exchange has ended. */
+    void clearHead() {
         head = null;
     }
 
-    /** The request that is being read, or null. */
+    /** Returns the head of the current request; null if the node itself responds to it, and between requests. */
     ClientRequest.Head head() {
         return head;
     }
--- a/node/src/main/java/loadbalancer/client/RequestReader.java
+++ b/node/src/main/java/loadbalancer/client/RequestReader.java
@@ -11,24 +11,24 @@
 import loadbalancer.policy.Idempotency;
 
 /**
- * Reads the head of a client's request by the protocol and rejects what does not keep to it.
+ * Parses the head of a client's request and rejects a head that violates the protocol.
  *
- * <p>Immutable; a new configuration gets a new reader.
+ * <p>Immutable. A reload of the configuration creates a new reader.
  */
 public final class RequestReader {
-    /** Requests are for paths below this one. */
+    /** The root of the paths whose requests are forwarded to servers. */
     public static final String REQUEST_ROOT = "/api";
 
     private static final String SCHEME = "http://";
     private static final int UNKNOWN_TENANT = -1;
 
-    /** Time that a request takes from the client to the node, which its remaining time does not count. */
+    /** Transit time from the client to the node, which the client does not subtract from the remaining time. */
     private static final long CLIENT_TO_NODE_US = 1_000;
 
     private static final double MAX_REMAINING_US = 3.6e9;
     private static final double MICROS_PER_MILLI = 1_000;
 
-    /** Narrower than {@link Double#parseDouble}, which also reads {@code 1f}, {@code 0x1p3}, NaN and blanks. */
+    /** Stricter than {@link Double#parseDouble}, which also accepts {@code 1f}, {@code 0x1p3}, NaN and whitespace. */
     private static final Pattern DECIMAL = Pattern.compile("[0-9.]{1,20}");
 
     private final ClassRegistry registry;
@@ -38,7 +38,9 @@
         this.registry = registry;
     }
 
-    /** Returns path and query of a request target, which a client may write with scheme and host in front. */
+    /**
+     * Returns path and query of a request target, without the scheme and authority that a client may put before them.
+     */
     static String target(String uri) {
         if (!uri.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
             return uri;
@@ -57,12 +59,16 @@
         return end < 0 ? uri : uri.substring(0, end);
     }
 
-    /** Whether requests to this path go on to a server. */
+    /** Returns whether requests to this path are forwarded to a server. */
     static boolean isRequestPath(String path) {
         return path.startsWith(REQUEST_ROOT + "/") || path.equals(REQUEST_ROOT);
     }
 
-    /** Reads the head of a request whose target is a request path. */
+    /**
+     * Parses the head of a request whose path {@linkplain #isRequestPath is forwarded}.
+     *
+     * @throws BadRequestException if the head violates the protocol
+     */
     ClientRequest.Head read(HttpRequest message) throws BadRequestException {
         String requestId = required(message, ProtocolHeaders.REQUEST_ID);
         String idempotencyKey = optional(message, ProtocolHeaders.IDEMPOTENCY_KEY);
@@ -83,16 +89,16 @@
                 message.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0);
     }
 
-    /** The last segment of the path, or null where it is empty. */
+    /** Returns the last segment of the path, or null if it is empty. */
     private static String affinityKey(String path) {
         String lastSegment = path.substring(path.lastIndexOf('/') + 1);
         return lastSegment.isEmpty() ? null : lastSegment;
     }
 
     /**
-     * Returns the class that the client means. A class has one rule of idempotency: under another class's rule a
-     * request could be repeated that must not run twice. For a while after a reload a name may stand for several
-     * classes; method and idempotency key then tell by which rule the client asks.
+     * Returns the index of the class of this name that matches the request's method and idempotency key. Each class has
+     * one idempotency rule; under the rule of another class, a request that must not run twice could be retried. For a
+     * while after a reload, a name may refer to several classes with different rules.
      */
     private int classIndex(String name, HttpMethod method, boolean hasIdempotencyKey) throws BadRequestException {
         boolean anyMethodFits = false;
@@ -130,7 +136,12 @@
         return values.isEmpty() ? null : values.get(0);
     }
 
-    /** Parses a remaining time, a number and a unit, and takes off the time from the client to the node. */
+    /**
+     * Parses a remaining time, a number followed by a unit, and subtracts the transit time from the client to the node.
+     *
+     * @return the remaining time in microseconds, at least 0
+     * @throws BadRequestException if the text cannot be parsed or exceeds one hour
+     */
     public static long parseRemainingUs(String text) throws BadRequestException {
         double microsPerUnit = microsPerUnit(text);
         double remainingUs =
@@ -141,7 +152,7 @@
         return Math.max(0, (long) remainingUs - CLIENT_TO_NODE_US);
     }
 
-    /** The unit at the end of a time, or 0 where there is none. */
+    /** Returns the unit at the end of a time in microseconds, or 0 if there is none. */
     private static double microsPerUnit(String text) {
         if (text.endsWith("m")) {
             return MICROS_PER_MILLI;
--- a/node/src/main/java/loadbalancer/client/ResponseWriter.java
+++ b/node/src/main/java/loadbalancer/client/ResponseWriter.java
@@ -18,10 +18,11 @@
 import loadbalancer.transfer.FlowControl;
 
 /**
- * Writes responses to a client, whole ones and streamed ones, and pauses the source of a stream that the client does
- * not take.
+ * Writes complete and streamed responses to a client, and pauses the source of a stream that the client reads too
+ * slowly.
  *
- * <p>Each part that is given to it is handed over to the channel, which releases it. Runs on the event loop.
+ * <p>Takes ownership of each part and passes it to the channel, which releases it. All methods are called on the event
+ * loop.
  */
 final class ResponseWriter {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -31,19 +32,22 @@
     private final ConnectionState state;
     private final ChannelFutureListener onWritten;
 
-    /** Where a streamed response comes from, and since when the client takes no more of it. */
+    /** The source of the streamed response; null if none is being streamed. */
     private FlowControl source;
 
+    /** When the channel became unwritable and the source was paused, or {@link #NOT_STALLED}. */
     private long stalledSinceNanos = NOT_STALLED;
 
-    /** @param onWritten called once the end of a response is written out, or could not be written */
+    /** @param onWritten called when the end of a response has been written to the socket, or its write has failed */
     ResponseWriter(SocketChannel channel, ConnectionState state, ChannelFutureListener onWritten) {
         this.channel = channel;
         this.state = state;
         this.onWritten = onWritten;
     }
 
-    /** Makes a whole response; {@code retryAfterUs} of 0 gives no advice. */
+    /**
+     * Creates a complete response. {@code retryAfterUs} is sent as Retry-After, in seconds; 0 leaves the header out.
+     */
     static FullHttpResponse fullResponse(HttpResponseStatus status, byte[] body, long retryAfterUs) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
@@ -55,8 +59,10 @@
     }
 
     /**
-     * Makes the head of a streamed response of this length, or of -1 where it is not known. Where the client does not
-     * accept chunks either, only the end of the connection can end the response.
+     * Creates the head of a streamed response. If the length is unknown and the client does not accept a chunked
+     * response, the end of the connection ends the response.
+     *
+     * @param length the length of the body in bytes, or -1 if it is unknown
      */
     HttpResponse streamedResponse(long length, ClientRequest.Head request) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -70,24 +76,24 @@
         return response;
     }
 
-    /** Marks the response as the last one on its connection. */
+    /** Adds Connection: close to the response, which becomes the last one on its connection. */
     void markLast(HttpResponse response) {
         state.disableKeepAlive();
         response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
 
-    /** Writes a whole response. */
+    /** Writes and flushes a complete response. */
     void write(FullHttpResponse response) {
         channel.writeAndFlush(response).addListener(onWritten);
     }
 
-    /** Writes the head of a response that is streamed from a source. */
-    void start(HttpResponse response, FlowControl from) {
-        source = from;
+    /** Writes the head of a response that is streamed from this source, without flushing it. */
+    void start(HttpResponse response, FlowControl responseSource) {
+        source = responseSource;
         channel.write(response);
     }
 
-    /** Writes the next part of a streamed response; takes the part over. */
+    /** Writes the next part of a streamed response without flushing it; takes ownership of the part. */
     void writePart(ByteBuf part) {
         channel.write(new DefaultHttpContent(part));
         if (!channel.isWritable() && stalledSinceNanos == NOT_STALLED) {
@@ -100,7 +106,7 @@
         channel.flush();
     }
 
-    /** Writes the end of a streamed response. */
+    /** Writes and flushes the end of a streamed response. */
     void end() {
         source = null;
         stalledSinceNanos = NOT_STALLED;
@@ -108,8 +114,8 @@
     }
 
     /**
-     * Breaks off a streamed response by resetting the connection. Where only the end of the connection ends a response,
-     * a client would take a truncated one for complete after an orderly close.
+     * Aborts a streamed response by resetting the connection. A response without length and chunks ends with the
+     * connection, so that after an orderly close a client would accept a truncated one as complete.
      */
     void abort() {
         source = null;
@@ -117,7 +123,7 @@
         channel.close();
     }
 
-    /** The client takes bytes again, or no longer does. */
+    /** Resumes a paused source if the channel has become writable again. */
     void onWritabilityChanged() {
         if (source != null && channel.isWritable() && stalledSinceNanos != NOT_STALLED) {
             stalledSinceNanos = NOT_STALLED;
@@ -129,7 +135,7 @@
         return source != null;
     }
 
-    /** Whether the client has taken nothing for longer than this. */
+    /** Returns whether the channel has been unwritable, with the source paused, for longer than this. */
     boolean isStalledLongerThan(long timeoutNanos, long nowNanos) {
         return stalledSinceNanos != NOT_STALLED && nowNanos - stalledSinceNanos > timeoutNanos;
     }
--- a/node/src/main/java/loadbalancer/client/StrictServerCodec.java
+++ b/node/src/main/java/loadbalancer/client/StrictServerCodec.java
@@ -12,26 +12,26 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * The HTTP codec towards clients. It rejects a request whose end could be read in two ways.
+ * The HTTP codec for client connections. It rejects requests with both Content-Length and chunked transfer coding.
  *
- * <p>This guards against request smuggling: Netty drops the length where a message has chunks too, while a proxy in
- * front may have gone by the length. The two would then disagree on where the next request begins.
+ * <p>This prevents request smuggling: Netty ignores the Content-Length of a chunked message, whereas a proxy in front
+ * of the node may have used it. The two would then disagree on where the next request starts.
  */
 public final class StrictServerCodec extends CombinedChannelDuplexHandler<HttpRequestDecoder, HttpResponseEncoder> {
-    /** HTTP wants at least 8,000 bytes of a request's first line to be understood. */
+    /** RFC 9112 recommends support for request lines of at least 8,000 bytes. */
     private static final int MAX_REQUEST_LINE_BYTES = 8 << 10;
 
     StrictServerCodec() {
         super(new Decoder(), new HttpResponseEncoder());
     }
 
-    /** Whether a part of a message has arrived and its end has not. */
-    boolean isAmidMessage() {
-        return ((Decoder) inboundHandler()).isAmidMessage();
+    /** Returns whether a part of a message has arrived but not its end. */
+    boolean isMessageInProgress() {
+        return ((Decoder) inboundHandler()).isMessageInProgress();
     }
 
     private static final class Decoder extends HttpRequestDecoder {
-        private boolean amidMessage;
+        private boolean messageInProgress;
 
         Decoder() {
             super(new HttpDecoderConfig()
@@ -44,19 +44,19 @@
             int readableBefore = input.readableBytes();
             super.decode(context, input, decoded);
             if (!decoded.isEmpty()) {
-                amidMessage = !(decoded.get(decoded.size() - 1) instanceof LastHttpContent);
+                messageInProgress = !(decoded.get(decoded.size() - 1) instanceof LastHttpContent);
             } else {
-                amidMessage |= input.readableBytes() < readableBefore;
+                messageInProgress |= input.readableBytes() < readableBefore;
             }
         }
 
-        boolean isAmidMessage() {
-            return amidMessage || actualReadableBytes() > 0;
+        boolean isMessageInProgress() {
+            return messageInProgress || actualReadableBytes() > 0;
         }
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("a length and chunks");
+            throw new IllegalArgumentException("request has both Content-Length and Transfer-Encoding: chunked");
         }
     }
 }
--- a/node/src/main/java/loadbalancer/client/package-info.java
+++ b/node/src/main/java/loadbalancer/client/package-info.java
@@ -1,5 +1,7 @@
 /**
- * Accepted client connections: HTTP decoding, pipelining, responses. It owns the listening socket and the client's
- * connections. It must not know of servers, attempts or the balancer: whoever handles a request is an interface here.
+ * Client connections: accepting, HTTP decoding, pipelining, and writing responses.
+ *
+ * <p>Owns the listening socket and the client connections. Must not depend on upstream servers, attempts or the
+ * balancer: requests are passed to {@link loadbalancer.client.ClientServer.RequestHandler}.
  */
 package loadbalancer.client;
--- a/node/src/main/java/loadbalancer/http/TransferCodings.java
+++ b/node/src/main/java/loadbalancer/http/TransferCodings.java
@@ -9,7 +9,7 @@
     private TransferCodings() {}
 
     /** Whether a message uses no transfer coding but {@code chunked}, which is all that a node can pass on. */
-    public static boolean hasNoCodingButChunked(HttpMessage message) {
+    public static boolean hasOnlyChunkedCoding(HttpMessage message) {
         return message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING).stream()
                 .allMatch(HttpHeaderValues.CHUNKED::contentEqualsIgnoreCase);
     }
--- a/node/src/main/java/loadbalancer/request/AttemptStream.java
+++ b/node/src/main/java/loadbalancer/request/AttemptStream.java
@@ -23,10 +23,10 @@
 
     private final MonotonicWallClock clock;
     /** When something last moved, or could not because of the client. */
-    private long movedAtUs;
+    private long lastProgressUs;
 
     /** How much of the request's body had been forwarded when it was last checked for a stall. */
-    private long checkedForwardedBytes;
+    private long lastCheckedForwardedBytes;
 
     /** Where the response comes from; null until there is one. */
     private FlowControl responseSource;
@@ -36,7 +36,7 @@
 
     AttemptStream(MonotonicWallClock clock, long startedAtUs) {
         this.clock = clock;
-        movedAtUs = startedAtUs;
+        lastProgressUs = startedAtUs;
     }
 
     // ---------------------------------------------------------------- the response
@@ -46,7 +46,7 @@
     }
 
     void onResponsePart(int bytes) {
-        movedAtUs = clock.nowUs();
+        lastProgressUs = clock.nowUs();
         responseBytes += bytes;
     }
 
@@ -59,7 +59,7 @@
     @Override
     public void resumeReading() {
         responsePaused = false;
-        movedAtUs = clock.nowUs();
+        lastProgressUs = clock.nowUs();
         responseSource.resumeReading();
     }
 
@@ -72,12 +72,12 @@
 
     /** Whether the response has stalled for longer than is allowed after the deadline. */
     boolean isStalledLate(long nowUs) {
-        return !responsePaused && nowUs - movedAtUs >= LATE_STALL_TIMEOUT_US;
+        return !responsePaused && nowUs - lastProgressUs >= LATE_STALL_TIMEOUT_US;
     }
 
     /** When to ask {@link #isStalledLate} again. */
     long nextLateCheckUs(long nowUs) {
-        return (responsePaused ? nowUs : movedAtUs) + LATE_STALL_TIMEOUT_US;
+        return (responsePaused ? nowUs : lastProgressUs) + LATE_STALL_TIMEOUT_US;
     }
 
     /**
@@ -86,16 +86,16 @@
      * @param body the request's body where it is streamed, else null
      */
     boolean isStalled(RequestBody body, long nowUs) {
-        boolean serverBlocks;
+        boolean blockedByServer;
         if (responseSource == null) {
-            serverBlocks = body.awaitsServer() && body.forwardedBytes() == checkedForwardedBytes;
-            checkedForwardedBytes = body.forwardedBytes();
+            blockedByServer = body.isBlockedByServer() && body.forwardedBytes() == lastCheckedForwardedBytes;
+            lastCheckedForwardedBytes = body.forwardedBytes();
         } else {
-            serverBlocks = !responsePaused;
+            blockedByServer = !responsePaused;
         }
-        if (!serverBlocks) {
-            movedAtUs = nowUs;
+        if (!blockedByServer) {
+            lastProgressUs = nowUs;
         }
-        return nowUs - movedAtUs > STALL_TIMEOUT_US;
+        return nowUs - lastProgressUs > STALL_TIMEOUT_US;
     }
 }
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -50,9 +50,9 @@
     private int openAttempts;
 
     /** The attempt whose message was last written to a connection. */
-    private UpstreamAttempt writing;
+    private UpstreamAttempt writingAttempt;
     /** The attempt whose response is streamed to the client. */
-    private UpstreamAttempt streaming;
+    private UpstreamAttempt streamingAttempt;
 
     ProxiedRequest(
             long id,
@@ -112,7 +112,7 @@
 
     /** Whether its response is streamed, or has been. */
     boolean isResponseStreamed() {
-        return streaming != null;
+        return streamingAttempt != null;
     }
 
     // ---------------------------------------------------------------- its arrival
@@ -129,7 +129,7 @@
     private final class BodyListener implements RequestBody.Listener {
         @Override
         public void onCommitted() {
-            int attempt = writing.number();
+            int attempt = writingAttempt.number();
             services.events()
                     .submit(
                             ProxiedRequest.this,
@@ -143,9 +143,9 @@
     }
 
     /** All of it has arrived: its time runs until this deadline. Not called once it has ended. */
-    void setReceived(long atUs) {
+    void setReceived(long newDeadlineUs) {
         state = state.received();
-        deadlineUs = atUs;
+        deadlineUs = newDeadlineUs;
         attempts.stream().filter(attempt -> !attempt.isEnded()).forEach(UpstreamAttempt::onRequestReceived);
     }
 
@@ -169,14 +169,14 @@
     // ---------------------------------------------------------------- its attempts
 
     /** Whether an attempt of this number may still go out. */
-    boolean admitsAttempt(int number) {
+    boolean allowsAttempt(int number) {
         return number < maxAttempts
                 && !isEnded()
                 && (request.streamedBody() == null || request.streamedBody().isReplayable());
     }
 
-    void startAttempt(String serverId, long beginByUs, long untilUs) {
-        UpstreamAttempt attempt = new UpstreamAttempt(this, attempts.size(), serverId, beginByUs, untilUs, services);
+    void startAttempt(String serverId, long startByUs, long endByUs) {
+        UpstreamAttempt attempt = new UpstreamAttempt(this, attempts.size(), serverId, startByUs, endByUs, services);
         attempts.add(attempt);
         openAttempts++;
         // Behind all that has arrived by this turn of the loop and all timers that are due. Where the loop was held up,
@@ -198,22 +198,22 @@
 
     /** An attempt's message is being written to a connection. */
     void onAttemptWriting(UpstreamAttempt attempt) {
-        writing = attempt;
+        writingAttempt = attempt;
     }
 
     /** The response to an attempt is streamed. Returns whether it goes to the client, as the first one does. */
     boolean startResponse(UpstreamAttempt attempt, long length, FlowControl source) {
-        if (isEnded() || streaming != null) {
+        if (isEnded() || streamingAttempt != null) {
             return false;
         }
-        streaming = attempt;
+        streamingAttempt = attempt;
         client.startResponse(length, source);
         return true;
     }
 
     /** The client, where this attempt's response is streamed to it; null where nobody wants the response. */
     ClientConnection receiverOf(UpstreamAttempt attempt) {
-        return streaming == attempt && !isEnded() ? client : null;
+        return streamingAttempt == attempt && !isEnded() ? client : null;
     }
 
     /** An attempt has ended; its response may be the final one. */
@@ -221,9 +221,9 @@
         if (isEnded()) {
             return;
         }
-        if (streaming == attempt) {
+        if (streamingAttempt == attempt) {
             endStreamedResponse(result);
-        } else if (result == AttemptResult.OK && streaming == null) {
+        } else if (result == AttemptResult.OK && streamingAttempt == null) {
             respond(HttpResponseStatus.OK, body, 0);
         }
     }
@@ -268,7 +268,7 @@
 
     /** Answers it without waiting any longer, as the process ends; a response that is streamed goes on. */
     void failPending() {
-        if (!isEnded() && streaming == null) {
+        if (!isEnded() && streamingAttempt == null) {
             boolean neverSent = attempts.isEmpty();
             respond(
                     neverSent ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.BAD_GATEWAY,
@@ -288,9 +288,9 @@
             listener.onEnding(this);
             state = state.ended();
         }
-        if (!isReceived() && writing != null) {
+        if (!isReceived() && writingAttempt != null) {
             // The rest of what the server was to get will not arrive.
-            writing.cancel();
+            writingAttempt.cancel();
         }
     }
 
--- a/node/src/main/java/loadbalancer/request/RequestTable.java
+++ b/node/src/main/java/loadbalancer/request/RequestTable.java
@@ -24,7 +24,7 @@
     private static final long MICROS_PER_MILLI = 1_000;
 
     /** Clients take a response for lost that comes half a second after its deadline; half of that is logged. */
-    private static final long LOGGED_LATENESS_US = 250_000;
+    private static final long MIN_LOGGED_LATENESS_US = 250_000;
 
     private final RequestServices services;
     private final Supplier<ClassRegistry> registry;
@@ -50,8 +50,8 @@
     /**
      * Sets by when requests that arrive from now on are to have their response, as {@link #failPending} is due then.
      */
-    public void setShutdownDeadline(long atUs) {
-        shutdownDeadlineUs = atUs;
+    public void setShutdownDeadline(long deadlineUs) {
+        shutdownDeadlineUs = deadlineUs;
     }
 
     /** Answers all requests that have no response yet: the process is about to be killed. */
@@ -116,7 +116,7 @@
     public void onEnding(ProxiedRequest request) {
         pendingCount -= request.isReceived() ? 1 : 0;
         long lateUs = services.clock().nowUs() - request.deadlineUs();
-        if (lateUs > LOGGED_LATENESS_US) {
+        if (lateUs > MIN_LOGGED_LATENESS_US) {
             logLate(request, lateUs);
         }
     }
@@ -154,12 +154,12 @@
 
     // ---------------------------------------------------------------- what the balancer asks for
 
-    /** Starts an attempt of a request, which must be held; {@code untilUs} of 0 sets no time limit of its own. */
-    public void startAttempt(long requestId, String serverId, long beginByUs, long untilUs) {
+    /** Starts an attempt of a request, which must be held; {@code endByUs} of 0 sets no time limit of its own. */
+    public void startAttempt(long requestId, String serverId, long startByUs, long endByUs) {
         ProxiedRequest request = requests.get(requestId);
         // While a body is streamed, the balancer does not know yet by when the client wants its response.
-        boolean limited = untilUs != 0 && request.clientRequest().streamedBody() == null;
-        request.startAttempt(serverId, beginByUs, limited ? untilUs : Long.MAX_VALUE);
+        boolean limited = endByUs != 0 && request.clientRequest().streamedBody() == null;
+        request.startAttempt(serverId, startByUs, limited ? endByUs : Long.MAX_VALUE);
     }
 
     /** Cancels an attempt of a request; unknown ids are ignored. */
--- a/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -30,7 +30,7 @@
     private final RequestServices services;
     private final long createdAtUs;
     private final long startByUs;
-    private final long untilUs;
+    private final long endByUs;
 
     /** From when the server could work on the request, and when it began to respond. */
     private long requestReceivedAtUs;
@@ -48,20 +48,20 @@
      * Creates an attempt.
      *
      * @param startByUs the latest time at which it may start on a connection
-     * @param untilUs the latest time at which it may end
+     * @param endByUs the latest time at which it may end
      */
     UpstreamAttempt(
             ProxiedRequest request,
             int number,
             String serverId,
             long startByUs,
-            long untilUs,
+            long endByUs,
             RequestServices services) {
         this.request = request;
         this.number = number;
         this.serverId = serverId;
         this.startByUs = startByUs;
-        this.untilUs = untilUs;
+        this.endByUs = endByUs;
         this.services = services;
         createdAtUs = services.clock().nowUs();
         requestReceivedAtUs = createdAtUs;
@@ -76,7 +76,7 @@
     }
 
     private long deadlineUs() {
-        return Math.min(untilUs, request.deadlineUs());
+        return Math.min(endByUs, request.deadlineUs());
     }
 
     // ---------------------------------------------------------------- the request
@@ -86,7 +86,7 @@
         if (ended) {
             return;
         }
-        if (deadlineUs() <= createdAtUs || !request.admitsAttempt(number)) {
+        if (deadlineUs() <= createdAtUs || !request.allowsAttempt(number)) {
             onEnded(AttemptResult.MOOT, HttpBodies.EMPTY);
             return;
         }
--- a/node/src/main/java/loadbalancer/transfer/RequestBody.java
+++ b/node/src/main/java/loadbalancer/transfer/RequestBody.java
@@ -65,8 +65,8 @@
     }
 
     /** Sets who follows the progress; before the body goes on. */
-    public void setListener(Listener follower) {
-        listener = follower;
+    public void setListener(Listener newListener) {
+        listener = newListener;
     }
 
     /** The announced length, or -1 where the body comes in chunks. */
@@ -80,7 +80,7 @@
     }
 
     /** Whether it is the server that keeps the body from going on. */
-    public boolean awaitsServer() {
+    public boolean isBlockedByServer() {
         return sink != null && clientPaused && !received;
     }
 
--- a/node/src/main/java/loadbalancer/upstream/ResponseReader.java
+++ b/node/src/main/java/loadbalancer/upstream/ResponseReader.java
@@ -73,7 +73,7 @@
         long expectedBytes = HttpUtil.getContentLength(response, INITIAL_BUFFER_BYTES);
         buffered = TransferLimits.ALLOCATOR.buffer(
                 Math.max(0, (int) Math.min(TransferLimits.MAX_BUFFERED_BYTES, expectedBytes)));
-        return TransferCodings.hasNoCodingButChunked(response) && !endsWithUnannouncedClose(response);
+        return TransferCodings.hasOnlyChunkedCoding(response) && !endsWithUnannouncedClose(response);
     }
 
     /**
--- a/node/src/main/java/loadbalancer/upstream/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -135,14 +135,14 @@
             exchange.onEnded(AttemptResult.CONNECT_FAILED, HttpBodies.EMPTY);
             return;
         }
-        server.await(exchange);
+        server.enqueue(exchange);
         dial(server);
     }
 
     /** Takes an exchange back without ending it. Returns whether its request may have been written in full. */
     public boolean abort(String serverId, UpstreamExchange exchange) {
         UpstreamServer server = servers.get(serverId);
-        if (server != null && server.stopWaiting(exchange)) {
+        if (server != null && server.removeWaiting(exchange)) {
             return false;
         }
         ServerConnection connection = active.remove(exchange);
@@ -161,17 +161,17 @@
         ChannelFuture opening = dialer.connect(address);
         opening.channel().closeFuture().addListener(closed -> sockets.serverClosed());
         // By way of the loop, as a dial that fails on the spot would else end the exchange from inside this call.
-        opening.addListener(done -> loop.execute(() -> dialed(server, address, opening)));
+        opening.addListener(done -> loop.execute(() -> onDialComplete(server, address, opening)));
     }
 
-    private void dialed(UpstreamServer server, InetSocketAddress address, ChannelFuture opening) {
+    private void onDialComplete(UpstreamServer server, InetSocketAddress address, ChannelFuture opening) {
         server.dialEnded();
         if (opening.isSuccess()) {
             ServerConnection connection = new ServerConnection(server, address, opening.channel(), clock);
             opening.channel().pipeline().addLast(connection);
             connection.offer();
         } else {
-            server.failIfUndialed();
+            server.failIfNoDialPending();
         }
     }
 
--- a/node/src/main/java/loadbalancer/upstream/UpstreamServer.java
+++ b/node/src/main/java/loadbalancer/upstream/UpstreamServer.java
@@ -120,12 +120,12 @@
     // ---------------------------------------------------------------- exchanges that wait for a connection
 
     /** Queues an exchange for a connection that is about to be dialed. */
-    void await(UpstreamExchange exchange) {
+    void enqueue(UpstreamExchange exchange) {
         waiting.add(exchange);
     }
 
     /** Takes an exchange out of the queue; returns whether it was there. */
-    boolean stopWaiting(UpstreamExchange exchange) {
+    boolean removeWaiting(UpstreamExchange exchange) {
         return waiting.remove(exchange);
     }
 
@@ -141,7 +141,7 @@
      * Ends the first exchange in the queue if no dial is left for it. One dial was made for each, but an exchange may
      * have started on a connection that became idle meanwhile.
      */
-    void failIfUndialed() {
+    void failIfNoDialPending() {
         if (waiting.size() > pendingDials) {
             waiting.poll().onEnded(AttemptResult.CONNECT_FAILED, HttpBodies.EMPTY);
         }
@@ -175,7 +175,7 @@
     public void onUnusable() {
         // The dial was for an exchange that still waits, perhaps at an address that has changed since.
         if (ready) {
-            failIfUndialed();
+            failIfNoDialPending();
         }
     }
 
--- a/node/src/test/java/loadbalancer/transfer/RequestBodyTest.java
+++ b/node/src/test/java/loadbalancer/transfer/RequestBodyTest.java
@@ -118,10 +118,10 @@
         server.writable = false;
         body.updateBackpressure();
         body.updateBackpressure();
-        assertTrue(body.awaitsServer());
+        assertTrue(body.isBlockedByServer());
         server.writable = true;
         body.updateBackpressure();
-        assertFalse(body.awaitsServer());
+        assertFalse(body.isBlockedByServer());
         assertEquals(List.of("paused", "resumed", "paused", "resumed"), events);
     }
 
