--- a/node/src/main/java/loadbalancer/request/AttemptStream.java
+++ b/node/src/main/java/loadbalancer/request/AttemptStream.java
@@ -6,29 +6,29 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * The streamed part of an attempt: a request's body, a response, or both. It passes backpressure on to the server and
- * tells whether the server has stalled.
+ * The state of what an attempt streams: a request body, a response, or both. It forwards backpressure from the client
+ * to the source of the response and detects a stalled server.
  *
- * <p>Only an attempt of which something is streamed has one. Runs on the event loop.
+ * <p>Exists only for an attempt that streams something. All methods are called on the event loop.
  */
 final class AttemptStream implements FlowControl {
-    /** A server that takes and sends nothing for this long, amid something that is streamed, has failed. */
+    /** Maximum time for which a server may neither read nor send anything of what is being streamed. */
     private static final long STALL_TIMEOUT_US = 10_000_000;
 
     /**
-     * The same for a response of unknown length after the deadline, as long as it may be one whose last byte is due by
-     * then: a client takes a response for lost that comes half a second after its deadline.
+     * Maximum pause of a response of unknown length after the deadline, as long as it is small enough to be due in full
+     * by the deadline. Clients treat a response as lost that arrives 500 ms after their deadline.
      */
     static final long LATE_STALL_TIMEOUT_US = 400_000;
 
     private final MonotonicWallClock clock;
-    /** When something last moved, or could not because of the client. */
+    /** When the server last made progress, or was last found not to be the cause of a stall. */
     private long lastProgressUs;
 
-    /** How much of the request's body had been forwarded when it was last checked for a stall. */
+    /** The number of forwarded bytes of the request body at the last check for a stall. */
     private long lastCheckedForwardedBytes;
 
-    /** Where the response comes from; null until there is one. */
+    /** The source of the response; null until the response has started. */
     private FlowControl responseSource;
 
     private long responseBytes;
@@ -65,25 +65,28 @@
 
     // ---------------------------------------------------------------- stalls
 
-    /** Whether more of the response has arrived than would be buffered. */
+    /** Returns whether the part of the response that has arrived exceeds the limit for buffered bodies. */
     boolean isLargeResponse() {
         return responseBytes > TransferLimits.MAX_BUFFERED_BYTES;
     }
 
-    /** Whether the response has stalled for longer than is allowed after the deadline. */
+    /**
+     * Returns whether the response has stalled for {@link #LATE_STALL_TIMEOUT_US} without being paused by the client.
+     */
     boolean isStalledLate(long nowUs) {
         return !responsePaused && nowUs - lastProgressUs >= LATE_STALL_TIMEOUT_US;
     }
 
-    /** When to ask {@link #isStalledLate} again. */
+    /** Returns the time at which {@link #isStalledLate} is to be checked next. */
     long nextLateCheckUs(long nowUs) {
         return (responsePaused ? nowUs : lastProgressUs) + LATE_STALL_TIMEOUT_US;
     }
 
     /**
-     * Whether the server has neither taken nor sent anything for too long; called now and then.
+     * Returns whether the server has neither read nor sent anything for too long. Called periodically: progress is
+     * measured from one call to the next. Once the response has started, only the response counts.
      *
-     * @param body the request's body where it is streamed, else null
+     * @param body the request body if it is streamed, else null
      */
     boolean isStalled(RequestBody body, long nowUs) {
         boolean blockedByServer;
--- a/node/src/main/java/loadbalancer/request/HealthCheck.java
+++ b/node/src/main/java/loadbalancer/request/HealthCheck.java
@@ -13,8 +13,10 @@
 import loadbalancer.upstream.UpstreamExchange;
 
 /**
- * A health check of one server, whose result goes to the balancer. It ends once: with the server's response, with its
- * connection, or by its timeout. Runs on the event loop.
+ * A health check of one server, whose result is reported to the balancer.
+ *
+ * <p>Ends once: with the server's response, by the loss of the connection or the lack of one, or after
+ * {@link #TIMEOUT_US}. All methods are called on the event loop.
  */
 public final class HealthCheck implements UpstreamExchange {
     private static final long TIMEOUT_US = 1_000_000;
@@ -25,14 +27,14 @@
     private Future<?> timeout;
     private LoadReport loadReport;
 
-    /** Creates a check of this server. */
+    /** Creates a health check of this server. */
     public HealthCheck(String serverId, RequestServices services) {
         this.serverId = serverId;
         this.services = services;
         sentAtUs = services.clock().nowUs();
     }
 
-    /** Sends the check. */
+    /** Starts the timeout and sends the health check. */
     public void start() {
         timeout = services.loop().schedule(this::onTimeout, TIMEOUT_US, TimeUnit.MICROSECONDS);
         services.pool().start(serverId, this);
@@ -60,12 +62,12 @@
 
     @Override
     public void onRequestWritten() {
-        // Not an attempt of a client's request, so no metric counts it.
+        // The metric counts only the attempts of clients' requests.
     }
 
     @Override
     public void onResponseStarted(long length, FlowControl source) {
-        // The body does not matter.
+        // The body of the response is not used.
     }
 
     @Override
@@ -75,7 +77,7 @@
 
     @Override
     public void onResponseReadComplete() {
-        // Nobody to pass the parts to.
+        // Nothing to flush, as the parts are not forwarded.
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/request/PolicyEventQueue.java
+++ b/node/src/main/java/loadbalancer/request/PolicyEventQueue.java
@@ -6,15 +6,16 @@
 import loadbalancer.policy.Balancer;
 
 /**
- * The queue of events to the balancer. Events are delivered one after the other: what happens inside one is delivered
- * once that one is over, so the balancer is never re-entered.
+ * The queue of events to the balancer. An event that is submitted while another one is being delivered is delivered
+ * after that one has returned, so the balancer is never re-entered.
  *
- * <p>An exception of the balancer is logged and ends neither the node nor the queue. Runs on the event loop.
+ * <p>A {@link RuntimeException} of the balancer is logged, and the delivery of further events continues. All methods
+ * are called on the event loop.
  */
 public final class PolicyEventQueue {
-    /** What an event is about, where a response is owed to it. */
+    /** Handles a failure of the balancer on an event about a request. */
     public interface FailureHandler {
-        /** The balancer has thrown an exception on an event about this. */
+        /** The balancer has thrown an exception on an event about this request. */
         void onBalancerFailure();
     }
 
@@ -24,17 +25,21 @@
     private Balancer balancer;
     private boolean delivering;
 
-    /** Sets who gets the events; once, before the first one. */
+    /** Sets the balancer that receives the events; to be called once, before the first event. */
     public void setBalancer(Balancer receiver) {
         balancer = receiver;
     }
 
-    /** Delivers an event now, or once the event is over that is being delivered. */
+    /** Delivers an event immediately or, if another one is being delivered, after that. */
     public void submit(Consumer<Balancer> delivery) {
         submit(null, delivery);
     }
 
-    /** Delivers an event about a request, which is to have its response even if the balancer fails on the event. */
+    /**
+     * Delivers an event about a request, immediately or, if another one is being delivered, after that.
+     *
+     * @param failureHandler called if the balancer fails on the event; may be null
+     */
     public void submit(FailureHandler failureHandler, Consumer<Balancer> delivery) {
         events.add(new Event(failureHandler, delivery));
         if (delivering) {
@@ -55,7 +60,7 @@
         try {
             event.delivery.accept(balancer);
         } catch (RuntimeException e) {
-            // A programming error that one request meets must neither end the node nor leave it without a response.
+            // A programming error must neither stop the node nor leave the request without a response.
             Log.error("balancer_error", e);
             if (event.failureHandler != null) {
                 event.failureHandler.onBalancerFailure();
@@ -63,7 +68,7 @@
         }
     }
 
-    /** How many servers the balancer excludes now, for the metrics. */
+    /** Returns the number of servers that the balancer currently excludes, for the metrics. */
     public int excludedServers() {
         return balancer.excludedServers();
     }
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -13,23 +13,28 @@
 import loadbalancer.transfer.RequestBody;
 
 /**
- * A client's request from its arrival until it is finished: it has ended, and the balancer has heard of the end of each
- * attempt.
+ * A client's request, from its arrival until it is finished: it has ended and has no open attempts left.
  *
- * <p>It owns the one final response. It ends by that response, or when its client is gone, and only once; whatever
- * comes later, from attempts or from the balancer, sends nothing. Each attempt that it has started ends once and is
- * then counted down. Runs on the event loop.
+ * <p>A request ends once, by its only final response or because its client has left. After that, neither attempts nor
+ * the balancer can send anything to the client. Each attempt ends once.
+ *
+ * <p>A request whose client leaves ends without a response. If it waits for a server, the balancer drops it, and it is
+ * not sent again. An attempt that has not started yet is not sent. Attempts that wait for a connection or a response
+ * are cancelled by the balancer if its settings enable cancellation; otherwise they continue, and their responses are
+ * dropped. An attempt that is being sent a body of which the rest has not arrived is always cancelled.
+ *
+ * <p>All methods are called on the event loop.
  */
 final class ProxiedRequest implements ClientConnection.CloseListener, PolicyEventQueue.FailureHandler {
-    /** Follows the life of requests. */
+    /** Notified of the state changes of requests. */
     interface Listener {
-        /** All of the request has arrived. */
+        /** The request has arrived in full. */
         void onReceived(ProxiedRequest request);
 
-        /** The request is about to end: it has its final response, or needs none any more. Called once. */
+        /** The request is about to end, by its final response or because its client has left. Called once. */
         void onEnding(ProxiedRequest request);
 
-        /** Nothing will happen to the request any more. */
+        /** The request has ended and has no open attempts left. */
         void onFinished(ProxiedRequest request);
     }
 
@@ -42,16 +47,16 @@
     private final RequestServices services;
 
     private RequestState state = RequestState.RECEIVING;
-    /** By when the client wants its response; not known until all of the request has arrived. */
+    /** The latest time for the response; {@link Long#MAX_VALUE} until the request has arrived in full. */
     private long deadlineUs = Long.MAX_VALUE;
 
     private final List<UpstreamAttempt> attempts = new ArrayList<>(1);
-    /** How many attempts there are of whose end the balancer has not heard. */
+    /** The number of attempts whose outcome has not been reported to the balancer. */
     private int openAttempts;
 
-    /** The attempt whose message was last written to a connection. */
+    /** The attempt whose message was last written to a connection; null before the first one. */
     private UpstreamAttempt writingAttempt;
-    /** The attempt whose response is streamed to the client. */
+    /** The attempt whose response is or was streamed to the client; null if there is none. */
     private UpstreamAttempt streamingAttempt;
 
     ProxiedRequest(
@@ -83,7 +88,9 @@
         return className;
     }
 
-    /** When it arrived, at the earliest: before it was read, where the loop was held up. */
+    /**
+     * Returns the earliest time at which it may have arrived, which is before it was read if the event loop stalled.
+     */
     long arrivedAtUs() {
         return services.clock().unixMicrosOf(request.arrivedAtNanos());
     }
@@ -100,24 +107,24 @@
         return state.isEnded();
     }
 
-    /** How many attempts it has had. */
+    /** Returns the number of attempts so far. */
     int attemptCount() {
         return attempts.size();
     }
 
-    /** How many of its attempts the balancer has not heard the end of. */
+    /** Returns the number of attempts whose outcome has not been reported to the balancer. */
     int openAttemptCount() {
         return openAttempts;
     }
 
-    /** Whether its response is streamed, or has been. */
+    /** Returns whether its response is being streamed or has been. */
     boolean isResponseStreamed() {
         return streamingAttempt != null;
     }
 
-    // ---------------------------------------------------------------- its arrival
+    // ---------------------------------------------------------------- arrival
 
-    /** Follows a body that is still arriving; without one the request has arrived in full. */
+    /** Follows the arrival of a streamed body; a request without one has already arrived in full. */
     void start() {
         if (request.streamedBody() == null) {
             listener.onReceived(this);
@@ -142,7 +149,9 @@
         }
     }
 
-    /** All of it has arrived: its time runs until this deadline. Not called once it has ended. */
+    /**
+     * Records that the request has arrived in full, and starts its deadline. Not called after the request has ended.
+     */
     void setReceived(long newDeadlineUs) {
         state = state.received();
         deadlineUs = newDeadlineUs;
@@ -166,9 +175,9 @@
         }
     }
 
-    // ---------------------------------------------------------------- its attempts
+    // ---------------------------------------------------------------- attempts
 
-    /** Whether an attempt of this number may still go out. */
+    /** Returns whether the attempt of this number may still be sent. */
     boolean allowsAttempt(int number) {
         return number < maxAttempts
                 && !isEnded()
@@ -179,9 +188,9 @@
         UpstreamAttempt attempt = new UpstreamAttempt(this, attempts.size(), serverId, startByUs, endByUs, services);
         attempts.add(attempt);
         openAttempts++;
-        // Behind all that has arrived by this turn of the loop and all timers that are due. Where the loop was held up,
-        // the client may have left, the server been told to drain, or time run out; started at once, the attempt would
-        // go out all the same.
+        // Started by a timer, after the I/O events of this turn and the timers that are already due. After a stall of
+        // the loop these may be a disconnect of the client, a drain of the server or a timeout, each of which must stop
+        // the attempt from being sent.
         services.loop()
                 .schedule(
                         () -> {
@@ -196,12 +205,14 @@
         attempts.get(number).cancel();
     }
 
-    /** An attempt's message is being written to a connection. */
+    /** Records that the message of this attempt is about to be written to a connection. */
     void onAttemptWriting(UpstreamAttempt attempt) {
         writingAttempt = attempt;
     }
 
-    /** The response to an attempt is streamed. Returns whether it goes to the client, as the first one does. */
+    /**
+     * Starts to stream the response to this attempt. Returns whether it goes to the client: only the first one does.
+     */
     boolean startResponse(UpstreamAttempt attempt, long length, FlowControl source) {
         if (isEnded() || streamingAttempt != null) {
             return false;
@@ -211,12 +222,14 @@
         return true;
     }
 
-    /** The client, where this attempt's response is streamed to it; null where nobody wants the response. */
+    /**
+     * Returns the client if this attempt's response is being streamed to it, or null if the response is to be dropped.
+     */
     ClientConnection receiverOf(UpstreamAttempt attempt) {
         return streamingAttempt == attempt && !isEnded() ? client : null;
     }
 
-    /** An attempt has ended; its response may be the final one. */
+    /** Handles the end of an attempt, whose response may become the final one. */
     void onAttemptEnded(UpstreamAttempt attempt, AttemptResult result, byte[] body) {
         if (isEnded()) {
             return;
@@ -239,15 +252,15 @@
         end();
     }
 
-    /** The balancer is about to hear of an attempt's end. */
+    /** Called right before the outcome of an attempt is reported to the balancer. */
     void onAttemptReported() {
         openAttempts--;
         notifyIfFinished();
     }
 
-    // ---------------------------------------------------------------- its end
+    // ---------------------------------------------------------------- end
 
-    /** Sends the one final response, unless the request has ended. */
+    /** Sends the final response, unless the request has ended. */
     void respond(HttpResponseStatus status, byte[] body, long retryAfterUs) {
         if (isEnded()) {
             return;
@@ -266,7 +279,10 @@
         };
     }
 
-    /** Answers it without waiting any longer, as the process ends; a response that is streamed goes on. */
+    /**
+     * Responds with an error, as the process is about to end: 503 if no attempt was ever requested, else 502. A
+     * response that is being streamed continues.
+     */
     void failPending() {
         if (!isEnded() && streamingAttempt == null) {
             boolean neverSent = attempts.isEmpty();
@@ -289,7 +305,7 @@
             state = state.ended();
         }
         if (!isReceived() && writingAttempt != null) {
-            // The rest of what the server was to get will not arrive.
+            // The rest of the body, which the server waits for, will not arrive.
             writingAttempt.cancel();
         }
     }
--- a/node/src/main/java/loadbalancer/request/RequestServices.java
+++ b/node/src/main/java/loadbalancer/request/RequestServices.java
@@ -9,11 +9,11 @@
 import loadbalancer.upstream.ServerPool;
 
 /**
- * What requests and their attempts are carried out with, the same for all of a node. Used on the event loop only.
+ * The components of a node that requests and their attempts use. Used on the event loop only.
  *
- * @param loadReportFields what servers report of their load, in the order of the settings
- * @param events the way to the balancer
- * @param streaming the attempts with a streamed request or response, which are checked for stalls
+ * @param loadReportFields the fields of load reports that are used, in the order of the settings
+ * @param events the queue of events to the balancer
+ * @param streaming the attempts that stream a request or a response, which are checked for stalls
  */
 public record RequestServices(
         EventLoop loop,
--- a/node/src/main/java/loadbalancer/request/RequestState.java
+++ b/node/src/main/java/loadbalancer/request/RequestState.java
@@ -1,22 +1,22 @@
 package loadbalancer.request;
 
-/** How far a {@link ProxiedRequest} is. All transitions stand here. */
+/** The state of a {@link ProxiedRequest} and its transitions. */
 enum RequestState {
-    /** Its body is still arriving. */
+    /** The request body is still arriving. */
     RECEIVING,
-    /** It has arrived in full, and its time runs. */
+    /** The request has arrived in full, and its deadline is set. */
     RECEIVED,
-    /** It has ended before it had arrived in full. */
+    /** The request ended before it had arrived in full. */
     ENDED_AMID_BODY,
-    /** It has arrived in full and has ended. */
+    /** The request arrived in full and has ended. */
     ENDED;
 
-    /** The state once all of the request has arrived. */
+    /** Returns the state after the request has arrived in full. */
     RequestState received() {
         return isEnded() ? ENDED : RECEIVED;
     }
 
-    /** The state once the request has its final response, or needs none any more. */
+    /** Returns the state after the final response, or after the client has left. */
     RequestState ended() {
         return isReceived() ? ENDED : ENDED_AMID_BODY;
     }
--- a/node/src/main/java/loadbalancer/request/RequestTable.java
+++ b/node/src/main/java/loadbalancer/request/RequestTable.java
@@ -14,52 +14,53 @@
 import loadbalancer.policy.BalancerRequest;
 
 /**
- * The table of all requests that a node holds, by id.
+ * The table of the node's open requests, by id.
  *
- * <p>A request is entered when its head and the beginning of its body are known, and removed once it has its final
- * response and the balancer has heard of the end of each attempt. What the balancer asks for is passed to the request
- * here; a request that is no longer held ignores it. Runs on the event loop.
+ * <p>A request is added when it has arrived in full or its body starts to be streamed. It is removed once it has ended
+ * and the outcome of each attempt has been reported to the balancer. The actions of the balancer are passed to the
+ * request by its id. All methods are called on the event loop.
  */
 public final class RequestTable implements ClientServer.RequestHandler, ProxiedRequest.Listener {
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Clients take a response for lost that comes half a second after its deadline; half of that is logged. */
+    /** Lateness above which a request is logged: half of the 500 ms after which clients treat a response as lost. */
     private static final long MIN_LOGGED_LATENESS_US = 250_000;
 
     private final RequestServices services;
     private final Supplier<ClassRegistry> registry;
     private final Map<Long, ProxiedRequest> requests = new HashMap<>();
 
-    /** How many requests have arrived in full and have not had the end of their final response. */
+    /** The number of requests that have arrived in full and have not ended. */
     private int pendingCount;
 
     private long lastId;
     private long shutdownDeadlineUs = Long.MAX_VALUE;
 
-    /** @param registry the classes as they are when a request arrives */
+    /** @param registry supplies the current request classes when a request arrives */
     public RequestTable(RequestServices services, Supplier<ClassRegistry> registry) {
         this.services = services;
         this.registry = registry;
     }
 
-    /** How many requests have arrived in full and wait for the end of their response. */
+    /** Returns the number of requests that have arrived in full and have not ended. */
     public int pendingCount() {
         return pendingCount;
     }
 
     /**
-     * Sets by when requests that arrive from now on are to have their response, as {@link #failPending} is due then.
+     * Limits the deadlines of requests that arrive, or whose bodies end, from now on to this time, at which
+     * {@link #failPending} will be called.
      */
     public void setShutdownDeadline(long deadlineUs) {
         shutdownDeadlineUs = deadlineUs;
     }
 
-    /** Answers all requests that have no response yet: the process is about to be killed. */
+    /** Responds with an error to all requests whose response has not started, as the process is about to be killed. */
     public void failPending() {
         List.copyOf(requests.values()).forEach(ProxiedRequest::failPending);
     }
 
-    // ---------------------------------------------------------------- the life of a request
+    // ---------------------------------------------------------------- life cycle of a request
 
     @Override
     public void onRequest(ClientConnection client, ClientRequest arrived) {
@@ -79,7 +80,7 @@
         submitToBalancer(request, Math.min(shutdownDeadlineUs, request.arrivedAtUs() + head.remainingUs()));
     }
 
-    /** Submits a new request to the balancer, with the time by which its client wants the response. */
+    /** Submits a new request to the balancer, with its remaining time counted from its arrival. */
     private void submitToBalancer(ProxiedRequest request, long clientDeadlineUs) {
         ClientRequest.Head head = request.clientRequest().head();
         services.events().submit(request, balancer -> {
@@ -144,7 +145,7 @@
                 request.isResponseStreamed());
     }
 
-    /** Ends the attempts whose servers neither take nor send anything of what is streamed. */
+    /** Ends the attempts whose servers have stalled a streamed request or response for too long. */
     public void expireStalled() {
         long nowUs = services.clock().nowUs();
         List.copyOf(services.streaming()).stream()
@@ -152,17 +153,24 @@
                 .forEach(UpstreamAttempt::expire);
     }
 
-    // ---------------------------------------------------------------- what the balancer asks for
+    // ---------------------------------------------------------------- actions of the balancer
 
-    /** Starts an attempt of a request, which must be held; {@code endByUs} of 0 sets no time limit of its own. */
+    /**
+     * Starts an attempt of a request, which must be in the table.
+     *
+     * @param startByUs the latest time at which the attempt may start on a connection
+     * @param endByUs the latest time at which the attempt may end; 0 for no limit but the request's deadline. Not used
+     *     if the request body is streamed
+     */
     public void startAttempt(long requestId, String serverId, long startByUs, long endByUs) {
         ProxiedRequest request = requests.get(requestId);
-        // While a body is streamed, the balancer does not know yet by when the client wants its response.
+        // The balancer does not know the deadline of a request whose body is streamed: it starts with the end of the
+        // body.
         boolean limited = endByUs != 0 && request.clientRequest().streamedBody() == null;
         request.startAttempt(serverId, startByUs, limited ? endByUs : Long.MAX_VALUE);
     }
 
-    /** Cancels an attempt of a request; unknown ids are ignored. */
+    /** Cancels an attempt of a request. Unknown request ids are ignored. */
     public void cancelAttempt(long requestId, int attempt) {
         ProxiedRequest request = requests.get(requestId);
         if (request != null) {
@@ -170,7 +178,7 @@
         }
     }
 
-    /** Sends the final response that no server has made: rejected or failed. Unknown ids are ignored. */
+    /** Sends a final response of the node itself: rejected or failed. Unknown request ids are ignored. */
     public void respond(long requestId, HttpResponseStatus status, long retryAfterUs) {
         ProxiedRequest request = requests.get(requestId);
         if (request != null) {
--- a/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -15,11 +15,20 @@
 import loadbalancer.upstream.UpstreamExchange;
 
 /**
- * One attempt of a request at one server, buffered or streamed.
+ * One attempt of a request at one server, with buffered or streamed bodies.
  *
- * <p>It ends once, by {@link #onEnded}: by the pool, by its timeout, or because it is cancelled. From then on the
- * timer is cancelled, the pool no longer has it, and the balancer is to hear of its outcome. Parts of a response that
- * nobody wants are released here. Runs on the event loop.
+ * <p>Ends once, by {@link #onEnded}: called by the pool, by a timeout or by {@link #cancel}. From then on its timer is
+ * cancelled, the pool does not hold it, and its outcome has been submitted to the balancer.
+ *
+ * <p>The result tells whether the server may have run the request ({@link AttemptResult#neverRan}). Until the whole
+ * request has been written to the socket, the lack or loss of a connection or a timeout ends the attempt as
+ * {@link AttemptResult#CONNECT_FAILED}: the server has not run it. After that, the loss of the connection ends it as
+ * {@link AttemptResult#RESET} and a timeout as {@link AttemptResult#TIMEOUT}: the server may have run it. A response
+ * that cannot be used ends it as RESET, and {@link #cancel} as {@link AttemptResult#CANCELLED}; both count as "may have
+ * run", whatever has been written.
+ *
+ * <p>Parts of a response that are not forwarded to the client are released here. All methods are called on the event
+ * loop.
  */
 final class UpstreamAttempt implements UpstreamExchange {
     private static final long NOT_STARTED = 0;
@@ -32,12 +41,13 @@
     private final long startByUs;
     private final long endByUs;
 
-    /** From when the server could work on the request, and when it began to respond. */
+    /** Start of the measured latency: when the attempt was created or, if later, the request had arrived in full. */
     private long requestReceivedAtUs;
 
+    /** When the streamed response started, or {@link #NOT_STARTED}. */
     private long responseStartedAtUs = NOT_STARTED;
 
-    /** What is streamed of it; null where nothing is. */
+    /** The state of what is streamed; null if nothing is. */
     private AttemptStream stream;
 
     private Future<?> timeout;
@@ -81,7 +91,10 @@
 
     // ---------------------------------------------------------------- the request
 
-    /** Starts it, unless it has ended or is moot by now. */
+    /**
+     * Starts the attempt in the pool, unless it has ended. Ends it as {@link AttemptResult#MOOT} if its deadline had
+     * passed when it was created or the request no longer allows an attempt.
+     */
     void start() {
         if (ended) {
             return;
@@ -99,7 +112,7 @@
         services.pool().start(serverId, this);
     }
 
-    /** Something of it is streamed from now on, and is checked for stalls. */
+    /** Adds the attempt to those that are checked for stalls, as it streams something from now on. */
     private void startStreaming() {
         services.streaming().add(this);
         if (stream == null) {
@@ -107,7 +120,7 @@
         }
     }
 
-    /** All of the request has arrived: its time runs. */
+    /** Starts the timeout, as the request has arrived in full. */
     void onRequestReceived() {
         requestReceivedAtUs = services.clock().nowUs();
         scheduleTimeout();
@@ -195,10 +208,11 @@
         timeout = services.loop().schedule(task, atUs - services.clock().nowUs(), TimeUnit.MICROSECONDS);
     }
 
-    /** Ends a small late response that has stalled, or looks again later. */
+    /** Ends a small response that has stalled after its deadline, or schedules the next check. */
     private void expireIfStalled() {
         if (stream.isLargeResponse()) {
-            // Its first bytes were due in time, and its rest for as long as the server sends it.
+            // Only the first byte of a large response has to meet the deadline; its rest may take as long as it makes
+            // progress.
             return;
         }
         long nowUs = services.clock().nowUs();
@@ -209,20 +223,20 @@
         }
     }
 
-    /** Whether something of it is streamed and the server has neither taken nor sent anything for too long. */
+    /** Returns whether the server has stalled the streamed request or response for too long. */
     boolean isStalled(long nowUs) {
         return stream.isStalled(streamedBody(), nowUs);
     }
 
-    // ---------------------------------------------------------------- its end
+    // ---------------------------------------------------------------- end
 
-    /** Ends it as its time is up. What was not written in full is known not to have run. */
+    /** Ends the attempt, as its time is up. If the request was not written in full, the server has not run it. */
     void expire() {
         boolean mayHaveRun = services.pool().abort(serverId, this);
         onEnded(mayHaveRun ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, HttpBodies.EMPTY);
     }
 
-    /** Cancels it, unless it has ended. */
+    /** Cancels the attempt, unless it has ended. */
     void cancel() {
         if (!ended) {
             services.pool().abort(serverId, this);
@@ -241,7 +255,7 @@
             timeout.cancel(false);
         }
         request.onAttemptEnded(this, result, body);
-        // Of a streamed response only the server's time counts, not how long client and server took to transfer it.
+        // The latency of a streamed response ends with its start: the transfer also depends on the client.
         long respondedAtUs =
                 responseStartedAtUs == NOT_STARTED ? services.clock().nowUs() : responseStartedAtUs;
         long latencyUs = Math.max(0, respondedAtUs - requestReceivedAtUs);
--- a/node/src/main/java/loadbalancer/request/UpstreamMessageFactory.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamMessageFactory.java
@@ -12,7 +12,7 @@
 import loadbalancer.http.ProtocolHeaders;
 import loadbalancer.transfer.RequestBody;
 
-/** Makes the messages that a node sends to servers. Whoever gets a message releases it. */
+/** Creates the messages that a node sends to servers. The caller releases each message. */
 final class UpstreamMessageFactory {
     private static final String HOST = "backend.local";
     private static final String HEALTH_CHECK_PATH = "/alive";
@@ -21,9 +21,9 @@
     private UpstreamMessageFactory() {}
 
     /**
-     * Makes the message of an attempt; where the body is streamed, the message has its head alone.
+     * Creates the message of an attempt. If the body is streamed, the message consists of the head only.
      *
-     * @param remainingUs how long the node waits for the response
+     * @param remainingUs how long the node waits for the response; at least 1 is sent
      */
     static FullHttpRequest attempt(ClientRequest request, String className, long remainingUs) {
         ClientRequest.Head head = request.head();
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Makes the message of a health check. */
+    /** Creates the message of a health check. */
     static FullHttpRequest healthCheck() {
         FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1, HttpMethod.GET, HEALTH_CHECK_PATH, Unpooled.EMPTY_BUFFER);
--- a/node/src/main/java/loadbalancer/request/package-info.java
+++ b/node/src/main/java/loadbalancer/request/package-info.java
@@ -1,6 +1,8 @@
 /**
- * What ties a client's request to its upstream attempts: the table of open requests, one object for each request and
- * each attempt, health checks, and the queue of events to the balancer. It owns the one final response to each
- * request. It must not decide anything about a request or parse anything from a socket.
+ * Connects clients' requests to upstream attempts: the table of open requests, one object for each request and each
+ * attempt, health checks, and the queue of events to the balancer.
+ *
+ * <p>Owns the final response to each request. Must not make decisions about requests, which are the balancer's, or
+ * parse data from sockets.
  */
 package loadbalancer.request;
