--- a/node/src/main/java/loadbalancer/http/HttpBodies.java
+++ b/node/src/main/java/loadbalancer/http/HttpBodies.java
@@ -1,8 +1,8 @@
 package loadbalancer.http;
 
-/** Bodies that need no buffer. */
+/** Constant bodies of HTTP messages. */
 public final class HttpBodies {
-    /** The body of a message that has none. */
+    /** The empty body. */
     public static final byte[] EMPTY = {};
 
     private HttpBodies() {}
--- a/node/src/main/java/loadbalancer/http/StrictClientCodec.java
+++ b/node/src/main/java/loadbalancer/http/StrictClientCodec.java
@@ -8,9 +8,10 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * The HTTP codec towards servers and discovery. It holds responses to the rules that Netty keeps for requests only.
+ * The HTTP codec for connections to servers and discovery. It applies to responses a check of header lines that Netty
+ * applies only to requests.
  *
- * <p>It doesn't know HEAD and CONNECT, whose responses are framed in another way; a node sends neither.
+ * <p>Does not support HEAD and CONNECT, whose responses are framed differently; a node sends neither.
  */
 public final class StrictClientCodec extends CombinedChannelDuplexHandler<HttpResponseDecoder, HttpRequestEncoder> {
     /** Creates a codec for one connection. */
@@ -24,13 +25,14 @@
         }
 
         /**
-         * Guards against a broken head that passes for a sound one: in a response Netty also ends a name at a blank,
-         * and then takes a line without any colon for a field without a value. Such a line fails to decode here.
+         * Rejects a header line whose name is not directly followed by a colon. In a response, Netty also ends a name
+         * at whitespace and accepts a line without any colon as a field without a value, so that a malformed head would
+         * pass as valid.
          */
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
             if (line[start + length] != ':') {
-                throw new IllegalArgumentException("field line without a colon behind its name");
+                throw new IllegalArgumentException("header line without a colon directly after the field name");
             }
             return super.splitHeaderName(line, start, length);
         }
--- a/node/src/main/java/loadbalancer/http/TransferCodings.java
+++ b/node/src/main/java/loadbalancer/http/TransferCodings.java
@@ -4,11 +4,11 @@
 import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpMessage;
 
-/** The rule for transfer codings of messages from either side. */
+/** Checks the transfer codings of messages from clients and servers. */
 public final class TransferCodings {
     private TransferCodings() {}
 
-    /** Whether a message uses no transfer coding but {@code chunked}, which is all that a node can pass on. */
+    /** Returns whether a message has no transfer coding other than {@code chunked}, the only one a node can forward. */
     public static boolean hasOnlyChunkedCoding(HttpMessage message) {
         return message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING).stream()
                 .allMatch(HttpHeaderValues.CHUNKED::contentEqualsIgnoreCase);
--- a/node/src/main/java/loadbalancer/http/package-info.java
+++ b/node/src/main/java/loadbalancer/http/package-info.java
@@ -1,5 +1,7 @@
 /**
- * What every side that speaks HTTP shares: the strict codec for responses, the rule for transfer codings, and the names
- * of the protocol's header fields. It knows nothing of requests, servers or connections.
+ * HTTP code shared by client, server and discovery connections: the strict codec for responses, the check of transfer
+ * codings, and the names of the protocol's header fields.
+ *
+ * <p>Must not depend on requests, servers or connections.
  */
 package loadbalancer.http;
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -18,10 +18,10 @@
  * <p>A request ends once, by its only final response or because its client has left. After that, neither attempts nor
  * the balancer can send anything to the client. Each attempt ends once.
  *
- * <p>A request whose client leaves ends without a response. If it waits for a server, the balancer drops it, and it is
- * not sent again. An attempt that has not started yet is not sent. Attempts that wait for a connection or a response
- * are cancelled by the balancer if its settings enable cancellation; otherwise they continue, and their responses are
- * dropped. An attempt that is being sent a body of which the rest has not arrived is always cancelled.
+ * <p>A request whose client leaves ends without a response. If it waits for a server, the balancer drops it and starts
+ * no further attempt. An attempt that has not started yet is not sent. Attempts that wait for a connection or a
+ * response are cancelled by the balancer if its settings enable cancellation; otherwise they continue, and their
+ * responses are dropped. An attempt that is being sent a body of which the rest has not arrived is always cancelled.
  *
  * <p>All methods are called on the event loop.
  */
--- a/node/src/main/java/loadbalancer/transfer/FlowControl.java
+++ b/node/src/main/java/loadbalancer/transfer/FlowControl.java
@@ -1,15 +1,15 @@
 package loadbalancer.transfer;
 
 /**
- * Backpressure on the source of a large transfer. The sink pauses the source while it has more than it can pass on, so
- * that what a node holds of each exchange is bounded, however large the exchange and however slow a peer.
+ * Backpressure on the source of a streamed body. The source is paused while the sink cannot write more, which bounds
+ * the memory of each exchange for bodies of any size and peers of any speed.
  *
- * <p>Called on the event loop only.
+ * <p>All methods are called on the event loop.
  */
 public interface FlowControl {
-    /** Reads no more from the source until {@link #resumeReading}. */
+    /** Stops reading from the source until {@link #resumeReading}. */
     void pauseReading();
 
-    /** Reads on from the source. */
+    /** Resumes reading from the source. */
     void resumeReading();
 }
--- a/node/src/main/java/loadbalancer/transfer/RequestBody.java
+++ b/node/src/main/java/loadbalancer/transfer/RequestBody.java
@@ -4,35 +4,36 @@
 import java.util.ArrayDeque;
 
 /**
- * A request's body that is too large to be buffered, streamed from a client to a server.
+ * A request body that is too large to be buffered and is streamed from a client to a server.
  *
- * <p>Its beginning is retained until a part beyond it has been forwarded. Up to then the body can be replayed to
- * another server; from then on the request is committed to the server that has it.
+ * <p>The beginning of the body is retained until a part after it is forwarded. Until then the body can be replayed to
+ * another server; after that the request is committed to the server that is receiving it.
  *
- * <p>It owns the beginning and the parts that wait for a server; {@link #release} drops both. Runs on the event loop.
+ * <p>Owns the beginning and the backlog of parts that wait for a server; {@link #release} releases both. All methods
+ * are called on the event loop.
  */
 public final class RequestBody {
-    /** The server that the body is streamed to. */
+    /** The connection to the server that the body is streamed to. */
     public interface Sink {
-        /** Writes a part and takes it over. */
+        /** Writes a part without flushing it, and takes ownership of the part. */
         void write(ByteBuf part);
 
-        /** Writes the end of the body. */
+        /** Writes and flushes the end of the body. */
         void finish();
 
-        /** Flushes what has been written. */
+        /** Flushes the parts that have been written. */
         void flush();
 
-        /** Whether more can be written without piling up. */
+        /** Returns whether the channel is writable, by its water marks. */
         boolean isWritable();
     }
 
-    /** Follows the progress of the body. */
+    /** Notified of the progress of the body. */
     public interface Listener {
-        /** More has been forwarded than is retained: the body can't be replayed to another server. */
+        /** A part after the retained beginning is being forwarded: the body can no longer be replayed. */
         void onCommitted();
 
-        /** The client has sent all of it. */
+        /** The body has arrived in full. */
         void onReceived();
     }
 
@@ -40,9 +41,9 @@
     private final long length;
 
     private Listener listener;
-    /** What can be replayed; null once the body is committed. */
+    /** The beginning of the body, which can be replayed; null once the body is committed or released. */
     private ByteBuf beginning;
-    /** What has arrived behind the beginning while no server took it. */
+    /** Parts after the beginning that have arrived while there was no sink. */
     private final ArrayDeque<ByteBuf> backlog = new ArrayDeque<>();
 
     private boolean received;
@@ -51,11 +52,11 @@
     private Sink sink;
 
     /**
-     * Creates a body that waits for a server, and pauses the client until one takes it.
+     * Creates a body without a sink and pauses the client until {@link #streamTo}.
      *
      * @param client the source
-     * @param length the announced length, or -1 where the body comes in chunks
-     * @param beginning what has arrived, taken over
+     * @param length the announced length in bytes, or -1 if the body is chunked
+     * @param beginning the part that has arrived, which this body takes ownership of
      */
     public RequestBody(FlowControl client, long length, ByteBuf beginning) {
         this.client = client;
@@ -64,34 +65,34 @@
         client.pauseReading();
     }
 
-    /** Sets who follows the progress; before the body goes on. */
+    /** Sets the listener; to be called before any further part arrives or is forwarded. */
     public void setListener(Listener newListener) {
         listener = newListener;
     }
 
-    /** The announced length, or -1 where the body comes in chunks. */
+    /** Returns the announced length in bytes, or -1 if the body is chunked. */
     public long length() {
         return length;
     }
 
-    /** Whether a server can be given the body from the start. */
+    /** Returns whether the body can be streamed to a server from its start: it is not committed and has no sink. */
     public boolean isReplayable() {
         return beginning != null && sink == null;
     }
 
-    /** Whether it is the server that keeps the body from going on. */
+    /** Returns whether the client is paused because the server does not read fast enough. */
     public boolean isBlockedByServer() {
         return sink != null && clientPaused && !received;
     }
 
-    /** How much has been forwarded to servers. */
+    /** Returns the number of bytes after the beginning that have been forwarded to servers. */
     public long forwardedBytes() {
         return forwardedBytes;
     }
 
     // ---------------------------------------------------------------- from the client
 
-    /** Adds the client's next part and takes it over. */
+    /** Adds the next part from the client, and takes ownership of it. */
     public void add(ByteBuf part) {
         if (sink == null) {
             backlog.add(part);
@@ -101,7 +102,7 @@
         }
     }
 
-    /** The client has sent all of the body. */
+    /** Ends the body: the client has sent all of it. */
     public void end() {
         received = true;
         if (sink != null) {
@@ -110,7 +111,7 @@
         listener.onReceived();
     }
 
-    /** Flushes what has been forwarded. */
+    /** Flushes the parts that have been forwarded. */
     public void flush() {
         if (sink != null) {
             sink.flush();
@@ -119,7 +120,7 @@
 
     // ---------------------------------------------------------------- to a server
 
-    /** Streams the body to a server, from the start; only where {@link #isReplayable}. */
+    /** Streams the body to a server from its start. Requires {@link #isReplayable}. */
     public void streamTo(Sink server) {
         sink = server;
         sink.write(beginning.retainedDuplicate());
@@ -143,7 +144,7 @@
         sink.write(part);
     }
 
-    /** Reads from the client only while the server takes what is read. */
+    /** Pauses or resumes the client, depending on whether the server can be written to. */
     public void updateBackpressure() {
         if (sink == null || received) {
             return;
@@ -159,7 +160,7 @@
         }
     }
 
-    /** Stops streaming to a server, if it is the one that has the body. */
+    /** Stops streaming to this server, if it is the sink, and pauses the client unless the body has arrived in full. */
     public void stop(Sink server) {
         if (sink == server) {
             sink = null;
@@ -170,7 +171,7 @@
         }
     }
 
-    /** Drops all that is retained: nobody wants the body any more. */
+    /** Releases the beginning and the backlog, as the request has finished. */
     public void release() {
         sink = null;
         if (beginning != null) {
--- a/node/src/main/java/loadbalancer/transfer/TransferLimits.java
+++ b/node/src/main/java/loadbalancer/transfer/TransferLimits.java
@@ -6,32 +6,32 @@
 import io.netty.channel.WriteBufferWaterMark;
 
 /**
- * The sizes that bound what a node holds of one exchange, and the buffers that go with them. They are the same on the
- * client's and the server's side.
+ * Size limits that bound the memory of one exchange, and the matching buffer allocators. The same limits apply to
+ * client and server connections.
  */
 public final class TransferLimits {
-    /** Buffers of just the size needed, on the heap: memory is short, and loads are small. */
+    /** Allocates unpooled heap buffers, as memory is scarce and the load is too small for a pool to pay off. */
     public static final ByteBufAllocator ALLOCATOR = new UnpooledByteBufAllocator(false, true);
 
-    /** The largest body that is passed on. */
+    /** The largest request body that is forwarded. */
     public static final int MAX_BODY_BYTES = 32 << 20;
 
     /**
-     * Up to this size a body is buffered, so that a request can be sent again and a response can be replaced by another
-     * attempt's. A larger body is streamed.
+     * The largest body that is buffered, so that a request can be retried and a failed response can be replaced by that
+     * of another attempt. A larger body is streamed.
      */
     public static final int MAX_BUFFERED_BYTES = 64 << 10;
 
-    /** The most that is read from a socket at once. */
+    /** The largest read from a socket, and the largest part that a body is decoded into. */
     public static final int MAX_READ_BYTES = 16 << 10;
 
     /**
-     * What the system may hold that is written. With a much larger buffer a slow peer's connection would seem to stall
-     * while the buffer empties, and what is only written would seem to have arrived.
+     * SO_SNDBUF of the connections. With a much larger buffer, a connection to a slow peer would seem to stall while
+     * the buffer drains, and data that is only in the buffer would seem to have arrived.
      */
     public static final int SOCKET_SEND_BUFFER_BYTES = 64 << 10;
 
-    /** Above the high mark of unwritten bytes the other side stops reading; below the low mark it resumes. */
+    /** The other side of a transfer is paused above the high mark of unwritten bytes and resumed below the low mark. */
     public static final WriteBufferWaterMark WRITE_WATER_MARK =
             new WriteBufferWaterMark(MAX_READ_BYTES, 2 * MAX_READ_BYTES);
 
@@ -41,7 +41,7 @@
 
     private TransferLimits() {}
 
-    /** Returns a new allocator for the parts that a large body is read in. */
+    /** Returns a new allocator for the buffers that sockets are read into. */
     public static AdaptiveRecvByteBufAllocator newReadAllocator() {
         AdaptiveRecvByteBufAllocator allocator =
                 new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
--- a/node/src/main/java/loadbalancer/transfer/package-info.java
+++ b/node/src/main/java/loadbalancer/transfer/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Bodies that are too large to be buffered, the flow control between the two sides of a transfer, and the sizes that
- * bound it. It knows neither clients nor servers, only a source and a sink.
+ * Streaming of bodies that are too large to be buffered: flow control between a source and a sink, and size limits.
+ *
+ * <p>Must not depend on client or server connections.
  */
 package loadbalancer.transfer;
--- a/node/src/main/java/loadbalancer/upstream/LoadReportDecoder.java
+++ b/node/src/main/java/loadbalancer/upstream/LoadReportDecoder.java
@@ -7,15 +7,15 @@
 import loadbalancer.policy.LoadReportField;
 
 /**
- * Decodes the load report that may come with a response, such as {@code TEXT inflight=7, queue=2}: named values in any
- * order, of which the settings say which count.
+ * Decodes the load report that a response may carry, such as {@code TEXT inflight=7, queue=2}: named values in any
+ * order, of which the settings select those to use.
  */
 public final class LoadReportDecoder {
     private static final String TEXT_FORMAT = "TEXT ";
     private static final String FIELD_SEPARATOR = ",";
     private static final char VALUE_SEPARATOR = '=';
 
-    /** Names on the wire: servers write the settings' names, the protocol's example has others. */
+    /** Names on the wire. Servers use the names of the settings; the example in the protocol uses others. */
     private static final Map<String, LoadReportField> FIELDS_BY_WIRE_NAME = Map.ofEntries(
             Map.entry("concurrent", LoadReportField.IN_FLIGHT),
             Map.entry("inflight", LoadReportField.IN_FLIGHT),
@@ -32,7 +32,14 @@
 
     private LoadReportDecoder() {}
 
-    /** Returns the values in the order of the settings, NaN for one left out; null for what cannot be read. */
+    /**
+     * Decodes a load report.
+     *
+     * @param text the report, or null if there is none
+     * @param fields the fields to use, in the order of the settings
+     * @return the values in the order of {@code fields}, with NaN for a missing one; null if there is no report, the
+     *     report cannot be parsed or no field is to be used
+     */
     public static LoadReport decode(String text, List<LoadReportField> fields) {
         if (text == null || fields.isEmpty() || !text.startsWith(TEXT_FORMAT)) {
             return null;
@@ -53,7 +60,7 @@
             try {
                 values[index] = Double.parseDouble(part.substring(separator + 1).strip());
             } catch (NumberFormatException e) {
-                // A report is only a hint: the response that it came with counts all the same.
+                // A malformed report is ignored: the response that carries it is still valid.
                 return null;
             }
         }
--- a/node/src/main/java/loadbalancer/upstream/ResponseReader.java
+++ b/node/src/main/java/loadbalancer/upstream/ResponseReader.java
@@ -17,21 +17,22 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * Reads the response of one exchange at a time: it buffers a small body and streams a large one.
+ * Reads the response of one exchange at a time: buffers a small body and streams a large one.
  *
- * <p>It owns the buffered body until the body is streamed or {@link #reset} is called, and the timer that ends the
- * buffering. It borrows the parts that it is given. Runs on the event loop.
+ * <p>Owns the buffered body until it is passed to the exchange or {@link #reset} is called, and the timer that ends the
+ * buffering. The caller of {@link #readContent} releases the part. All methods are called on the event loop.
  */
 final class ResponseReader {
     private static final long UNKNOWN_LENGTH = -1;
     private static final int OK = HttpResponseStatus.OK.code();
 
-    /** Room for a body of unknown length to begin with. */
+    /** Initial capacity of the buffer for a body of unknown length. */
     private static final long INITIAL_BUFFER_BYTES = 256;
 
     /**
-     * A response of unknown length that takes longer than this is most likely a large one, whose first bytes count.
-     * It is long against what a server takes to write what it has ready, and short against any latency objective.
+     * Time after which a body of unknown length is streamed instead of buffered, counted from its first part. Such a
+     * body is most likely large, and for a large body the time of the first bytes counts. Servers need much less time
+     * to write a response that is ready, and any latency objective is much longer.
      */
     private static final long MAX_BUFFERING_MS = 50;
 
@@ -40,25 +41,25 @@
 
     private UpstreamExchange exchange;
     private HttpResponse head;
-    /** What has arrived of a response that is buffered. */
+    /** The buffered body; null if there is no response or it is streamed. */
     private ByteBuf buffered;
-    /** The end of the buffering, where the response tells no length. */
+    /** Ends the buffering of a body of unknown length; null if not scheduled. */
     private Future<?> bufferingTimeout;
 
     private boolean streaming;
 
-    /** @param source pauses and resumes a response that is streamed */
+    /** @param source pauses and resumes reading of a streamed response */
     ResponseReader(EventLoop loop, FlowControl source) {
         this.loop = loop;
         this.source = source;
     }
 
-    /** What is read from now on is the response to this exchange. */
+    /** Sets the exchange whose response is read from now on. */
     void start(UpstreamExchange next) {
         exchange = next;
     }
 
-    /** Forgets the exchange and what has been read of its response. */
+    /** Forgets the exchange and its response, and releases the buffered body. */
     void reset() {
         exchange = null;
         head = null;
@@ -66,7 +67,7 @@
         streaming = false;
     }
 
-    /** Reads the head of a response; returns whether the response can be used. */
+    /** Reads the head of a response. Returns false if its body cannot be delimited or decoded reliably. */
     boolean readHead(HttpResponse response) {
         head = response;
         releaseBuffered();
@@ -77,9 +78,9 @@
     }
 
     /**
-     * Whether only the end of the connection ends the body, and the server has not announced that it closes. A body
-     * that a lost connection has truncated would pass for complete; where the close is announced, the server means
-     * it.
+     * Returns whether the body ends only with the connection although the server has not announced to close it. A body
+     * truncated by a lost connection would then look complete. If the close is announced, the end of the connection is
+     * accepted as the end of the body.
      */
     private boolean endsWithUnannouncedClose(HttpResponse response) {
         return response.status().code() == OK
@@ -88,7 +89,7 @@
                 && HttpUtil.isKeepAlive(response);
     }
 
-    /** Reads a part of the body. The body of an error is dropped, as no client is sent it. */
+    /** Reads a part of the body. The body of an error response is dropped, as it is not forwarded to clients. */
     void readContent(ByteBuf part) {
         if (head.status().code() != OK) {
             return;
@@ -111,7 +112,7 @@
         return Math.max(length(), receivedBytes) > TransferLimits.MAX_BUFFERED_BYTES;
     }
 
-    /** Passes on what is buffered now, and the rest as it arrives. */
+    /** Passes the buffered part of the body to the exchange, and from now on each part as it arrives. */
     private void startStreaming() {
         cancelBufferingTimeout();
         streaming = true;
@@ -122,7 +123,7 @@
         exchange.onResponseReadComplete();
     }
 
-    /** Notifies the exchange of the load report that the response has brought, if any. */
+    /** Passes the load report of the response, if any, to the exchange. */
     void notifyOfLoadReport() {
         String report = head.headers().get(ProtocolHeaders.LOAD_REPORT);
         if (report != null) {
@@ -130,7 +131,7 @@
         }
     }
 
-    /** How the attempt has ended, going by the head of a complete response. */
+    /** Returns the result of the attempt according to the head of a complete response. */
     AttemptResult result() {
         int status = head.status().code();
         if (status == OK) {
@@ -145,12 +146,12 @@
         return unavailable && ProtocolHeaders.TRUE.equals(head.headers().get(ProtocolHeaders.LOAD_SHED));
     }
 
-    /** What is buffered of the body; empty where it was streamed. */
+    /** Returns a copy of the buffered body; empty if the body was streamed. */
     byte[] bufferedBody() {
         return streaming ? HttpBodies.EMPTY : ByteBufUtil.getBytes(buffered);
     }
 
-    /** Whether the head that was last read announces another one. */
+    /** Returns whether the last head is an interim response (1xx), which another head follows. */
     boolean isInformational() {
         return head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
     }
--- a/node/src/main/java/loadbalancer/upstream/ServerConnection.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerConnection.java
@@ -23,25 +23,31 @@
 import loadbalancer.transfer.RequestBody;
 
 /**
- * The last handler of a connection to a server, which carries one exchange at a time.
+ * The last handler in the pipeline of a connection to a server, which carries one exchange at a time.
  *
- * <p>It is idle, or carries an exchange, or has carried one and reads on until nothing more is there, and becomes idle
- * then. An exchange that it has taken ends here, once, unless {@link #detachExchange} takes it away. All methods run on
- * the event loop. Messages that are read are released here.
+ * <p>After an exchange has ended, the connection becomes idle only once all data that has arrived is read. Each
+ * exchange that was started is ended here once, unless it was removed by {@link #detachExchange}.
+ *
+ * <p>If the connection closes during an exchange, the exchange ends as {@link AttemptResult#RESET} if its whole request
+ * has been written to the socket, so that the server may have run it, and else as {@link AttemptResult#CONNECT_FAILED}.
+ * A response that cannot be used closes the connection and ends the exchange as RESET in either case. As with clients,
+ * Netty closes the channel when it reads the end of the server's stream.
+ *
+ * <p>All methods are called on the event loop. Inbound messages are released here.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter implements FlowControl, RequestBody.Sink {
-    /** The part of the pool that keeps the connection. */
+    /** The part of the pool that manages the connections to a server. */
     interface Owner {
-        /** The server's id, for the log. */
+        /** Returns the server's id, for the log. */
         String serverId();
 
-        /** Whether a connection that was opened to this address at this time may carry anything new. */
+        /** Returns whether a connection that was opened to this address at this time may carry another exchange. */
         boolean accepts(InetSocketAddress address, long openedAtUs);
 
-        /** The connection is usable and idle: it may be given an exchange at once. */
+        /** The connection is usable and idle. The owner may start an exchange on it before this returns. */
         void onIdle(ServerConnection connection);
 
-        /** A connection has been opened, or has ended an exchange, and is of no more use. */
+        /** A connection that was opened, or has ended an exchange, is not usable and has been closed. */
         void onUnusable();
 
         /** The connection carries this exchange from now on. */
@@ -62,15 +68,18 @@
     private final long openedAtUs;
     private long idleSinceUs;
 
-    /** What is carried; null while idle. */
+    /** The exchange in progress, or null. */
     private UpstreamExchange exchange;
 
     private boolean requestWritten;
 
-    /** Whether the node closes it: the end of a response that comes with such a close is none. */
+    /**
+     * Whether the node is closing the connection. The decoder then ends a body that is delimited by the close, which
+     * must not count as complete.
+     */
     private boolean closing;
 
-    /** Whether its exchange has ended such that it can carry another, once all that has arrived is read. */
+    /** Whether the connection can carry another exchange once all data that has arrived is read. */
     private boolean reusable;
 
     ServerConnection(Owner owner, InetSocketAddress address, Channel channel, MonotonicWallClock clock) {
@@ -86,7 +95,7 @@
         return idleSinceUs;
     }
 
-    /** Whether the request may have been written in full. */
+    /** Returns whether the whole request of the last exchange was written to the socket, so that it may have run. */
     boolean isRequestWritten() {
         return requestWritten;
     }
@@ -95,7 +104,7 @@
         return channel.isActive() && owner.accepts(address, openedAtUs);
     }
 
-    /** Gives the connection to its owner if it is usable, else closes it. */
+    /** Passes the connection to its owner as idle if it is usable, else closes it. */
     void offer() {
         if (!isUsable()) {
             close();
@@ -116,7 +125,7 @@
 
     /** Starts an exchange on an idle connection. */
     void start(UpstreamExchange next) {
-        // First, as a message that can't be made must not cost the connection.
+        // Created first: if this throws, the connection stays idle and usable.
         FullHttpRequest message = next.createMessage();
         owner.onExchangeStarted(this, next);
         exchange = next;
@@ -126,7 +135,7 @@
             notifyOnceWritten(channel.writeAndFlush(message));
             return;
         }
-        // The head alone: the streamed body is framed as the head says.
+        // Only the head: the parts of the streamed body follow, framed as the head says.
         DefaultHttpRequest head =
                 new DefaultHttpRequest(message.protocolVersion(), message.method(), message.uri(), message.headers());
         message.release();
@@ -204,7 +213,7 @@
 
     private void read(HttpObject message) {
         if (exchange == null || closing || message.decoderResult().isFailure()) {
-            // Unsolicited or unreadable: what follows can't be told apart from a response.
+            // Unsolicited or malformed: further data could be mistaken for a response.
             fail();
             return;
         }
@@ -236,8 +245,8 @@
         if (exchange != null && reader.isStreaming()) {
             exchange.onResponseReadComplete();
         }
-        // Offered only now: were the connection given an exchange before all that has arrived is read, stray bytes
-        // behind the last response would be taken for the next one. They meet no exchange this way and close it.
+        // Offered only after all data that has arrived is read: stray bytes after a response then find no exchange and
+        // close the connection. With an exchange already started, they would be taken for its response.
         if (reusable && exchange == null) {
             reusable = false;
             offer();
@@ -246,7 +255,7 @@
 
     // ---------------------------------------------------------------- the end of an exchange
 
-    /** The response can't be used, nor anything behind it. */
+    /** Closes the connection and ends the exchange, if any, as RESET: its response and further data cannot be used. */
     private void fail() {
         reusable = false;
         close();
@@ -262,7 +271,7 @@
         }
     }
 
-    /** Carries nothing from now on; the exchange is not notified. */
+    /** Removes the exchange without ending it, stops streaming its request body and discards its response. */
     void detachExchange() {
         RequestBody streamedBody = exchange.streamedBody();
         exchange = null;
@@ -281,7 +290,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // An I/O error is the server's; anything else is a programming error.
+        // The server or the network causes I/O errors; any other error is a bug.
         if (!(cause instanceof IOException)) {
             Log.error("upstream_connection_error", cause, "server", owner.serverId());
         }
--- a/node/src/main/java/loadbalancer/upstream/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -23,10 +23,11 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * The pool of connections to servers: one exchange at a time on each connection, the most recently used one first.
+ * The pool of connections to servers. Each connection carries one exchange at a time, and the most recently used idle
+ * connection is used first.
  *
- * <p>Every exchange that is started ends once: in the queue of its server, on its connection, or by {@link #abort},
- * which hands it back. All methods run on the event loop.
+ * <p>Every exchange that is started is ended once, in the queue of its server or on its connection, unless
+ * {@link #abort} returns it to the caller. All methods are called on the event loop.
  */
 public final class ServerPool {
     private static final long MICROS_PER_MILLI = 1_000;
@@ -36,9 +37,9 @@
     private final SocketBudget sockets;
     private final MonotonicWallClock clock;
     private final Map<String, UpstreamServer> servers = new HashMap<>();
-    /** The connections that carry an exchange. */
+    /** The connections that carry an exchange, by exchange. */
     private final Map<UpstreamExchange, ServerConnection> active = new HashMap<>();
-    /** Servers that get nothing new, whatever the list says of them. */
+    /** The ids of cordoned servers, which get no new exchanges whatever their listed state. */
     private Set<String> cordoned = Set.of();
 
     private long idleTimeoutUs;
@@ -67,10 +68,10 @@
     }
 
     /**
-     * Sets the timeouts from now on.
+     * Sets the timeouts that apply from now on.
      *
-     * @param connectTimeoutUs how long a connection may take to open
-     * @param idleUs for how long servers keep a connection open that is idle
+     * @param connectTimeoutUs how long a connection may take to open; rounded down to milliseconds, at least 1 ms
+     * @param idleUs how long servers keep an idle connection open
      */
     public void setTimeouts(long connectTimeoutUs, long idleUs) {
         dialer.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / MICROS_PER_MILLI));
@@ -79,7 +80,10 @@
 
     // ---------------------------------------------------------------- servers
 
-    /** Follows the endpoint list. A drain takes effect at once, also for exchanges that wait for a connection. */
+    /**
+     * Applies an endpoint list. A server that is not ready gets no new exchanges: its idle connections are closed, and
+     * exchanges that wait for a connection to it end as {@link AttemptResult#MOOT}. Exchanges in progress continue.
+     */
     public void update(EndpointList list) {
         Map<String, UpstreamServer> missing = list.full() ? new HashMap<>(servers) : Map.of();
         for (Endpoint endpoint : list.endpoints()) {
@@ -104,12 +108,12 @@
         }
     }
 
-    /** How many servers are listed, whatever their state. */
+    /** Returns the number of listed servers in any state. */
     public int serverCount() {
         return servers.size();
     }
 
-    /** Sets which servers operators keep out; as with a drain, also what waits for a connection to them ends. */
+    /** Sets the cordoned servers, which are treated like servers that are not ready. */
     public void setCordoned(Set<String> ids) {
         cordoned = ids;
         for (UpstreamServer server : servers.values()) {
@@ -119,7 +123,11 @@
 
     // ---------------------------------------------------------------- exchanges
 
-    /** Starts an exchange with a server. It may end before this returns. */
+    /**
+     * Starts an exchange with a server, on an idle connection or after opening one. The exchange may end before this
+     * returns: as {@link AttemptResult#MOOT} if the server is not ready, or as {@link AttemptResult#CONNECT_FAILED} if
+     * no socket is left.
+     */
     public void start(String serverId, UpstreamExchange exchange) {
         UpstreamServer server = servers.get(serverId);
         if (server == null || !server.isReady()) {
@@ -139,7 +147,10 @@
         dial(server);
     }
 
-    /** Takes an exchange back without ending it. Returns whether its request may have been written in full. */
+    /**
+     * Removes an exchange without ending it and closes its connection, if it has one. Returns whether its whole request
+     * was written to the socket, so that the server may have run it.
+     */
     public boolean abort(String serverId, UpstreamExchange exchange) {
         UpstreamServer server = servers.get(serverId);
         if (server != null && server.removeWaiting(exchange)) {
@@ -160,7 +171,8 @@
         InetSocketAddress address = server.address();
         ChannelFuture opening = dialer.connect(address);
         opening.channel().closeFuture().addListener(closed -> sockets.serverClosed());
-        // By way of the loop, as a dial that fails on the spot would else end the exchange from inside this call.
+        // Handled in a task of its own: a dial that fails immediately would otherwise end the exchange within this
+        // call.
         opening.addListener(done -> loop.execute(() -> onDialComplete(server, address, opening)));
     }
 
@@ -171,7 +183,7 @@
             opening.channel().pipeline().addLast(connection);
             connection.offer();
         } else {
-            server.failIfNoDialPending();
+            server.failExcessWaiting();
         }
     }
 
@@ -185,15 +197,14 @@
         }
     }
 
-    /** Removes all servers: closes idle connections and ends what waits for one. */
+    /** Removes all servers: closes idle connections and ends exchanges that wait for one. */
     public void close() {
         List.copyOf(servers.keySet()).forEach(this::remove);
     }
 
     /**
      * Closes the connections that have been idle for half of the idle timeout. A request that is written while the
-     * server closes the connection ends as a reset; the node closes long before the server does, so the two don't
-     * cross.
+     * server closes the connection would end as a reset, so the node closes it long before the server does.
      */
     public void evictIdle() {
         long beforeUs = clock.nowUs() - idleTimeoutUs / 2;
--- a/node/src/main/java/loadbalancer/upstream/UpstreamExchange.java
+++ b/node/src/main/java/loadbalancer/upstream/UpstreamExchange.java
@@ -7,42 +7,46 @@
 import loadbalancer.transfer.RequestBody;
 
 /**
- * A message to a server that waits for its response.
+ * A request to a server and the receiver of its response.
  *
- * <p>It is pending in one place at a time: in the queue for a connection, or on the connection that carries it. Whoever
- * has it ends it once, by {@link #onEnded}, unless {@link ServerPool#abort} has taken it back before. All calls are
- * made on the event loop.
+ * <p>An exchange is held either by the queue for a connection or by the connection that carries it. The holder ends it
+ * once, by {@link #onEnded}, unless {@link ServerPool#abort} has removed it. All methods are called on the event loop.
  */
 public interface UpstreamExchange {
-    /** Whether it may still start; called when it has waited for the connection that is to carry it. */
+    /** Returns whether the exchange may still start. Called if it had to wait, when a connection is available. */
     boolean mayStart();
 
-    /** Makes the message; called once, when a connection is there to carry it. The caller releases it. */
+    /** Creates the message. Called once, when a connection is available. The caller releases the message. */
     FullHttpRequest createMessage();
 
-    /** The body that is streamed behind the message's head, or null where the message has its body. */
+    /** Returns the body to stream after the message's head, or null if the message contains its body. */
     RequestBody streamedBody();
 
-    /** The message has been written in full. */
+    /** The whole request has been written to the socket. */
     void onRequestWritten();
 
-    /** The server has sent this load report; called ahead of the end of the response that it came with. */
+    /** The response carries this load report. Called before the exchange ends; may be repeated with the same report. */
     void onLoadReport(String report);
 
     /**
-     * A response has started that is too large to be buffered, or whose length and end are not known in time.
+     * A streamed response has started: it is too large to be buffered, or its length is unknown and its end has not
+     * arrived in time.
      *
-     * @param length its announced length, or -1 where there is none
-     * @param source pauses and resumes it
+     * @param length the announced length in bytes, or -1 if there is none
+     * @param source pauses and resumes reading of the response
      */
     void onResponseStarted(long length, FlowControl source);
 
-    /** The next part of such a response, which is taken over. */
+    /** Receives the next part of a streamed response, and takes ownership of it. */
     void onResponsePart(ByteBuf part);
 
-    /** All parts that were there to be read have been passed on. */
+    /** All parts of a streamed response that have arrived so far have been passed on. */
     void onResponseReadComplete();
 
-    /** Its one end. The body is the server's where the result is OK and nothing was streamed, else empty. */
+    /**
+     * The exchange has ended.
+     *
+     * @param body the body of the response if the result is OK and the response was not streamed, else empty
+     */
     void onEnded(AttemptResult result, byte[] body);
 }
--- a/node/src/main/java/loadbalancer/upstream/UpstreamServer.java
+++ b/node/src/main/java/loadbalancer/upstream/UpstreamServer.java
@@ -12,14 +12,14 @@
 
 /**
  * One server of the pool: its idle connections, the most recently used first, and the exchanges that wait for a
- * connection to be opened.
+ * connection.
  *
- * <p>A waiting exchange belongs to this class: it starts on the first connection that becomes idle, or ends here, or is
- * taken back. Runs on the event loop.
+ * <p>A waiting exchange starts on the next connection that becomes idle, unless it is ended here or removed by
+ * {@link #removeWaiting}. All methods are called on the event loop.
  */
 final class UpstreamServer implements ServerConnection.Owner {
     private final String id;
-    /** The connections that carry an exchange, of all servers. */
+    /** The connections to all servers that carry an exchange, by exchange. */
     private final Map<UpstreamExchange, ServerConnection> active;
 
     private final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
@@ -36,12 +36,12 @@
         this.active = active;
     }
 
-    // ---------------------------------------------------------------- what is known of it
+    // ---------------------------------------------------------------- state
 
-    /** Takes over what the endpoint list says. */
+    /** Applies the entry of the endpoint list. */
     void update(Endpoint listed, boolean cordoned) {
-        // A connection to another address, or to a process that has ended, is of no more use: a request that is
-        // written to it would end as a reset, after which a non-idempotent request may not be retried.
+        // Connections to an earlier address or an earlier process of the server are closed: a request written to one
+        // would end as a reset, after which a non-idempotent request must not be retried.
         boolean moved = !listed.address().equals(address) || listed.server().startedAtUs() > startedAtUs;
         address = listed.address();
         startedAtUs = listed.server().startedAtUs();
@@ -57,7 +57,9 @@
         }
     }
 
-    /** Whether an operator keeps it out; if so, its idle connections close and what waits for one ends. */
+    /**
+     * Sets whether the server is cordoned. Closes idle connections and ends waiting exchanges unless it is ready then.
+     */
     void setCordoned(boolean cordoned) {
         ready = listedReady && !cordoned;
         if (!ready) {
@@ -66,14 +68,14 @@
         }
     }
 
-    /** It is no longer listed. */
+    /** Called when the server is no longer listed. Closes idle connections and ends waiting exchanges. */
     void remove() {
         ready = false;
         closeIdle();
         endWaiting();
     }
 
-    /** Whether it may get anything new. */
+    /** Returns whether the server may get new exchanges: it is listed as ready and not cordoned. */
     boolean isReady() {
         return ready;
     }
@@ -86,7 +88,7 @@
         return address;
     }
 
-    /** Ends what waits for a connection to a server that takes nothing new: it has never run. */
+    /** Ends the exchanges that wait for a connection as {@link AttemptResult#MOOT}: their requests were never sent. */
     private void endWaiting() {
         UpstreamExchange exchange;
         while ((exchange = waiting.poll()) != null) {
@@ -96,12 +98,12 @@
 
     // ---------------------------------------------------------------- idle connections
 
-    /** The most recently used idle connection, or null. */
+    /** Returns the most recently used idle connection, or null. */
     ServerConnection newestIdle() {
         return idle.peek();
     }
 
-    /** The idle connection that has been idle for longest, or null. */
+    /** Returns the connection that has been idle for longest, or null. */
     ServerConnection oldestIdle() {
         return idle.peekLast();
     }
@@ -124,7 +126,7 @@
         waiting.add(exchange);
     }
 
-    /** Takes an exchange out of the queue; returns whether it was there. */
+    /** Removes an exchange from the queue. Returns whether it was queued. */
     boolean removeWaiting(UpstreamExchange exchange) {
         return waiting.remove(exchange);
     }
@@ -138,16 +140,16 @@
     }
 
     /**
-     * Ends the first exchange in the queue if no dial is left for it. One dial was made for each, but an exchange may
-     * have started on a connection that became idle meanwhile.
+     * Ends the first queued exchange if more exchanges wait than dials are pending. One dial was started for each, but
+     * an exchange may have started on a connection that became idle in the meantime.
      */
-    void failIfNoDialPending() {
+    void failExcessWaiting() {
         if (waiting.size() > pendingDials) {
             waiting.poll().onEnded(AttemptResult.CONNECT_FAILED, HttpBodies.EMPTY);
         }
     }
 
-    // ---------------------------------------------------------------- what its connections report
+    // ---------------------------------------------------------------- ServerConnection.Owner
 
     @Override
     public String serverId() {
@@ -173,9 +175,9 @@
 
     @Override
     public void onUnusable() {
-        // The dial was for an exchange that still waits, perhaps at an address that has changed since.
+        // The connection may have been opened for a waiting exchange, to an address that has changed since.
         if (ready) {
-            failIfNoDialPending();
+            failExcessWaiting();
         }
     }
 
--- a/node/src/main/java/loadbalancer/upstream/package-info.java
+++ b/node/src/main/java/loadbalancer/upstream/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Connections to app servers: the pool, one exchange at a time on each connection, and the load reports that come with
- * responses. It owns those connections. It must not know of clients or of the requests that an exchange belongs to: an
- * exchange is an interface here.
+ * Connections to app servers: the pool, the exchanges on its connections, and the load reports of responses.
+ *
+ * <p>Owns those connections. Must not depend on clients or on the requests that exchanges belong to: an exchange is the
+ * interface {@link loadbalancer.upstream.UpstreamExchange}.
  */
 package loadbalancer.upstream;
