--- a/node/src/main/java/loadbalancer/client/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -51,7 +51,9 @@
         /** Returns the reader for the heads of new requests. */
         RequestReader reader();
 
-        /** Whether each response closes its connection unless requests are pipelined. */
+        /**
+         * Returns whether the server drains: each response then closes its connection unless requests are pipelined.
+         */
         boolean isDraining();
 
         /** Returns the status of the response to a readiness check. */
--- a/node/src/main/java/loadbalancer/client/ConnectionTimeouts.java
+++ b/node/src/main/java/loadbalancer/client/ConnectionTimeouts.java
@@ -13,8 +13,8 @@
     private static final long IDLE_NANOS = TimeUnit.SECONDS.toNanos(120);
 
     /**
-     * Time since the accept after which the limits for a first request apply. The head of a request may take 2 s, and a
-     * peer that sends no request must be disconnected within 3 s.
+     * Time since the accept after which the head of a first request must have arrived and its other limits apply. The
+     * head of a request may take 2 s, and a peer that sends no request must be disconnected within 3 s.
      */
     private static final long FIRST_REQUEST_NANOS = TimeUnit.MILLISECONDS.toNanos(2_300);
 
--- a/node/src/main/java/loadbalancer/upstream/ServerConnection.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerConnection.java
@@ -30,8 +30,8 @@
  *
  * <p>If the connection closes during an exchange, the exchange ends as {@link AttemptResult#RESET} if its whole request
  * has been written to the socket, so that the server may have run it, and else as {@link AttemptResult#CONNECT_FAILED}.
- * A response that cannot be used closes the connection and ends the exchange as RESET in either case. As with clients,
- * Netty closes the channel when it reads the end of the server's stream.
+ * A response that cannot be used closes the connection and ends the exchange as RESET in either case. Half-closure
+ * is off, so Netty closes the channel when it reads the end of the server's stream.
  *
  * <p>All methods are called on the event loop. Inbound messages are released here.
  */
--- a/node/src/test/java/loadbalancer/client/ConnectionStateTest.java
+++ b/node/src/test/java/loadbalancer/client/ConnectionStateTest.java
@@ -5,12 +5,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The transitions of a client connection, without a socket. */
+/** Tests the state transitions of a client connection, without a socket. */
 class ConnectionStateTest {
     private final ConnectionState state = new ConnectionState();
 
     @Test
-    void anExchangeEndsOnceItsResponseIsWrittenOut() {
+    void exchangeEndsOnceResponseIsWritten() {
         assertFalse(state.isServing());
         state.requestStarted(true);
         assertTrue(state.isServing() && state.isReceiving() && !state.isResponseStarted());
@@ -26,11 +26,11 @@
     }
 
     /**
-     * A response is written out while the body of its request is still arriving. The next request can't begin before
-     * the end of that body has been read, else its rest would be taken for a request.
+     * Guards against parsing the rest of a request body as the next request. A response is complete while the body of
+     * its request is still arriving; the exchange must not end before that body has been read.
      */
     @Test
-    void anExchangeWhoseResponseIsEarlyEndsWithItsBody() {
+    void exchangeWithEarlyResponseEndsWithRequestBody() {
         state.requestStarted(true);
         state.responseStarted();
         state.responseWritten();
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aNewRequestHasNoResponseYet() {
+    void newRequestResetsResponseState() {
         state.requestStarted(true);
         state.requestReceived();
         state.responseStarted();
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aClosedConnectionIsNeverIdle() {
+    void closedConnectionIsNotIdle() {
         state.connectionClosed();
         assertTrue(state.isServing());
         assertFalse(state.isReceiving());
--- a/node/src/test/java/loadbalancer/client/RequestReaderTest.java
+++ b/node/src/test/java/loadbalancer/client/RequestReaderTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The header fields of a request, and what a client is told of one that cannot be used. */
+/** Tests parsing of request heads, and the response texts for heads that violate the protocol. */
 class RequestReaderTest {
     private static RequestClass requestClass(String name, Idempotency idempotency) {
         return new RequestClass(name, 100_000, 0, 500_000, 1, 0, idempotency, DeduplicationScope.CELL, 900_000, false);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void readsEachHeaderField() throws Exception {
+    void parsesEachHeaderField() throws Exception {
         ClientRequest.Head head = read(
                 HttpMethod.POST,
                 "X-Txn:9b1f|X-Lane:photo|X-Remaining:480m|Idempotency-Key:5c0f|X-Estimate:250|X-Resent:1|X-Org:o");
@@ -45,9 +45,8 @@
     }
 
     /**
-     * A client sends a request that the protocol does not allow. The text of the response tells it why, so it is
-     * pinned here
-     * with the reason.
+     * A client sends a request whose head violates the protocol. The message of the exception is sent to the client, so
+     * its text is checked together with the reason.
      */
     @ParameterizedTest
     @CsvSource({
@@ -64,7 +63,7 @@
         "GET,X-Txn:t|X-Lane:page|X-Remaining:..m,X-Remaining cannot be read,UNREADABLE_HEADER",
         "GET,X-Txn:t|X-Lane:page|X-Remaining:4m|X-Estimate:NaN,X-Estimate cannot be read,UNREADABLE_HEADER",
     })
-    void saysWhyARequestCannotBeUsed(String method, String fields, String message, BadRequestException.Reason reason) {
+    void invalidHeadIsRejected(String method, String fields, String message, BadRequestException.Reason reason) {
         BadRequestException rejection =
                 assertThrows(BadRequestException.class, () -> read(HttpMethod.valueOf(method), fields));
         assertEquals(message, rejection.getMessage());
--- a/node/src/test/java/loadbalancer/request/PolicyEventQueueTest.java
+++ b/node/src/test/java/loadbalancer/request/PolicyEventQueueTest.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order of events to the balancer, and what happens when it fails on one. */
+/** Tests the order of events to the balancer and the handling of its failures. */
 class PolicyEventQueueTest {
     private final PolicyEventQueue queue = new PolicyEventQueue();
     private final List<String> delivered = new ArrayList<>();
 
     /**
-     * The balancer asks for something while it handles an event, and that causes another event at once. Delivered on
-     * the spot it would re-enter the balancer; it comes after the first one is over.
+     * An action of the balancer causes another event while an event is being delivered. Immediate delivery would
+     * re-enter the balancer, so the event must be delivered after the first one has returned.
      */
     @Test
-    void deliversNestedEventsOneAfterTheOther() {
+    void nestedEventsAreDeliveredInSequence() {
         queue.submit(balancer -> {
             delivered.add("first begins");
             queue.submit(nested -> delivered.add("second"));
@@ -27,14 +27,14 @@
     }
 
     /**
-     * The balancer throws an exception on an event about a request. The request is told, so that it gets its response,
-     * and the events behind it are delivered all the same.
+     * The balancer throws an exception on an event about a request. The failure handler of the request must be called,
+     * so that its client gets a response, and later events must still be delivered.
      */
     @Test
-    void tellsTheRequestOnWhoseEventTheBalancerFails() {
+    void balancerFailureIsPassedToFailureHandler() {
         queue.submit(() -> delivered.add("failure handled"), balancer -> {
             queue.submit(nested -> delivered.add("next"));
-            throw new IllegalStateException("planted");
+            throw new IllegalStateException("thrown by the test");
         });
         assertEquals(List.of("failure handled", "next"), delivered);
         queue.submit(balancer -> delivered.add("later"));
--- a/node/src/test/java/loadbalancer/request/RequestStateTest.java
+++ b/node/src/test/java/loadbalancer/request/RequestStateTest.java
@@ -6,10 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The transitions of a request. */
+/** Tests the state transitions of a request. */
 class RequestStateTest {
     @Test
-    void aRequestIsReceivedAndThenEnds() {
+    void requestIsReceivedAndThenEnds() {
         assertFalse(RequestState.RECEIVING.isReceived() || RequestState.RECEIVING.isEnded());
         assertEquals(RequestState.RECEIVED, RequestState.RECEIVING.received());
         assertEquals(RequestState.ENDED, RequestState.RECEIVED.ended());
@@ -17,14 +17,14 @@
     }
 
     @Test
-    void aRequestThatEndsAmidItsBodyWasNeverReceived() {
+    void requestThatEndsDuringItsBodyIsNotReceived() {
         assertEquals(RequestState.ENDED_AMID_BODY, RequestState.RECEIVING.ended());
         assertTrue(RequestState.ENDED_AMID_BODY.isEnded());
         assertFalse(RequestState.ENDED_AMID_BODY.isReceived());
     }
 
     @Test
-    void endingTwiceChangesNothing() {
+    void endingTwiceKeepsState() {
         assertEquals(RequestState.ENDED, RequestState.ENDED.ended());
         assertEquals(RequestState.ENDED_AMID_BODY, RequestState.ENDED_AMID_BODY.ended());
     }
--- a/node/src/test/java/loadbalancer/transfer/RequestBodyTest.java
+++ b/node/src/test/java/loadbalancer/transfer/RequestBodyTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A streamed body between a client and servers that the test plays. */
+/** Tests a streamed body between a recorded client and recorded servers. */
 class RequestBodyTest {
     private final List<String> events = new ArrayList<>();
     private final ByteBuf beginning = buffer("beginning ");
@@ -47,7 +47,7 @@
 
         @Override
         public void flush() {
-            // What is written is kept at once.
+            // Written parts are recorded immediately.
         }
 
         @Override
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void streamsTheBeginningTheBacklogAndTheRest() {
+    void streamsBeginningBacklogAndRest() {
         body.add(buffer("backlog "));
         RecordingServer server = new RecordingServer();
         body.streamTo(server);
@@ -89,11 +89,11 @@
     }
 
     /**
-     * A server fails after it has been given the beginning alone. Another one is given the body from the start; once a
-     * further part has gone to it, no third one can be.
+     * A server fails after it has received only the beginning, so the body is replayed to another one. Once a further
+     * part has been forwarded to that server, the body cannot be replayed again.
      */
     @Test
-    void replaysTheBeginningUntilMoreIsForwarded() {
+    void beginningIsReplayableUntilMoreIsForwarded() {
         RecordingServer failed = new RecordingServer();
         body.streamTo(failed);
         assertFalse(body.isReplayable(), "a server has it");
@@ -108,11 +108,11 @@
     }
 
     /**
-     * A server takes nothing more for a while. The client is paused for as long, so that the node does not pile up what
-     * the client sends.
+     * A server stops reading for a while. The client must be paused for that time; otherwise the node would buffer all
+     * that the client sends.
      */
     @Test
-    void pausesTheClientWhileTheServerTakesNothing() {
+    void clientIsPausedWhileServerIsNotWritable() {
         RecordingServer server = new RecordingServer();
         body.streamTo(server);
         server.writable = false;
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void releaseDropsAllThatIsRetained() {
+    void releaseReleasesBeginningAndBacklog() {
         ByteBuf backlog = buffer("backlog");
         body.add(backlog);
         body.release();
--- a/node/src/test/java/loadbalancer/upstream/LoadReportDecoderTest.java
+++ b/node/src/test/java/loadbalancer/upstream/LoadReportDecoderTest.java
@@ -23,7 +23,7 @@
     private static final List<LoadReportField> FIELDS = List.of(LoadReportField.QUEUED, LoadReportField.IN_FLIGHT);
 
     @Test
-    void returnsValuesInTheOrderOfTheSettings() {
+    void returnsValuesInOrderOfSettings() {
         assertArrayEquals(
                 new double[] {2, 7.5},
                 LoadReportDecoder.decode("TEXT concurrent=7.5, depth=2", FIELDS).values());
@@ -38,19 +38,22 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "TEXT", "TEXT ", "JSON {}", "TEXT concurrent", "TEXT depth=", "TEXT depth=x"})
-    void returnsNullForAnUnreadableReport(String text) {
+    void returnsNullForMalformedReport(String text) {
         assertNull(LoadReportDecoder.decode(text, FIELDS));
     }
 
     @Test
-    void returnsNullWhereTheSettingsNameNoField() {
+    void returnsNullWithoutFieldsOrReport() {
         assertNull(LoadReportDecoder.decode("TEXT concurrent=7", List.of()));
         assertNull(LoadReportDecoder.decode(null, FIELDS));
     }
 
-    /** Also a report that cannot be read: the answer that it came with counts all the same. */
+    /**
+     * A response with a malformed load report must still be forwarded, and its outcome is reported without a load
+     * report.
+     */
     @Test
-    void passesTheReportToTheBalancerWithTheOutcome() throws Exception {
+    void balancerReceivesReportWithOutcome() throws Exception {
         BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
         String[] reports = {"TEXT depth=1, concurrent=9", "TEXT depth=?"};
         try (FakeServer server = new FakeServer((request, peer) -> peer.write(Http.response(
@@ -58,13 +61,13 @@
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             harness.settings.reportFields.addAll(FIELDS);
             harness.balancerFactory = actions -> {
-                Balancer sound = new ServiceQBalancer(harness.settings, 7, actions);
+                Balancer realBalancer = new ServiceQBalancer(harness.settings, 7, actions);
                 return (Balancer) Proxy.newProxyInstance(
                         Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                             if (args.length == 2 && args[1] instanceof AttemptOutcome outcome) {
                                 outcomes.add(outcome);
                             }
-                            return method.invoke(sound, args);
+                            return method.invoke(realBalancer, args);
                         });
             };
             harness.start(server);
--- a/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
+++ b/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
@@ -16,52 +16,52 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How attempts end, seen from outside: an order may go on to another server only if it never ran. */
+/** Tests how attempts end, as seen by clients: an order, which is not idempotent, is retried only if it never ran. */
 class ServerPoolTest {
-    private static final int ASKED = 12;
+    private static final int REQUEST_COUNT = 12;
 
-    /** Asks for a number of orders, of which about half meet the first server; all must be served. */
-    private static void allServed(NodeHarness harness) throws IOException {
-        for (int i = 0; i < ASKED; i++) {
+    /** Sends {@link #REQUEST_COUNT} orders, about half of them to the first server, and checks that all are served. */
+    private static void assertAllServed(NodeHarness harness) throws IOException {
+        for (int i = 0; i < REQUEST_COUNT; i++) {
             assertEquals(
                     200, harness.exchange(Http.orderRequest("t" + i, "4000m")).status());
         }
     }
 
     /**
-     * A server refuses connections. The attempt has never run, so also a request that must run once only goes on to
-     * another server.
+     * A server refuses connections. The request has not run there, so even a request that must run only once is retried
+     * on another server.
      */
     @Test
-    void retriesAfterARefusedConnection() throws Exception {
-        try (FakeServer dead = FakeServer.respondingWith("x");
-                FakeServer good = FakeServer.respondingWith("x");
+    void refusedConnectionIsRetried() throws Exception {
+        try (FakeServer refusing = FakeServer.respondingWith("x");
+                FakeServer healthy = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            dead.stop();
-            harness.start(dead, good);
-            allServed(harness);
-            assertEquals(ASKED, good.requests.size());
+            refusing.stop();
+            harness.start(refusing, healthy);
+            assertAllServed(harness);
+            assertEquals(REQUEST_COUNT, healthy.requests.size());
         }
     }
 
     /**
-     * A server rejects requests as it is overloaded, and says that it has not run them. They go on to another server.
+     * An overloaded server rejects requests and marks them as not run. They are retried on another server.
      */
     @Test
-    void retriesAfterLoadShedding() throws Exception {
-        try (FakeServer full = new FakeServer(
+    void rejectionByOverloadedServerIsRetried() throws Exception {
+        try (FakeServer overloaded = new FakeServer(
                         (request, peer) -> peer.write(Http.response("504 Over", "X-Turned-Away: 1\r\n", "")));
-                FakeServer good = FakeServer.respondingWith("x");
-                NodeHarness harness = NodeHarness.withSilentDiscovery().start(full, good)) {
-            allServed(harness);
-            assertEquals(ASKED, good.requests.size());
-            assertTrue(full.requests.size() > 0);
+                FakeServer healthy = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(overloaded, healthy)) {
+            assertAllServed(harness);
+            assertEquals(REQUEST_COUNT, healthy.requests.size());
+            assertTrue(overloaded.requests.size() > 0);
         }
     }
 
     /**
-     * A server responds with an error, with a truncated response, or with something that is no HTTP/1.1. The request
-     * may have run, so it isn't sent again; the client gets a 502 and nothing of the response.
+     * A server sends an error, a truncated response, or one that is not valid HTTP/1.1. The request may have run, so it
+     * is not retried. The client receives a 502 and no part of the response.
      */
     @ParameterizedTest
     @ValueSource(
@@ -79,9 +79,9 @@
                 "HTTP/1.1 200 OK\r\nContent-Length : 1\r\n\r\nx",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nno colon here\r\n\r\n",
             })
-    void failsABadResponseWithoutARetry(String answer) throws Exception {
+    void invalidResponseFailsWithoutRetry(String response) throws Exception {
         try (FakeServer bad = new FakeServer((request, peer) -> {
-                    peer.write(answer);
+                    peer.write(response);
                     peer.socket().close();
                 });
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(bad)) {
@@ -91,15 +91,15 @@
     }
 
     /**
-     * A server resets the connection instead of responding. The request may have run, but is idempotent, so another
-     * server gets it.
+     * A server resets the connection instead of responding. The request may have run, but as it is idempotent, it is
+     * retried on another server.
      */
     @Test
-    void retriesAnIdempotentRequestAfterAReset() throws Exception {
+    void idempotentRequestIsRetriedAfterReset() throws Exception {
         try (FakeServer bad = new FakeServer((request, peer) -> peer.reset());
-                FakeServer good = FakeServer.respondingWith("x");
-                NodeHarness harness = NodeHarness.withSilentDiscovery().start(bad, good)) {
-            for (int i = 0; i < ASKED; i++) {
+                FakeServer healthy = FakeServer.respondingWith("x");
+                NodeHarness harness = NodeHarness.withSilentDiscovery().start(bad, healthy)) {
+            for (int i = 0; i < REQUEST_COUNT; i++) {
                 assertEquals(
                         200,
                         harness.exchange(Http.pageRequest("/api/p", "t" + i, "4000m"))
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void skipsInterimResponses() throws Exception {
+    void interimResponsesAreSkipped() throws Exception {
         try (FakeServer server = new FakeServer(
                         (request, peer) -> peer.write("HTTP/1.1 102 Processing\r\n\r\n" + Http.okResponse("final")));
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
@@ -119,11 +119,11 @@
     }
 
     /**
-     * A server sends a second response right behind the first. Taken for the response to the next request, it would go
-     * to the wrong client; the node closes the connection instead.
+     * A server sends a second response right after the first. If the node took it for the response to the next request,
+     * it would go to the wrong client. The node closes the connection instead.
      */
     @Test
-    void dropsAConnectionWithBytesBehindItsResponse() throws Exception {
+    void connectionWithBytesAfterResponseIsClosed() throws Exception {
         try (FakeServer server = new FakeServer((request, peer) ->
                         peer.write(Http.okResponse(request.headers().get("x-txn")) + Http.okResponse("stray")));
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
@@ -137,11 +137,11 @@
     }
 
     /**
-     * A server never responds. When the attempt's time is up, its connection is closed, as a late response on it would
-     * answer the wrong request.
+     * A server never responds, and the attempt times out. Its connection must be closed, as a late response on it would
+     * be taken for the response to another request.
      */
     @Test
-    void closesTheConnectionOfAnAttemptThatTimesOut() throws Exception {
+    void timeoutClosesConnectionOfAttempt() throws Exception {
         try (FakeServer silent = new FakeServer((request, peer) -> {});
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(silent)) {
             assertEquals(502, harness.exchange(Http.orderRequest("t", "100m")).status());
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void reusesTheNewestConnectionAndEvictsIdleOnes() throws Exception {
+    void newestConnectionIsReusedAndIdleOnesAreEvicted() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             harness.connIdleUs = 200_000;
@@ -167,40 +167,40 @@
     }
 
     /**
-     * A request waits for a connection to a server that hangs. The endpoint list then says that the server drains, and
-     * the request goes on to another one at once.
+     * A request waits for a connection to a server that does not accept any. When the endpoint list reports that server
+     * as draining, the request must be sent to another one immediately.
      */
     @Test
-    void aDrainFreesRequestsThatWaitForAConnection() throws Exception {
-        // A listener whose backlog is full: connections to it never come up.
+    void drainRedirectsRequestsThatWaitForConnection() throws Exception {
+        // The backlog of this listener is full, so further connections to it are never established.
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket one = new Socket(hanging.getInetAddress(), hanging.getLocalPort());
                 Socket two = new Socket(hanging.getInetAddress(), hanging.getLocalPort());
-                FakeServer good = FakeServer.respondingWith("x");
+                FakeServer healthy = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             assertTrue(one.isConnected() && two.isConnected());
-            String hangs = "s0=127.0.0.1:" + hanging.getLocalPort();
-            harness.startWithList(NodeHarness.endpointList(1, true, hangs + "=Ready"));
+            String entry = "s0=127.0.0.1:" + hanging.getLocalPort();
+            harness.startWithList(NodeHarness.endpointList(1, true, entry + "=Ready"));
             FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
             Socket client = harness.connect();
             NodeHarness.write(client, Http.orderRequest("t", "5000m"));
-            // Once the answer to a later request is there, the order has been taken up and awaits its turn.
+            // Once a later request has its response, the order has been read and waits for a connection.
             assertEquals(
                     404,
                     harness.exchange(Http.pageRequest("/nothing", "u", "1m")).status());
             watch.write(NodeHarness.chunk(
-                    NodeHarness.endpointList(2, false, hangs + "=Terminating", "s1=" + good.endpoint() + "=Ready")
+                    NodeHarness.endpointList(2, false, entry + "=Terminating", "s1=" + healthy.endpoint() + "=Ready")
                             + "\n"));
             assertEquals(200, Http.readMessage(client.getInputStream()).status());
         }
     }
 
     /**
-     * The event loop reads a request and the news that its server drains in the same turn. The server has been chosen
-     * before the news is known; the request still goes to another server.
+     * The event loop reads a request and an endpoint list in which its server drains in the same turn. The server is
+     * chosen before the list is read, and the request must still go to another server.
      */
     @Test
-    void heedsADrainInTheTurnOfTheChoice() throws Exception {
+    void drainReadInTurnOfServerChoiceRedirectsRequest() throws Exception {
         try (FakeServer drains = FakeServer.respondingWith("drains");
                 FakeServer other = FakeServer.respondingWith("other");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(drains)) {
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void opensNewConnectionsToAChangedAddress() throws Exception {
+    void changedAddressGetsNewConnections() throws Exception {
         try (FakeServer before = FakeServer.respondingWith("old");
                 FakeServer after = FakeServer.respondingWith("new");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(before)) {
