--- a/node/src/main/java/loadbalancer/client/ClientServer.java
+++ b/node/src/main/java/loadbalancer/client/ClientServer.java
@@ -95,9 +95,9 @@
                     }
                 });
         socketShared = inherited != null;
-        ChannelFuture opening = socketShared ? bootstrap.register() : bootstrap.bind(address);
-        listeningChannel = opening.channel();
-        return opening;
+        ChannelFuture listenFuture = socketShared ? bootstrap.register() : bootstrap.bind(address);
+        listeningChannel = listenFuture.channel();
+        return listenFuture;
     }
 
     /** Sets the reader for the heads of requests that start from now on. */
--- a/node/src/main/java/loadbalancer/client/LingeringClose.java
+++ b/node/src/main/java/loadbalancer/client/LingeringClose.java
@@ -25,10 +25,10 @@
         this.channel = channel;
     }
 
-    /** Shuts down the output, once, if the channel is active. {@code beforeEnd} runs before that. */
-    void start(Runnable beforeEnd) {
+    /** Shuts down the output, once, if the channel is active. {@code beforeShutdown} runs before that. */
+    void start(Runnable beforeShutdown) {
         if (timeout == null && channel.isActive()) {
-            beforeEnd.run();
+            beforeShutdown.run();
             channel.shutdownOutput();
             channel.config().setAutoRead(true);
             timeout = channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
--- a/node/src/main/java/loadbalancer/request/AttemptStream.java
+++ b/node/src/main/java/loadbalancer/request/AttemptStream.java
@@ -83,8 +83,9 @@
     }
 
     /**
-     * Returns whether the server has neither read nor sent anything for too long. Called periodically: the progress of
-     * the request body is measured from one call to the next. Once the response has started, only the response counts.
+     * Returns whether the server has neither read nor sent anything for {@link #STALL_TIMEOUT_US}. Called periodically:
+     * the progress of the request body is measured from one call to the next. Once the response has started, only the
+     * response counts.
      *
      * @param body the request body if it is streamed, else null
      */
--- a/node/src/main/java/loadbalancer/request/RequestTable.java
+++ b/node/src/main/java/loadbalancer/request/RequestTable.java
@@ -63,15 +63,15 @@
     // ---------------------------------------------------------------- life cycle of a request
 
     @Override
-    public void onRequest(ClientConnection client, ClientRequest arrived) {
-        ClassRegistry current = registry.get();
-        ClientRequest.Head head = arrived.head();
+    public void onRequest(ClientConnection client, ClientRequest clientRequest) {
+        ClassRegistry classRegistry = registry.get();
+        ClientRequest.Head head = clientRequest.head();
         ProxiedRequest request = new ProxiedRequest(
                 ++lastId,
-                arrived,
+                clientRequest,
                 client,
-                current.classes().get(head.classIndex()).name(),
-                current.settings().maxAttempts,
+                classRegistry.classes().get(head.classIndex()).name(),
+                classRegistry.settings().maxAttempts,
                 this,
                 services);
         client.setCloseListener(request);
--- a/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -25,7 +25,9 @@
  * {@link AttemptResult#CONNECT_FAILED}: the server has not run it. After that, the loss of the connection ends it as
  * {@link AttemptResult#RESET} and a timeout as {@link AttemptResult#TIMEOUT}: the server may have run it. A response
  * that cannot be used ends it as RESET, and {@link #cancel} as {@link AttemptResult#CANCELLED}; both count as "may have
- * run", whatever has been written.
+ * run", whatever has been written. A complete response decides by its status: {@link AttemptResult#FULL} means that the
+ * server has not run the request. An attempt that is not sent, as it is no longer wanted or its server is not ready,
+ * ends as {@link AttemptResult#MOOT}.
  *
  * <p>Parts of a response that are not forwarded to the client are released here. All methods are called on the event
  * loop.
--- a/node/src/main/java/loadbalancer/upstream/ResponseReader.java
+++ b/node/src/main/java/loadbalancer/upstream/ResponseReader.java
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Returns whether the body ends only with the connection although the server has not announced to close it. A body
+     * Returns whether the body ends only with the connection although the server has not announced the close. A body
      * truncated by a lost connection would then look complete. If the close is announced, the end of the connection is
      * accepted as the end of the body.
      */
--- a/node/src/main/java/loadbalancer/upstream/ServerPool.java
+++ b/node/src/main/java/loadbalancer/upstream/ServerPool.java
@@ -169,18 +169,18 @@
         server.dialStarted();
         sockets.serverOpened();
         InetSocketAddress address = server.address();
-        ChannelFuture opening = dialer.connect(address);
-        opening.channel().closeFuture().addListener(closed -> sockets.serverClosed());
+        ChannelFuture connectFuture = dialer.connect(address);
+        connectFuture.channel().closeFuture().addListener(closed -> sockets.serverClosed());
         // Handled in a task of its own: a dial that fails immediately would otherwise end the exchange within this
         // call.
-        opening.addListener(done -> loop.execute(() -> onDialComplete(server, address, opening)));
+        connectFuture.addListener(done -> loop.execute(() -> onDialComplete(server, address, connectFuture)));
     }
 
-    private void onDialComplete(UpstreamServer server, InetSocketAddress address, ChannelFuture opening) {
+    private void onDialComplete(UpstreamServer server, InetSocketAddress address, ChannelFuture connectFuture) {
         server.dialEnded();
-        if (opening.isSuccess()) {
-            ServerConnection connection = new ServerConnection(server, address, opening.channel(), clock);
-            opening.channel().pipeline().addLast(connection);
+        if (connectFuture.isSuccess()) {
+            ServerConnection connection = new ServerConnection(server, address, connectFuture.channel(), clock);
+            connectFuture.channel().pipeline().addLast(connection);
             connection.offer();
         } else {
             server.failExcessWaiting();
--- a/node/src/main/java/loadbalancer/upstream/UpstreamServer.java
+++ b/node/src/main/java/loadbalancer/upstream/UpstreamServer.java
@@ -42,12 +42,12 @@
     void update(Endpoint listed, boolean cordoned) {
         // Connections to an earlier address or an earlier process of the server are closed: a request written to one
         // would end as a reset, after which a non-idempotent request must not be retried.
-        boolean moved = !listed.address().equals(address) || listed.server().startedAtUs() > startedAtUs;
+        boolean replaced = !listed.address().equals(address) || listed.server().startedAtUs() > startedAtUs;
         address = listed.address();
         startedAtUs = listed.server().startedAtUs();
         listedReady = listed.server().state() == ServerState.READY;
         ready = listedReady && !cordoned;
-        if (moved || !ready) {
+        if (replaced || !ready) {
             List.copyOf(idle).stream()
                     .filter(connection -> !connection.isUsable())
                     .forEach(ServerConnection::close);
