--- a/node/src/main/java/loadbalancer/client/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -51,9 +51,7 @@
         /** Returns the reader for the heads of new requests. */
         RequestReader reader();
 
-        /**
-         * Returns whether the server drains: each response then closes its connection unless requests are pipelined.
-         */
+        /** Returns whether the server drains: responses close their connections unless requests are pipelined. */
         boolean isDraining();
 
         /** Returns the status of the response to a readiness check. */
@@ -229,11 +227,7 @@
 
     // ---------------------------------------------------------------- responses
 
-    /**
-     * Sends a complete response to the open request.
-     *
-     * @param retryAfterUs sent as Retry-After, in seconds; 0 leaves the header out
-     */
+    /** Sends a complete response to the open request. {@code retryAfterUs} of 0 sends no Retry-After. */
     public void sendResponse(HttpResponseStatus status, byte[] body, long retryAfterUs) {
         FullHttpResponse response = ResponseWriter.fullResponse(status, body, retryAfterUs);
         closeListener = null;
--- a/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -26,8 +26,8 @@
  * {@link AttemptResult#RESET} and a timeout as {@link AttemptResult#TIMEOUT}: the server may have run it. A response
  * that cannot be used ends it as RESET, and {@link #cancel} as {@link AttemptResult#CANCELLED}; both count as "may have
  * run", whatever has been written. A complete response decides by its status: {@link AttemptResult#FULL} means that the
- * server has not run the request. An attempt that is not sent, as it is no longer wanted or its server is not ready,
- * ends as {@link AttemptResult#MOOT}.
+ * server has not run the request. An attempt that is no longer wanted when it starts, or whose server is not ready,
+ * ends as {@link AttemptResult#MOOT} without being sent.
  *
  * <p>Parts of a response that are not forwarded to the client are released here. All methods are called on the event
  * loop.
