--- a/node/src/test/java/loadbalancer/client/ConnectionStateTest.java
+++ b/node/src/test/java/loadbalancer/client/ConnectionStateTest.java
@@ -18,7 +18,7 @@
         assertTrue(state.isRequestReceived());
         state.responseStarted();
         assertTrue(state.isResponseStarted());
-        assertFalse(state.endExchangeIfDone(), "the response is not written out");
+        assertFalse(state.endExchangeIfDone(), "the response has not been written");
         state.responseWritten();
         assertTrue(state.endExchangeIfDone());
         assertFalse(state.isServing());
--- a/node/src/test/java/loadbalancer/transfer/RequestBodyTest.java
+++ b/node/src/test/java/loadbalancer/transfer/RequestBodyTest.java
@@ -85,7 +85,7 @@
         assertTrue(server.finished);
         assertEquals(List.of("paused", "committed", "resumed", "received"), events);
         assertEquals(12, body.forwardedBytes());
-        assertEquals(0, beginning.refCnt(), "released once it can't be replayed");
+        assertEquals(0, beginning.refCnt(), "released once it cannot be replayed");
     }
 
     /**
@@ -96,7 +96,7 @@
     void beginningIsReplayableUntilMoreIsForwarded() {
         RecordingServer failed = new RecordingServer();
         body.streamTo(failed);
-        assertFalse(body.isReplayable(), "a server has it");
+        assertFalse(body.isReplayable(), "the body is being streamed to a server");
         body.stop(failed);
         assertTrue(body.isReplayable());
         RecordingServer server = new RecordingServer();
--- a/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
+++ b/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
@@ -86,7 +86,7 @@
                 });
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(bad)) {
             assertEquals(502, harness.exchange(Http.orderRequest("t", "4000m")).status());
-            assertEquals(1, bad.requests.size(), "an order is sent once");
+            assertEquals(1, bad.requests.size(), "the order must not be retried");
         }
     }
 
@@ -158,9 +158,9 @@
             assertEquals(200, harness.exchange(Http.pageRequest("a")).status());
             assertEquals(200, harness.exchange(Http.pageRequest("b")).status());
             FakeServer.Connection first = FakeServer.awaitNext(server.answeredConnections);
-            assertEquals(first, FakeServer.awaitNext(server.answeredConnections), "used again");
+            assertEquals(first, FakeServer.awaitNext(server.answeredConnections), "the connection must be reused");
             assertEquals(
-                    first, FakeServer.awaitNext(server.closedConnections), "closed by the node before the server does");
+                    first, FakeServer.awaitNext(server.closedConnections), "the node must close the idle connection");
             assertEquals(200, harness.exchange(Http.pageRequest("c")).status());
             assertNotEquals(first, FakeServer.awaitNext(server.answeredConnections));
         }
