--- a/node/src/main/java/loadbalancer/discovery/Endpoint.java
+++ b/node/src/main/java/loadbalancer/discovery/Endpoint.java
@@ -4,9 +4,9 @@
 import loadbalancer.policy.ServerEntry;
 
 /**
- * One app server of an endpoint list. Immutable.
+ * An app server in an endpoint list. Immutable.
  *
- * @param server what the policy learns of the server
- * @param address where the server listens; null if the server is gone
+ * @param server the description of the server that is passed to the balancer
+ * @param address the address on which the server listens; null if its state is {@code GONE}
  */
 public record Endpoint(ServerEntry server, InetSocketAddress address) {}
--- a/node/src/main/java/loadbalancer/discovery/EndpointList.java
+++ b/node/src/main/java/loadbalancer/discovery/EndpointList.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * A list of app servers as the discovery service gives it: a complete snapshot, or what changed since an earlier
- * version.
+ * A list of app servers from the discovery service or from the configuration file: either all servers or the changes
+ * since an earlier version.
  *
- * @param version the version of the list; versions only grow
- * @param full whether the list holds all servers, or only those that changed
- * @param endpoints the servers, in the order of the list
+ * @param version the version of the list; a newer list has a higher version
+ * @param full true if the list holds all servers, false if it holds only those that changed
+ * @param endpoints the servers, in the order in which they were received
  */
 public record EndpointList(long version, boolean full, List<Endpoint> endpoints) {
     private static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
-    /** The list of a node that knows no server yet: any list of the discovery service is newer. */
+    /** Returns an empty full list with version 0, so that any list of the discovery service is accepted after it. */
     public static EndpointList empty() {
         return EMPTY;
     }
 
-    /** A list that says that nothing has changed since this version. */
+    /** Returns a list of changes that is empty: nothing has changed since the given version. */
     static EndpointList unchangedSince(long version) {
         return new EndpointList(version, false, List.of());
     }
--- a/node/src/main/java/loadbalancer/discovery/EndpointListDecoder.java
+++ b/node/src/main/java/loadbalancer/discovery/EndpointListDecoder.java
@@ -13,8 +13,10 @@
 import loadbalancer.policy.ServerState;
 
 /**
- * Decodes endpoint lists, from a tree (the configuration file) or from a stream (the discovery service). Fields that
- * it does not know are skipped. Stateless but for the names of the zones.
+ * Decodes endpoint lists from a JSON tree (configuration file) or a JSON stream (discovery service). Unknown fields are
+ * ignored. Immutable.
+ *
+ * <p>The constants map each field and value of the JSON format to its name in the code.
  */
 public final class EndpointListDecoder {
     private static final String VERSION = "rev";
@@ -38,15 +40,15 @@
 
     private final List<String> zones;
 
-    /** @param zones the names of the zones; a server's zone is an index into them, or -1 if its zone is not listed */
+    /** @param zones the zone names; the zone of a server is decoded to its index in this list, or -1 if not listed */
     public EndpointListDecoder(List<String> zones) {
         this.zones = zones;
     }
 
     /**
-     * Decodes a list from a tree.
+     * Decodes a list from a JSON tree.
      *
-     * @throws InvalidEndpointListException if a field is missing or has the wrong type
+     * @throws InvalidEndpointListException if a required field is missing or invalid
      */
     public EndpointList decode(JsonNode list) throws InvalidEndpointListException {
         JsonNode version = list.path(VERSION);
@@ -61,15 +63,15 @@
     }
 
     /**
-     * Decodes a list from a stream, one server after the other: the tree of a long list would take several times the
+     * Decodes a list from a JSON stream, one server at a time. A tree of the whole list would take several times the
      * memory of the list itself.
      *
-     * @throws InvalidEndpointListException if a field is missing or has the wrong type
-     * @throws IOException if the input is no JSON
+     * @throws InvalidEndpointListException if a required field is missing or invalid
+     * @throws IOException if the input is not valid JSON or cannot be read
      */
     public EndpointList decode(JsonParser parser) throws IOException, InvalidEndpointListException {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
-            throw new InvalidEndpointListException("list", "is no object");
+            throw new InvalidEndpointListException("list", "is not a JSON object");
         }
         JsonNode version = MissingNode.getInstance();
         JsonNode full = MissingNode.getInstance();
@@ -125,7 +127,7 @@
             case STATE_GONE -> ServerState.GONE;
             default -> throw invalidEndpoint(index, STATE, "is unknown");
         };
-        // A server that is gone needs no address, and its removal must not be lost for want of one.
+        // No address is required for a server that is gone: a missing or invalid one must not prevent its removal.
         InetSocketAddress address = state == ServerState.GONE ? null : decodeAddress(target, index);
         ServerEntry server = new ServerEntry(
                 serverId,
--- a/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
+++ b/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
@@ -16,19 +16,37 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * Watches the endpoint list of the discovery service. A failed watch is reported; it is opened again by the next {@link
- * #subscribe}, or on its own once {@link #keepSubscribed} has been called. Which watches are open and which lists count
- * is decided by {@link WatchStateMachine}.
+ * Watches the endpoint list of the discovery service. {@link WatchStateMachine} decides which watches are open and
+ * which lists are accepted.
  *
- * <p>All methods must be called on the event loop, on which the listener is called too.
+ * <p>A watch fails if any of these happens:
+ *
+ * <ul>
+ *   <li>The connection cannot be opened, or the first message has not arrived within {@link
+ *       WatchTimeouts#firstMessageUs}. A message is a list or a heartbeat.
+ *   <li>Nothing is received for {@link WatchTimeouts#silenceUs} after the first message.
+ *   <li>The connection closes, or the response ends, is malformed or has a status other than 200.
+ *   <li>A list is malformed or longer than {@link JsonDocumentFramer} accepts.
+ *   <li>The lists have been older than the known version for longer than {@link WatchTimeouts#lagUs}.
+ * </ul>
+ *
+ * <p>The connection of a failed watch is closed and the failure is reported to the listener; the last accepted list
+ * stays in force. The next {@link #subscribe} opens a new watch. Once {@link #keepSubscribed} has been called, this
+ * also happens automatically after the delay of {@link ReconnectBackoff}. The failure of a watch that has been replaced
+ * after a move is not reported.
+ *
+ * <p>All methods must be called on the event loop, and the listener is called on it.
  */
 public final class EndpointWatcher {
-    /** Is notified of what the watch brings. */
+    /** Receives the lists and failures of the watch. */
     public interface Listener {
-        /** A list has come that is at least as new as all before. */
+        /**
+         * Called for each accepted list. Its version is at least that of the list before, except for the first list
+         * after a watch has failed because it lagged.
+         */
         void onEndpointList(EndpointList list);
 
-        /** The watch has failed; the last list still counts. */
+        /** Called when the watch has failed; the last accepted list stays in force. */
         void onWatchFailed(String reason);
     }
 
@@ -41,7 +59,7 @@
     private final Bootstrap bootstrap;
     private final WatchStateMachine state;
 
-    /** Creates a watcher that has no watch open yet. */
+    /** Creates a watcher; no watch is open until {@link #subscribe} or {@link #keepSubscribed} is called. */
     public EndpointWatcher(EventLoop loop, WatchConfig config, WatchTimeouts timeouts, Listener listener) {
         this.loop = loop;
         this.timeouts = timeouts;
@@ -64,27 +82,30 @@
                 });
     }
 
-    /** Opens a watch, and from now on opens another one whenever a watch fails. */
+    /** Opens a watch, and from now on reopens it after each failure. */
     public void keepSubscribed() {
         state.keepSubscribed();
     }
 
-    /** Opens a watch for all that has changed since the last list, in place of the watch that is open. */
+    /** Opens a watch for the changes since the last accepted list. Replaces the current watch, if there is one. */
     public void subscribe() {
         state.subscribe();
     }
 
-    /** The discovery service has moved: a watch that is open, or about to be opened again, is opened there at once. */
+    /**
+     * Sets the address of the discovery service. If it differs from the current address, a watch that is open or is to
+     * be reopened is opened at the new address immediately.
+     */
     public void moveTo(InetSocketAddress newAddress) {
         state.moveTo(newAddress);
     }
 
-    /** Closes the watch and opens no other. */
+    /** Closes all watches and stops reopening them. */
     public void close() {
         state.close();
     }
 
-    /** Carries out the actions of the state machine on the event loop. */
+    /** Performs the actions of the state machine with sockets and timers of the event loop. */
     private final class LoopActions implements WatchStateMachine.Actions {
         private Future<?> reconnect;
 
@@ -105,7 +126,10 @@
             }
         }
 
-        /** Heartbeats come every 2 s and say nothing new, but for the first one. */
+        /**
+         * Logs a list. An empty list is logged only if it is the first one of its watch: a service that sends an empty
+         * list as its heartbeat, every 2 s, would fill the log.
+         */
         @Override
         public void logList(EndpointList list, boolean firstOfWatch) {
             if (!firstOfWatch && list.endpoints().isEmpty()) {
--- a/node/src/main/java/loadbalancer/discovery/InvalidEndpointListException.java
+++ b/node/src/main/java/loadbalancer/discovery/InvalidEndpointListException.java
@@ -1,6 +1,6 @@
 package loadbalancer.discovery;
 
-/** An endpoint list does not have the form that the discovery service writes. */
+/** Thrown if an endpoint list lacks a required field or has an invalid one. */
 public final class InvalidEndpointListException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -13,12 +13,12 @@
         this.problem = problem;
     }
 
-    /** The path of the field within the list, for example {@code targets[0].state}. */
+    /** Returns the path of the field within the list, for example {@code targets[0].state}. */
     public String field() {
         return field;
     }
 
-    /** What is wrong with the field, to be written behind its name. */
+    /** Returns what is wrong with the field, worded to follow its path. */
     public String problem() {
         return problem;
     }
--- a/node/src/main/java/loadbalancer/discovery/JsonDocumentFramer.java
+++ b/node/src/main/java/loadbalancer/discovery/JsonDocumentFramer.java
@@ -6,15 +6,16 @@
 
 /**
  * Splits a byte stream into JSON documents. A document ends with the line on which its last bracket is closed, so it
- * may be indented over several lines.
+ * may span several lines.
  *
- * <p>A blank line is a document of its own, a heartbeat. It also ends a document whose brackets are still open: that
- * one was cut, and without this rule everything behind it would be taken for a part of it.
+ * <p>A blank line between documents is a document of its own, a heartbeat. A blank line inside a document ends it
+ * although brackets are still open: the document is truncated. Without this rule everything after it would be read as
+ * part of it.
  */
 final class JsonDocumentFramer {
     /**
-     * An indented list of 19,000 servers takes about 6 MB. Without a limit a document without an end would fill the
-     * memory.
+     * The maximum size of a document. An indented list of 19,000 servers takes about 6 MB. Without a limit, a document
+     * that never ends would exhaust the memory.
      */
     private static final int MAX_DOCUMENT_BYTES = 8 << 20;
 
@@ -25,10 +26,10 @@
     private boolean blankLine = true;
 
     /**
-     * Reads up to the end of the next document, or all bytes if it does not end within them.
+     * Reads up to the end of the next document, or all readable bytes if the document does not end within them.
      *
-     * @return the document with the end of its last line; null if more bytes are needed
-     * @throws TooLongFrameException if the document is too long; the framer must not be used any more
+     * @return the document including its last line break; null if more bytes are needed
+     * @throws TooLongFrameException if the document is longer than 8 MiB; the framer must not be used afterwards
      */
     byte[] readDocument(ByteBuf bytes) {
         while (bytes.isReadable()) {
@@ -50,7 +51,7 @@
         return null;
     }
 
-    /** Follows strings and brackets over a part of a line. */
+    /** Updates the string and bracket state with a part of a line. */
     private void scan(byte[] part) {
         for (byte b : part) {
             blankLine &= Character.isWhitespace(b);
@@ -67,7 +68,7 @@
         }
     }
 
-    /** Whether the document ends with the line that has just ended. */
+    /** Ends the current line and returns whether the document ends with it; if so, resets the scan state. */
     private boolean endsDocument() {
         boolean ends = openBrackets <= 0 || blankLine;
         blankLine = true;
--- a/node/src/main/java/loadbalancer/discovery/ReconnectBackoff.java
+++ b/node/src/main/java/loadbalancer/discovery/ReconnectBackoff.java
@@ -3,15 +3,22 @@
 import java.util.SplittableRandom;
 
 /**
- * The delay before a failed watch is opened again: it doubles with each failure up to a maximum, and is spread at
- * random, so that nodes that lost the discovery service together do not return to it together. No I/O, no clock.
+ * Computes the delay before a failed watch is reopened. The delay doubles with each failure up to a maximum. Random
+ * jitter keeps nodes that lost the discovery service at the same time from reconnecting at the same time. Uses no I/O
+ * and no clock.
  */
 final class ReconnectBackoff {
     private static final long INITIAL_MILLIS = 50;
     private static final long MAX_MILLIS = 1_000;
-    /** The maximum grows with the nodes: up to 30 of them together connect ten times a second. */
+    /**
+     * How much each node adds to the maximum delay. Up to 30 nodes whose delays have reached the maximum together make
+     * at most ten attempts a second, before jitter.
+     */
     private static final long MAX_MILLIS_PER_NODE = 100;
-    /** A node must follow each change within 6 s; half of that is left to connect and to be answered. */
+    /**
+     * The limit of the maximum delay, however many nodes there are. A node must follow each change within 6 s; half of
+     * that is left to connect and to receive the first message.
+     */
     private static final long MAX_MILLIS_OF_MANY_NODES = 3_000;
 
     private final SplittableRandom random;
@@ -23,22 +30,22 @@
         maxMillis = maxMillis(nodes);
     }
 
-    /** Returns the delay after one more failure. */
+    /** Returns the delay after a failure, and doubles the next delay up to the maximum. */
     long nextDelayMillis() {
         long delayMillis = jittered(nextMillis, random.nextDouble());
         nextMillis = Math.min(maxMillis, 2 * nextMillis);
         return delayMillis;
     }
 
-    /** A watch works again: the next failure is a first one. */
+    /** Resets the delay to its initial value; called when a watch works again. */
     void reset() {
         nextMillis = INITIAL_MILLIS;
     }
 
     /**
-     * A random delay between half of the given one and all of it.
+     * Returns a random delay between half of the given delay and all of it.
      *
-     * @param uniform a random number from 0 to 1
+     * @param uniform a random number from 0 (inclusive) to 1 (exclusive)
      */
     static long jittered(long delayMillis, double uniform) {
         return (long) (delayMillis * (0.5 + uniform / 2));
--- a/node/src/main/java/loadbalancer/discovery/WatchConnection.java
+++ b/node/src/main/java/loadbalancer/discovery/WatchConnection.java
@@ -28,8 +28,9 @@
 import loadbalancer.net.SocketAddresses;
 
 /**
- * One HTTP connection on which the discovery service writes endpoint lists and heartbeats. It fails when the service
- * ends it, writes what cannot be read, or is silent for too long. Runs on the event loop of the node.
+ * An HTTP connection to the discovery service, whose response is an unending stream of endpoint lists and heartbeats.
+ * Fails if the service ends it, sends malformed or overlong data, or sends nothing for too long. Used on the event loop
+ * of the node only.
  */
 final class WatchConnection extends SimpleChannelInboundHandler<HttpObject> implements WatchStateMachine.Connection {
     private static final String PATH = "/discovery/hosts?watch=1&after=";
@@ -44,7 +45,7 @@
     private final JsonDocumentFramer framer = new JsonDocumentFramer();
     private Channel channel;
     private Future<?> silenceTimeout;
-    /** Whether a document has come. */
+    /** Whether a complete document (a list or a heartbeat) has been received. */
     private boolean answered;
 
     private boolean closed;
@@ -74,7 +75,7 @@
             if (done.isSuccess()) {
                 sendRequest(afterVersion);
             } else {
-                fail("no connection: " + done.cause().getMessage());
+                fail("connect failed: " + done.cause().getMessage());
             }
         });
     }
@@ -116,14 +117,14 @@
             restartSilenceTimeout(timeouts.silenceUs());
         }
         if (message.decoderResult().isFailure()) {
-            fail("answer cannot be read");
+            fail("response is malformed");
         } else if (message instanceof HttpResponse response
                 && response.status().code() != HttpResponseStatus.OK.code()) {
             fail("status " + response.status().code());
         } else if (message instanceof HttpContent content) {
             readDocuments(content.content());
             if (message instanceof LastHttpContent) {
-                fail("watch ended");
+                fail("response ended");
             }
         }
     }
@@ -137,9 +138,9 @@
                 }
             }
         } catch (TooLongFrameException e) {
-            fail("line without an end");
+            fail("document is too long");
         } catch (IOException | InvalidEndpointListException e) {
-            fail("bad line: " + e.getMessage());
+            fail("invalid document: " + e.getMessage());
         }
     }
 
@@ -178,7 +179,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        fail("connection ended");
+        fail("connection closed");
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/discovery/WatchStateMachine.java
+++ b/node/src/main/java/loadbalancer/discovery/WatchStateMachine.java
@@ -3,38 +3,38 @@
 import java.net.InetSocketAddress;
 
 /**
- * Decides which watches on the endpoint list are open and which of their lists count. Free of I/O and clocks: events
- * come with their time, and what has to be done goes to {@link Actions}. Used on the event loop of the node only.
+ * Decides which watches on the endpoint list are open and which of their lists are accepted. Uses no I/O and no clock:
+ * each event carries its time, and side effects go through {@link Actions}. Used on the event loop of the node only.
  *
- * <p>Versions only grow. When the discovery service moves, the watch at the old address goes on beside the new one
- * until the new one has caught up. A list that is older than what the node knows is ignored: otherwise a server that
- * the node was told to drain would be used again.
+ * <p>A list that is older than the known version is ignored. Otherwise a server that is already draining would be used
+ * again. When the discovery service moves, the watch at the old address stays open beside the new one until the new
+ * one has delivered a list that is not older than the known version.
  */
 final class WatchStateMachine {
-    /** A connection of one watch. */
+    /** The connection of one watch. */
     interface Connection {
-        /** Connects, and asks for what has changed since this version. Called once, before any event. */
+        /** Connects and requests the changes since the given version. Called once, before any event. */
         void connect(InetSocketAddress address, long afterVersion);
 
-        /** Closes the connection, which then has no more events. */
+        /** Closes the connection; it reports no more events. */
         void close();
     }
 
-    /** The events of a connection. */
+    /** Receives the events of a connection. */
     interface ConnectionListener {
         void onList(EndpointList list, long nowNanos);
 
         void onHeartbeat(long nowNanos);
 
-        /** The connection has closed itself, and has no more events. */
+        /** Called when the connection has failed. It has closed itself and reports no more events. */
         void onFailure(String reason);
     }
 
-    /** What the state machine may do to the outside. */
+    /** The side effects of the state machine. */
     interface Actions {
         Connection newConnection(ConnectionListener listener);
 
-        /** Calls {@link WatchStateMachine#subscribe} after this delay, unless that is cancelled. */
+        /** Calls {@link WatchStateMachine#subscribe} after the delay, unless {@link #cancelReconnect} is called. */
         void scheduleReconnect(long delayMillis);
 
         void cancelReconnect();
@@ -47,12 +47,12 @@
     private final ReconnectBackoff backoff;
     private final long maxLagNanos;
     private InetSocketAddress address;
-    /** The newest version that the node knows. */
+    /** The known version: that of the last accepted list, or 0 after a watch has failed because it lagged. */
     private long version;
 
     private boolean keepsSubscribed;
     private Watch current;
-    /** The watch at the address before the last move, until the current one has caught up; null if there is none. */
+    /** The watch at an earlier address, until the current watch has caught up; null if there is none. */
     private Watch previous;
 
     WatchStateMachine(WatchConfig config, WatchTimeouts timeouts, Actions actions, EndpointWatcher.Listener listener) {
@@ -64,27 +64,31 @@
         version = config.initialVersion();
     }
 
-    /** Opens a watch, and from now on opens another one whenever a watch fails. */
+    /** Opens a watch, and from now on reopens it after each failure. */
     void keepSubscribed() {
         keepsSubscribed = true;
         subscribe();
     }
 
-    /** Opens a watch for all that has changed since the known version, in place of the current watch. */
+    /** Opens a watch for the changes since the known version. Replaces the current watch, if there is one. */
     void subscribe() {
         closeCurrent();
         current = new Watch();
         current.connection.connect(address, version);
     }
 
-    /** The discovery service has moved: a watch that is open, or about to be opened again, is opened there at once. */
+    /**
+     * Sets the address of the discovery service. If it differs from the current address, a watch that is open or is to
+     * be reopened is opened at the new address immediately.
+     */
     void moveTo(InetSocketAddress newAddress) {
         boolean moved = !newAddress.equals(address);
         address = newAddress;
         if (!moved || !(keepsSubscribed || current != null)) {
             return;
         }
-        // After two moves in a row the previous watch stays the one that has been answered, if the one between has not.
+        // The current watch becomes the previous one only if it has received a message. Otherwise, as after two moves
+        // in quick succession, the previous watch stays open and subscribe() closes the current one.
         if (current != null && current.answered) {
             closePrevious();
             previous = current;
@@ -94,7 +98,7 @@
         subscribe();
     }
 
-    /** Closes all watches and opens no other. */
+    /** Closes all watches and stops reopening them. */
     void close() {
         keepsSubscribed = false;
         closeCurrent();
@@ -116,11 +120,11 @@
         }
     }
 
-    /** The state of one watch. */
+    /** A watch and its state. */
     private final class Watch implements ConnectionListener {
         private final Connection connection = actions.newConnection(this);
         private boolean answered;
-        /** Whether the last list was older than the known version. */
+        /** Whether the last received list was older than the known version. */
         private boolean behind;
 
         private long behindSinceNanos;
@@ -130,7 +134,7 @@
             if (answered) {
                 failIfBehindTooLong(nowNanos);
             } else {
-                // As an answer to the request a heartbeat says that nothing has changed since the version asked for.
+                // A heartbeat as the first message means that nothing has changed since the requested version.
                 onList(EndpointList.unchangedSince(version), nowNanos);
             }
         }
@@ -156,7 +160,11 @@
             listener.onEndpointList(list);
         }
 
-        /** What is behind for so long has lost its newest lists for good: the node asks for all and takes it. */
+        /**
+         * Fails the watch if its lists have been older than the known version for longer than {@link
+         * WatchTimeouts#lagUs}: the service has then lost its newest lists for good. The known version is set to 0, so
+         * that the next watch requests all servers and any list is accepted.
+         */
         private void failIfBehindTooLong(long nowNanos) {
             if (behind && nowNanos - behindSinceNanos > maxLagNanos) {
                 version = 0;
@@ -168,7 +176,7 @@
         @Override
         public void onFailure(String reason) {
             if (this == previous) {
-                // The service leaves its old address once it has moved.
+                // Not reported: the service closes its old address once it has moved.
                 previous = null;
                 return;
             }
--- a/node/src/main/java/loadbalancer/discovery/WatchTimeouts.java
+++ b/node/src/main/java/loadbalancer/discovery/WatchTimeouts.java
@@ -1,16 +1,18 @@
 package loadbalancer.discovery;
 
 /**
- * After which time a watch has failed.
+ * The timeouts after which a watch has failed, in microseconds.
  *
- * @param firstMessageUs it has not been connected and answered
- * @param silenceUs once it has been answered: nothing has come
- * @param lagUs its lists have been older than what the node knows; the node then takes what there is
+ * @param firstMessageUs the time from the start of connecting to the first complete list or heartbeat
+ * @param silenceUs after the first list or heartbeat: the time without any received data
+ * @param lagUs for how long the lists of a watch may be older than the known version. The next watch then requests all
+ *     servers and accepts any version.
  */
 public record WatchTimeouts(long firstMessageUs, long silenceUs, long lagUs) {
     /**
-     * The discovery service answers at once and writes every 2 s. The node must follow a change within 6 s, within 4 s
-     * after a move: in this time a silent watch has to be found, and another one to be opened and answered.
+     * The timeouts of a node. The discovery service responds immediately and sends a message every 2 s. The node must
+     * follow a change within 6 s, or within 4 s after a move. Within this time it has to detect a silent watch, open
+     * another one and receive its first message.
      */
     public static final WatchTimeouts DEFAULT = new WatchTimeouts(1_500_000, 4_500_000, 6_000_000);
 }
