--- a/node/src/main/java/loadbalancer/config/ClassRegistry.java
+++ b/node/src/main/java/loadbalancer/config/ClassRegistry.java
@@ -11,18 +11,19 @@
 import loadbalancer.policy.Tenant;
 
 /**
- * The request classes and tenants of a node over all reloads of its configuration. Immutable, but for the settings,
- * which the balancer only reads.
+ * The request classes and tenants of a node across all reloads of its configuration. Immutable, except for the settings
+ * object, which nothing modifies after it has been added to a registry.
  *
- * <p>An open request refers to its class by index, so an index never changes its meaning: a class that comes back with
- * other rules gets a new index, and a class that is no longer configured stays in the list with a weight of 0.
+ * <p>Open requests refer to their class by index, so an index keeps its meaning across reloads. A class that is
+ * reloaded with other rules gets a new index. A class that is no longer configured keeps its index; in the settings,
+ * its weights are 0.
  *
- * @param settings the current settings, with every class and tenant that there has been
- * @param classes by index, every class that there has been, with the rules that it was configured with
- * @param configuredIndices by name, the index of each class in the current configuration
- * @param acceptedIndices by name, the indices that a client's request may mean: the configured one first, then those
- *     of earlier configurations, since clients repeat requests that began by the earlier rules
- * @param tenantIndices by name, the index of each tenant
+ * @param settings the current settings, with every class and tenant configured since the start
+ * @param classes every class configured since the start, by index, with the rules that it was configured with
+ * @param configuredIndices the index of each class in the current configuration, by class name
+ * @param acceptedIndices the indices that a client's request may refer to, by class name: the configured index first,
+ *     then those of earlier configurations, since clients retry requests that started under the earlier rules
+ * @param tenantIndices the index of each tenant, by name
  */
 public record ClassRegistry(
         BalancerSettings settings,
@@ -31,17 +32,18 @@
         Map<String, Set<Integer>> acceptedIndices,
         Map<String, Integer> tenantIndices) {
 
-    /** The registry of a node that starts with these settings. */
+    /** Returns the registry of a node that starts with the given settings. */
     public static ClassRegistry initial(BalancerSettings settings) {
         ClassRegistry empty = new ClassRegistry(new BalancerSettings(), List.of(), Map.of(), Map.of(), Map.of());
         return empty.with(settings);
     }
 
     /**
-     * The registry once these settings have been loaded. The place of the node in its fleet and the form of load
-     * reports stay as they are: they change only by a restart.
+     * Returns the registry after a reload of the configuration. The number of nodes, the node's index, the zones, the
+     * fields of load reports, and whether the endpoint list is polled keep their current values: they change only with
+     * a restart.
      *
-     * @param loaded is completed by what the running settings hold, and belongs to the new registry from now on
+     * @param loaded the settings that were read; modified by this method and owned by the new registry
      */
     public ClassRegistry reloaded(BalancerSettings loaded) {
         loaded.nodes = settings.nodes;
@@ -95,7 +97,7 @@
                 requestClass.streaming());
     }
 
-    /** Completes the loaded tenants by those of earlier configurations, and returns the index of each by name. */
+    /** Adds the tenants of earlier configurations to the loaded ones, and returns the index of each tenant by name. */
     private Map<String, Integer> mergeTenants(List<Tenant> loaded) {
         List<Tenant> allTenants = new ArrayList<>(settings.tenants);
         Map<String, Integer> indices = new HashMap<>(tenantIndices);
@@ -112,7 +114,7 @@
         return indices;
     }
 
-    /** The longest deadline of a configured class: the platform grants a draining process this long. */
+    /** Returns the longest deadline of a configured class, which is how long the platform lets a process drain. */
     public long longestDeadlineUs() {
         return configuredIndices.values().stream()
                 .mapToLong(index -> classes.get(index).deadlineUs())
@@ -120,7 +122,10 @@
                 .orElse(0);
     }
 
-    /** For how long clients may still repeat requests by rules that are no longer configured. */
+    /**
+     * Returns for how long clients may still retry requests under rules that are no longer configured: the longest
+     * deadline of the accepted classes that are not configured, or 0 if there are none.
+     */
     public long retirementDelayUs() {
         return acceptedIndices.values().stream()
                 .flatMap(Set::stream)
@@ -130,7 +135,7 @@
                 .orElse(0);
     }
 
-    /** The same registry once {@link #retirementDelayUs} is over: only configured classes are accepted. */
+    /** Returns the registry after {@link #retirementDelayUs} has passed: only configured classes are accepted. */
     public ClassRegistry withoutRetiredClasses() {
         return new ClassRegistry(
                 settings, classes, configuredIndices, onlyConfigured(configuredIndices), tenantIndices);
--- a/node/src/main/java/loadbalancer/config/ConfigFile.java
+++ b/node/src/main/java/loadbalancer/config/ConfigFile.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** A configuration file that has been parsed as JSON and not been validated any further. */
+/** A configuration file that is parsed as JSON. Only the presence of the settings object is validated. */
 final class ConfigFile {
     private static final String COUNT = "count";
 
@@ -21,9 +21,10 @@
     }
 
     /**
-     * Reads the file at this path.
+     * Reads the file at the given path.
      *
-     * @throws ConfigException if it cannot be read, is no JSON, or has no object of settings
+     * @throws ConfigException if the path is empty, the file cannot be read or is not JSON, or the settings object is
+     *     missing
      */
     static ConfigFile read(String path) throws ConfigException {
         JsonNode root = parse(path);
@@ -50,22 +51,25 @@
         }
     }
 
-    /** The value of a key at the top of the file; a missing node if there is none. */
+    /** Returns the value of a top-level key; a missing node if the key does not exist. */
     JsonNode value(String key) {
         return root.path(key);
     }
 
-    /** Whether the file has a key at its top, with a value other than null. */
+    /** Returns whether the file has a top-level key with a value other than null. */
     boolean has(String key) {
         return root.hasNonNull(key);
     }
 
-    /** The text of a key at the top of the file; empty if there is none. */
+    /** Returns the text of a top-level key; empty if the key does not exist. */
     String text(String key) {
         return root.path(key).asText();
     }
 
-    /** The settings by dotted names, as on the simulator's wire: objects in a list are numbered and counted. */
+    /**
+     * Returns the settings by dotted name, in the form of the simulator's wire: the objects of a list are numbered from
+     * 0, and the key {@code count} holds their number. The values of other lists are joined by commas.
+     */
     Map<String, String> flattenedSettings() {
         Map<String, String> flattened = new HashMap<>();
         flatten("", root.get(ConfigNames.SETTINGS), flattened);
@@ -106,8 +110,9 @@
     }
 
     /**
-     * The dotted names of all keys in the file. Of a list of objects these are the keys that all of its objects have.
-     * The endpoint list is left out: it counts at the start only, and its entries come and go.
+     * Returns the dotted names of all keys in the file whose value is not null. For a list of objects, only the keys
+     * that all of its objects have are included. The endpoint list is excluded: it is used at startup only, and its
+     * entries change over time.
      */
     Set<String> keys() {
         Set<String> keys = keys(root, "");
--- a/node/src/main/java/loadbalancer/config/ConfigNames.java
+++ b/node/src/main/java/loadbalancer/config/ConfigNames.java
@@ -1,21 +1,21 @@
 package loadbalancer.config;
 
 /**
- * The keys of the configuration file and the environment variables of a node, as operators write them. The keys below
- * {@link #SETTINGS} that concern the balancer are named by the settings' own reader.
+ * The keys of the configuration file and the environment variables of a node. The keys below {@link #SETTINGS} that the
+ * balancer uses are defined in the package {@code loadbalancer.settings}.
  */
 final class ConfigNames {
     /** The path of the configuration file. */
     static final String ENV_FILE = "PROXY_CONFIG";
-    /** In place of {@link #LISTEN}. */
+    /** Overrides {@link #LISTEN}. */
     static final String ENV_LISTEN = "PROXY_LISTEN";
-    /** In place of {@link #DISCOVERY}, at the start only. */
+    /** Overrides {@link #DISCOVERY}, at startup only. */
     static final String ENV_DISCOVERY = "PROXY_DISCOVERY";
-    /** In place of {@link #CONTROL}. */
+    /** Overrides {@link #CONTROL}. */
     static final String ENV_CONTROL = "PROXY_CONTROL";
-    /** The descriptor of a listening socket that the node inherits. */
+    /** The file descriptor of the listening socket that the process inherits; must be 0 if set. */
     static final String ENV_LISTENER_DESCRIPTOR = "PROXY_SOCKET_FD";
-    /** A folder that all processes of the node share. */
+    /** The path of a folder that all processes of the node share. */
     static final String ENV_SHARED_FOLDER = "TMPDIR";
 
     static final String NAME = "name";
--- a/node/src/main/java/loadbalancer/config/NodeConfig.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfig.java
@@ -8,19 +8,19 @@
 import loadbalancer.policy.BalancerSettings;
 
 /**
- * The configuration of a node, by its environment and its configuration file. {@link NodeConfigReader} reads it at the
- * start, {@link ReloadedConfigReader} while the node runs.
+ * The configuration of a node, from its environment and its configuration file. {@link NodeConfigReader} reads it at
+ * startup, {@link ReloadedConfigReader} on a reload.
  *
- * @param listenAddress where clients connect
- * @param discoveryAddress where the discovery service gives the endpoint list; null for a node without one
- * @param seed the seed of all random numbers, another one at each start
- * @param maxSockets how many file descriptors the process may hold
- * @param serverIdleTimeoutUs after which time servers close idle connections
- * @param initialEndpoints the endpoint list as this node last knew it
+ * @param listenAddress the address on which clients connect
+ * @param discoveryAddress the address of the discovery service; null for a node without one
+ * @param seed the seed of all random numbers; differs at each start
+ * @param maxSockets the maximum number of file descriptors that the process may hold
+ * @param serverIdleTimeoutUs the time after which servers close idle connections
+ * @param initialEndpoints the endpoint list at startup, which may be outdated
  * @param settings the settings of the balancer
- * @param configuredKeys the dotted names of all keys in the file, but for the endpoint list
- * @param operations what the node is given for operators
- * @param membership how the process takes part in a fleet; null if it is in none
+ * @param configuredKeys the dotted names of all keys in the file, except for the endpoint list
+ * @param operations the configuration of the node's operations
+ * @param membership the configuration of the membership in a fleet; null if the node takes part in none
  */
 public record NodeConfig(
         InetSocketAddress listenAddress,
@@ -34,14 +34,15 @@
         OperationsConfig operations,
         MembershipConfig membership) {
 
-    /** How the node watches the endpoint list. */
+    /** Returns the configuration of the watch on the endpoint list. */
     public WatchConfig watchConfig() {
         return new WatchConfig(discoveryAddress, settings.zones, initialEndpoints.version(), settings.nodes, seed);
     }
 
     /**
-     * The configuration of a node that serves the same classes and tenants from these servers only: it listens on any
-     * port of the same address, and has neither discovery service nor operators nor fleet.
+     * Returns the configuration of a node that serves the same classes and tenants from the given servers only. It
+     * listens on the same IP address with an ephemeral port. It has no discovery service, no control address, no shared
+     * folder, no inherited listener and no membership.
      */
     public NodeConfig isolated(EndpointList servers) {
         BalancerSettings isolated = new BalancerSettings();
--- a/node/src/main/java/loadbalancer/config/NodeConfigReader.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfigReader.java
@@ -17,12 +17,15 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Reads and validates the configuration of a node: the file that the environment names, with the addresses of the
- * environment in place of those of the file. The first problem found is thrown.
+ * Reads and validates the configuration of a node. The environment names the file; addresses in the environment
+ * override those in the file. The first problem found is thrown.
  */
 public final class NodeConfigReader {
     private static final int MIN_SOCKETS = 64;
-    /** Clients get a third of the sockets, shared by the two processes that run side by side during an upgrade. */
+    /**
+     * The number of sockets per open client request. A third of the sockets is for clients, and half of that third for
+     * each of the two processes that run side by side during an upgrade.
+     */
     private static final int SOCKETS_PER_CLIENT = 3 * 2;
 
     private static final long DEFAULT_SERVER_IDLE_TIMEOUT_US = 15_000_000;
@@ -38,9 +41,9 @@
     }
 
     /**
-     * Reads the configuration that this environment names.
+     * Reads the configuration from the given environment and the file that it names.
      *
-     * @throws ConfigException if a value is missing or invalid; it names the key
+     * @throws ConfigException if a value is missing or invalid; the exception names the key
      */
     public static NodeConfig read(Map<String, String> environment) throws ConfigException {
         ConfigFile file = ConfigFile.read(environment.getOrDefault(ConfigNames.ENV_FILE, ""));
@@ -95,7 +98,8 @@
         JsonNode value = file.value(ConfigNames.LIMITS).path(ConfigNames.MAX_SOCKETS);
         if (!value.canConvertToInt() || value.asInt() < MIN_SOCKETS) {
             throw new ConfigException(
-                    ConfigNames.LIMITS + "." + ConfigNames.MAX_SOCKETS, "is missing or under " + MIN_SOCKETS);
+                    ConfigNames.LIMITS + "." + ConfigNames.MAX_SOCKETS,
+                    "is missing or not a 32-bit number of at least " + MIN_SOCKETS);
         }
         return value.asInt();
     }
@@ -106,7 +110,7 @@
         if (timeoutUs <= 0) {
             throw new ConfigException(
                     ConfigNames.SETTINGS + "." + ConfigNames.LIMITS + "." + ConfigNames.SERVER_IDLE_TIMEOUT_US,
-                    "is not above 0");
+                    "is not positive");
         }
         return timeoutUs;
     }
@@ -116,7 +120,8 @@
         String sharedFolder = environment.getOrDefault(ConfigNames.ENV_SHARED_FOLDER, "");
         String descriptor = environment.getOrDefault(ConfigNames.ENV_LISTENER_DESCRIPTOR, "");
         if (!descriptor.isEmpty() && !descriptor.equals(ONLY_LISTENER_DESCRIPTOR)) {
-            throw new ConfigException(ConfigNames.ENV_LISTENER_DESCRIPTOR, "is not 0, the only one: " + descriptor);
+            throw new ConfigException(
+                    ConfigNames.ENV_LISTENER_DESCRIPTOR, "is not 0, the only allowed file descriptor: " + descriptor);
         }
         return new OperationsConfig(
                 controlAddress.isEmpty() ? null : parseAddress(ConfigNames.CONTROL, controlAddress),
@@ -124,7 +129,7 @@
                 !descriptor.isEmpty());
     }
 
-    /** The value of an environment variable, or of a key of the file if the variable is not set. */
+    /** Returns the value of an environment variable, or the text of a key in the file if the variable is not set. */
     private String overridable(String variable, String key) {
         return environment.getOrDefault(variable, file.text(key));
     }
--- a/node/src/main/java/loadbalancer/config/OperationsConfig.java
+++ b/node/src/main/java/loadbalancer/config/OperationsConfig.java
@@ -4,13 +4,13 @@
 import java.nio.file.Path;
 
 /**
- * What a node is given so that operators can run it day by day.
+ * The configuration of the operation of a node: control, cordons and upgrades.
  *
- * @param controlAddress where operators call; null if there is no such address
+ * @param controlAddress the address at which operators send calls; null if there is none
  * @param sharedFolder the folder that all processes of the node share; null if there is none
- * @param inheritsListener whether the platform holds the clients' listening socket and hands it to each process
+ * @param inheritsListener whether the platform owns the listening socket for clients and passes it to each process
  */
 public record OperationsConfig(InetSocketAddress controlAddress, Path sharedFolder, boolean inheritsListener) {
-    /** Of a node that no operator runs. */
+    /** The configuration of a node without control address, shared folder and inherited listener. */
     static final OperationsConfig NONE = new OperationsConfig(null, null, false);
 }
--- a/node/src/main/java/loadbalancer/config/ReloadedConfigReader.java
+++ b/node/src/main/java/loadbalancer/config/ReloadedConfigReader.java
@@ -5,9 +5,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** Reads the configuration file again for a node that runs. Blocks, so it must not be used on the event loop. */
+/**
+ * Reads the configuration file again while the node runs. Blocks, so it must not be used on the event loop.
+ *
+ * <p>A file is accepted or rejected as a whole. If it is rejected, an exception is thrown and nothing is applied: the
+ * node keeps the last configuration that was applied.
+ */
 public final class ReloadedConfigReader {
-    /** For how long an invalid file is read again; operators may wait half a second for the metrics to show it. */
+    /**
+     * For how long an invalid file is read again. Operators may expect the metrics to show a rejected file within half
+     * a second, so this must be shorter.
+     */
     private static final long RETRY_FOR_MILLIS = 200;
 
     private static final long RETRY_INTERVAL_MILLIS = 20;
@@ -15,12 +23,12 @@
     private ReloadedConfigReader() {}
 
     /**
-     * Reads the file as it is now. The environment's address of the discovery service counts at the start only. Keys
-     * that are optional at the start are required if the file had them then: the file was most likely cut, and the rest
-     * of it cannot be trusted either.
+     * Reads the file once. The address of the discovery service is taken from the file; the environment variable for
+     * it applies at startup only. A key that the file had at startup is required, even if it is optional at startup: a
+     * file without it is most likely truncated, and the rest of it cannot be trusted either.
      *
      * @param running the configuration that the node started with
-     * @throws ConfigException if a value is missing or invalid; it names the key
+     * @throws ConfigException if a value is missing or invalid; the exception names the key
      */
     public static NodeConfig read(NodeConfig running, Map<String, String> environment) throws ConfigException {
         Map<String, String> remaining = new HashMap<>(environment);
@@ -28,15 +36,15 @@
         NodeConfig reloaded = NodeConfigReader.read(remaining);
         for (String key : running.configuredKeys()) {
             if (!reloaded.configuredKeys().contains(key)) {
-                throw new ConfigException(key, "is missing, and was there before");
+                throw new ConfigException(key, "is missing but was present at startup");
             }
         }
         return reloaded;
     }
 
     /**
-     * Like {@link #read}, but reads an invalid file again for a short time: the signal may come before the file has
-     * been written to its end.
+     * Like {@link #read}, but reads an invalid file repeatedly for up to 200 ms: the reload signal may arrive before
+     * the file has been written completely.
      */
     public static NodeConfig readWhenComplete(NodeConfig running, Map<String, String> environment)
             throws ConfigException {
--- a/node/src/main/java/loadbalancer/config/package-info.java
+++ b/node/src/main/java/loadbalancer/config/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The configuration of a node: reading the file and the environment, validation, reloads, and the registry of request
- * classes over reloads. Owns the names of keys and variables and their mapping to typed values; knows nothing of
- * sockets, the event loop, or what the values are used for.
+ * classes across reloads. Owns the names of keys and environment variables and their mapping to typed values.
+ * Independent of sockets, of the event loop, and of how the values are used.
  */
 package loadbalancer.config;
