--- a/node/src/main/java/loadbalancer/admin/ControlAnswer.java
+++ b/node/src/main/java/loadbalancer/admin/ControlAnswer.java
@@ -1,10 +1,10 @@
 package loadbalancer.admin;
 
 /**
- * The answer to an operator's call.
+ * The response to an operator's call.
  *
- * @param text what is written, without the end of its last line
- * @param delayMillis after how long it is written; 0 for at once
+ * @param text the text to write, without the line break at its end
+ * @param delayMillis the delay before it is written; 0 for none
  */
 record ControlAnswer(String text, long delayMillis) {
     private static final String ACCEPTED = "YES";
@@ -23,7 +23,7 @@
         return new ControlAnswer(REJECTED + reason, 0);
     }
 
-    /** @param lines all metrics, each with the end of its line */
+    /** @param lines all metrics, one per line, each line with its line break */
     static ControlAnswer metrics(String lines) {
         return new ControlAnswer(lines + END_OF_METRICS, 0);
     }
--- a/node/src/main/java/loadbalancer/admin/ControlCall.java
+++ b/node/src/main/java/loadbalancer/admin/ControlCall.java
@@ -1,13 +1,13 @@
 package loadbalancer.admin;
 
 /**
- * An operator's call.
+ * An operator's call, parsed from one line.
  *
- * @param type what is called for
- * @param serverId the server that it concerns; null if the type takes none
+ * @param type the type of the call
+ * @param serverId the id of the server to cordon or uncordon; null for other types
  */
 record ControlCall(Type type, String serverId) {
-    /** What can be called for. */
+    /** The types of calls, with their names on the wire. */
     enum Type {
         HEALTH("health", false),
         METRICS("counters", false),
@@ -37,9 +37,10 @@
     }
 
     /**
-     * Parses a line without its end: a name, and the id of a server where the call takes one, with white space between.
+     * Parses a line without its line break: the name of the call and, if the call takes one, a server id, separated by
+     * white space.
      *
-     * @throws RejectedCallException if the line is no call
+     * @throws RejectedCallException if the line is not a valid call
      */
     static ControlCall parse(String line) throws RejectedCallException {
         String[] words = line.strip().split("\\s+");
--- a/node/src/main/java/loadbalancer/admin/ControlCallHandler.java
+++ b/node/src/main/java/loadbalancer/admin/ControlCallHandler.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.common.Log;
 
-/** Carries out operators' calls on a node. Used on the event loop of the node only. */
+/** Executes operators' calls on a node. Used on the event loop of the node only. */
 final class ControlCallHandler {
     private final NodeOperations node;
 
@@ -10,7 +10,7 @@
         this.node = node;
     }
 
-    /** Carries out the call on this line and returns its answer, also where the call fails. */
+    /** Executes the call on the given line. Returns a response also if the call is invalid or fails. */
     ControlAnswer handle(String line) {
         try {
             return handle(ControlCall.parse(line));
@@ -28,7 +28,7 @@
                 case UNCORDON -> ControlAnswer.acceptedAfter(node.setCordoned(call.serverId(), false));
             };
         } catch (RuntimeException e) {
-            // A defect in the node: the operator gets an answer, and the connections of clients live on.
+            // A bug in the node must not end the process: the operator gets a response and clients stay connected.
             Log.error("control_call_error", e, "call", call.type().wireName());
             return ControlAnswer.rejected("defect in the node");
         }
--- a/node/src/main/java/loadbalancer/admin/ControlServer.java
+++ b/node/src/main/java/loadbalancer/admin/ControlServer.java
@@ -24,21 +24,21 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * The server at the control address: accepts operators' connections, each of which carries one call, a line, and its
- * answer. Runs on the event loop of the node; {@link #listen} may be called from any thread.
+ * The server at the control address. Each connection of an operator carries one call, which is one line, and its
+ * response. Used on the event loop of the node only, except for {@link #listen}, which any thread may call.
  */
 public final class ControlServer {
     private static final int MAX_CONNECTIONS = 16;
-    /** File descriptors that the server may hold: its connections, and the one that it listens on. */
+    /** The maximum number of file descriptors that the server holds: its connections and its listening socket. */
     public static final int MAX_SOCKETS = MAX_CONNECTIONS + 1;
 
     private static final int MAX_LINE_BYTES = 1 << 10;
-    /** After so long a connection is closed, whether its call has come and its answer has been read or not. */
+    /** The lifetime of a connection. It is then closed even if no call has been received or no response been read. */
     private static final long CONNECTION_TIMEOUT_MILLIS = 3_000;
 
     private final EventLoop loop;
     private final ControlCallHandler callHandler;
-    /** The open connections, the oldest first. */
+    /** The open connections, oldest first. */
     private final ArrayDeque<Connection> connections = new ArrayDeque<>();
 
     private Channel listener;
@@ -48,7 +48,7 @@
         callHandler = new ControlCallHandler(node);
     }
 
-    /** Listens on this address; the future is done once operators can connect. */
+    /** Listens on the given address; the future completes when operators can connect. */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture opening = new ServerBootstrap()
                 .group(loop)
@@ -68,7 +68,7 @@
 
     private void accept(SocketChannel channel) {
         if (connections.size() == MAX_CONNECTIONS) {
-            // The oldest most likely stays silent. It must not keep other operators out.
+            // The oldest connection is most likely idle; it must not prevent other operators from connecting.
             connections.poll().channel.close();
         }
         Connection connection = new Connection(channel);
@@ -76,17 +76,17 @@
         channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true), connection);
     }
 
-    /** Stops listening and closes all connections. */
+    /** Stops listening and closes all connections. Must be called after {@link #listen}. */
     public void close() {
         listener.close();
         connections.forEach(connection -> connection.channel.close());
     }
 
-    /** An operator's connection. */
+    /** The connection of an operator. */
     private final class Connection extends SimpleChannelInboundHandler<ByteBuf> {
         private final SocketChannel channel;
         private final Future<?> timeout;
-        /** Writes an answer that is delayed; null if none is. */
+        /** The task that writes a delayed response; null if there is none. */
         private Future<?> delayedAnswer;
 
         private boolean called;
@@ -111,8 +111,8 @@
         }
 
         private void write(ControlAnswer answer) {
-            // Only the output is shut down: a close while bytes of the caller are unread would reset the connection,
-            // and the caller could lose the answer.
+            // Shuts down the output only: closing the socket while received bytes are unread would reset the
+            // connection, and the operator could lose the response.
             channel.writeAndFlush(Unpooled.copiedBuffer(answer.text() + "\n", StandardCharsets.UTF_8))
                     .addListener(written -> channel.shutdownOutput());
         }
--- a/node/src/main/java/loadbalancer/admin/CordonFile.java
+++ b/node/src/main/java/loadbalancer/admin/CordonFile.java
@@ -11,18 +11,20 @@
 import java.util.List;
 
 /**
- * The file that holds the ids of the cordoned servers, one a line in UTF-8. All processes of a node share it: during an
- * upgrade two versions of the program read and write it side by side, so its names and its format must not change.
+ * The file with the ids of the cordoned servers, one per line in UTF-8. All processes of a node share it. During an
+ * upgrade, two versions of the program read and write it concurrently, so the file names and the format must not
+ * change.
  *
- * <p>Any process of the node may write the file, but only when an operator has called it, and only while it holds the
- * lock on the lock file. The file is replaced as a whole by a rename, so a reader needs no lock.
+ * <p>Any process of the node may write the file, but only to execute an operator's call to cordon or uncordon a server,
+ * and only while it holds the lock on the lock file. The file is replaced atomically by a rename, so readers need no
+ * lock.
  */
 final class CordonFile {
     private static final String NAME = "kitemux.cordons";
     private static final String LOCK_NAME = "kitemux.cordons.lock";
     private static final String REPLACEMENT_NAME = "kitemux.cordons.new";
 
-    /** What is done while the lock is held. */
+    /** An action that runs while the lock is held. */
     interface LockedAction {
         void run() throws IOException;
     }
@@ -31,7 +33,7 @@
     private final Path lockFile;
     private final Path replacement;
 
-    /** @param folder a folder that all processes of the node share */
+    /** @param folder the folder that all processes of the node share */
     CordonFile(Path folder) {
         file = folder.resolve(NAME);
         lockFile = folder.resolve(LOCK_NAME);
@@ -43,7 +45,7 @@
     }
 
     /**
-     * Reads the ids.
+     * Reads the ids of the cordoned servers.
      *
      * @throws java.nio.file.NoSuchFileException if no process has written the file yet
      */
@@ -52,11 +54,11 @@
     }
 
     /**
-     * Runs an action while no other process changes the file.
+     * Runs an action while holding the lock, so that no other process changes the file.
      *
      * @throws RejectedCallException if another process holds the lock
-     * @throws IOException if the lock file cannot be opened, or from the action
-     * @throws OverlappingFileLockException if this process holds the lock already
+     * @throws IOException if the lock file cannot be opened or locked, or if the action throws it
+     * @throws OverlappingFileLockException if this process already holds the lock
      */
     void withLock(LockedAction action) throws IOException, RejectedCallException {
         try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -68,7 +70,7 @@
         }
     }
 
-    /** Replaces the file; the lock must be held. */
+    /** Replaces the contents of the file. The lock must be held. */
     void write(List<String> serverIds) throws IOException {
         Files.write(replacement, serverIds);
         Files.move(replacement, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
--- a/node/src/main/java/loadbalancer/admin/CordonStore.java
+++ b/node/src/main/java/loadbalancer/admin/CordonStore.java
@@ -14,23 +14,25 @@
 import loadbalancer.discovery.EndpointList;
 
 /**
- * The servers that operators have cordoned. They are kept in a {@link CordonFile}, which all processes of a node share:
- * a call to one process binds all of them, and a new process starts with the cordons of the old one. Without a shared
- * folder they are kept in memory only. Used on the event loop of the node only; the file is small.
+ * The servers that operators have cordoned, stored in a {@link CordonFile} that all processes of a node share. A call
+ * to one process therefore applies to all of them: the others follow at their next {@link #refresh}, and a new process
+ * starts with the cordons of the old one. Without a shared folder, cordons are stored in memory only.
+ *
+ * <p>Used on the event loop of the node only. File access blocks the event loop, but the file is small.
  */
 public final class CordonStore {
-    /** How many ids of listed servers are remembered: many times the size of any fleet, but bounded. */
+    /** The maximum number of listed server ids to remember: more than any fleet has servers, but bounds the memory. */
     private static final int MAX_LISTED_IDS = 50_000;
 
-    /** Null if cordons are kept in memory only. */
+    /** Null if cordons are stored in memory only. */
     private final CordonFile file;
 
     private Set<String> cordonedIds = Set.of();
-    /** The file as it was read or written last: while it is the same, nothing has to be done. */
+    /** The lines of the file when last read or written. While they are unchanged, a refresh has nothing to do. */
     private List<String> lastFileLines = List.of();
 
     private boolean unreadableLogged;
-    /** The ids that have been listed since the start; the map is used as a set. */
+    /** The ids of all servers listed since startup, used as a set; beyond the maximum, the first listed is removed. */
     private final Map<String, Boolean> listedIds = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
@@ -40,29 +42,34 @@
         }
     };
 
-    /** @param folder the folder that the processes of this node share; null if there is none */
+    /** @param folder the folder that all processes of the node share; null if there is none */
     public CordonStore(Path folder) {
         file = folder == null ? null : new CordonFile(folder);
     }
 
-    /** The ids of the cordoned servers; immutable. */
+    /** Returns an immutable set of the ids of the cordoned servers. */
     public Set<String> cordonedIds() {
         return cordonedIds;
     }
 
-    /** Whether other processes of this node may follow the same cordons. */
+    /** Returns whether other processes of the node may share the cordons. */
     public boolean isShared() {
         return file != null;
     }
 
-    /** Remembers the listed servers: only these can be cordoned. */
+    /** Remembers the servers of a list: {@link #setCordoned} accepts only these and servers that are cordoned. */
     public void onEndpointList(EndpointList list) {
         for (Endpoint endpoint : list.endpoints()) {
             listedIds.put(endpoint.server().id(), true);
         }
     }
 
-    /** Reads what any process of this node has written; true if that changed which servers are cordoned. */
+    /**
+     * Reads the cordons that any process of the node has written. If the file does not exist or cannot be read, the
+     * cordons remain unchanged.
+     *
+     * @return whether the set of cordoned servers has changed
+     */
     public boolean refresh() {
         if (file == null) {
             return false;
@@ -87,9 +94,11 @@
     }
 
     /**
-     * Cordons a server or ends its cordon. The file is written first, so that an accepted call outlives this process.
+     * Cordons or uncordons a server. The file is written before the cordons in memory change, so that an accepted call
+     * survives a crash of the process.
      *
-     * @throws RejectedCallException if the server was never listed or the file cannot be written; nothing has changed
+     * @throws RejectedCallException if the server has never been listed, another process holds the lock, or the file
+     *     cannot be written; the cordon of the server is unchanged
      */
     public void setCordoned(String serverId, boolean cordoned) throws RejectedCallException {
         if (!listedIds.containsKey(serverId) && !cordonedIds.contains(serverId)) {
@@ -101,7 +110,7 @@
         }
         try {
             file.withLock(() -> {
-                // Another process may have written since the last look; its change must not be lost.
+                // Another process may have written the file since the last refresh; its change must not be lost.
                 refresh();
                 List<String> lines = idsWith(serverId, cordoned);
                 file.write(lines);
@@ -119,7 +128,7 @@
         return !cordonedIds.equals(before);
     }
 
-    /** The cordoned ids in order, once this server is or is no longer among them. */
+    /** Returns the cordoned ids in sorted order, with the given server added or removed. */
     private List<String> idsWith(String serverId, boolean cordoned) {
         TreeSet<String> serverIds = new TreeSet<>(cordonedIds);
         if (cordoned) {
--- a/node/src/main/java/loadbalancer/admin/Metrics.java
+++ b/node/src/main/java/loadbalancer/admin/Metrics.java
@@ -6,51 +6,52 @@
 import loadbalancer.policy.RequestClass;
 
 /**
- * Counts what this process has done since its start. Each event is counted once, where it happens. Not thread-safe:
- * used on the event loop of the node only. {@link MetricsRenderer} writes the counters as text.
+ * The counters of the process since its start. Each event is counted once, where it occurs. Not thread-safe: used on
+ * the event loop of the node only. {@link MetricsRenderer} renders the counters as text.
  */
 public final class Metrics {
     /**
-     * Values that are read from their owners when the metrics are written.
+     * Values that are read from their owners when the metrics are rendered.
      *
-     * @param openRequests requests that are complete and have no complete answer
-     * @param listedServers app servers in the endpoint list
-     * @param excludedServers of these, the ones that are cordoned or ejected
+     * @param openRequests the number of requests that have been received completely and whose final response has not
+     *     ended
+     * @param listedServers the number of app servers in the endpoint list
+     * @param excludedServers the number of listed app servers that are cordoned, or ejected for any request class
      */
     public record Gauges(int openRequests, int listedServers, int excludedServers) {}
 
     private static final RequestOutcome[] OUTCOMES = RequestOutcome.values();
 
-    /** By class name, then by outcome. A class that is no longer configured keeps its counts. */
+    /** Counts by class name and outcome. A class that is no longer configured keeps its counts. */
     private final Map<String, long[]> finishedRequests = new LinkedHashMap<>();
 
     private long attempts;
     private long configLoads;
     private long configErrors;
 
-    /** Adds these classes, with counts of 0; a class that is there already keeps its counts. */
+    /** Adds counters for the given classes, starting at 0. A class that is already registered keeps its counts. */
     public void register(List<RequestClass> classes) {
         for (RequestClass requestClass : classes) {
             finishedRequests.putIfAbsent(requestClass.name(), new long[OUTCOMES.length]);
         }
     }
 
-    /** Counts a request whose final answer has ended; its class must have been registered. */
+    /** Counts a request whose outcome is final. Its class must have been registered. */
     public void onRequestFinished(String className, RequestOutcome outcome) {
         finishedRequests.get(className)[outcome.ordinal()]++;
     }
 
-    /** Counts an attempt that has been written completely to a server. */
+    /** Counts an attempt whose request has been written completely to a server. */
     public void onAttemptWritten() {
         attempts++;
     }
 
-    /** Counts a configuration file that was loaded. */
+    /** Counts a configuration file that has been applied by a reload. */
     public void onConfigLoaded() {
         configLoads++;
     }
 
-    /** Counts a configuration file that was rejected. */
+    /** Counts a configuration file that has been rejected by a reload. */
     public void onConfigRejected() {
         configErrors++;
     }
--- a/node/src/main/java/loadbalancer/admin/MetricsRenderer.java
+++ b/node/src/main/java/loadbalancer/admin/MetricsRenderer.java
@@ -1,6 +1,6 @@
 package loadbalancer.admin;
 
-/** Writes the metrics of a node as text, one line each: a name, with labels in braces, and a value. */
+/** Renders the metrics of a node as text, one per line: a name, optional labels in braces, and a value. */
 public final class MetricsRenderer {
     private static final String PREFIX = "node_";
     private static final String FINISHED_REQUESTS = "handled";
--- a/node/src/main/java/loadbalancer/admin/NodeOperations.java
+++ b/node/src/main/java/loadbalancer/admin/NodeOperations.java
@@ -1,18 +1,18 @@
 package loadbalancer.admin;
 
-/** What operators can ask of a node. Called on the event loop of the node. */
+/** The operations of a node that operators can call. Called on the event loop of the node. */
 public interface NodeOperations {
-    /** Whether this process serves clients. */
+    /** Returns whether this process serves clients. */
     boolean isServing();
 
-    /** All metrics, a line each. */
+    /** Returns all metrics, one per line, each line with its line break. */
     String metrics();
 
     /**
-     * Cordons a server, which then gets nothing new from any process of this node, or ends its cordon.
+     * Cordons or uncordons a server. A cordoned server receives no new requests from any process of the node.
      *
-     * @return the delay in milliseconds after which all processes of this node follow
-     * @throws RejectedCallException if the change was not made
+     * @return the delay in milliseconds after which all processes of the node follow the change
+     * @throws RejectedCallException if the change is rejected; the cordon of the server is unchanged
      */
     long setCordoned(String serverId, boolean cordoned) throws RejectedCallException;
 }
--- a/node/src/main/java/loadbalancer/admin/RejectedCallException.java
+++ b/node/src/main/java/loadbalancer/admin/RejectedCallException.java
@@ -1,6 +1,6 @@
 package loadbalancer.admin;
 
-/** An operator's call that is not carried out; the message says why. */
+/** Thrown if an operator's call is rejected; the message is the reason. */
 public final class RejectedCallException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/node/src/main/java/loadbalancer/admin/RequestOutcome.java
+++ b/node/src/main/java/loadbalancer/admin/RequestOutcome.java
@@ -1,12 +1,12 @@
 package loadbalancer.admin;
 
-/** How a client's request ended, as the metrics count it. */
+/** The outcome of a client's request, as counted in the metrics. */
 public enum RequestOutcome {
-    /** A server answered. */
+    /** The response of a server was forwarded. */
     SERVED("passed"),
-    /** The node rejected the request with 503. */
+    /** The node rejected the request with status 503. */
     REJECTED("dropped"),
-    /** The request failed, or its answer broke off. */
+    /** The node failed the request with another status, or its streamed response was aborted. */
     FAILED("bad_gateway");
 
     private final String label;
@@ -15,7 +15,7 @@
         this.label = label;
     }
 
-    /** The value of the label {@code outcome}. */
+    /** Returns the value of the label {@code outcome}. */
     String label() {
         return label;
     }
