--- a/node/src/main/java/loadbalancer/settings/InvalidSettingException.java
+++ b/node/src/main/java/loadbalancer/settings/InvalidSettingException.java
@@ -1,6 +1,6 @@
 package loadbalancer.settings;
 
-/** A setting is missing or has a value that is not allowed. */
+/** Thrown if a setting is missing or has an invalid value. */
 public final class InvalidSettingException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -13,12 +13,12 @@
         this.problem = problem;
     }
 
-    /** The dotted name of the setting, for example {@code classes.0.repeat}. */
+    /** Returns the dotted name of the setting, for example {@code classes.0.repeat}. */
     public String setting() {
         return setting;
     }
 
-    /** What is wrong with the setting, to be written behind its name; holds the value where there is one. */
+    /** Returns what is wrong with the setting, worded to follow its name; includes the value where there is one. */
     public String problem() {
         return problem;
     }
--- a/node/src/main/java/loadbalancer/settings/SettingNames.java
+++ b/node/src/main/java/loadbalancer/settings/SettingNames.java
@@ -1,17 +1,18 @@
 package loadbalancer.settings;
 
 /**
- * The words of the settings as they stand in configuration files and on the simulator's wire. They are part of the
- * protocol and never change; the fields of {@link loadbalancer.policy.BalancerSettings} have the names of the code.
+ * The names and values of settings in configuration files and on the simulator's wire. Each constant maps a name of the
+ * protocol, which never changes, to the name that the code uses, in general that of the field of {@link
+ * loadbalancer.policy.BalancerSettings} or {@link loadbalancer.policy.RequestClass}.
  */
 final class SettingNames {
-    // The place of the node in its fleet.
+    // The node and its fleet.
     static final String NODES = "balancers";
     static final String NODE_INDEX = "me";
     static final String ZONES = "zones";
     static final String LOCAL_ZONE = "myZone";
 
-    // Request classes, classes.0.name and so on.
+    // Request classes: classes.0.name and so on.
     static final String CLASSES = "classes";
     static final String CLASS_NAME = "name";
     static final String CLASS_LATENCY_OBJECTIVE_US = "onTimeUs";
@@ -30,7 +31,7 @@
     static final String CLASS_DEDUPLICATION_WINDOW_US = "windowUs";
     static final String CLASS_STREAMING = "stream";
 
-    // Tenants, realms.0.name and so on.
+    // Tenants: realms.0.name and so on.
     static final String TENANTS = "realms";
     static final String TENANT_NAME = "name";
 
@@ -47,13 +48,13 @@
     static final String CONNECT_TIMEOUT_US = "limits.dialTimeoutUs";
     static final String TICK_US = "quantumUs";
 
-    // Rules of the endpoint list.
+    // Endpoint list.
     static final String ENDPOINT_LIST_MODE = "membershipMode";
     static final String ENDPOINT_LIST_POLLED = "on_request";
     static final String POLL_INTERVAL_US = "rules.askWithinUs";
     static final String DRAIN_GRACE_US = "rules.drainGraceUs";
 
-    // Rules of the servers.
+    // Servers.
     static final String WARM_UP_INITIAL_SHARE = "rules.coldFrom";
     static final String WARM_UP_US = "rules.coldUs";
     static final String OVERLOAD_MULTIPLE = "rules.overloadFactor";
--- a/node/src/main/java/loadbalancer/settings/SettingValues.java
+++ b/node/src/main/java/loadbalancer/settings/SettingValues.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * Settings as text, by dotted names, with typed access. A list of values is one text with commas; a list of objects has
- * a setting {@code count}, and its objects are numbered from 0.
+ * Typed access to settings that are strings by dotted name. A list of values is one string, separated by commas. The
+ * objects of a list are numbered from 0, and the setting {@code count} of the list holds their number.
  */
 final class SettingValues {
     private static final String COUNT = ".count";
@@ -16,12 +16,12 @@
         this.values = values;
     }
 
-    /** The prefix of the names of one object of a list. */
+    /** Returns the prefix of the setting names of an object in a list. */
     static String prefix(String list, int index) {
         return list + "." + index + ".";
     }
 
-    /** How many objects a list has. */
+    /** Returns the number of objects in a list; 0 if its count is missing. */
     int count(String list) throws InvalidSettingException {
         return (int) longOrDefault(list + COUNT, 0);
     }
@@ -47,13 +47,13 @@
         return value.isEmpty() ? EMPTY_LIST : value.split(",");
     }
 
-    /** False if the setting is missing. */
+    /** Returns a boolean setting, whose value is 1, true, 0 or false; false if the setting is missing. */
     boolean flag(String name) throws InvalidSettingException {
         String value = values.getOrDefault(name, "false");
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw new InvalidSettingException(name, "is neither true nor false: " + value);
+            default -> throw new InvalidSettingException(name, "is not one of 1, true, 0, false: " + value);
         };
     }
 
@@ -65,7 +65,7 @@
         return (long) value;
     }
 
-    /** A fraction is cut off. */
+    /** Returns a number setting as a whole number; a fraction is truncated. */
     long requiredLong(String name) throws InvalidSettingException {
         return (long) requiredDouble(name);
     }
@@ -86,7 +86,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Reported below, like a number that is not finite.
+            // Reported below, as is a number that is not finite.
         }
         throw new InvalidSettingException(name, "is not a number: " + text);
     }
--- a/node/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/node/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -9,11 +9,11 @@
 import loadbalancer.policy.Tenant;
 
 /**
- * Reads the settings of the balancer from texts by dotted names: the simulator's wire has this form, and the
- * configuration file of a node once it is flattened. Both go through this class, so that they cannot drift apart.
+ * Reads the settings of the balancer from strings by dotted name. Both the simulator's wire and the configuration file
+ * of a node, once flattened, are read with this class, so that they cannot diverge.
  *
- * <p>A missing setting keeps the default of {@link BalancerSettings}. Only the name, objective, deadline and
- * idempotency of a class and the name of a tenant are required.
+ * <p>A missing setting keeps the default of {@link BalancerSettings}. Only the name, latency objective, deadline and
+ * idempotency of a request class and the name of a tenant are required. Unknown settings are ignored.
  */
 public final class SettingsReader {
     private final SettingValues values;
@@ -24,7 +24,8 @@
     }
 
     /**
-     * Reads settings by dotted names. They are not validated against each other.
+     * Reads settings by dotted name. Ranges and dependencies between settings are not validated here, except that
+     * deadlines and the maximum number of attempts must be positive.
      *
      * @throws InvalidSettingException if a required setting is missing, or a value has the wrong type
      */
--- a/node/src/main/java/loadbalancer/simulator/BalancerEventDecoder.java
+++ b/node/src/main/java/loadbalancer/simulator/BalancerEventDecoder.java
@@ -12,8 +12,9 @@
 import loadbalancer.policy.ServerEntry;
 
 /**
- * Decodes the events for a balancer. A decoded event is the call that delivers it: what cannot be decoded is an error
- * of the wire, what the call throws is a fault of the balancer, and the two end differently.
+ * Decodes each event for a balancer into a function that delivers it. Decoding and delivery are separate steps because
+ * their errors are handled differently: a line that cannot be decoded throws a {@link WireException}, which ends the
+ * adapter; an exception thrown by the balancer is reported to the simulator as a fault.
  */
 final class BalancerEventDecoder {
     private final WireLineReader line;
@@ -27,7 +28,7 @@
     /**
      * Decodes the event on the current line.
      *
-     * @throws WireException if a field is missing or invalid, or the type is none of a balancer's
+     * @throws WireException if a field is missing or invalid, or the type is not an event for a balancer
      */
     Consumer<Balancer> decode(EventType type, SimulatedNode node, long nowUs) throws WireException {
         return switch (type) {
--- a/node/src/main/java/loadbalancer/simulator/EventType.java
+++ b/node/src/main/java/loadbalancer/simulator/EventType.java
@@ -1,6 +1,6 @@
 package loadbalancer.simulator;
 
-/** The kinds of events on the wire, by the name of their line; the most frequent ones come first. */
+/** The types of events on the wire, with their names there. Lookup is linear, so the most frequent ones come first. */
 enum EventType {
     ATTEMPT_ENDED("resolved"),
     REQUEST("work_item"),
@@ -13,7 +13,7 @@
     NOTE("memo"),
     BOOT("boot"),
     SHUTDOWN("shutdown"),
-    /** A line with any other name. */
+    /** An event with an unknown name. */
     UNKNOWN("");
 
     private static final EventType[] VALUES = values();
@@ -24,7 +24,7 @@
         this.wireName = wireName;
     }
 
-    /** The type of the event on this line. */
+    /** Returns the type of the event on the current line. */
     static EventType of(WireLineReader line) {
         for (EventType type : VALUES) {
             if (line.isNamed(type.wireName)) {
--- a/node/src/main/java/loadbalancer/simulator/Rosters.java
+++ b/node/src/main/java/loadbalancer/simulator/Rosters.java
@@ -6,11 +6,14 @@
 import loadbalancer.policy.ServerEntry;
 import loadbalancer.policy.ServerState;
 
-/** The numbered lists of servers that the wire has given; notifications of the endpoint list refer to them. */
+/**
+ * The rosters received from the simulator: numbered lists of servers, to which notifications of the endpoint list
+ * refer. All nodes of a connection share them. A roster with a known number replaces the earlier one.
+ */
 final class Rosters {
     private static final int MAX_ROSTERS = 16;
 
-    /** A server of a roster. Its zone is still a name: nodes number zones by their own settings. */
+    /** A server in a roster. The zone is a name, as each node has its own zone indices; null if the line has none. */
     private record RosterEntry(
             String serverId, String zone, int cell, ServerState state, double capacity, long startedAtUs) {}
 
@@ -22,7 +25,7 @@
         }
     }
 
-    /** Reads a roster, whose first line is the current one, and moves to its last line. */
+    /** Reads the roster that starts on the current line, and moves to its last line. */
     void read(WireLineReader line) throws IOException, WireException {
         int number = readNumber(line);
         long size = line.longOrDefault(WireNames.ROSTER_SIZE, 0);
@@ -30,7 +33,7 @@
         for (long i = 0; i < size; i++) {
             line.requireNext();
             if (!line.isNamed(WireNames.ROSTER_SERVER)) {
-                throw line.invalid("a roster's line must be server, not " + line.name());
+                throw line.invalid("a roster line must be server, not " + line.name());
             }
             entries.add(readEntry(line));
         }
@@ -53,7 +56,7 @@
                 line.longOrDefault(WireNames.STARTED_AT_US, 0));
     }
 
-    /** The servers of the roster that the current line refers to, as this node knows them. */
+    /** Returns the servers of the roster that the current line refers to, with the zone indices of the given node. */
     List<ServerEntry> servers(WireLineReader line, SimulatedNode node) throws WireException {
         List<RosterEntry> roster = rosters.get(readNumber(line));
         if (roster == null) {
--- a/node/src/main/java/loadbalancer/simulator/SimulatedNode.java
+++ b/node/src/main/java/loadbalancer/simulator/SimulatedNode.java
@@ -10,12 +10,12 @@
 import loadbalancer.policy.Tenant;
 
 /**
- * A node of the simulation: its balancer, and the indices by which the balancer knows what the wire names.
+ * A simulated node: its balancer, and the mapping from names on the wire to the indices that the balancer uses.
  *
- * @param balancer the decisions of the node
- * @param classIndices by the name of a request class
- * @param tenantIndices by the name of a tenant
- * @param zoneIndices by the name of a zone
+ * @param balancer the balancer of the node
+ * @param classIndices the index of each request class, by name
+ * @param tenantIndices the index of each tenant, by name
+ * @param zoneIndices the index of each zone, by name
  */
 record SimulatedNode(
         Balancer balancer,
@@ -39,7 +39,7 @@
         return indices;
     }
 
-    /** The index of a zone; -1 if the node's settings do not name it. */
+    /** Returns the index of a zone; -1 if the settings of the node do not list it. */
     int zoneIndex(String zone) {
         return zoneIndices.getOrDefault(zone, -1);
     }
--- a/node/src/main/java/loadbalancer/simulator/SimulatorConnection.java
+++ b/node/src/main/java/loadbalancer/simulator/SimulatorConnection.java
@@ -13,8 +13,8 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Runs the balancers of simulated nodes: carries each event of the wire to the balancer of its node, and the actions of
- * the balancer back. Decides nothing itself. Single-threaded.
+ * The connection to the simulator. Delivers each event on the wire to the balancer of its node, and writes the actions
+ * of the balancer back. Makes no decisions itself.
  */
 final class SimulatorConnection {
     private final WireLineReader line;
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Answers batch after batch until the input ends.
+     * Processes the batches of events one by one until the input ends.
      *
-     * @throws WireException if the input is malformed; of its batch nothing has been written
+     * @throws WireException if the input is malformed; no response to the malformed batch has been written
      */
     void run() throws IOException, WireException {
         while (line.next()) {
@@ -44,7 +44,7 @@
 
     private void answerBatch() throws IOException, WireException {
         if (!line.isNamed(WireNames.BEGIN_BATCH)) {
-            throw line.invalid("a batch must open with begin_batch, not " + line.name());
+            throw line.invalid("a batch must start with begin_batch, not " + line.name());
         }
         long nowUs = line.requiredLong(WireNames.NOW_US);
         line.requireNext();
@@ -69,7 +69,7 @@
         }
         SimulatedNode node = nodes.get(nodeName);
         if (node == null) {
-            throw line.invalidField(WireNames.NODE, "names an instance that was never started: " + nodeName);
+            throw line.invalidField(WireNames.NODE, "names a node that was never started: " + nodeName);
         }
         if (type == EventType.SHUTDOWN) {
             nodes.remove(nodeName);
@@ -78,7 +78,7 @@
         deliver(decoder.decode(type, node, nowUs), node.balancer());
     }
 
-    /** Delivers an event; an exception of the balancer is an answer, not the end of the connection. */
+    /** Delivers an event. An exception thrown by the balancer is written as a fault and does not end the connection. */
     private void deliver(Consumer<Balancer> event, Balancer balancer) {
         try {
             event.accept(balancer);
--- a/node/src/main/java/loadbalancer/simulator/WireException.java
+++ b/node/src/main/java/loadbalancer/simulator/WireException.java
@@ -1,6 +1,9 @@
 package loadbalancer.simulator;
 
-/** The input is not what the wire allows. The message is one line, which names the line, the event and the field. */
+/**
+ * Thrown if the input violates the wire protocol. The message is one line with the line number and, for an invalid
+ * field, the names of the event and the field.
+ */
 public final class WireException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/node/src/main/java/loadbalancer/simulator/WireLineReader.java
+++ b/node/src/main/java/loadbalancer/simulator/WireLineReader.java
@@ -6,8 +6,8 @@
 import java.util.Arrays;
 
 /**
- * Reads the wire line by line: a name, then fields of the form key=value, separated by single spaces. A line is parsed
- * in place, and texts are made only where they are asked for. Single-threaded.
+ * Reads the simulator's wire line by line. A line is a name and fields of the form key=value, separated by single
+ * spaces. A line is parsed in place, and strings are created only on access, which keeps allocations low.
  */
 final class WireLineReader {
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
@@ -17,7 +17,7 @@
 
     private final InputStream input;
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
-    /** Bytes of the buffer that hold input. */
+    /** The number of bytes in the buffer that hold input. */
     private int filled;
 
     private long lineNumber;
@@ -34,7 +34,7 @@
         this.input = input;
     }
 
-    /** Moves to the next line; false at the end of the input. The last line may lack its end. */
+    /** Moves to the next line; returns false at the end of the input. The last line may lack its line break. */
     boolean next() throws IOException {
         lineStart = lineNumber == 0 ? 0 : lineEnd + 1;
         lineNumber++;
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Moves to the next line.
+     * Moves to the next line of a batch.
      *
-     * @throws WireException if there is none
+     * @throws WireException at the end of the input
      */
     void requireNext() throws IOException, WireException {
         if (!next()) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Moves the current line to the start of the buffer, and returns by how much; the buffer has room after it. */
+    /** Moves the current line to the start of the buffer, grows a full buffer, and returns the distance moved. */
     private int makeRoom() {
         int moved = lineStart;
         if (moved > 0) {
@@ -82,7 +82,7 @@
         return moved;
     }
 
-    /** Ends the line at the end of the input; false if it is empty. There is room in the buffer for its end. */
+    /** Ends the last line at the end of the input; false if it is empty. The buffer must have room for a line break. */
     private boolean endLastLine() {
         lineEnd = filled;
         if (filled == lineStart) {
@@ -127,12 +127,12 @@
         fieldCount++;
     }
 
-    /** The first word of the line. */
+    /** Returns the name of the current line: its first word. */
     String name() {
         return new String(buffer, lineStart, nameEnd - lineStart, StandardCharsets.UTF_8);
     }
 
-    /** Whether the line has this name. */
+    /** Returns whether the current line has the given name. */
     boolean isNamed(String name) {
         return matches(lineStart, nameEnd, name);
     }
@@ -180,18 +180,18 @@
         return field;
     }
 
-    /** A field's text, or null if it is left out. */
+    /** Returns the text of a field; null if the field is missing. */
     String textOrNull(String key) {
         int field = indexOf(key);
         return field < 0 ? null : value(field);
     }
 
-    /** A field's text. */
+    /** Returns the text of a required field. */
     String requiredText(String key) throws WireException {
         return value(requiredIndex(key));
     }
 
-    /** A whole number of up to 18 digits. */
+    /** Returns a required field that is a whole number of up to 18 digits. */
     long requiredLong(String key) throws WireException {
         return parseLong(key, requiredIndex(key));
     }
@@ -220,7 +220,7 @@
         return minus ? -value : value;
     }
 
-    /** 1 or true, 0 or false; false if the field is left out. */
+    /** Returns a boolean field, whose value is 1, true, 0 or false; false if the field is missing. */
     boolean flag(String key) throws WireException {
         int field = indexOf(key);
         if (field < 0
@@ -231,7 +231,7 @@
         if (matches(valueStart[field], valueEnd[field], "1") || matches(valueStart[field], valueEnd[field], "true")) {
             return true;
         }
-        throw invalidField(key, "is neither 1 nor 0: " + value(field));
+        throw invalidField(key, "is not one of 1, true, 0, false: " + value(field));
     }
 
     double doubleOrDefault(String key, double defaultValue) throws WireException {
@@ -247,7 +247,7 @@
         }
     }
 
-    /** Numbers parted by commas, or null if the field is left out. */
+    /** Returns a field of numbers separated by commas; null if the field is missing or empty. */
     double[] doublesOrNull(String key) throws WireException {
         int field = indexOf(key);
         if (field < 0 || valueStart[field] == valueEnd[field]) {
@@ -261,24 +261,24 @@
         return values;
     }
 
-    /** A request id: 16 hex digits. */
+    /** Returns a required field that is a request id: 16 lower-case hexadecimal digits. */
     long requiredId(String key) throws WireException {
         int field = requiredIndex(key);
         if (valueEnd[field] - valueStart[field] != ID_DIGITS) {
-            throw invalidField(key, "is not 16 hex digits");
+            throw invalidField(key, "is not 16 lower-case hex digits");
         }
         long id = 0;
         for (int at = valueStart[field]; at < valueEnd[field]; at++) {
             int digit = hexDigit(buffer[at]);
             if (digit < 0) {
-                throw invalidField(key, "is not 16 hex digits");
+                throw invalidField(key, "is not 16 lower-case hex digits");
             }
             id = id << 4 | digit;
         }
         return id;
     }
 
-    /** The value of a hex digit; -1 if the byte is none. */
+    /** Returns the value of a lower-case hexadecimal digit; -1 for any other byte. */
     private static int hexDigit(byte b) {
         if (b >= '0' && b <= '9') {
             return b - '0';
@@ -286,12 +286,12 @@
         return b >= 'a' && b <= 'f' ? b - 'a' + 10 : -1;
     }
 
-    /** The error that a field of this line is invalid. */
+    /** Returns an exception that reports an invalid field of the current line. */
     WireException invalidField(String field, String problem) {
         return new WireException("line " + lineNumber + ": " + name() + ": field " + field + " " + problem);
     }
 
-    /** The error that this line is invalid. */
+    /** Returns an exception that reports an invalid line. */
     WireException invalid(String problem) {
         return new WireException("line " + lineNumber + ": " + problem);
     }
--- a/node/src/main/java/loadbalancer/simulator/WireLineWriter.java
+++ b/node/src/main/java/loadbalancer/simulator/WireLineWriter.java
@@ -7,8 +7,8 @@
 import loadbalancer.policy.BalancerActions;
 
 /**
- * Writes the actions of the balancer whose event is being handled. What a batch brings is kept until {@link #flush}, so
- * a reply is written as a whole or not at all. Single-threaded.
+ * Writes the actions of the current node's balancer as lines on the simulator's wire. The lines of a batch are buffered
+ * until {@link #flush}, so that the response to a batch is written completely or not at all.
  */
 final class WireLineWriter implements BalancerActions {
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
@@ -17,7 +17,7 @@
     private static final int MAX_NUMBER_DIGITS = 20;
     private static final int MAX_UTF8_BYTES_PER_CHAR = 3;
 
-    // The beginnings of fields, with the space before the key.
+    // The start of each field: the separating space, the key and the equals sign.
     private static final String NODE = " " + WireNames.NODE + "=";
     private static final String REQUEST_ID = " " + WireNames.REQUEST_ID + "=";
     private static final String ATTEMPT = " " + WireNames.ATTEMPT + "=";
@@ -38,12 +38,12 @@
         this.output = output;
     }
 
-    /** The actions from now on are those of this node. */
+    /** Sets the node whose actions are written from now on. */
     void setNode(String name) {
         node = name;
     }
 
-    /** Ends the reply to a batch and writes it. */
+    /** Ends the response to a batch and writes it to the output. */
     void flush() throws IOException {
         append(WireNames.NEXT_BATCH);
         endLine();
@@ -134,7 +134,7 @@
         writeNote(WireNames.NOTE, "restored server " + serverId + (className == null ? "" : " for a class"));
     }
 
-    /** The balancer has thrown; the simulation ends with this text. */
+    /** Reports that the balancer has thrown an exception; the simulator then ends the simulation with this text. */
     void fault(String text) {
         writeNote(WireNames.FAULT, text);
     }
--- a/node/src/main/java/loadbalancer/simulator/WireNames.java
+++ b/node/src/main/java/loadbalancer/simulator/WireNames.java
@@ -1,13 +1,17 @@
 package loadbalancer.simulator;
 
-/** The words of the simulator's wire. They are part of the protocol and never change; the code has names of its own. */
+/**
+ * The names of lines and fields and the values on the simulator's wire. Each constant maps a name of the protocol,
+ * which never changes, to the name that the code uses. The names of events are in {@link EventType}, those of the
+ * settings in a boot event in the package {@code loadbalancer.settings}.
+ */
 final class WireNames {
-    // Lines that open and end a batch.
+    // Lines that start and end a batch of events, and the line that ends the response to it.
     static final String BEGIN_BATCH = "begin_batch";
     static final String END_BATCH = "eob";
     static final String NEXT_BATCH = "next";
 
-    // Fields of several lines.
+    // Fields that occur in several kinds of lines.
     static final String NODE = "node";
     static final String REQUEST_ID = "handle";
     static final String ATTEMPT = "seqNo";
@@ -18,10 +22,10 @@
     static final String LOAD_REPORT = "metrics";
     static final String ROSTER_NUMBER = "setId";
 
-    // A node boots.
+    // Boot of a node.
     static final String SEED = "initSeed";
 
-    // A roster, and its servers.
+    // Rosters and their servers.
     static final String ROSTER_SIZE = "nodesList";
     static final String ROSTER_SERVER = "server";
     static final String ZONE = "site";
@@ -33,14 +37,14 @@
     static final String CAPACITY = "scale";
     static final String STARTED_AT_US = "sinceUs";
 
-    // A notification of the endpoint list.
+    // Notifications of the endpoint list.
     static final String LIST_KIND = "kind";
     static final String KIND_CHANGES = "patch";
     static final String KIND_FULL = "whole";
     static final String KIND_CACHED = "stale_copy";
     static final String KIND_FAILED = "broken";
 
-    // A request.
+    // Requests.
     static final String CLASS = "lane";
     static final String TENANT = "realm";
     static final String NO_TENANT = "0";
@@ -49,7 +53,7 @@
     static final String REPEATED = "resent";
     static final String KEY = "routeKey";
 
-    // The outcome of an attempt.
+    // Outcomes of attempts and probes.
     static final String STREAM_ENDED = "ended";
     static final int RESULT_OK = 10;
     static final int RESULT_ERROR = 20;
--- a/node/src/main/java/loadbalancer/simulator/package-info.java
+++ b/node/src/main/java/loadbalancer/simulator/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The adapter to the simulator: translates its line protocol into calls of the policy, and the policy's actions back.
- * Owns the words of that protocol. Knows nothing of sockets, the event loop, or the other packages of a node but the
- * settings.
+ * The adapter to the simulator: translates its line protocol into calls to the policy, and the policy's actions back.
+ * Owns the names of that protocol: the lines, fields and values ({@code WireNames}) and the events ({@code EventType}).
+ * Uses no other packages of a node except the policy and the settings. Single-threaded.
  */
 package loadbalancer.simulator;
