--- a/node/src/main/java/loadbalancer/admin/ControlCallHandler.java
+++ b/node/src/main/java/loadbalancer/admin/ControlCallHandler.java
@@ -11,33 +11,33 @@
     }
 
     /** Executes the call on the given line. Returns a response also if the call is invalid or fails. */
-    ControlAnswer handle(String line) {
+    ControlResponse handle(String line) {
         try {
             return handle(ControlCall.parse(line));
         } catch (RejectedCallException e) {
-            return ControlAnswer.rejected(e.getMessage());
+            return ControlResponse.rejected(e.getMessage());
         }
     }
 
-    private ControlAnswer handle(ControlCall call) throws RejectedCallException {
+    private ControlResponse handle(ControlCall call) throws RejectedCallException {
         try {
             return switch (call.type()) {
                 case HEALTH -> health();
-                case METRICS -> ControlAnswer.metrics(node.metrics());
-                case CORDON -> ControlAnswer.acceptedAfter(node.setCordoned(call.serverId(), true));
-                case UNCORDON -> ControlAnswer.acceptedAfter(node.setCordoned(call.serverId(), false));
+                case METRICS -> ControlResponse.metrics(node.metrics());
+                case CORDON -> ControlResponse.acceptedAfter(node.setCordoned(call.serverId(), true));
+                case UNCORDON -> ControlResponse.acceptedAfter(node.setCordoned(call.serverId(), false));
             };
         } catch (RuntimeException e) {
             // A bug in the node must not end the process: the operator gets a response and clients stay connected.
             Log.error("control_call_error", e, "call", call.type().wireName());
-            return ControlAnswer.rejected("defect in the node");
+            return ControlResponse.rejected("defect in the node");
         }
     }
 
-    private ControlAnswer health() throws RejectedCallException {
+    private ControlResponse health() throws RejectedCallException {
         if (!node.isServing()) {
             throw new RejectedCallException("not serving");
         }
-        return ControlAnswer.accepted();
+        return ControlResponse.accepted();
     }
 }
--- a/node/src/main/java/loadbalancer/admin/ControlServer.java
+++ b/node/src/main/java/loadbalancer/admin/ControlServer.java
@@ -50,7 +50,7 @@
 
     /** Listens on the given address; the future completes when operators can connect. */
     public ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture opening = new ServerBootstrap()
+        ChannelFuture bindFuture = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -62,8 +62,8 @@
                     }
                 })
                 .bind(address);
-        listener = opening.channel();
-        return opening;
+        listener = bindFuture.channel();
+        return bindFuture;
     }
 
     private void accept(SocketChannel channel) {
@@ -87,9 +87,9 @@
         private final SocketChannel channel;
         private final Future<?> timeout;
         /** The task that writes a delayed response; null if there is none. */
-        private Future<?> delayedAnswer;
+        private Future<?> delayedResponse;
 
-        private boolean called;
+        private boolean callReceived;
 
         Connection(SocketChannel channel) {
             this.channel = channel;
@@ -98,30 +98,30 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
-            if (called) {
+            if (callReceived) {
                 return;
             }
-            called = true;
-            ControlAnswer answer = callHandler.handle(line.toString(StandardCharsets.UTF_8));
-            if (answer.delayMillis() == 0) {
-                write(answer);
+            callReceived = true;
+            ControlResponse response = callHandler.handle(line.toString(StandardCharsets.UTF_8));
+            if (response.delayMillis() == 0) {
+                write(response);
             } else {
-                delayedAnswer = loop.schedule(() -> write(answer), answer.delayMillis(), TimeUnit.MILLISECONDS);
+                delayedResponse = loop.schedule(() -> write(response), response.delayMillis(), TimeUnit.MILLISECONDS);
             }
         }
 
-        private void write(ControlAnswer answer) {
+        private void write(ControlResponse response) {
             // Shuts down the output only: closing the socket while received bytes are unread would reset the
             // connection, and the operator could lose the response.
-            channel.writeAndFlush(Unpooled.copiedBuffer(answer.text() + "\n", StandardCharsets.UTF_8))
+            channel.writeAndFlush(Unpooled.copiedBuffer(response.text() + "\n", StandardCharsets.UTF_8))
                     .addListener(written -> channel.shutdownOutput());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             timeout.cancel(false);
-            if (delayedAnswer != null) {
-                delayedAnswer.cancel(false);
+            if (delayedResponse != null) {
+                delayedResponse.cancel(false);
             }
             connections.remove(this);
         }
@@ -129,9 +129,9 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                if (!called) {
-                    called = true;
-                    write(ControlAnswer.rejected("line too long"));
+                if (!callReceived) {
+                    callReceived = true;
+                    write(ControlResponse.rejected("line too long"));
                 }
             } else if (!(cause instanceof IOException)) {
                 Log.error("control_connection_error", cause);
--- a/node/src/main/java/loadbalancer/admin/CordonStore.java
+++ b/node/src/main/java/loadbalancer/admin/CordonStore.java
@@ -123,9 +123,9 @@
     }
 
     private boolean replaceCordons(List<String> serverIds) {
-        Set<String> before = cordonedIds;
+        Set<String> previousIds = cordonedIds;
         cordonedIds = Set.copyOf(serverIds);
-        return !cordonedIds.equals(before);
+        return !cordonedIds.equals(previousIds);
     }
 
     /** Returns the cordoned ids in sorted order, with the given server added or removed. */
--- a/node/src/main/java/loadbalancer/config/NodeConfigReader.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfigReader.java
@@ -26,10 +26,10 @@
      * The number of sockets per open client request. A third of the sockets is for clients, and half of that third for
      * each of the two processes that run side by side during an upgrade.
      */
-    private static final int SOCKETS_PER_CLIENT = 3 * 2;
+    private static final int SOCKETS_PER_OPEN_REQUEST = 3 * 2;
 
     private static final long DEFAULT_SERVER_IDLE_TIMEOUT_US = 15_000_000;
-    private static final String ONLY_LISTENER_DESCRIPTOR = "0";
+    private static final String INHERITED_DESCRIPTOR = "0";
     private static final int HEXADECIMAL = 16;
 
     private final Map<String, String> environment;
@@ -56,11 +56,11 @@
         long serverIdleTimeoutUs = readServerIdleTimeoutUs();
         OperationsConfig operations = readOperations();
         if (operations.inheritsListener()) {
-            settings.maxOpen = maxSockets / SOCKETS_PER_CLIENT;
+            settings.maxOpen = maxSockets / SOCKETS_PER_OPEN_REQUEST;
         }
         return new NodeConfig(
-                parseAddress(ConfigNames.LISTEN, overridable(ConfigNames.ENV_LISTEN, ConfigNames.LISTEN)),
-                parseAddress(ConfigNames.DISCOVERY, overridable(ConfigNames.ENV_DISCOVERY, ConfigNames.DISCOVERY)),
+                parseAddress(ConfigNames.LISTEN, variableOrKey(ConfigNames.ENV_LISTEN, ConfigNames.LISTEN)),
+                parseAddress(ConfigNames.DISCOVERY, variableOrKey(ConfigNames.ENV_DISCOVERY, ConfigNames.DISCOVERY)),
                 readSeed(),
                 maxSockets,
                 serverIdleTimeoutUs,
@@ -116,10 +116,10 @@
     }
 
     private OperationsConfig readOperations() throws ConfigException {
-        String controlAddress = overridable(ConfigNames.ENV_CONTROL, ConfigNames.CONTROL);
+        String controlAddress = variableOrKey(ConfigNames.ENV_CONTROL, ConfigNames.CONTROL);
         String sharedFolder = environment.getOrDefault(ConfigNames.ENV_SHARED_FOLDER, "");
         String descriptor = environment.getOrDefault(ConfigNames.ENV_LISTENER_DESCRIPTOR, "");
-        if (!descriptor.isEmpty() && !descriptor.equals(ONLY_LISTENER_DESCRIPTOR)) {
+        if (!descriptor.isEmpty() && !descriptor.equals(INHERITED_DESCRIPTOR)) {
             throw new ConfigException(
                     ConfigNames.ENV_LISTENER_DESCRIPTOR, "is not 0, the only allowed file descriptor: " + descriptor);
         }
@@ -130,7 +130,7 @@
     }
 
     /** Returns the value of an environment variable, or the text of a key in the file if the variable is not set. */
-    private String overridable(String variable, String key) {
+    private String variableOrKey(String variable, String key) {
         return environment.getOrDefault(variable, file.text(key));
     }
 
--- a/node/src/main/java/loadbalancer/config/ReloadedConfigReader.java
+++ b/node/src/main/java/loadbalancer/config/ReloadedConfigReader.java
@@ -27,14 +27,14 @@
      * it applies at startup only. A key that the file had at startup is required, even if it is optional at startup: a
      * file without it is most likely truncated, and the rest of it cannot be trusted either.
      *
-     * @param running the configuration that the node started with
+     * @param startConfig the configuration that the node started with
      * @throws ConfigException if a value is missing or invalid; the exception names the key
      */
-    public static NodeConfig read(NodeConfig running, Map<String, String> environment) throws ConfigException {
-        Map<String, String> remaining = new HashMap<>(environment);
-        remaining.remove(ConfigNames.ENV_DISCOVERY);
-        NodeConfig reloaded = NodeConfigReader.read(remaining);
-        for (String key : running.configuredKeys()) {
+    public static NodeConfig read(NodeConfig startConfig, Map<String, String> environment) throws ConfigException {
+        Map<String, String> reloadEnvironment = new HashMap<>(environment);
+        reloadEnvironment.remove(ConfigNames.ENV_DISCOVERY);
+        NodeConfig reloaded = NodeConfigReader.read(reloadEnvironment);
+        for (String key : startConfig.configuredKeys()) {
             if (!reloaded.configuredKeys().contains(key)) {
                 throw new ConfigException(key, "is missing but was present at startup");
             }
@@ -46,12 +46,12 @@
      * Like {@link #read}, but reads an invalid file repeatedly for up to 200 ms: the reload signal may arrive before
      * the file has been written completely.
      */
-    public static NodeConfig readWhenComplete(NodeConfig running, Map<String, String> environment)
+    public static NodeConfig readWhenComplete(NodeConfig startConfig, Map<String, String> environment)
             throws ConfigException {
         long retryUntilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETRY_FOR_MILLIS);
         while (true) {
             try {
-                return read(running, environment);
+                return read(startConfig, environment);
             } catch (ConfigException e) {
                 if (System.nanoTime() > retryUntilNanos) {
                     throw e;
--- a/node/src/main/java/loadbalancer/discovery/JsonDocumentFramer.java
+++ b/node/src/main/java/loadbalancer/discovery/JsonDocumentFramer.java
@@ -42,7 +42,7 @@
             if (document.size() > MAX_DOCUMENT_BYTES) {
                 throw new TooLongFrameException("more than " + MAX_DOCUMENT_BYTES + " bytes");
             }
-            if (lineEnds && endsDocument()) {
+            if (lineEnds && endLine()) {
                 byte[] complete = document.toByteArray();
                 document.reset();
                 return complete;
@@ -69,7 +69,7 @@
     }
 
     /** Ends the current line and returns whether the document ends with it; if so, resets the scan state. */
-    private boolean endsDocument() {
+    private boolean endLine() {
         boolean ends = openBrackets <= 0 || blankLine;
         blankLine = true;
         if (ends) {
--- a/node/src/main/java/loadbalancer/discovery/ReconnectBackoff.java
+++ b/node/src/main/java/loadbalancer/discovery/ReconnectBackoff.java
@@ -9,17 +9,18 @@
  */
 final class ReconnectBackoff {
     private static final long INITIAL_MILLIS = 50;
-    private static final long MAX_MILLIS = 1_000;
+    /** The maximum delay with up to 10 nodes. */
+    private static final long MAX_MILLIS_FEW_NODES = 1_000;
     /**
-     * How much each node adds to the maximum delay. Up to 30 nodes whose delays have reached the maximum together make
-     * at most ten attempts a second, before jitter.
+     * The maximum delay per node with 10 to 30 nodes. Up to 30 nodes whose delays have reached the maximum together
+     * make at most ten attempts a second, before jitter.
      */
     private static final long MAX_MILLIS_PER_NODE = 100;
     /**
-     * The limit of the maximum delay, however many nodes there are. A node must follow each change within 6 s; half of
-     * that is left to connect and to receive the first message.
+     * The maximum delay with 30 nodes or more. A node must follow each change within 6 s; half of that is left to
+     * connect and to receive the first message.
      */
-    private static final long MAX_MILLIS_OF_MANY_NODES = 3_000;
+    private static final long MAX_MILLIS_MANY_NODES = 3_000;
 
     private final SplittableRandom random;
     private final long maxMillis;
@@ -52,6 +53,6 @@
     }
 
     static long maxMillis(int nodes) {
-        return Math.min(MAX_MILLIS_OF_MANY_NODES, Math.max(MAX_MILLIS, nodes * MAX_MILLIS_PER_NODE));
+        return Math.min(MAX_MILLIS_MANY_NODES, Math.max(MAX_MILLIS_FEW_NODES, nodes * MAX_MILLIS_PER_NODE));
     }
 }
--- a/node/src/main/java/loadbalancer/discovery/WatchConnection.java
+++ b/node/src/main/java/loadbalancer/discovery/WatchConnection.java
@@ -46,7 +46,7 @@
     private Channel channel;
     private Future<?> silenceTimeout;
     /** Whether a complete document (a list or a heartbeat) has been received. */
-    private boolean answered;
+    private boolean documentReceived;
 
     private boolean closed;
 
@@ -68,14 +68,14 @@
     @Override
     public void connect(InetSocketAddress address, long afterVersion) {
         Log.info("watch_opened", "address", SocketAddresses.format(address), "after_version", afterVersion);
-        ChannelFuture opening = bootstrap.connect(address);
-        channel = opening.channel();
+        ChannelFuture connectFuture = bootstrap.connect(address);
+        channel = connectFuture.channel();
         restartSilenceTimeout(timeouts.firstMessageUs());
-        opening.addListener(done -> {
-            if (done.isSuccess()) {
+        connectFuture.addListener(future -> {
+            if (future.isSuccess()) {
                 sendRequest(afterVersion);
             } else {
-                fail("connect failed: " + done.cause().getMessage());
+                fail("connect failed: " + future.cause().getMessage());
             }
         });
     }
@@ -113,7 +113,7 @@
         if (closed) {
             return;
         }
-        if (answered) {
+        if (documentReceived) {
             restartSilenceTimeout(timeouts.silenceUs());
         }
         if (message.decoderResult().isFailure()) {
@@ -146,11 +146,11 @@
 
     private void readDocument(byte[] document) throws IOException, InvalidEndpointListException {
         if (isBlank(document)) {
-            onAnswered();
+            onDocumentReceived();
             listener.onHeartbeat(System.nanoTime());
         } else {
             EndpointList list = decode(document);
-            onAnswered();
+            onDocumentReceived();
             listener.onList(list, System.nanoTime());
         }
     }
@@ -170,9 +170,9 @@
         }
     }
 
-    private void onAnswered() {
-        if (!answered) {
-            answered = true;
+    private void onDocumentReceived() {
+        if (!documentReceived) {
+            documentReceived = true;
             restartSilenceTimeout(timeouts.silenceUs());
         }
     }
--- a/node/src/main/java/loadbalancer/discovery/WatchStateMachine.java
+++ b/node/src/main/java/loadbalancer/discovery/WatchStateMachine.java
@@ -59,7 +59,7 @@
         this.actions = actions;
         this.listener = listener;
         backoff = new ReconnectBackoff(config.nodes(), config.seed());
-        maxLagNanos = timeouts.lagUs() * 1_000;
+        maxLagNanos = timeouts.maxLagUs() * 1_000;
         address = config.address();
         version = config.initialVersion();
     }
@@ -89,7 +89,7 @@
         }
         // The current watch becomes the previous one only if it has received a message. Otherwise, as after two moves
         // in quick succession, the previous watch stays open and subscribe() closes the current one.
-        if (current != null && current.answered) {
+        if (current != null && current.messageReceived) {
             closePrevious();
             previous = current;
             current = null;
@@ -123,7 +123,7 @@
     /** A watch and its state. */
     private final class Watch implements ConnectionListener {
         private final Connection connection = actions.newConnection(this);
-        private boolean answered;
+        private boolean messageReceived;
         /** Whether the last received list was older than the known version. */
         private boolean behind;
 
@@ -131,7 +131,7 @@
 
         @Override
         public void onHeartbeat(long nowNanos) {
-            if (answered) {
+            if (messageReceived) {
                 failIfBehindTooLong(nowNanos);
             } else {
                 // A heartbeat as the first message means that nothing has changed since the requested version.
@@ -141,8 +141,8 @@
 
         @Override
         public void onList(EndpointList list, long nowNanos) {
-            actions.logList(list, !answered);
-            answered = true;
+            actions.logList(list, !messageReceived);
+            messageReceived = true;
             if (list.version() < version) {
                 if (!behind) {
                     behind = true;
@@ -162,8 +162,8 @@
 
         /**
          * Fails the watch if its lists have been older than the known version for longer than {@link
-         * WatchTimeouts#lagUs}: the service has then lost its newest lists for good. The known version is set to 0, so
-         * that the next watch requests all servers and any list is accepted.
+         * WatchTimeouts#maxLagUs}: the service has then lost its newest lists for good. The known version is set to 0,
+         * so that the next watch requests all servers and any list is accepted.
          */
         private void failIfBehindTooLong(long nowNanos) {
             if (behind && nowNanos - behindSinceNanos > maxLagNanos) {
