--- a/node/src/main/java/loadbalancer/simulator/BalancerEventDecoder.java
+++ b/node/src/main/java/loadbalancer/simulator/BalancerEventDecoder.java
@@ -17,11 +17,11 @@
  * adapter; an exception thrown by the balancer is reported to the simulator as a fault.
  */
 final class BalancerEventDecoder {
-    private final WireLineReader line;
+    private final WireLineReader reader;
     private final Rosters rosters;
 
-    BalancerEventDecoder(WireLineReader line, Rosters rosters) {
-        this.line = line;
+    BalancerEventDecoder(WireLineReader reader, Rosters rosters) {
+        this.reader = reader;
         this.rosters = rosters;
     }
 
@@ -40,45 +40,45 @@
             case FIRST_BYTE -> decodeFirstByte(nowUs);
             case PROBE_ENDED -> decodeProbe(nowUs);
             case NOTE -> balancer -> {};
-            default -> throw line.invalid("unknown event " + line.name());
+            default -> throw reader.invalid("unknown event " + reader.name());
         };
     }
 
     private Consumer<Balancer> decodeOutcome(long nowUs) throws WireException {
         AttemptOutcome outcome = new AttemptOutcome(
-                line.requiredId(WireNames.REQUEST_ID),
-                (int) line.requiredLong(WireNames.ATTEMPT),
+                reader.requiredId(WireNames.REQUEST_ID),
+                (int) reader.requiredLong(WireNames.ATTEMPT),
                 decodeResult(),
-                line.longOrDefault(WireNames.LATENCY_US, 0),
-                line.flag(WireNames.STREAM_ENDED),
+                reader.longOrDefault(WireNames.LATENCY_US, 0),
+                reader.flag(WireNames.STREAM_ENDED),
                 decodeLoadReport());
         return balancer -> balancer.onOutcome(nowUs, outcome);
     }
 
     private Consumer<Balancer> decodeRequest(SimulatedNode node, long nowUs) throws WireException {
-        String tenant = line.textOrNull(WireNames.TENANT);
+        String tenant = reader.textOrNull(WireNames.TENANT);
         boolean hasTenant = tenant != null && !tenant.equals(WireNames.NO_TENANT);
         BalancerRequest request = new BalancerRequest(
-                line.requiredId(WireNames.REQUEST_ID),
-                index(node.classIndices(), WireNames.CLASS, line.requiredText(WireNames.CLASS)),
+                reader.requiredId(WireNames.REQUEST_ID),
+                index(node.classIndices(), WireNames.CLASS, reader.requiredText(WireNames.CLASS)),
                 hasTenant ? index(node.tenantIndices(), WireNames.TENANT, tenant) : -1,
-                line.requiredLong(WireNames.REMAINING_US),
-                line.longOrDefault(WireNames.WORK_US, 0),
-                line.flag(WireNames.REPEATED),
-                line.textOrNull(WireNames.KEY));
+                reader.requiredLong(WireNames.REMAINING_US),
+                reader.longOrDefault(WireNames.WORK_US, 0),
+                reader.flag(WireNames.REPEATED),
+                reader.textOrNull(WireNames.KEY));
         return balancer -> balancer.onRequest(nowUs, request);
     }
 
     private int index(Map<String, Integer> indices, String field, String name) throws WireException {
         Integer index = indices.get(name);
         if (index == null) {
-            throw line.invalidField(field, "is not in the settings: " + name);
+            throw reader.invalidField(field, "is not in the settings: " + name);
         }
         return index;
     }
 
     private Consumer<Balancer> decodeEndpointList(SimulatedNode node, long nowUs) throws WireException {
-        String kind = line.requiredText(WireNames.LIST_KIND);
+        String kind = reader.requiredText(WireNames.LIST_KIND);
         if (kind.equals(WireNames.KIND_FAILED)) {
             return balancer -> balancer.onListFailed(nowUs);
         }
@@ -86,38 +86,38 @@
             case WireNames.KIND_CHANGES -> ListKind.CHANGES;
             case WireNames.KIND_FULL -> ListKind.FULL;
             case WireNames.KIND_CACHED -> ListKind.CACHED;
-            default -> throw line.invalidField(WireNames.LIST_KIND, "is unknown: " + kind);
+            default -> throw reader.invalidField(WireNames.LIST_KIND, "is unknown: " + kind);
         };
-        List<ServerEntry> servers = rosters.servers(line, node);
+        List<ServerEntry> servers = rosters.servers(reader, node);
         return balancer -> balancer.onServers(nowUs, listKind, servers);
     }
 
     private Consumer<Balancer> decodeClientGone(long nowUs) throws WireException {
-        long requestId = line.requiredId(WireNames.REQUEST_ID);
+        long requestId = reader.requiredId(WireNames.REQUEST_ID);
         return balancer -> balancer.onClientGone(nowUs, requestId);
     }
 
     private Consumer<Balancer> decodeFirstByte(long nowUs) throws WireException {
-        long requestId = line.requiredId(WireNames.REQUEST_ID);
-        int attempt = (int) line.requiredLong(WireNames.ATTEMPT);
+        long requestId = reader.requiredId(WireNames.REQUEST_ID);
+        int attempt = (int) reader.requiredLong(WireNames.ATTEMPT);
         return balancer -> balancer.onFirstByte(nowUs, requestId, attempt);
     }
 
     private Consumer<Balancer> decodeProbe(long nowUs) throws WireException {
-        String serverId = line.requiredText(WireNames.SERVER_ID);
+        String serverId = reader.requiredText(WireNames.SERVER_ID);
         AttemptResult result = decodeResult();
-        long latencyUs = line.longOrDefault(WireNames.LATENCY_US, 0);
+        long latencyUs = reader.longOrDefault(WireNames.LATENCY_US, 0);
         LoadReport report = decodeLoadReport();
         return balancer -> balancer.onProbe(nowUs, serverId, result, latencyUs, report);
     }
 
     private LoadReport decodeLoadReport() throws WireException {
-        double[] values = line.doublesOrNull(WireNames.LOAD_REPORT);
+        double[] values = reader.doublesOrNull(WireNames.LOAD_REPORT);
         return values == null ? null : LoadReport.of(values);
     }
 
     private AttemptResult decodeResult() throws WireException {
-        long code = line.requiredLong(WireNames.RESULT);
+        long code = reader.requiredLong(WireNames.RESULT);
         return switch ((int) code) {
             case WireNames.RESULT_OK -> AttemptResult.OK;
             case WireNames.RESULT_ERROR -> AttemptResult.ERROR;
@@ -127,7 +127,7 @@
             case WireNames.RESULT_RESET -> AttemptResult.RESET;
             case WireNames.RESULT_CANCELLED -> AttemptResult.CANCELLED;
             case WireNames.RESULT_MOOT -> AttemptResult.MOOT;
-            default -> throw line.invalidField(WireNames.RESULT, "is unknown: " + code);
+            default -> throw reader.invalidField(WireNames.RESULT, "is unknown: " + code);
         };
     }
 }
--- a/node/src/main/java/loadbalancer/simulator/EventType.java
+++ b/node/src/main/java/loadbalancer/simulator/EventType.java
@@ -25,9 +25,9 @@
     }
 
     /** Returns the type of the event on the current line. */
-    static EventType of(WireLineReader line) {
+    static EventType of(WireLineReader reader) {
         for (EventType type : VALUES) {
-            if (line.isNamed(type.wireName)) {
+            if (reader.isNamed(type.wireName)) {
                 return type;
             }
         }
--- a/node/src/main/java/loadbalancer/simulator/Rosters.java
+++ b/node/src/main/java/loadbalancer/simulator/Rosters.java
@@ -26,41 +26,41 @@
     }
 
     /** Reads the roster that starts on the current line, and moves to its last line. */
-    void read(WireLineReader line) throws IOException, WireException {
-        int number = readNumber(line);
-        long size = line.longOrDefault(WireNames.ROSTER_SIZE, 0);
+    void read(WireLineReader reader) throws IOException, WireException {
+        int number = readNumber(reader);
+        long size = reader.longOrDefault(WireNames.ROSTER_SIZE, 0);
         List<RosterEntry> entries = new ArrayList<>();
         for (long i = 0; i < size; i++) {
-            line.requireNext();
-            if (!line.isNamed(WireNames.ROSTER_SERVER)) {
-                throw line.invalid("a roster line must be server, not " + line.name());
+            reader.requireNext();
+            if (!reader.isNamed(WireNames.ROSTER_SERVER)) {
+                throw reader.invalid("a roster line must be server, not " + reader.name());
             }
-            entries.add(readEntry(line));
+            entries.add(readEntry(reader));
         }
         rosters.set(number, entries);
     }
 
-    private static RosterEntry readEntry(WireLineReader line) throws WireException {
-        String state = line.requiredText(WireNames.SERVER_STATE);
+    private static RosterEntry readEntry(WireLineReader reader) throws WireException {
+        String state = reader.requiredText(WireNames.SERVER_STATE);
         return new RosterEntry(
-                line.requiredText(WireNames.SERVER_ID),
-                line.textOrNull(WireNames.ZONE),
-                (int) line.longOrDefault(WireNames.CELL, 0),
+                reader.requiredText(WireNames.SERVER_ID),
+                reader.textOrNull(WireNames.ZONE),
+                (int) reader.longOrDefault(WireNames.CELL, 0),
                 switch (state) {
                     case WireNames.STATE_READY -> ServerState.READY;
                     case WireNames.STATE_DRAINING -> ServerState.DRAINING;
                     case WireNames.STATE_GONE -> ServerState.GONE;
-                    default -> throw line.invalidField(WireNames.SERVER_STATE, "is unknown: " + state);
+                    default -> throw reader.invalidField(WireNames.SERVER_STATE, "is unknown: " + state);
                 },
-                line.doubleOrDefault(WireNames.CAPACITY, 1),
-                line.longOrDefault(WireNames.STARTED_AT_US, 0));
+                reader.doubleOrDefault(WireNames.CAPACITY, 1),
+                reader.longOrDefault(WireNames.STARTED_AT_US, 0));
     }
 
     /** Returns the servers of the roster that the current line refers to, with the zone indices of the given node. */
-    List<ServerEntry> servers(WireLineReader line, SimulatedNode node) throws WireException {
-        List<RosterEntry> roster = rosters.get(readNumber(line));
+    List<ServerEntry> servers(WireLineReader reader, SimulatedNode node) throws WireException {
+        List<RosterEntry> roster = rosters.get(readNumber(reader));
         if (roster == null) {
-            throw line.invalidField(WireNames.ROSTER_NUMBER, "names a roster that was never given");
+            throw reader.invalidField(WireNames.ROSTER_NUMBER, "names a roster that was never given");
         }
         List<ServerEntry> servers = new ArrayList<>(roster.size());
         for (RosterEntry entry : roster) {
@@ -75,10 +75,10 @@
         return servers;
     }
 
-    private static int readNumber(WireLineReader line) throws WireException {
-        long number = line.requiredLong(WireNames.ROSTER_NUMBER);
+    private static int readNumber(WireLineReader reader) throws WireException {
+        long number = reader.requiredLong(WireNames.ROSTER_NUMBER);
         if (number < 0 || number >= MAX_ROSTERS) {
-            throw line.invalidField(WireNames.ROSTER_NUMBER, "is not from 0 to " + (MAX_ROSTERS - 1));
+            throw reader.invalidField(WireNames.ROSTER_NUMBER, "is not from 0 to " + (MAX_ROSTERS - 1));
         }
         return (int) number;
     }
--- a/node/src/main/java/loadbalancer/simulator/SimulatorConnection.java
+++ b/node/src/main/java/loadbalancer/simulator/SimulatorConnection.java
@@ -17,16 +17,16 @@
  * of the balancer back. Makes no decisions itself.
  */
 final class SimulatorConnection {
-    private final WireLineReader line;
-    private final WireLineWriter reply;
+    private final WireLineReader reader;
+    private final WireLineWriter writer;
     private final Rosters rosters = new Rosters();
     private final BalancerEventDecoder decoder;
     private final Map<String, SimulatedNode> nodes = new HashMap<>();
 
     SimulatorConnection(InputStream input, OutputStream output) {
-        line = new WireLineReader(input);
-        reply = new WireLineWriter(output);
-        decoder = new BalancerEventDecoder(line, rosters);
+        reader = new WireLineReader(input);
+        writer = new WireLineWriter(output);
+        decoder = new BalancerEventDecoder(reader, rosters);
     }
 
     /**
@@ -35,41 +35,41 @@
      * @throws WireException if the input is malformed; no response to the malformed batch has been written
      */
     void run() throws IOException, WireException {
-        while (line.next()) {
-            if (!line.name().isEmpty()) {
-                answerBatch();
+        while (reader.next()) {
+            if (!reader.name().isEmpty()) {
+                processBatch();
             }
         }
     }
 
-    private void answerBatch() throws IOException, WireException {
-        if (!line.isNamed(WireNames.BEGIN_BATCH)) {
-            throw line.invalid("a batch must start with begin_batch, not " + line.name());
+    private void processBatch() throws IOException, WireException {
+        if (!reader.isNamed(WireNames.BEGIN_BATCH)) {
+            throw reader.invalid("a batch must start with begin_batch, not " + reader.name());
         }
-        long nowUs = line.requiredLong(WireNames.NOW_US);
-        line.requireNext();
-        while (!line.isNamed(WireNames.END_BATCH)) {
+        long nowUs = reader.requiredLong(WireNames.NOW_US);
+        reader.requireNext();
+        while (!reader.isNamed(WireNames.END_BATCH)) {
             handleEvent(nowUs);
-            line.requireNext();
+            reader.requireNext();
         }
-        reply.flush();
+        writer.flush();
     }
 
     private void handleEvent(long nowUs) throws IOException, WireException {
-        EventType type = EventType.of(line);
+        EventType type = EventType.of(reader);
         if (type == EventType.ROSTER) {
-            rosters.read(line);
+            rosters.read(reader);
             return;
         }
-        String nodeName = line.requiredText(WireNames.NODE);
-        reply.setNode(nodeName);
+        String nodeName = reader.requiredText(WireNames.NODE);
+        writer.setNode(nodeName);
         if (type == EventType.BOOT) {
             boot(nodeName);
             return;
         }
         SimulatedNode node = nodes.get(nodeName);
         if (node == null) {
-            throw line.invalidField(WireNames.NODE, "names a node that was never started: " + nodeName);
+            throw reader.invalidField(WireNames.NODE, "names a node that was never started: " + nodeName);
         }
         if (type == EventType.SHUTDOWN) {
             nodes.remove(nodeName);
@@ -84,30 +84,30 @@
             event.accept(balancer);
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            reply.fault(e + (trace.length > 0 ? " at " + trace[0] : ""));
+            writer.fault(e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
     private void boot(String nodeName) throws WireException {
         BalancerSettings settings = readSettings();
-        long seed = line.requiredLong(WireNames.SEED);
+        long seed = reader.requiredLong(WireNames.SEED);
         try {
-            Balancer balancer = new ServiceQBalancer(settings, seed, reply);
+            Balancer balancer = new ServiceQBalancer(settings, seed, writer);
             nodes.put(nodeName, SimulatedNode.of(balancer, settings));
         } catch (IllegalArgumentException e) {
-            throw line.invalid("boot: " + e.getMessage());
+            throw reader.invalid("boot: " + e.getMessage());
         }
     }
 
     private BalancerSettings readSettings() throws WireException {
         Map<String, String> values = new HashMap<>();
-        for (int field = 0; field < line.fieldCount(); field++) {
-            values.put(line.key(field), line.value(field));
+        for (int field = 0; field < reader.fieldCount(); field++) {
+            values.put(reader.key(field), reader.value(field));
         }
         try {
             return SettingsReader.read(values);
         } catch (InvalidSettingException e) {
-            throw line.invalidField(e.setting(), e.problem());
+            throw reader.invalidField(e.setting(), e.problem());
         }
     }
 }
--- a/node/src/main/java/loadbalancer/simulator/WireLineReader.java
+++ b/node/src/main/java/loadbalancer/simulator/WireLineReader.java
@@ -45,13 +45,13 @@
             }
             if (at < filled) {
                 lineEnd = at;
-                split();
+                parseFields();
                 return true;
             }
-            at -= makeRoom();
+            at -= compactOrGrow();
             int read = input.read(buffer, filled, buffer.length - filled);
             if (read < 0) {
-                return endLastLine();
+                return finishLastLine();
             }
             filled += read;
         }
@@ -69,7 +69,7 @@
     }
 
     /** Moves the current line to the start of the buffer, grows a full buffer, and returns the distance moved. */
-    private int makeRoom() {
+    private int compactOrGrow() {
         int moved = lineStart;
         if (moved > 0) {
             System.arraycopy(buffer, lineStart, buffer, 0, filled - lineStart);
@@ -83,18 +83,18 @@
     }
 
     /** Ends the last line at the end of the input; false if it is empty. The buffer must have room for a line break. */
-    private boolean endLastLine() {
+    private boolean finishLastLine() {
         lineEnd = filled;
         if (filled == lineStart) {
             return false;
         }
-        split();
+        parseFields();
         buffer[lineEnd] = '\n';
         filled = lineEnd + 1;
         return true;
     }
 
-    private void split() {
+    private void parseFields() {
         int at = lineStart;
         while (at < lineEnd && buffer[at] != ' ') {
             at++;
@@ -204,8 +204,8 @@
     private long parseLong(String key, int field) throws WireException {
         int at = valueStart[field];
         int to = valueEnd[field];
-        boolean minus = at < to && buffer[at] == '-';
-        at += minus ? 1 : 0;
+        boolean negative = at < to && buffer[at] == '-';
+        at += negative ? 1 : 0;
         if (at == to || to - at > MAX_NUMBER_DIGITS) {
             throw invalidField(key, "is not a whole number");
         }
@@ -217,7 +217,7 @@
             }
             value = 10 * value + digit;
         }
-        return minus ? -value : value;
+        return negative ? -value : value;
     }
 
     /** Returns a boolean field, whose value is 1, true, 0 or false; false if the field is missing. */
--- a/node/src/main/java/loadbalancer/simulator/WireLineWriter.java
+++ b/node/src/main/java/loadbalancer/simulator/WireLineWriter.java
@@ -153,13 +153,13 @@
     }
 
     private void endLine() {
-        ensureRoom(1);
+        ensureCapacity(1);
         buffer[filled++] = '\n';
     }
 
     private void appendRequestId(long id) {
         append(REQUEST_ID);
-        ensureRoom(ID_DIGITS);
+        ensureCapacity(ID_DIGITS);
         for (int shift = 60; shift >= 0; shift -= 4) {
             buffer[filled++] = HEX_DIGITS[(int) (id >>> shift) & 15];
         }
@@ -167,7 +167,7 @@
 
     private void append(String text) {
         int length = text.length();
-        ensureRoom(MAX_UTF8_BYTES_PER_CHAR * length);
+        ensureCapacity(MAX_UTF8_BYTES_PER_CHAR * length);
         for (int i = 0; i < length; i++) {
             char c = text.charAt(i);
             if (c >= 128) {
@@ -185,7 +185,7 @@
             append(Long.toString(value));
             return;
         }
-        ensureRoom(MAX_NUMBER_DIGITS);
+        ensureCapacity(MAX_NUMBER_DIGITS);
         int digits = 1;
         for (long v = value; v >= 10; v /= 10) {
             digits++;
@@ -199,7 +199,7 @@
         } while (v > 0);
     }
 
-    private void ensureRoom(int bytes) {
+    private void ensureCapacity(int bytes) {
         if (filled + bytes > buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, filled + bytes));
         }
