--- a/node/src/test/java/loadbalancer/discovery/EndpointListDecoderTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointListDecoderTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A list means the same, and is rejected alike, whether it comes from the file or from the discovery service. */
+/** The decoder treats a tree (configuration file) and a stream (discovery service) of the same list identically. */
 class EndpointListDecoderTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String LIST = """
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void everyFieldIsDecodedAndMissingOnesTakeTheirDefaults() throws Exception {
+    void allFieldsAreDecodedAndMissingFieldsHaveDefaults() throws Exception {
         EndpointList list = fromTree(LIST);
         assertEquals(list, fromStream(LIST));
         assertEquals(42, list.version());
@@ -54,11 +54,11 @@
                         SocketAddresses.parseOrNull("[::1]:81")),
                 list.endpoints().get(1));
         assertEquals(ServerState.GONE, list.endpoints().get(2).server().state());
-        assertNull(list.endpoints().get(2).address(), "a server that is gone needs none");
+        assertNull(list.endpoints().get(2).address(), "address of a server that is gone");
     }
 
     @Test
-    void theFieldsMayComeInAnyOrder() throws Exception {
+    void fieldsAreDecodedInAnyOrder() throws Exception {
         String reversed = "{\"targets\":[{\"uid\":\"c\",\"state\":\"Gone\"}],\"all\":false,\"rev\":7}";
         assertEquals(fromTree(reversed), fromStream(reversed));
         assertEquals(7, fromStream(reversed).version());
@@ -76,7 +76,7 @@
                 "[::1]:81 | host.example:81 | targets[1].endpoint is not address:port: host.example:81",
                 "10.0.0.1:80 | 10.0.0.1 | targets[0].endpoint is not address:port: 10.0.0.1",
             })
-    void aBadFieldIsNamedByItsPath(String good, String bad, String message) {
+    void invalidFieldIsReportedByItsPath(String good, String bad, String message) {
         String list = LIST.replace(good, bad);
         assertEquals(
                 message,
--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
@@ -19,33 +19,33 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The discovery service moves to another address. No list of either address is missed, in whatever order the two write
- * and fall silent, and no list is replaced by an older one.
+ * The discovery service moves to another address. In whatever order the two addresses send lists and stop sending, no
+ * list of either is missed and no list is replaced by an older one.
  */
 class EndpointWatcherMoveTest {
     private static final WatchTimeouts TIMEOUTS = new WatchTimeouts(300_000, 20_000_000, 60_000_000);
 
     private final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
     private NodeHarness harness;
-    private FakeServer next;
+    private FakeServer newService;
     private EndpointWatcher discovery;
-    private FakeServer.Connection before;
+    private FakeServer.Connection oldConnection;
 
-    /** A watch that is kept open, and has heard of version 42 at the first address. */
+    /** Opens a watch at the old address that is kept open and has received version 42. */
     @BeforeEach
-    void follow() throws Exception {
+    void openWatch() throws Exception {
         harness = NodeHarness.withSilentDiscovery();
-        next = silent();
+        newService = silentService();
         start(TIMEOUTS);
-        before = FakeServer.awaitNext(harness.discovery.answeredConnections);
-        say(before, 42, false);
+        oldConnection = FakeServer.awaitNext(harness.discovery.answeredConnections);
+        sendList(oldConnection, 42, false);
         assertEquals("42", FakeServer.awaitNext(notifications));
     }
 
     @AfterEach
     void close() throws IOException {
         harness.loop.execute(discovery::close);
-        next.close();
+        newService.close();
         harness.close();
     }
 
@@ -62,14 +62,14 @@
 
                     @Override
                     public void onWatchFailed(String reason) {
-                        // Counted by what is opened next.
+                        // Not recorded: the tests check which connections are opened next.
                     }
                 });
         harness.loop.execute(discovery::keepSubscribed);
     }
 
-    /** Takes what it is asked and answers only what a test writes. */
-    private static FakeServer silent() throws IOException {
+    /** Creates a discovery service that sends only what a test writes. */
+    private static FakeServer silentService() throws IOException {
         return new FakeServer((request, peer) -> {});
     }
 
@@ -82,115 +82,115 @@
         harness.loop.execute(() -> discovery.moveTo(to));
     }
 
-    private static String line(int rev, boolean all) {
+    private static String listChunk(int rev, boolean all) {
         return NodeHarness.chunk(NodeHarness.endpointList(rev, all, "s0=10.0.0.1:80=Terminating") + "\n");
     }
 
-    private static void say(FakeServer.Connection peer, int rev, boolean all) throws IOException {
-        peer.write(line(rev, all));
+    private static void sendList(FakeServer.Connection peer, int rev, boolean all) throws IOException {
+        peer.write(listChunk(rev, all));
     }
 
-    private void begin(FakeServer.Connection peer, int rev, boolean all) throws IOException {
-        peer.write(NodeHarness.watchResponseHead() + line(rev, all));
+    private void sendHeadAndList(FakeServer.Connection peer, int rev, boolean all) throws IOException {
+        peer.write(NodeHarness.watchResponseHead() + listChunk(rev, all));
     }
 
     @Test
-    void theOldAddressCountsUntilTheNewOneHasAnswered() throws Exception {
-        move(next);
-        FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
-        say(before, 43, false);
+    void oldAddressIsUsedUntilTheNewOneHasSentAList() throws Exception {
+        move(newService);
+        FakeServer.Connection newConnection = FakeServer.awaitNext(newService.answeredConnections);
+        sendList(oldConnection, 43, false);
         assertEquals("43", FakeServer.awaitNext(notifications));
-        begin(after, 44, false);
+        sendHeadAndList(newConnection, 44, false);
         assertEquals("44", FakeServer.awaitNext(notifications));
         FakeServer.awaitNext(harness.discovery.closedConnections);
         assertEquals(
                 "/discovery/hosts?watch=1&after=42",
-                FakeServer.awaitNext(next.requests).path());
+                FakeServer.awaitNext(newService.requests).path());
     }
 
     @Test
-    void aSilentNewAddressIsConnectedAgainWhileTheOldOneCounts() throws Exception {
-        move(next);
-        FakeServer.awaitNext(next.answeredConnections);
-        FakeServer.Connection second = FakeServer.awaitNext(next.answeredConnections);
-        say(before, 43, false);
+    void silentNewAddressIsReconnectedWhileTheOldOneIsUsed() throws Exception {
+        move(newService);
+        FakeServer.awaitNext(newService.answeredConnections);
+        FakeServer.Connection second = FakeServer.awaitNext(newService.answeredConnections);
+        sendList(oldConnection, 43, false);
         assertEquals("43", FakeServer.awaitNext(notifications));
-        begin(second, 44, false);
+        sendHeadAndList(second, 44, false);
         assertEquals("44", FakeServer.awaitNext(notifications));
     }
 
     @Test
-    void aNewAddressThatSendsOnlyAHeadIsConnectedAgain() throws Exception {
-        move(next);
-        FakeServer.awaitNext(next.answeredConnections).write(NodeHarness.watchResponseHead());
-        begin(FakeServer.awaitNext(next.answeredConnections), 43, false);
+    void newAddressThatSendsOnlyAResponseHeadIsReconnected() throws Exception {
+        move(newService);
+        FakeServer.awaitNext(newService.answeredConnections).write(NodeHarness.watchResponseHead());
+        sendHeadAndList(FakeServer.awaitNext(newService.answeredConnections), 43, false);
         assertEquals("43", FakeServer.awaitNext(notifications));
     }
 
     @Test
-    void aNewAddressThatRefusesIsConnectedAgainUntilItListens() throws Exception {
-        // On another address than all else, so that nobody takes its port meanwhile.
-        InetAddress apart = InetAddress.getByName("127.0.0.77");
+    void newAddressThatRefusesConnectionsIsReconnectedUntilItListens() throws Exception {
+        // A loopback address that no other test uses, so that no other socket takes the port in the meantime.
+        InetAddress isolatedAddress = InetAddress.getByName("127.0.0.77");
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, apart)) {
+        try (ServerSocket free = new ServerSocket(0, 1, isolatedAddress)) {
             port = free.getLocalPort();
         }
         moveTo("127.0.0.77:" + port);
-        // The old agent leaves as it does after a move, and the new one comes late.
-        before.socket().close();
+        // The service closes its old address as it does after a move, before it listens on the new one.
+        oldConnection.socket().close();
         harness.loop.submit(() -> {}).sync();
-        try (ServerSocket late = new ServerSocket(port, 50, apart);
-                Socket watch = late.accept()) {
+        try (ServerSocket lateService = new ServerSocket(port, 50, isolatedAddress);
+                Socket watch = lateService.accept()) {
             Http.readMessage(watch.getInputStream());
-            begin(new FakeServer.Connection(watch), 43, false);
+            sendHeadAndList(new FakeServer.Connection(watch), 43, false);
             assertEquals("43", FakeServer.awaitNext(notifications));
         }
     }
 
     @Test
-    void anOlderListIsIgnoredUntilTheNewAddressHasCaughtUp() throws Exception {
-        move(next);
-        FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
-        begin(after, 40, true);
-        say(after, 41, false);
-        // It has not caught up, so the old one still counts.
-        say(before, 43, false);
+    void olderListsAreIgnoredUntilTheNewAddressHasCaughtUp() throws Exception {
+        move(newService);
+        FakeServer.Connection newConnection = FakeServer.awaitNext(newService.answeredConnections);
+        sendHeadAndList(newConnection, 40, true);
+        sendList(newConnection, 41, false);
+        // The new address has not caught up, so lists from the old one are still accepted.
+        sendList(oldConnection, 43, false);
         assertEquals("43", FakeServer.awaitNext(notifications));
-        say(after, 43, false);
+        sendList(newConnection, 43, false);
         assertEquals("43", FakeServer.awaitNext(notifications));
         FakeServer.awaitNext(harness.discovery.closedConnections);
-        say(after, 44, false);
+        sendList(newConnection, 44, false);
         assertEquals("44", FakeServer.awaitNext(notifications));
     }
 
     @Test
-    void aServiceThatStaysBehindIsAskedForAll() throws Exception {
+    void allServersAreRequestedFromAServiceThatStaysBehind() throws Exception {
         harness.loop.execute(discovery::close);
         start(new WatchTimeouts(20_000_000, 20_000_000, 100_000));
         FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
-        say(peer, 42, false);
+        sendList(peer, 42, false);
         assertEquals("42", FakeServer.awaitNext(notifications));
-        move(next);
-        FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
-        begin(after, 3, true);
-        // Its beats go on until it is given up.
+        move(newService);
+        FakeServer.Connection newConnection = FakeServer.awaitNext(newService.answeredConnections);
+        sendHeadAndList(newConnection, 3, true);
+        // Heartbeats continue until the node closes the watch.
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (beats(after)) {
-            assertTrue(System.nanoTime() < end, "the watch on an agent that lags is still open");
+        while (sendHeartbeat(newConnection)) {
+            assertTrue(System.nanoTime() < end, "the watch on a service that lags is still open");
             Thread.onSpinWait();
         }
-        begin(FakeServer.awaitNext(next.answeredConnections), 3, true);
+        sendHeadAndList(FakeServer.awaitNext(newService.answeredConnections), 3, true);
         assertEquals("3", FakeServer.awaitNext(notifications));
         assertEquals(
                 "/discovery/hosts?watch=1&after=42",
-                FakeServer.awaitNext(next.requests).path());
+                FakeServer.awaitNext(newService.requests).path());
         assertEquals(
                 "/discovery/hosts?watch=1&after=0",
-                FakeServer.awaitNext(next.requests).path());
+                FakeServer.awaitNext(newService.requests).path());
     }
 
-    /** Whether the watch still takes a beat: its end shows to the writer as a broken pipe. */
-    private static boolean beats(FakeServer.Connection peer) {
+    /** Sends a heartbeat; returns false if the watch is closed, which the writer sees as a broken pipe. */
+    private static boolean sendHeartbeat(FakeServer.Connection peer) {
         try {
             peer.write(NodeHarness.chunk("\n"));
             return true;
@@ -200,29 +200,29 @@
     }
 
     @Test
-    void aMoveAmidALineLosesNoPartOfIt() throws Exception {
-        String line = line(43, false);
-        before.write(line.substring(0, line.length() / 2));
-        move(next);
-        FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
-        before.write(line.substring(line.length() / 2));
+    void moveInTheMiddleOfALineLosesNoPartOfIt() throws Exception {
+        String line = listChunk(43, false);
+        oldConnection.write(line.substring(0, line.length() / 2));
+        move(newService);
+        FakeServer.Connection newConnection = FakeServer.awaitNext(newService.answeredConnections);
+        oldConnection.write(line.substring(line.length() / 2));
         assertEquals("43", FakeServer.awaitNext(notifications));
-        before.write(line(44, false).substring(0, 20));
-        begin(after, 44, false);
+        oldConnection.write(listChunk(44, false).substring(0, 20));
+        sendHeadAndList(newConnection, 44, false);
         assertEquals("44", FakeServer.awaitNext(notifications));
     }
 
     @Test
-    void aSecondMoveKeepsTheWatchThatHasBeenAnswered() throws Exception {
-        try (FakeServer third = silent()) {
-            move(next);
-            FakeServer.awaitNext(next.answeredConnections);
+    void secondMoveKeepsTheWatchThatHasReceivedAMessage() throws Exception {
+        try (FakeServer third = silentService()) {
+            move(newService);
+            FakeServer.awaitNext(newService.answeredConnections);
             move(third);
             FakeServer.Connection last = FakeServer.awaitNext(third.answeredConnections);
-            FakeServer.awaitNext(next.closedConnections);
-            say(before, 43, false);
+            FakeServer.awaitNext(newService.closedConnections);
+            sendList(oldConnection, 43, false);
             assertEquals("43", FakeServer.awaitNext(notifications));
-            begin(last, 44, false);
+            sendHeadAndList(last, 44, false);
             assertEquals("44", FakeServer.awaitNext(notifications));
             FakeServer.awaitNext(harness.discovery.closedConnections);
         }
--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
@@ -17,12 +17,12 @@
 /** The watch on the endpoint list, over sockets. */
 class EndpointWatcherTest {
     private static final String KNOWN = NodeHarness.endpointList(41, true);
-    /** As short as a slow machine allows. */
-    private static final WatchTimeouts BRIEF = new WatchTimeouts(100_000, 20_000_000, 100_000);
+    /** The shortest timeouts that a slow machine allows. */
+    private static final WatchTimeouts SHORT_TIMEOUTS = new WatchTimeouts(100_000, 20_000_000, 100_000);
 
     private static final String ENTRY = "s0=10.0.0.1:80=Ready";
 
-    /** A watch alone; what it tells comes as a line. */
+    /** Opens a watch without a node. Each list and each failure is added to the notifications as a string. */
     private static EndpointWatcher watch(
             NodeHarness harness, WatchTimeouts timeouts, BlockingQueue<String> notifications) throws Exception {
         EndpointWatcher discovery = new EndpointWatcher(
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void listsComeInPiecesAndTheNextWatchGoesOnFromTheLast() throws Exception {
+    void listsAreReadFromChunksAndTheNextWatchRequestsLaterChanges() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
             EndpointWatcher discovery = watch(harness, WatchTimeouts.DEFAULT, notifications);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aWatchThatIsResetAmidALineIsAskedForThatLineAgain() throws Exception {
+    void listCutByAResetIsRequestedAgain() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
             EndpointWatcher discovery = watch(harness, WatchTimeouts.DEFAULT, notifications);
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aHeartbeatAsTheAnswerSaysThatNothingHasChanged() throws Exception {
+    void heartbeatAsFirstMessageMeansNoChanges() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
             watch(harness, WatchTimeouts.DEFAULT, notifications);
@@ -110,7 +110,7 @@
                 "[]",
                 "{\"rev\":42,\"all\":false,\"targets\":[{\"uid\":\"s\",\"endpoint\":\"x\",\"state\":\"Ready\"}]}",
             })
-    void aBadLineFailsTheWatch(String line) throws Exception {
+    void invalidDocumentFailsTheWatch(String line) throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
             watch(harness, WatchTimeouts.DEFAULT, notifications);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void aListMayComeIndentedAndInPieces() throws Exception {
+    void indentedListIsReadFromChunks() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
             watch(harness, WatchTimeouts.DEFAULT, notifications);
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void aResponseHeadThatCannotBeReadFailsTheWatch() throws Exception {
+    void malformedResponseHeadFailsTheWatch() throws Exception {
         BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
         try (FakeServer discovery = new FakeServer((request, peer) ->
                         peer.write(NodeHarness.watchResponseHead().replace("OK\r\n", "OK\r\nno colon here\r\n")
@@ -154,17 +154,17 @@
     }
 
     @Test
-    void aSilentWatchFails() throws Exception {
+    void silentWatchFails() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
-            watch(harness, BRIEF, notifications);
+            watch(harness, SHORT_TIMEOUTS, notifications);
             assertEquals("failed", FakeServer.awaitNext(notifications));
             assertTrue(notifications.isEmpty());
         }
     }
 
     @Test
-    void aNodePollsAgainAfterARefusalAndThenUsesTheList() throws Exception {
+    void nodePollsAgainAfterAnErrorResponseAndUsesTheList() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (FakeServer server = FakeServer.respondingWith("x");
                 FakeServer discovery = new FakeServer((request, peer) -> peer.write(
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void changesThatArePushedComeByAWatchThatTheNodeKeepsOpen() throws Exception {
+    void nodeKeepsAWatchOpenAndFollowsPushedChanges() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (FakeServer first = FakeServer.respondingWith("first");
                 FakeServer second = FakeServer.respondingWith("second");
@@ -209,7 +209,7 @@
             assertEquals(
                     "/discovery/hosts?watch=1&after=2",
                     FakeServer.awaitNext(discovery.requests).path());
-            // The node reads the new list before it can end the old server's connection.
+            // The node closes the connection to the old server only after it has read the new list.
             FakeServer.awaitNext(first.closedConnections);
             assertEquals(
                     "second",
@@ -218,7 +218,7 @@
     }
 
     @Test
-    void aClosedNodeLeavesNoWatchOpen() throws Exception {
+    void closedNodeHasNoOpenWatch() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             harness.settings.pollsEndpointList = false;
             harness.startWithList(NodeHarness.endpointList(1, true));
--- a/node/src/test/java/loadbalancer/discovery/JsonDocumentFramerTest.java
+++ b/node/src/test/java/loadbalancer/discovery/JsonDocumentFramerTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Where documents end in a stream of bytes. */
+/** Splitting a byte stream into documents. */
 class JsonDocumentFramerTest {
     private final JsonDocumentFramer framer = new JsonDocumentFramer();
 
@@ -29,24 +29,24 @@
     }
 
     @Test
-    void eachLineIsADocumentAndABlankOneAHeartbeat() {
+    void eachLineIsADocumentAndBlankLinesAreHeartbeats() {
         assertEquals(List.of("{\"a\":1}\n", "\n", " \r\n", "[2]\n"), read("{\"a\":1}\n\n \r\n[2]\n"));
     }
 
     @Test
-    void aDocumentEndsWhereItsLastBracketIsClosed() {
+    void documentEndsWithTheLineOfItsLastBracket() {
         String indented = "{\n  \"a\": [\n    1\n  ]\n}\r\n";
         assertEquals(List.of(indented, "{}\n"), read(indented + "{}\n"));
     }
 
     @Test
-    void bracketsAndQuotesInStringsDoNotCount() {
+    void bracketsAndQuotesInStringsAreIgnored() {
         String document = "{\"a\":\"]}\\\"}\\\\\",\n\"b\":1}\n";
         assertEquals(List.of(document), read(document));
     }
 
     @Test
-    void aDocumentMayComeInAnyPieces() {
+    void documentIsReadFromSingleBytes() {
         String document = "{\"a\\\"\":[\n1]}\n";
         for (int i = 0; i < document.length() - 1; i++) {
             assertEquals(List.of(), read(document.substring(i, i + 1)));
@@ -54,16 +54,18 @@
         assertEquals(List.of(document), read("\n"));
     }
 
-    /** The service stops amid a document and goes on with heartbeats. Were the open brackets to stay open, all that
-     * comes later would be taken for the rest of that document. */
+    /**
+     * The service stops in the middle of a document and continues with heartbeats. If the brackets stayed open, all
+     * later documents would be read as part of the truncated one.
+     */
     @Test
-    void aBlankLineEndsADocumentThatWasCut() {
+    void blankLineEndsATruncatedDocument() {
         assertEquals(List.of("{\"a\":[\"b\n\n", "{}\n"), read("{\"a\":[\"b\n\n{}\n"));
     }
 
-    /** The service writes without an end. The memory of a node must not fill up. */
+    /** The service sends a document that never ends. Without a limit it would exhaust the memory of the node. */
     @Test
-    void aDocumentWithoutAnEndIsRejected() {
+    void documentOverTheSizeLimitIsRejected() {
         ByteBuf bytes = Unpooled.wrappedBuffer(new byte[8 << 20]);
         assertNull(framer.readDocument(bytes));
         ByteBuf oneMore = Unpooled.wrappedBuffer(new byte[1]);
--- a/node/src/test/java/loadbalancer/discovery/ReconnectBackoffTest.java
+++ b/node/src/test/java/loadbalancer/discovery/ReconnectBackoffTest.java
@@ -5,12 +5,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The delays before a failed watch is opened again. */
+/** The delays before a failed watch is reopened. */
 class ReconnectBackoffTest {
-    /** The discovery service restarts, and all nodes lose it at once. Were they all to return together, it would be
-     * overloaded, fail and lose them again. */
+    /**
+     * The discovery service restarts and all nodes lose their watch at the same time. If all of them reconnected at the
+     * same time, the service would be overloaded and fail again.
+     */
     @Test
-    void nodesThatLostDiscoveryTogetherReconnectApartAndNoFasterThanItCanBear() {
+    void delayIsJitteredAndItsMaximumGrowsWithTheNumberOfNodes() {
         assertEquals(500, ReconnectBackoff.jittered(1_000, 0));
         assertEquals(750, ReconnectBackoff.jittered(1_000, 0.5));
         assertEquals(1_000, ReconnectBackoff.maxMillis(3));
@@ -19,7 +21,7 @@
     }
 
     @Test
-    void theDelayDoublesUpToTheMaximumAndStartsAnewAfterAReset() {
+    void delayDoublesUpToTheMaximumAndRestartsAfterAReset() {
         ReconnectBackoff backoff = new ReconnectBackoff(1, 7);
         for (long expected : new long[] {50, 100, 200, 400, 800, 1_000, 1_000}) {
             assertInUpperHalf(expected, backoff.nextDelayMillis());
--- a/node/src/test/java/loadbalancer/discovery/WatchStateMachineTest.java
+++ b/node/src/test/java/loadbalancer/discovery/WatchStateMachineTest.java
@@ -9,14 +9,14 @@
 import loadbalancer.net.SocketAddresses;
 import org.junit.jupiter.api.Test;
 
-/** Which watches are open and which lists count, without sockets; the time of each event is given by the test. */
+/** Which watches are open and which lists are accepted. Uses no sockets; each test supplies the time of its events. */
 class WatchStateMachineTest {
     private static final InetSocketAddress OLD = SocketAddresses.parseOrNull("127.0.0.1:1");
     private static final InetSocketAddress NEW = SocketAddresses.parseOrNull("127.0.0.1:2");
     private static final InetSocketAddress THIRD = SocketAddresses.parseOrNull("127.0.0.1:3");
     private static final long LAG_NANOS = 6_000_000_000L;
 
-    /** A connection whose events the test makes. */
+    /** A connection whose events are triggered by the test. */
     private final class FakeConnection implements WatchStateMachine.Connection {
         private final WatchStateMachine.ConnectionListener listener;
         private final int number;
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Notes what the state machine does. */
+    /** Records the actions of the state machine. */
     private final class FakeActions implements WatchStateMachine.Actions {
         @Override
         public WatchStateMachine.Connection newConnection(WatchStateMachine.ConnectionListener listener) {
@@ -58,7 +58,7 @@
 
         @Override
         public void cancelReconnect() {
-            // Cancelling is allowed at any time.
+            // Not recorded: the state machine may cancel at any time.
         }
 
         @Override
@@ -67,7 +67,7 @@
         }
     }
 
-    private final class Notifications implements EndpointWatcher.Listener {
+    private final class RecordingListener implements EndpointWatcher.Listener {
         @Override
         public void onEndpointList(EndpointList list) {
             events.add("list " + list.version());
@@ -84,7 +84,10 @@
     private final List<FakeConnection> connections = new ArrayList<>();
     private long lastDelayMillis;
     private final WatchStateMachine state = new WatchStateMachine(
-            new WatchConfig(OLD, List.of(), 41, 3, 7), WatchTimeouts.DEFAULT, new FakeActions(), new Notifications());
+            new WatchConfig(OLD, List.of(), 41, 3, 7),
+            WatchTimeouts.DEFAULT,
+            new FakeActions(),
+            new RecordingListener());
 
     private void assertEvents(String... expected) {
         assertEquals(List.of(expected), events);
@@ -92,7 +95,7 @@
     }
 
     @Test
-    void aWatchAsksForChangesAfterTheKnownVersion() {
+    void watchRequestsChangesAfterTheKnownVersion() {
         state.subscribe();
         connections.get(0).list(43, 0);
         state.subscribe();
@@ -100,7 +103,7 @@
     }
 
     @Test
-    void aHeartbeatAsTheAnswerSaysThatNothingHasChanged() {
+    void heartbeatAsFirstMessageMeansNoChanges() {
         state.subscribe();
         connections.get(0).listener.onHeartbeat(0);
         connections.get(0).listener.onHeartbeat(1);
@@ -109,7 +112,7 @@
     }
 
     @Test
-    void aFailedWatchIsReportedAndOpenedAgainOnlyIfItIsToBeKept() {
+    void failedWatchIsReportedAndReopenedOnlyAfterKeepSubscribed() {
         state.subscribe();
         connections.get(0).listener.onFailure("silent");
         assertEvents("connect 0 to 1 after 41", "failed: silent");
@@ -121,7 +124,7 @@
     }
 
     @Test
-    void theDelayGrowsWithEachFailureUntilAListComes() {
+    void reconnectDelayGrowsWithEachFailureUntilAListIsReceived() {
         state.keepSubscribed();
         for (int i = 0; i < 4; i++) {
             connections.get(i).listener.onFailure("silent");
@@ -133,9 +136,12 @@
         assertTrue(lastDelayMillis <= 50, "first failure after a list: " + lastDelayMillis);
     }
 
-    /** The service moves and the new address lags. What only the old address says meanwhile must not be missed. */
+    /**
+     * The discovery service moves and the new address lags behind. Without the old watch, the node would miss changes
+     * that only the old address has.
+     */
     @Test
-    void afterAMoveTheOldWatchCountsUntilTheNewOneHasCaughtUp() {
+    void oldWatchIsUsedAfterAMoveUntilTheNewOneHasCaughtUp() {
         state.keepSubscribed();
         connections.get(0).list(42, 0);
         state.moveTo(NEW);
@@ -146,7 +152,7 @@
     }
 
     @Test
-    void theEndOfTheOldWatchAfterAMoveIsNoFailure() {
+    void failureOfTheOldWatchAfterAMoveIsNotReported() {
         state.keepSubscribed();
         connections.get(0).list(42, 0);
         state.moveTo(NEW);
@@ -156,7 +162,7 @@
     }
 
     @Test
-    void aSecondMoveKeepsTheWatchThatHasBeenAnswered() {
+    void secondMoveKeepsTheWatchThatHasReceivedAMessage() {
         state.keepSubscribed();
         connections.get(0).list(42, 0);
         state.moveTo(NEW);
@@ -175,7 +181,7 @@
     }
 
     @Test
-    void aMoveOpensNothingIfNoWatchIsWanted() {
+    void moveOpensNoWatchIfNoneIsOpenOrToTheSameAddress() {
         state.moveTo(NEW);
         assertEvents();
         state.subscribe();
@@ -184,10 +190,12 @@
         assertEvents();
     }
 
-    /** The service has lost its newest lists for good. Were its list ignored for ever, the node would never again
-     * follow a change. */
+    /**
+     * The service has lost its newest lists for good. If the node ignored its older lists forever, it would never
+     * follow a change again.
+     */
     @Test
-    void aWatchThatIsBehindForTooLongIsClosedAndAllIsAskedFor() {
+    void watchThatLagsTooLongIsClosedAndTheNextOneRequestsAllServers() {
         state.keepSubscribed();
         connections.get(0).list(3, 1_000);
         connections.get(0).list(4, 2_000);
@@ -205,7 +213,7 @@
     }
 
     @Test
-    void closingEndsBothWatches() {
+    void closeEndsBothWatches() {
         state.keepSubscribed();
         connections.get(0).list(42, 0);
         state.moveTo(NEW);
