--- a/node/src/test/java/loadbalancer/admin/ControlServerTest.java
+++ b/node/src/test/java/loadbalancer/admin/ControlServerTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The answers to operators' calls, byte for byte, of a server whose node is a fake. */
+/** The responses to operators' calls, byte for byte, from a server with a fake node. */
 class ControlServerTest {
-    private static final long DELAY_MS = 150;
+    private static final long DELAY_MILLIS = 150;
 
-    /** Notes what it is called for. */
+    /** Records the calls to cordon and uncordon servers. */
     private static final class FakeNode implements NodeOperations {
         private final List<String> calls = new CopyOnWriteArrayList<>();
         private volatile boolean serving = true;
@@ -45,9 +45,9 @@
                 throw new RejectedCallException("never listed: none");
             }
             if (serverId.equals("broken")) {
-                throw new IllegalStateException("planted by a test");
+                throw new IllegalStateException("thrown by a test");
             }
-            return serverId.equals("slow") ? DELAY_MS : 0;
+            return serverId.equals("slow") ? DELAY_MILLIS : 0;
         }
     }
 
@@ -98,29 +98,29 @@
                 "quiesce|NO unknown call",
                 "' '|NO unknown call",
             })
-    void everyCallHasItsAnswer(String call, String answer) throws Exception {
-        assertEquals(answer.replace(';', '\n') + "\n", call(call + "\n"));
-        assertEquals(answer.replace(';', '\n') + "\n", call(call + "\r\n"));
+    void eachCallHasItsResponse(String call, String response) throws Exception {
+        assertEquals(response.replace(';', '\n') + "\n", call(call + "\n"));
+        assertEquals(response.replace(';', '\n') + "\n", call(call + "\r\n"));
     }
 
     @Test
-    void anEmptyLineIsNoCall() throws Exception {
+    void emptyLineIsRejected() throws Exception {
         assertEquals("NO unknown call\n", call("\n"));
     }
 
     @Test
-    void aLineThatIsTooLongIsNoCall() throws Exception {
+    void lineThatIsTooLongIsRejected() throws Exception {
         assertEquals("NO line too long\n", call("cordon " + "s".repeat(5_000)));
     }
 
     @Test
-    void aNodeThatDoesNotServeIsNotHealthy() throws Exception {
+    void nodeThatDoesNotServeIsNotHealthy() throws Exception {
         node.serving = false;
         assertEquals("NO not serving\n", call("health\n"));
     }
 
     @Test
-    void onlyTheFirstLineOfAConnectionIsACall() throws Exception {
+    void onlyTheFirstLineOfAConnectionIsExecuted() throws Exception {
         assertEquals("YES\n", call("cordon s1\nuncordon s1\n"));
         assertEquals(List.of("s1 true"), node.calls);
         assertEquals("YES\n", call("uncordon s1\ncordon s1\n"));
@@ -128,10 +128,10 @@
     }
 
     @Test
-    void theAnswerToACordonWaitsUntilAllProcessesFollowIt() throws Exception {
+    void responseToACordonIsDelayedUntilAllProcessesFollowIt() throws Exception {
         long calledAtNanos = System.nanoTime();
         assertEquals("YES\n", call("cordon slow\n"));
         long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAtNanos);
-        assertTrue(tookMillis >= DELAY_MS, "answered after " + tookMillis + " ms");
+        assertTrue(tookMillis >= DELAY_MILLIS, "response after " + tookMillis + " ms");
     }
 }
--- a/node/src/test/java/loadbalancer/admin/CordonStoreTest.java
+++ b/node/src/test/java/loadbalancer/admin/CordonStoreTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The file of cordons as two versions of the program share it: its names, its bytes and its lock. */
+/** The cordon file that two versions of the program share during an upgrade: its names, its bytes and its lock. */
 class CordonStoreTest {
     @TempDir
     private Path folder;
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void theFileHoldsOneIdALineInOrder() throws Exception {
+    void fileHoldsOneIdPerLineInSortedOrder() throws Exception {
         CordonStore store = store();
         store.setCordoned("s-2", true);
         store.setCordoned("s-1", true);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void anotherProcessLearnsOfAChangeByReading() throws Exception {
+    void otherProcessFollowsAChangeAfterARefresh() throws Exception {
         CordonStore first = store();
         CordonStore second = store();
         first.setCordoned("s-1", true);
@@ -69,15 +69,16 @@
         assertFalse(second.refresh(), "nothing has changed since");
     }
 
-    /** Another process writes at this moment. Were its lock ignored, one of the two changes would be lost. */
+    /** Another process is writing the file. If its lock were ignored, one of the two changes would be lost. */
     @Test
-    void aChangeIsRejectedWhileAnotherHolderHasTheLock() throws Exception {
+    void changeIsRejectedWhileTheLockIsHeld() throws Exception {
         CordonStore store = store();
         try (FileChannel other = FileChannel.open(
                 folder.resolve("kitemux.cordons.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
             other.lock();
             RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.setCordoned("s-1", true));
-            // A lock in the same process shows as an exception, one of another process as no lock.
+            // Here the lock is held in the same process, which throws an exception. If another process holds it,
+            // tryLock() returns null.
             assertEquals("cordons cannot be kept: java.nio.channels.OverlappingFileLockException", e.getMessage());
         }
         assertEquals(Set.of(), store.cordonedIds());
@@ -86,9 +87,9 @@
         assertEquals(Set.of("s-1"), store.cordonedIds());
     }
 
-    /** The disk fails amid a change. The answer is no, so the server must still be used. */
+    /** The disk fails during a change. The call is rejected, so the server must not be cordoned. */
     @Test
-    void aChangeThatCannotBeWrittenChangesNothing() throws Exception {
+    void changeThatCannotBeWrittenIsNotApplied() throws Exception {
         CordonStore store = store();
         Files.createDirectory(folder.resolve("kitemux.cordons.new"));
         RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.setCordoned("s-1", true));
@@ -97,7 +98,7 @@
     }
 
     @Test
-    void withoutAFolderCordonsAreInMemoryOnly() throws Exception {
+    void cordonsWithoutASharedFolderAreInMemoryOnly() throws Exception {
         CordonStore store = new CordonStore(null);
         RejectedCallException e = assertThrows(RejectedCallException.class, () -> store.setCordoned("s-1", true));
         assertEquals("never listed: s-1", e.getMessage());
--- a/node/src/test/java/loadbalancer/admin/MetricsTest.java
+++ b/node/src/test/java/loadbalancer/admin/MetricsTest.java
@@ -8,7 +8,7 @@
 import loadbalancer.policy.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** The text of all metrics, byte for byte. */
+/** The rendered text of all metrics, byte for byte. */
 class MetricsTest {
     private static RequestClass requestClass(String name) {
         return new RequestClass(
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void everyMetricHasItsLine() {
+    void eachMetricIsRenderedAsOneLine() {
         Metrics metrics = new Metrics();
         metrics.register(List.of(requestClass("page"), requestClass("a\"b\\c\nd")));
         metrics.onRequestFinished("page", RequestOutcome.SERVED);
@@ -27,7 +27,7 @@
         metrics.onConfigLoaded();
         metrics.onConfigLoaded();
         metrics.onConfigRejected();
-        // A class keeps its counts when the settings are read again.
+        // A class keeps its counts when the configuration is reloaded.
         metrics.register(List.of(requestClass("page"), requestClass("new")));
         assertEquals("""
                 node_handled{category="page",outcome="passed"} 2
--- a/node/src/test/java/loadbalancer/config/ClassRegistryTest.java
+++ b/node/src/test/java/loadbalancer/config/ClassRegistryTest.java
@@ -11,7 +11,7 @@
 import loadbalancer.policy.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** Request classes and tenants over reloads of the configuration. */
+/** Request classes and tenants across reloads of the configuration. */
 class ClassRegistryTest {
     private static BalancerSettings settings(RequestClass... classes) {
         BalancerSettings settings = new BalancerSettings();
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aDroppedOrChangedClassDoesNotCountForTheLongestDeadline() {
+    void longestDeadlineIgnoresRemovedAndChangedClasses() {
         RequestClass page = requestClass("page", 1_000_000);
         ClassRegistry initial = ClassRegistry.initial(settings(page, requestClass("report", 2_500_000)));
         assertEquals(2_500_000, initial.longestDeadlineUs());
@@ -35,10 +35,12 @@
                 initial.reloaded(settings(requestClass("page", 400_000))).longestDeadlineUs());
     }
 
-    /** A request holds the index of its class while the file changes. Were the index given to another class, the
-     * request would be retried by that class's rules. */
+    /**
+     * An open request holds the index of its class during a reload. If the index were given to another class, the
+     * request would be retried under the rules of that class.
+     */
     @Test
-    void aChangedClassGetsANewIndexAndTheOldOneIsAcceptedUntilItIsRetired() {
+    void changedClassGetsANewIndexAndTheOldOneIsAcceptedUntilItIsRetired() {
         RequestClass slow = requestClass("page", 1_000_000);
         RequestClass fast = requestClass("page", 400_000);
         ClassRegistry reloaded = ClassRegistry.initial(settings(slow)).reloaded(settings(fast));
@@ -54,7 +56,7 @@
     }
 
     @Test
-    void aTenantKeepsItsIndex() {
+    void tenantKeepsItsIndex() {
         BalancerSettings before = settings();
         before.tenants.addAll(List.of(new Tenant("a"), new Tenant("b")));
         BalancerSettings after = settings();
--- a/node/src/test/java/loadbalancer/config/ConfigFileTest.java
+++ b/node/src/test/java/loadbalancer/config/ConfigFileTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The flat forms of a configuration file: the settings for their reader, and the keys for reloads. */
+/** The flattened settings and the keys of a configuration file. */
 class ConfigFileTest {
     @TempDir
     private Path folder;
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void keysOfAListAreThoseThatAllItsObjectsHave() throws Exception {
+    void keysOfAListAreTheKeysCommonToItsObjects() throws Exception {
         ConfigFile file = file("""
                 {"name":"n","none":null,"known":{"rev":1,"targets":[{"uid":"s"}]},
                  "settings":{"zones":["a"],"classes":[{"name":"p","group":"all"},{"name":"q"}]}}
--- a/node/src/test/java/loadbalancer/config/NodeConfigTest.java
+++ b/node/src/test/java/loadbalancer/config/NodeConfigTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a node reads from its environment and its configuration file. */
+/** Reading the configuration of a node from its environment and its configuration file. */
 class NodeConfigTest {
     private static final String CONFIG = """
             {"name":"n0","listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -39,15 +39,15 @@
     @TempDir
     private Path folder;
 
-    private NodeConfig read(String config, Map<String, String> more) throws Exception {
+    private NodeConfig read(String config, Map<String, String> extraEnvironment) throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), config);
-        Map<String, String> env = new HashMap<>(more);
+        Map<String, String> env = new HashMap<>(extraEnvironment);
         env.put("PROXY_CONFIG", file.toString());
         return NodeConfigReader.read(env);
     }
 
     @Test
-    void everyValueOfTheFileIsRead() throws Exception {
+    void allValuesOfTheFileAreRead() throws Exception {
         NodeConfig config = read(CONFIG, Map.of());
         assertEquals(8000, config.listenAddress().getPort());
         assertEquals(8500, config.discoveryAddress().getPort());
@@ -78,14 +78,14 @@
     }
 
     @Test
-    void addressesOfTheEnvironmentReplaceThoseOfTheFile() throws Exception {
+    void addressesInTheEnvironmentOverrideTheFile() throws Exception {
         NodeConfig config = read(CONFIG, Map.of("PROXY_LISTEN", "127.0.0.7:81", "PROXY_DISCOVERY", "127.0.0.8:82"));
         assertEquals("127.0.0.7", config.listenAddress().getHostString());
         assertEquals(82, config.discoveryAddress().getPort());
     }
 
     @Test
-    void operationsAreConfiguredOnlyWhereTheirVariablesAreSet() throws Exception {
+    void operationsAreConfiguredOnlyIfTheirVariablesAreSet() throws Exception {
         NodeConfig plain = read(CONFIG, Map.of("TMPDIR", ""));
         assertEquals(OperationsConfig.NONE, plain.operations());
         assertEquals(Integer.MAX_VALUE, plain.settings().maxOpen);
@@ -119,23 +119,23 @@
                 "Terminating | Asleep | known.targets[0].state",
                 "\"settings\":{ | \"sittings\":{ | settings",
             })
-    void anInvalidValueIsReportedByItsKey(String good, String bad, String field) {
+    void invalidValueIsReportedByItsKey(String good, String bad, String field) {
         ConfigException e = assertThrows(ConfigException.class, () -> read(CONFIG.replace(good, bad), Map.of()));
         assertTrue(e.getMessage().startsWith(field + " "), e.getMessage());
         assertTrue(e.getMessage().startsWith(e.key() + " "), e.getMessage());
     }
 
     @Test
-    void aMissingFileEndsTheProgramWithOneLineAndExitCode2() throws Exception {
+    void missingFileEndsTheProgramWithOneLineAndExitCode2() throws Exception {
         String java = ProcessHandle.current().info().command().orElseThrow();
         ProcessBuilder builder =
                 new ProcessBuilder(java, "-cp", System.getProperty("java.class.path"), Main.class.getName(), "node");
         builder.environment().put("PROXY_CONFIG", folder.resolve("none.json").toString());
         Process process = builder.start();
-        String said = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+        String standardError = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
-        assertEquals(1, said.lines().count(), said);
-        assertTrue(said.contains("PROXY_CONFIG"), said);
+        assertEquals(1, standardError.lines().count(), standardError);
+        assertTrue(standardError.contains("PROXY_CONFIG"), standardError);
     }
 }
--- a/node/src/test/java/loadbalancer/simulator/SimulatorConnectionTest.java
+++ b/node/src/test/java/loadbalancer/simulator/SimulatorConnectionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter on short inputs of the wire. */
+/** The responses of the adapter to short inputs on the simulator's wire. */
 class SimulatorConnectionTest {
     private static final String BOOT = "boot node=node-3 initSeed=5 balancers=1 classes.count=1"
             + " classes.0.name=view"
@@ -20,9 +20,9 @@
     private static final String LIST = "roster setId=0 nodesList=1\n"
             + "server server=10.0.0.7:8003 site=z generationHw=k block=0 lifecycle=Running scale=1 extra=2\n"
             + "topology node=node-3 setId=0 generation=1 kind=stale_copy\n";
-    private static final String ITEM =
+    private static final String REQUEST =
             "work_item node=node-3 handle=b7c6f2075d3a91c4 lane=view" + " patienceLeftUs=240000" + " novel=x\n";
-    private static final String OPEN = "begin_batch timeUs=1000000\n";
+    private static final String BEGIN = "begin_batch timeUs=1000000\n";
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
@@ -32,13 +32,13 @@
     }
 
     @Test
-    void anEmptyBatchAndTheEndOfInput() throws Exception {
+    void emptyBatchIsAcknowledgedAndTheInputEnds() throws Exception {
         assertEquals("next\n", run("begin_batch timeUs=8412250\neob\n"));
     }
 
     @Test
-    void aRequestIsRoutedAndItsIdGivenBackUnchanged() throws Exception {
-        String reply = run(OPEN + BOOT + LIST + ITEM + "eob\n");
+    void requestIsRoutedWithItsIdUnchanged() throws Exception {
+        String reply = run(BEGIN + BOOT + LIST + REQUEST + "eob\n");
         assertTrue(
                 reply.contains("route node=node-3 handle=b7c6f2075d3a91c4" + " server=10.0.0.7:8003 untilUs=1240000\n"),
                 reply);
@@ -46,8 +46,8 @@
     }
 
     @Test
-    void aTimedOutRequestIsRejected() throws Exception {
-        String reply = run(OPEN + BOOT + LIST + ITEM + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
+    void timedOutRequestIsRejected() throws Exception {
+        String reply = run(BEGIN + BOOT + LIST + REQUEST + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
                 + " handle=b7c6f2075d3a91c4 latencyUs=240000 rc=40 seqNo=0 server=10.0.0.7:8003\neob\n");
         assertTrue(reply.contains("decline node=node-3 handle=b7c6f2075d3a91c4\n"), reply);
     }
@@ -80,17 +80,17 @@
                         + " | kind",
                 "begin_batch timeUs=1;boot node=n initSeed=1;eob | classes is empty"
             })
-    void malformedInputIsNamedByLineAndFieldAndNothingIsWritten(String lines, String named) {
-        String input = lines.trim().replace("B;", OPEN + BOOT).replace(';', '\n') + "\n";
+    void malformedInputIsReportedByLineAndFieldAndNothingIsWritten(String lines, String expectedText) {
+        String input = lines.trim().replace("B;", BEGIN + BOOT).replace(';', '\n') + "\n";
         WireException e = assertThrows(WireException.class, () -> run(input));
-        assertTrue(e.getMessage().contains(named.trim()), e.getMessage());
+        assertTrue(e.getMessage().contains(expectedText.trim()), e.getMessage());
         assertTrue(e.getMessage().startsWith("line "), e.getMessage());
         assertEquals(-1, e.getMessage().indexOf('\n'));
         assertEquals(0, out.size());
     }
 
     @Test
-    void theKeyOfARequestAndKeyAffinityReachTheBalancer() throws Exception {
+    void keyOfARequestAndKeyAffinityReachTheBalancer() throws Exception {
         String boot = BOOT.replace("unknown.key=1", "extra.warmKeys=true");
         StringBuilder list = new StringBuilder("roster setId=0 nodesList=9\n");
         for (int i = 0; i < 9; i++) {
@@ -98,10 +98,10 @@
         }
         list.append("topology node=node-3 setId=0 generation=1 kind=stale_copy\n");
         for (String seed : new String[] {"5", "6", "7", "8"}) {
-            run(OPEN + boot.replace("initSeed=5", "initSeed=" + seed) + list
-                    + ITEM.replace("novel=x", "routeKey=k:same") + "eob\n");
+            run(BEGIN + boot.replace("initSeed=5", "initSeed=" + seed) + list
+                    + REQUEST.replace("novel=x", "routeKey=k:same") + "eob\n");
         }
-        // Whatever the seed, the key draws the same server.
+        // The key selects the same server for every seed.
         assertEquals(
                 1,
                 out.toString(StandardCharsets.UTF_8)
@@ -112,27 +112,27 @@
     }
 
     @Test
-    void anExceptionOfTheBalancerIsReportedAsAFault() throws Exception {
-        String reply = run(OPEN + BOOT + LIST + ITEM + ITEM + "eob\n");
+    void exceptionOfTheBalancerIsReportedAsAFault() throws Exception {
+        String reply = run(BEGIN + BOOT + LIST + REQUEST + REQUEST + "eob\n");
         assertTrue(reply.contains("fault node=node-3 noteText=java.lang.IllegalArgumentException"), reply);
         assertTrue(reply.endsWith("next\n"));
     }
 
     @Test
-    void aLineWithoutItsEndIsStillRead() throws Exception {
+    void lastLineWithoutALineBreakIsRead() throws Exception {
         assertEquals("next\n", run("begin_batch timeUs=8412250\neob"));
     }
 
     @Test
-    void nodesActAlikeAloneAndTogether() throws Exception {
-        String one = run(OPEN + BOOT + LIST + ITEM + "eob\n");
+    void nodeActsTheSameAloneAndBesideAnotherNode() throws Exception {
+        String alone = run(BEGIN + BOOT + LIST + REQUEST + "eob\n");
         out.reset();
-        String both = run(OPEN + BOOT.replace("node-3", "node-5") + LIST.replace("node=node-3", "node=node-5") + BOOT
-                + LIST + ITEM.replace("node-3", "node-5") + ITEM + "eob\n");
-        StringBuilder own = new StringBuilder();
-        both.lines()
+        String together = run(BEGIN + BOOT.replace("node-3", "node-5") + LIST.replace("node=node-3", "node=node-5")
+                + BOOT + LIST + REQUEST.replace("node-3", "node-5") + REQUEST + "eob\n");
+        StringBuilder ownLines = new StringBuilder();
+        together.lines()
                 .filter(l -> !l.contains("node-5"))
-                .forEach(l -> own.append(l).append('\n'));
-        assertEquals(one, own.toString());
+                .forEach(l -> ownLines.append(l).append('\n'));
+        assertEquals(alone, ownLines.toString());
     }
 }
--- a/node/src/test/java/loadbalancer/simulator/WireBytesTest.java
+++ b/node/src/test/java/loadbalancer/simulator/WireBytesTest.java
@@ -16,30 +16,30 @@
 import loadbalancer.settings.SettingsReader;
 import org.junit.jupiter.api.Test;
 
-/** The simulator's words as they go over its wire and stand in its settings, byte for byte. */
+/** The names on the simulator's wire and in its settings, byte for byte. */
 class WireBytesTest {
 
     @Test
-    void everyActionHasItsLine() throws Exception {
+    void eachActionIsWrittenAsOneLine() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        WireLineWriter reply = new WireLineWriter(out);
-        reply.setNode("node-3");
-        reply.send(0xb7c6f2075d3a91c4L, "10.0.0.7:8003", 7, 1_240_000);
-        reply.send(1, "s\u00e9", Long.MAX_VALUE, 0);
-        reply.cancel(2, 10);
-        reply.reject(3, 0);
-        reply.reject(3, 250_000);
-        reply.fail(4);
-        reply.wakeAt(99);
-        reply.probe("a:1");
-        reply.closeIdle("b:2");
-        reply.subscribe();
-        reply.ejected("s\n1", 4, null);
-        reply.ejected("s1", 4, "view");
-        reply.restored("s1", null);
-        reply.restored("s1", "view");
-        reply.fault("gone\r");
-        reply.flush();
+        WireLineWriter writer = new WireLineWriter(out);
+        writer.setNode("node-3");
+        writer.send(0xb7c6f2075d3a91c4L, "10.0.0.7:8003", 7, 1_240_000);
+        writer.send(1, "s\u00e9", Long.MAX_VALUE, 0);
+        writer.cancel(2, 10);
+        writer.reject(3, 0);
+        writer.reject(3, 250_000);
+        writer.fail(4);
+        writer.wakeAt(99);
+        writer.probe("a:1");
+        writer.closeIdle("b:2");
+        writer.subscribe();
+        writer.ejected("s\n1", 4, null);
+        writer.ejected("s1", 4, "view");
+        writer.restored("s1", null);
+        writer.restored("s1", "view");
+        writer.fault("gone\r");
+        writer.flush();
         assertEquals("""
                 route node=node-3 handle=b7c6f2075d3a91c4 server=10.0.0.7:8003 untilUs=1240000
                 route node=node-3 handle=0000000000000001 server=s\u00e9 untilUs=0
@@ -61,8 +61,8 @@
     }
 
     @Test
-    void everySettingHasItsName() throws Exception {
-        BalancerSettings set = SettingsReader.read(Map.ofEntries(
+    void eachSettingIsReadByItsName() throws Exception {
+        BalancerSettings settings = SettingsReader.read(Map.ofEntries(
                 Map.entry("balancers", "9"),
                 Map.entry("me", "4"),
                 Map.entry("zones", "east,west"),
@@ -108,10 +108,10 @@
                 Map.entry("costs.crossZone", "0.125"),
                 Map.entry("extra.warmKeys", "true"),
                 Map.entry("report.fields", "concurrent,depth,load_share,mean_ms,tps,err_ps,odd")));
-        assertEquals(9, set.nodes);
-        assertEquals(4, set.nodeIndex);
-        assertEquals(List.of("east", "west"), set.zones);
-        assertEquals(1, set.localZone);
+        assertEquals(9, settings.nodes);
+        assertEquals(4, settings.nodeIndex);
+        assertEquals(List.of("east", "west"), settings.zones);
+        assertEquals(1, settings.localZone);
         assertEquals(
                 List.of(
                         new RequestClass(
@@ -128,31 +128,31 @@
                         new RequestClass("a", 1, 0, 2, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                         new RequestClass(
                                 "b", 1, 0, 2, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ZONE, 0, false)),
-                set.classes);
-        assertEquals(List.of(new Tenant("t")), set.tenants);
-        assertEquals(true, set.weightByWork);
-        assertEquals(7, set.maxAttempts);
-        assertEquals(true, set.hedging);
-        assertEquals(true, set.cancellation);
-        assertEquals(true, set.probes);
-        assertEquals(8, set.maxRetryAfterUs);
-        assertEquals(10, set.tickUs);
-        assertEquals(11, set.connectTimeoutUs);
-        assertEquals(true, set.pollsEndpointList);
-        assertEquals(12, set.pollIntervalUs);
-        assertEquals(13, set.drainGraceUs);
-        assertEquals(0.25, set.warmUpInitialShare);
-        assertEquals(14, set.warmUpUs);
-        assertEquals(3.5, set.overloadMultiple);
-        assertEquals(15, set.overloadUs);
-        assertEquals(0.125, set.crossZoneCost);
-        assertEquals(true, set.keyAffinity);
-        assertEquals(List.of(LoadReportField.values()), set.reportFields);
+                settings.classes);
+        assertEquals(List.of(new Tenant("t")), settings.tenants);
+        assertEquals(true, settings.weightByWork);
+        assertEquals(7, settings.maxAttempts);
+        assertEquals(true, settings.hedging);
+        assertEquals(true, settings.cancellation);
+        assertEquals(true, settings.probes);
+        assertEquals(8, settings.maxRetryAfterUs);
+        assertEquals(10, settings.tickUs);
+        assertEquals(11, settings.connectTimeoutUs);
+        assertEquals(true, settings.pollsEndpointList);
+        assertEquals(12, settings.pollIntervalUs);
+        assertEquals(13, settings.drainGraceUs);
+        assertEquals(0.25, settings.warmUpInitialShare);
+        assertEquals(14, settings.warmUpUs);
+        assertEquals(3.5, settings.overloadMultiple);
+        assertEquals(15, settings.overloadUs);
+        assertEquals(0.125, settings.crossZoneCost);
+        assertEquals(true, settings.keyAffinity);
+        assertEquals(List.of(LoadReportField.values()), settings.reportFields);
     }
 
-    /** One instance through every kind of event; the answer is written out whole. */
+    /** Sends every type of event to one node and compares the complete response. */
     @Test
-    void everyEventIsRead() throws Exception {
+    void eachEventIsRead() throws Exception {
         String in = """
                 begin_batch timeUs=1000000
                 boot node=n initSeed=5 classes.count=1 classes.0.name=view classes.0.giveUpUs=500000 \
