--- a/node/src/main/java/loadbalancer/admin/ControlServer.java
+++ b/node/src/main/java/loadbalancer/admin/ControlServer.java
@@ -33,7 +33,7 @@
     public static final int MAX_SOCKETS = MAX_CONNECTIONS + 1;
 
     private static final int MAX_LINE_BYTES = 1 << 10;
-    /** The lifetime of a connection. It is then closed even if no call has been received or no response been read. */
+    /** The maximum lifetime of a connection, whether or not its call has been received and its response been read. */
     private static final long CONNECTION_TIMEOUT_MILLIS = 3_000;
 
     private final EventLoop loop;
--- a/node/src/main/java/loadbalancer/admin/RequestOutcome.java
+++ b/node/src/main/java/loadbalancer/admin/RequestOutcome.java
@@ -2,7 +2,7 @@
 
 /** The outcome of a client's request, as counted in the metrics. */
 public enum RequestOutcome {
-    /** The response of a server was forwarded. */
+    /** A successful response of a server was forwarded. */
     SERVED("passed"),
     /** The node rejected the request with status 503. */
     REJECTED("dropped"),
--- a/node/src/main/java/loadbalancer/discovery/WatchStateMachine.java
+++ b/node/src/main/java/loadbalancer/discovery/WatchStateMachine.java
@@ -47,7 +47,10 @@
     private final ReconnectBackoff backoff;
     private final long maxLagNanos;
     private InetSocketAddress address;
-    /** The known version: that of the last accepted list, or 0 after a watch has failed because it lagged. */
+    /**
+     * The known version: that of the last accepted list, or of the list at startup if none has been accepted. Set to 0
+     * if a watch fails because it lagged.
+     */
     private long version;
 
     private boolean keepsSubscribed;
@@ -64,7 +67,7 @@
         version = config.initialVersion();
     }
 
-    /** Opens a watch, and from now on reopens it after each failure. */
+    /** Opens a watch, and from now on reopens it after each failure, with a backoff delay. */
     void keepSubscribed() {
         keepsSubscribed = true;
         subscribe();
@@ -134,7 +137,8 @@
             if (messageReceived) {
                 failIfBehindTooLong(nowNanos);
             } else {
-                // A heartbeat as the first message means that nothing has changed since the requested version.
+                // A heartbeat as the first message means that nothing has changed since the requested version. It counts
+                // as an empty list with the known version.
                 onList(EndpointList.unchangedSince(version), nowNanos);
             }
         }
