--- a/node/src/main/java/loadbalancer/config/NodeConfigReader.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfigReader.java
@@ -89,7 +89,7 @@
         for (RequestClass requestClass : settings.classes) {
             if (!names.add(requestClass.name())) {
                 throw new ConfigException(
-                        ConfigNames.SETTINGS + ".classes", "has two of the name " + requestClass.name());
+                        ConfigNames.SETTINGS + ".classes", "has two classes named " + requestClass.name());
             }
         }
     }
--- a/node/src/main/java/loadbalancer/settings/SettingValues.java
+++ b/node/src/main/java/loadbalancer/settings/SettingValues.java
@@ -60,7 +60,7 @@
     long requiredPositiveLong(String name) throws InvalidSettingException {
         double value = requiredDouble(name);
         if (value < 1 || value != Math.rint(value)) {
-            throw new InvalidSettingException(name, "is not positive and whole: " + required(name));
+            throw new InvalidSettingException(name, "is not a positive integer: " + required(name));
         }
         return (long) value;
     }
