--- a/node/src/main/java/loadbalancer/admin/ControlCallHandler.java
+++ b/node/src/main/java/loadbalancer/admin/ControlCallHandler.java
@@ -28,7 +28,7 @@
                 case UNCORDON -> ControlResponse.acceptedAfter(node.setCordoned(call.serverId(), false));
             };
         } catch (RuntimeException e) {
-            // A bug in the node must not end the process: the operator gets a response and clients stay connected.
+            // A bug in the node: the operator still receives a response, and clients stay connected.
             Log.error("control_call_error", e, "call", call.type().wireName());
             return ControlResponse.rejected("defect in the node");
         }
--- a/node/src/main/java/loadbalancer/admin/CordonStore.java
+++ b/node/src/main/java/loadbalancer/admin/CordonStore.java
@@ -95,7 +95,7 @@
 
     /**
      * Cordons or uncordons a server. The file is written before the cordons in memory change, so that an accepted call
-     * survives a crash of the process.
+     * remains in force after this process has ended.
      *
      * @throws RejectedCallException if the server has never been listed, another process holds the lock, or the file
      *     cannot be written; the cordon of the server is unchanged
--- a/node/src/main/java/loadbalancer/config/ClassRegistry.java
+++ b/node/src/main/java/loadbalancer/config/ClassRegistry.java
@@ -40,8 +40,8 @@
 
     /**
      * Returns the registry after a reload of the configuration. The number of nodes, the node's index, the zones, the
-     * fields of load reports, and whether the endpoint list is polled keep their current values: they change only with
-     * a restart.
+     * node's zone, the fields of load reports, and whether the endpoint list is polled keep their current values: they
+     * change only with a restart.
      *
      * @param loaded the settings that were read; modified by this method and owned by the new registry
      */
--- a/node/src/main/java/loadbalancer/config/ConfigException.java
+++ b/node/src/main/java/loadbalancer/config/ConfigException.java
@@ -1,6 +1,6 @@
 package loadbalancer.config;
 
-/** Thrown if the configuration of a node is missing or invalid. The message is written for operators. */
+/** Thrown if the configuration of a node is missing or invalid. The message is one line, written for operators. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
+++ b/node/src/main/java/loadbalancer/discovery/EndpointWatcher.java
@@ -27,8 +27,8 @@
  *   <li>Nothing is received for {@link WatchTimeouts#silenceUs} after the first message.
  *   <li>The connection closes, or the response ends, is malformed or has a status other than 200.
  *   <li>A list is malformed or longer than {@link JsonDocumentFramer} accepts.
- *   <li>The lists have been older than the known version for longer than {@link WatchTimeouts#maxLagUs}. This is checked
- *       when a list or a heartbeat arrives.
+ *   <li>The lists have been older than the known version for longer than {@link WatchTimeouts#maxLagUs}. This is
+ *       checked when a list or a heartbeat arrives.
  * </ul>
  *
  * <p>The connection of a failed watch is closed and the failure is reported to the listener; the last accepted list
--- a/node/src/main/java/loadbalancer/discovery/WatchStateMachine.java
+++ b/node/src/main/java/loadbalancer/discovery/WatchStateMachine.java
@@ -137,8 +137,8 @@
             if (messageReceived) {
                 failIfBehindTooLong(nowNanos);
             } else {
-                // A heartbeat as the first message means that nothing has changed since the requested version. It counts
-                // as an empty list with the known version.
+                // A heartbeat as the first message means that nothing has changed since the requested version. It is
+                // treated as an empty list with the known version.
                 onList(EndpointList.unchangedSince(version), nowNanos);
             }
         }
