--- a/node/src/main/java/loadbalancer/admin/ControlServer.java
+++ b/node/src/main/java/loadbalancer/admin/ControlServer.java
@@ -24,21 +24,21 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * The server at the control address: accepts operators' connections, each of which carries one call, a line, and its
- * answer. Runs on the event loop of the node; {@link #listen} may be called from any thread.
+ * The server at the control address. Each connection of an operator carries one call, which is one line, and its
+ * response. Used on the event loop of the node only, except for {@link #listen}, which any thread may call.
  */
 public final class ControlServer {
     private static final int MAX_CONNECTIONS = 16;
-    /** File descriptors that the server may hold: its connections, and the one that it listens on. */
+    /** The maximum number of file descriptors that the server holds: its connections and its listening socket. */
     public static final int MAX_SOCKETS = MAX_CONNECTIONS + 1;
 
     private static final int MAX_LINE_BYTES = 1 << 10;
-    /** After so long a connection is closed, whether its call has come and its answer has been read or not. */
+    /** The maximum lifetime of a connection, whether or not its call has been received and its response been read. */
     private static final long CONNECTION_TIMEOUT_MILLIS = 3_000;
 
     private final EventLoop loop;
     private final ControlCallHandler callHandler;
-    /** The open connections, the oldest first. */
+    /** The open connections, oldest first. */
     private final ArrayDeque<Connection> connections = new ArrayDeque<>();
 
     private Channel listener;
@@ -48,9 +48,9 @@
         callHandler = new ControlCallHandler(node);
     }
 
-    /** Listens on this address; the future is done once operators can connect. */
+    /** Listens on the given address; the future completes when operators can connect. */
     public ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture opening = new ServerBootstrap()
+        ChannelFuture bindFuture = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -62,13 +62,13 @@
                     }
                 })
                 .bind(address);
-        listener = opening.channel();
-        return opening;
+        listener = bindFuture.channel();
+        return bindFuture;
     }
 
     private void accept(SocketChannel channel) {
         if (connections.size() == MAX_CONNECTIONS) {
-            // The oldest most likely stays silent. It must not keep other operators out.
+            // The oldest connection is most likely idle; it must not prevent other operators from connecting.
             connections.poll().channel.close();
         }
         Connection connection = new Connection(channel);
@@ -76,20 +76,20 @@
         channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true), connection);
     }
 
-    /** Stops listening and closes all connections. */
+    /** Stops listening and closes all connections. Must be called after {@link #listen}. */
     public void close() {
         listener.close();
         connections.forEach(connection -> connection.channel.close());
     }
 
-    /** An operator's connection. */
+    /** The connection of an operator. */
     private final class Connection extends SimpleChannelInboundHandler<ByteBuf> {
         private final SocketChannel channel;
         private final Future<?> timeout;
-        /** Writes an answer that is delayed; null if none is. */
-        private Future<?> delayedAnswer;
+        /** The task that writes a delayed response; null if there is none. */
+        private Future<?> delayedResponse;
 
-        private boolean called;
+        private boolean callReceived;
 
         Connection(SocketChannel channel) {
             this.channel = channel;
@@ -98,30 +98,30 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
-            if (called) {
+            if (callReceived) {
                 return;
             }
-            called = true;
-            ControlAnswer answer = callHandler.handle(line.toString(StandardCharsets.UTF_8));
-            if (answer.delayMillis() == 0) {
-                write(answer);
+            callReceived = true;
+            ControlResponse response = callHandler.handle(line.toString(StandardCharsets.UTF_8));
+            if (response.delayMillis() == 0) {
+                write(response);
             } else {
-                delayedAnswer = loop.schedule(() -> write(answer), answer.delayMillis(), TimeUnit.MILLISECONDS);
+                delayedResponse = loop.schedule(() -> write(response), response.delayMillis(), TimeUnit.MILLISECONDS);
             }
         }
 
-        private void write(ControlAnswer answer) {
-            // Only the output is shut down: a close while bytes of the caller are unread would reset the connection,
-            // and the caller could lose the answer.
-            channel.writeAndFlush(Unpooled.copiedBuffer(answer.text() + "\n", StandardCharsets.UTF_8))
+        private void write(ControlResponse response) {
+            // Shuts down the output only: closing the socket while received bytes are unread would reset the
+            // connection, and the operator could lose the response.
+            channel.writeAndFlush(Unpooled.copiedBuffer(response.text() + "\n", StandardCharsets.UTF_8))
                     .addListener(written -> channel.shutdownOutput());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             timeout.cancel(false);
-            if (delayedAnswer != null) {
-                delayedAnswer.cancel(false);
+            if (delayedResponse != null) {
+                delayedResponse.cancel(false);
             }
             connections.remove(this);
         }
@@ -129,9 +129,9 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                if (!called) {
-                    called = true;
-                    write(ControlAnswer.rejected("line too long"));
+                if (!callReceived) {
+                    callReceived = true;
+                    write(ControlResponse.rejected("line too long"));
                 }
             } else if (!(cause instanceof IOException)) {
                 Log.error("control_connection_error", cause);
--- a/node/src/main/java/loadbalancer/discovery/WatchConnection.java
+++ b/node/src/main/java/loadbalancer/discovery/WatchConnection.java
@@ -28,8 +28,9 @@
 import loadbalancer.net.SocketAddresses;
 
 /**
- * One HTTP connection on which the discovery service writes endpoint lists and heartbeats. It fails when the service
- * ends it, writes what cannot be read, or is silent for too long. Runs on the event loop of the node.
+ * An HTTP connection to the discovery service, whose response is an unending stream of endpoint lists and heartbeats.
+ * Fails if the service ends it, sends malformed or overlong data, or sends nothing for too long. Used on the event loop
+ * of the node only.
  */
 final class WatchConnection extends SimpleChannelInboundHandler<HttpObject> implements WatchStateMachine.Connection {
     private static final String PATH = "/discovery/hosts?watch=1&after=";
@@ -44,8 +45,8 @@
     private final JsonDocumentFramer framer = new JsonDocumentFramer();
     private Channel channel;
     private Future<?> silenceTimeout;
-    /** Whether a document has come. */
-    private boolean answered;
+    /** Whether a complete document (a list or a heartbeat) has been received. */
+    private boolean documentReceived;
 
     private boolean closed;
 
@@ -67,14 +68,14 @@
     @Override
     public void connect(InetSocketAddress address, long afterVersion) {
         Log.info("watch_opened", "address", SocketAddresses.format(address), "after_version", afterVersion);
-        ChannelFuture opening = bootstrap.connect(address);
-        channel = opening.channel();
+        ChannelFuture connectFuture = bootstrap.connect(address);
+        channel = connectFuture.channel();
         restartSilenceTimeout(timeouts.firstMessageUs());
-        opening.addListener(done -> {
-            if (done.isSuccess()) {
+        connectFuture.addListener(future -> {
+            if (future.isSuccess()) {
                 sendRequest(afterVersion);
             } else {
-                fail("no connection: " + done.cause().getMessage());
+                fail("connect failed: " + future.cause().getMessage());
             }
         });
     }
@@ -112,18 +113,18 @@
         if (closed) {
             return;
         }
-        if (answered) {
+        if (documentReceived) {
             restartSilenceTimeout(timeouts.silenceUs());
         }
         if (message.decoderResult().isFailure()) {
-            fail("answer cannot be read");
+            fail("response is malformed");
         } else if (message instanceof HttpResponse response
                 && response.status().code() != HttpResponseStatus.OK.code()) {
             fail("status " + response.status().code());
         } else if (message instanceof HttpContent content) {
             readDocuments(content.content());
             if (message instanceof LastHttpContent) {
-                fail("watch ended");
+                fail("response ended");
             }
         }
     }
@@ -137,19 +138,19 @@
                 }
             }
         } catch (TooLongFrameException e) {
-            fail("line without an end");
+            fail("document is too long");
         } catch (IOException | InvalidEndpointListException e) {
-            fail("bad line: " + e.getMessage());
+            fail("invalid document: " + e.getMessage());
         }
     }
 
     private void readDocument(byte[] document) throws IOException, InvalidEndpointListException {
         if (isBlank(document)) {
-            onAnswered();
+            onDocumentReceived();
             listener.onHeartbeat(System.nanoTime());
         } else {
             EndpointList list = decode(document);
-            onAnswered();
+            onDocumentReceived();
             listener.onList(list, System.nanoTime());
         }
     }
@@ -169,16 +170,16 @@
         }
     }
 
-    private void onAnswered() {
-        if (!answered) {
-            answered = true;
+    private void onDocumentReceived() {
+        if (!documentReceived) {
+            documentReceived = true;
             restartSilenceTimeout(timeouts.silenceUs());
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        fail("connection ended");
+        fail("connection closed");
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/simulator/Rosters.java
+++ b/node/src/main/java/loadbalancer/simulator/Rosters.java
@@ -6,11 +6,14 @@
 import loadbalancer.policy.ServerEntry;
 import loadbalancer.policy.ServerState;
 
-/** The numbered lists of servers that the wire has given; notifications of the endpoint list refer to them. */
+/**
+ * The rosters received from the simulator: numbered lists of servers, to which notifications of the endpoint list
+ * refer. All nodes of a connection share them. A roster with a known number replaces the earlier one.
+ */
 final class Rosters {
     private static final int MAX_ROSTERS = 16;
 
-    /** A server of a roster. Its zone is still a name: nodes number zones by their own settings. */
+    /** A server in a roster. The zone is a name, as each node has its own zone indices; null if the line has none. */
     private record RosterEntry(
             String serverId, String zone, int cell, ServerState state, double capacity, long startedAtUs) {}
 
@@ -22,42 +25,42 @@
         }
     }
 
-    /** Reads a roster, whose first line is the current one, and moves to its last line. */
-    void read(WireLineReader line) throws IOException, WireException {
-        int number = readNumber(line);
-        long size = line.longOrDefault(WireNames.ROSTER_SIZE, 0);
+    /** Reads the roster that starts on the current line, and moves to its last line. */
+    void read(WireLineReader reader) throws IOException, WireException {
+        int number = readNumber(reader);
+        long size = reader.longOrDefault(WireNames.ROSTER_SIZE, 0);
         List<RosterEntry> entries = new ArrayList<>();
         for (long i = 0; i < size; i++) {
-            line.requireNext();
-            if (!line.isNamed(WireNames.ROSTER_SERVER)) {
-                throw line.invalid("a roster's line must be server, not " + line.name());
+            reader.requireNext();
+            if (!reader.isNamed(WireNames.ROSTER_SERVER)) {
+                throw reader.invalid("a roster line must be server, not " + reader.name());
             }
-            entries.add(readEntry(line));
+            entries.add(readEntry(reader));
         }
         rosters.set(number, entries);
     }
 
-    private static RosterEntry readEntry(WireLineReader line) throws WireException {
-        String state = line.requiredText(WireNames.SERVER_STATE);
+    private static RosterEntry readEntry(WireLineReader reader) throws WireException {
+        String state = reader.requiredText(WireNames.SERVER_STATE);
         return new RosterEntry(
-                line.requiredText(WireNames.SERVER_ID),
-                line.textOrNull(WireNames.ZONE),
-                (int) line.longOrDefault(WireNames.CELL, 0),
+                reader.requiredText(WireNames.SERVER_ID),
+                reader.textOrNull(WireNames.ZONE),
+                (int) reader.longOrDefault(WireNames.CELL, 0),
                 switch (state) {
                     case WireNames.STATE_READY -> ServerState.READY;
                     case WireNames.STATE_DRAINING -> ServerState.DRAINING;
                     case WireNames.STATE_GONE -> ServerState.GONE;
-                    default -> throw line.invalidField(WireNames.SERVER_STATE, "is unknown: " + state);
+                    default -> throw reader.invalidField(WireNames.SERVER_STATE, "is unknown: " + state);
                 },
-                line.doubleOrDefault(WireNames.CAPACITY, 1),
-                line.longOrDefault(WireNames.STARTED_AT_US, 0));
+                reader.doubleOrDefault(WireNames.CAPACITY, 1),
+                reader.longOrDefault(WireNames.STARTED_AT_US, 0));
     }
 
-    /** The servers of the roster that the current line refers to, as this node knows them. */
-    List<ServerEntry> servers(WireLineReader line, SimulatedNode node) throws WireException {
-        List<RosterEntry> roster = rosters.get(readNumber(line));
+    /** Returns the servers of the roster that the current line refers to, with the zone indices of the given node. */
+    List<ServerEntry> servers(WireLineReader reader, SimulatedNode node) throws WireException {
+        List<RosterEntry> roster = rosters.get(readNumber(reader));
         if (roster == null) {
-            throw line.invalidField(WireNames.ROSTER_NUMBER, "names a roster that was never given");
+            throw reader.invalidField(WireNames.ROSTER_NUMBER, "names a roster that was never given");
         }
         List<ServerEntry> servers = new ArrayList<>(roster.size());
         for (RosterEntry entry : roster) {
@@ -72,10 +75,10 @@
         return servers;
     }
 
-    private static int readNumber(WireLineReader line) throws WireException {
-        long number = line.requiredLong(WireNames.ROSTER_NUMBER);
+    private static int readNumber(WireLineReader reader) throws WireException {
+        long number = reader.requiredLong(WireNames.ROSTER_NUMBER);
         if (number < 0 || number >= MAX_ROSTERS) {
-            throw line.invalidField(WireNames.ROSTER_NUMBER, "is not from 0 to " + (MAX_ROSTERS - 1));
+            throw reader.invalidField(WireNames.ROSTER_NUMBER, "is not from 0 to " + (MAX_ROSTERS - 1));
         }
         return (int) number;
     }
--- a/node/src/main/java/loadbalancer/simulator/SimulatorConnection.java
+++ b/node/src/main/java/loadbalancer/simulator/SimulatorConnection.java
@@ -13,63 +13,63 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Runs the balancers of simulated nodes: carries each event of the wire to the balancer of its node, and the actions of
- * the balancer back. Decides nothing itself. Single-threaded.
+ * The connection to the simulator. Delivers each event on the wire to the balancer of its node, and writes the actions
+ * of the balancer back. Makes no decisions itself.
  */
 final class SimulatorConnection {
-    private final WireLineReader line;
-    private final WireLineWriter reply;
+    private final WireLineReader reader;
+    private final WireLineWriter writer;
     private final Rosters rosters = new Rosters();
     private final BalancerEventDecoder decoder;
     private final Map<String, SimulatedNode> nodes = new HashMap<>();
 
     SimulatorConnection(InputStream input, OutputStream output) {
-        line = new WireLineReader(input);
-        reply = new WireLineWriter(output);
-        decoder = new BalancerEventDecoder(line, rosters);
+        reader = new WireLineReader(input);
+        writer = new WireLineWriter(output);
+        decoder = new BalancerEventDecoder(reader, rosters);
     }
 
     /**
-     * Answers batch after batch until the input ends.
+     * Processes the batches of events one by one until the input ends.
      *
-     * @throws WireException if the input is malformed; of its batch nothing has been written
+     * @throws WireException if the input is malformed; no response to the malformed batch has been written
      */
     void run() throws IOException, WireException {
-        while (line.next()) {
-            if (!line.name().isEmpty()) {
-                answerBatch();
+        while (reader.next()) {
+            if (!reader.name().isEmpty()) {
+                processBatch();
             }
         }
     }
 
-    private void answerBatch() throws IOException, WireException {
-        if (!line.isNamed(WireNames.BEGIN_BATCH)) {
-            throw line.invalid("a batch must open with begin_batch, not " + line.name());
+    private void processBatch() throws IOException, WireException {
+        if (!reader.isNamed(WireNames.BEGIN_BATCH)) {
+            throw reader.invalid("a batch must start with begin_batch, not " + reader.name());
         }
-        long nowUs = line.requiredLong(WireNames.NOW_US);
-        line.requireNext();
-        while (!line.isNamed(WireNames.END_BATCH)) {
+        long nowUs = reader.requiredLong(WireNames.NOW_US);
+        reader.requireNext();
+        while (!reader.isNamed(WireNames.END_BATCH)) {
             handleEvent(nowUs);
-            line.requireNext();
+            reader.requireNext();
         }
-        reply.flush();
+        writer.flush();
     }
 
     private void handleEvent(long nowUs) throws IOException, WireException {
-        EventType type = EventType.of(line);
+        EventType type = EventType.of(reader);
         if (type == EventType.ROSTER) {
-            rosters.read(line);
+            rosters.read(reader);
             return;
         }
-        String nodeName = line.requiredText(WireNames.NODE);
-        reply.setNode(nodeName);
+        String nodeName = reader.requiredText(WireNames.NODE);
+        writer.setNode(nodeName);
         if (type == EventType.BOOT) {
             boot(nodeName);
             return;
         }
         SimulatedNode node = nodes.get(nodeName);
         if (node == null) {
-            throw line.invalidField(WireNames.NODE, "names an instance that was never started: " + nodeName);
+            throw reader.invalidField(WireNames.NODE, "names a node that was never started: " + nodeName);
         }
         if (type == EventType.SHUTDOWN) {
             nodes.remove(nodeName);
@@ -78,36 +78,36 @@
         deliver(decoder.decode(type, node, nowUs), node.balancer());
     }
 
-    /** Delivers an event; an exception of the balancer is an answer, not the end of the connection. */
+    /** Delivers an event. An exception thrown by the balancer is written as a fault and does not end the connection. */
     private void deliver(Consumer<Balancer> event, Balancer balancer) {
         try {
             event.accept(balancer);
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            reply.fault(e + (trace.length > 0 ? " at " + trace[0] : ""));
+            writer.fault(e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
     private void boot(String nodeName) throws WireException {
         BalancerSettings settings = readSettings();
-        long seed = line.requiredLong(WireNames.SEED);
+        long seed = reader.requiredLong(WireNames.SEED);
         try {
-            Balancer balancer = new ServiceQBalancer(settings, seed, reply);
+            Balancer balancer = new ServiceQBalancer(settings, seed, writer);
             nodes.put(nodeName, SimulatedNode.of(balancer, settings));
         } catch (IllegalArgumentException e) {
-            throw line.invalid("boot: " + e.getMessage());
+            throw reader.invalid("boot: " + e.getMessage());
         }
     }
 
     private BalancerSettings readSettings() throws WireException {
         Map<String, String> values = new HashMap<>();
-        for (int field = 0; field < line.fieldCount(); field++) {
-            values.put(line.key(field), line.value(field));
+        for (int field = 0; field < reader.fieldCount(); field++) {
+            values.put(reader.key(field), reader.value(field));
         }
         try {
             return SettingsReader.read(values);
         } catch (InvalidSettingException e) {
-            throw line.invalidField(e.setting(), e.problem());
+            throw reader.invalidField(e.setting(), e.problem());
         }
     }
 }
