--- a/node/src/main/java/loadbalancer/Main.java
+++ b/node/src/main/java/loadbalancer/Main.java
@@ -3,13 +3,16 @@
 import loadbalancer.process.ProcessLifecycle;
 import loadbalancer.simulator.SimulatorAdapter;
 
-/** The entry point of the program, which runs in one of two modes: a node, or the adapter for a simulator. */
+/** The entry point of the program. It runs in one of two modes: a node, or the adapter for a simulator. */
 public final class Main {
     private static final int EXIT_USAGE = 2;
 
     private Main() {}
 
-    /** Runs the mode that the only argument names; any other arguments end it with a usage line and exit code 2. */
+    /**
+     * Runs the mode that the single argument names. With any other arguments, prints a usage line to standard error and
+     * exits with code {@value #EXIT_USAGE}.
+     */
     public static void main(String[] args) {
         switch (args.length == 1 ? args[0] : "") {
             case "adapter" -> SimulatorAdapter.run();
--- a/node/src/main/java/loadbalancer/package-info.java
+++ b/node/src/main/java/loadbalancer/package-info.java
@@ -1,2 +1,2 @@
-/** The program: starts a node, or the simulator adapter. */
+/** The entry point of the program, which runs a node or the simulator adapter. */
 package loadbalancer;
--- a/node/src/main/java/loadbalancer/process/ConfigReloader.java
+++ b/node/src/main/java/loadbalancer/process/ConfigReloader.java
@@ -14,12 +14,13 @@
 import loadbalancer.request.RequestServices;
 
 /**
- * Reloads the configuration file into a running node, on SIGHUP. A file is taken as a whole or not at all.
+ * Reloads the configuration file of a running node on SIGHUP. A file is applied completely or not at all.
  *
- * <p>Requests in flight keep the class that they came with. Clients may ask by the classes before for as long as a
- * request by them can still be repeated; then these are forgotten.
+ * <p>Requests in flight keep the rules of the class that they arrived with. A class that the new file drops or changes
+ * is still accepted until the longest deadline of such a class has passed, because clients may retry requests that they
+ * sent under it.
  *
- * <p>{@link #reload} runs on the thread of the signal, all else on the event loop.
+ * <p>{@link #reload} runs on the signal's thread, all other methods on the event loop.
  */
 final class ConfigReloader {
     private final NodeConfig startConfig;
@@ -28,7 +29,7 @@
     private final EndpointWatcher discovery;
     private ClassRegistry classes;
 
-    /** @param classes those of the configuration that the node starts with */
+    /** @param classes the request classes of the configuration that the node starts with */
     ConfigReloader(
             NodeConfig startConfig,
             RequestServices services,
@@ -42,16 +43,16 @@
         this.classes = classes;
     }
 
-    /** The classes of requests as they are now. */
+    /** Returns the request classes in effect. */
     ClassRegistry classes() {
         return classes;
     }
 
     /**
-     * Reads the file again and applies it; a file that is not valid changes nothing.
+     * Reads the file again and applies it. An invalid file changes nothing; it is logged and counted.
      *
-     * <p>Synchronized, as two signals in quick succession come on two threads: the one that reads the file last must
-     * also be the last to apply it, or the node would go on with the older file.
+     * <p>Synchronized because two signals in quick succession arrive on two threads. The thread that reads the file
+     * last must also be the last to apply it, otherwise the node would keep the older file.
      */
     synchronized void reload(Map<String, String> env) {
         try {
@@ -77,13 +78,13 @@
         clients.setRequestReader(new RequestReader(next));
         services.pool().setTimeouts(next.settings().connectTimeoutUs, config.serverIdleTimeoutUs());
         discovery.moveTo(config.discoveryAddress());
-        services.loop().schedule(() -> retireClassesBefore(next), next.retirementDelayUs(), TimeUnit.MICROSECONDS);
+        services.loop().schedule(() -> retireDroppedClasses(next), next.retirementDelayUs(), TimeUnit.MICROSECONDS);
     }
 
-    /** Forgets the classes that are no longer in the file, unless another file has been applied since. */
-    private void retireClassesBefore(ClassRegistry applied) {
-        if (classes == applied) {
-            classes = applied.withoutRetiredClasses();
+    /** Stops accepting classes that are no longer in the file, unless another file has been applied since. */
+    private void retireDroppedClasses(ClassRegistry current) {
+        if (classes == current) {
+            classes = current.withoutRetiredClasses();
             clients.setRequestReader(new RequestReader(classes));
         }
     }
--- a/node/src/main/java/loadbalancer/process/ControlCalls.java
+++ b/node/src/main/java/loadbalancer/process/ControlCalls.java
@@ -9,16 +9,16 @@
 import loadbalancer.request.RequestTable;
 
 /**
- * Answers the calls of operators at the control address.
+ * Handles the operators' calls that arrive at the control address.
  *
- * <p>Used on the event loop only, but for {@link #setExtraMetrics}, which is called before the node starts.
+ * <p>All methods run on the event loop, except {@link #setExtraMetrics}, which is called before the node starts.
  */
 final class ControlCalls implements NodeOperations {
     private final RequestServices services;
     private final RequestTable requests;
     private final ServerListUpdater serverList;
     private boolean ready;
-    /** Lines of metrics beside the node's own; null where there are none. */
+    /** Supplies further lines of metrics; null if there are none. */
     private Supplier<String> extraMetrics;
 
     ControlCalls(RequestServices services, RequestTable requests, ServerListUpdater serverList) {
@@ -27,12 +27,12 @@
         this.serverList = serverList;
     }
 
-    /** Whether clients can connect; false at the start, and again from SIGTERM on. */
+    /** Sets whether the node is ready for clients: false until it listens, and false again from SIGTERM on. */
     void setReady(boolean ready) {
         this.ready = ready;
     }
 
-    /** Reports these lines behind the node's own metrics; before the start. */
+    /** Appends these lines to the node's metrics. Must be called before the node starts. */
     void setExtraMetrics(Supplier<String> lines) {
         extraMetrics = lines;
     }
--- a/node/src/main/java/loadbalancer/process/GracefulShutdown.java
+++ b/node/src/main/java/loadbalancer/process/GracefulShutdown.java
@@ -7,32 +7,40 @@
 import loadbalancer.request.RequestTable;
 
 /**
- * What a node does from SIGTERM until it has drained.
+ * Drains a node after SIGTERM.
  *
- * <p>A request that waits for a server, or for the response of one, goes on as if there were no shutdown: it is sent,
- * retried and hedged as ever, and gets its one response. What changes for it:
+ * <p>A request that waits for a server, or for a server's response, is still sent, retried and hedged as usual. Only
+ * the following changes:
  *
  * <ul>
- *   <li>Its response says {@code Connection: close} and ends the client's connection.
- *   <li>If it arrives after SIGTERM, the shutdown deadline is its deadline where its own is later.
- *   <li>At the shutdown deadline it fails, if it has no response yet: with 503 if no attempt was started, with 502 if a
- *       server may have run it. A response that is being transferred goes on.
+ *   <li>A response that starts after SIGTERM has {@code Connection: close}, and the node closes the connection after
+ *       it. If requests are pipelined behind it, this applies to the last of their responses instead.
+ *   <li>A request that arrives after SIGTERM gets the shutdown deadline if its own deadline is later.
+ *   <li>At the shutdown deadline, each request without a response fails: with 503 if no attempt was started, with 502
+ *       otherwise, because a server may have run it. A response that is being streamed goes on.
  * </ul>
  *
- * <p>The shutdown deadline guards against the kill: the platform sends SIGKILL at a fixed time after SIGTERM, and a
- * request that is open then ends in a reset connection, from which its client cannot tell whether it may repeat it.
+ * <p>The shutdown deadline ends shortly before the platform sends SIGKILL. A request that is still open at SIGKILL ends
+ * with a reset connection, and its client cannot tell whether a retry is safe.
  *
- * <p>Clients' connections are drained by {@link ClientServer#drain}, or by {@link ClientServer#drainForHandover}
- * where the platform holds the listening socket and the next process of the node accepts on it.
+ * <p>Without a handover ({@link ClientServer#drain}), the node accepts connections for a short time after SIGTERM. It
+ * then closes the listening socket and all idle client connections. With a handover ({@link
+ * ClientServer#drainForHandover}), the next process of the node accepts on the same listening socket, so this process
+ * stops accepting at once. It keeps idle client connections open until shortly before the shutdown deadline, because a
+ * request that crosses the close of its connection is dropped. In both cases a connection on which a request has partly
+ * arrived stays open until the response.
  */
 final class GracefulShutdown {
-    /** The platform lets a node run for its longest deadline after SIGTERM; of a longer one it counts this much. */
+    /** The platform grants a node its longest class deadline after SIGTERM, but never more than this. */
     private static final long MAX_GRACE_DEADLINE_US = 3_000_000;
-    /** After that time the platform waits for this long, then it kills the process. */
+    /** How long after the granted deadline the platform kills the process. */
     private static final long KILL_DELAY_US = 700_000;
-    /** How long before the kill the last response is written, so that it still reaches its client. */
+    /** How long before the kill the last responses are written, so that they still reach their clients. */
     private static final long RESPONSE_MARGIN_US = 200_000;
-    /** A handover closes idle connections this long before the shutdown deadline, as most requests need less. */
+    /**
+     * How long before the shutdown deadline a handover closes idle connections. Most requests that arrive just before
+     * that take less time than this.
+     */
     private static final long IDLE_CLOSE_MARGIN_US = 800_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
@@ -57,24 +65,32 @@
         this.handsOverListener = handsOverListener;
     }
 
-    /** Begins to drain; on the event loop. Calls back once no client is connected and none can connect any more. */
+    /**
+     * Starts to drain. Runs on the event loop.
+     *
+     * @param onDrained called on the event loop once no client is connected and this process no longer accepts
+     *     connections
+     */
     void begin(Runnable onDrained) {
         Log.info("draining", "open_requests", requests.pendingCount());
         long drainTimeoutUs = drainTimeoutUs();
         requests.setShutdownDeadline(services.clock().nowUs() + drainTimeoutUs);
         services.loop().schedule(requests::failPending, drainTimeoutUs, TimeUnit.MICROSECONDS);
         if (handsOverListener) {
-            long idleUs = Math.max(0, drainTimeoutUs - IDLE_CLOSE_MARGIN_US);
-            clients.drainForHandover(idleUs / MICROS_PER_MILLI, onDrained);
+            long idleCloseDelayUs = Math.max(0, drainTimeoutUs - IDLE_CLOSE_MARGIN_US);
+            clients.drainForHandover(idleCloseDelayUs / MICROS_PER_MILLI, onDrained);
         } else {
             clients.drain(onDrained);
         }
     }
 
-    /** By when every request has its response; reckoned from the file as it is now, as the platform does. */
+    /**
+     * Returns the time from SIGTERM to the shutdown deadline. Like the platform, it uses the longest class deadline of
+     * the configuration file in effect.
+     */
     private long drainTimeoutUs() {
-        long countedDeadlineUs =
+        long grantedDeadlineUs =
                 Math.min(MAX_GRACE_DEADLINE_US, config.classes().longestDeadlineUs());
-        return countedDeadlineUs + KILL_DELAY_US - RESPONSE_MARGIN_US;
+        return grantedDeadlineUs + KILL_DELAY_US - RESPONSE_MARGIN_US;
     }
 }
--- a/node/src/main/java/loadbalancer/process/Housekeeping.java
+++ b/node/src/main/java/loadbalancer/process/Housekeeping.java
@@ -10,17 +10,19 @@
 import loadbalancer.request.RequestTable;
 
 /**
- * The periodic work of a node: closes connections that have been idle for too long, fails transfers that make no
- * progress, follows cordons, and logs stalls of the event loop.
+ * The periodic work of a node: closes connections that have been idle for too long, ends attempts whose transfer has
+ * stalled, reads cordons that another process has changed, and logs stalls of the event loop.
  *
- * <p>A stall is logged because all of the work is done on one loop: while it stalls nothing is answered, and clients
- * see time-outs that no other log line explains.
+ * <p>An event loop stall is a time in which the loop handles nothing, either because one of its tasks takes long or
+ * because its thread does not get processor time. Stalls are logged because all requests share one loop: during a stall
+ * the node sends no responses, and clients see timeouts that no other log line explains. {@link LoopLagMeter} accounts
+ * for the time that requests wait through a stall.
  *
- * <p>Runs on the event loop.
+ * <p>{@link #start} may be called from any thread. All other methods run on the event loop.
  */
 final class Housekeeping {
     static final long INTERVAL_MILLIS = 250;
-    /** Housekeeping that runs late by more than this shows a stall. */
+    /** A run that is late by more than this counts as a stall of the event loop. */
     private static final long STALL_THRESHOLD_US = 200_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
@@ -47,7 +49,7 @@
         this.serverList = serverList;
     }
 
-    /** Runs it every {@value #INTERVAL_MILLIS} ms from now on. */
+    /** Starts the timer that runs the housekeeping every {@value #INTERVAL_MILLIS} ms. */
     void start() {
         lastRunUs = services.clock().nowUs();
         timer = loop.scheduleAtFixedRate(this::run, INTERVAL_MILLIS, INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
--- a/node/src/main/java/loadbalancer/process/InheritedListener.java
+++ b/node/src/main/java/loadbalancer/process/InheritedListener.java
@@ -6,16 +6,23 @@
 import loadbalancer.config.ConfigException;
 
 /**
- * The clients' listening socket where the platform holds it: each process of the node inherits it as descriptor 0 and
- * accepts on it, so that no connection is refused while one process follows another.
+ * Opens the listening socket for clients that the process inherits from the platform as file descriptor 0.
  *
- * <p>Once opened, the channel must not be closed before the process ends: the JDK would point the standard streams at
- * nothing with it, and the log would be lost.
+ * <p>The platform keeps the socket open and passes it to each process of the node. At a handover it starts the next
+ * process on the socket, waits until that process is ready, and sends SIGTERM to the previous one, which then stops
+ * accepting. The socket is never closed in between, so no connection is refused.
+ *
+ * <p>The opened channel must stay open until the process ends: when it is closed, the JDK redirects the standard
+ * streams to {@code /dev/null}, and the log is lost.
  */
 final class InheritedListener {
     private InheritedListener() {}
 
-    /** @throws ConfigException if descriptor 0 is not a listening socket with an address */
+    /**
+     * Returns the inherited listening socket.
+     *
+     * @throws ConfigException if descriptor 0 is not a listening socket with an IP address and a port
+     */
     static ServerSocketChannel open() throws ConfigException {
         try {
             if (System.inheritedChannel() instanceof ServerSocketChannel channel
@@ -24,8 +31,8 @@
                 return channel;
             }
         } catch (IOException e) {
-            throw new ConfigException("PROXY_SOCKET_FD", "names descriptor 0, which cannot be used: " + e);
+            throw new ConfigException("PROXY_SOCKET_FD", "is 0, but descriptor 0 cannot be opened: " + e);
         }
-        throw new ConfigException("PROXY_SOCKET_FD", "names descriptor 0, which is no listening socket");
+        throw new ConfigException("PROXY_SOCKET_FD", "is 0, but descriptor 0 is not a bound listening socket");
     }
 }
--- a/node/src/main/java/loadbalancer/process/Node.java
+++ b/node/src/main/java/loadbalancer/process/Node.java
@@ -27,16 +27,17 @@
 import loadbalancer.upstream.ServerPool;
 
 /**
- * A node: builds its parts, connects them, and starts and ends them. Nothing is decided here.
+ * A node: creates its parts, connects them, and starts and stops them. It makes no decisions.
  *
  * <ul>
- *   <li>Requests: {@link ClientServer} reads them, {@link RequestTable} holds them, {@link PolicyEventQueue} tells the
- *       balancer of them, and {@link NodeActions} carries out what it decides, by {@link ServerPool}.
- *   <li>Servers: {@link EndpointWatcher} and the operators' cordons, by {@link ServerListUpdater}.
+ *   <li>Requests: {@link ClientServer} reads them, {@link RequestTable} holds them, {@link PolicyEventQueue} reports
+ *       them to the balancer, and {@link NodeActions} carries out the balancer's decisions through {@link ServerPool}.
+ *   <li>Servers: {@link ServerListUpdater} passes on the endpoint list of {@link EndpointWatcher} and the operators'
+ *       cordons.
  *   <li>Operation: {@link ControlCalls}, {@link ConfigReloader}, {@link Housekeeping}, {@link GracefulShutdown}.
  * </ul>
  *
- * <p>All of it runs on one event loop. The methods of this class may be called from any thread.
+ * <p>All parts run on one event loop. The methods of this class may be called from any thread.
  */
 public final class Node {
     private final NodeConfig config;
@@ -87,26 +88,30 @@
         events.setBalancer(balancerFactory.apply(new NodeActions(services, requests, discovery, wakeTimer)));
     }
 
-    /** Called as requests come, long after the constructor has set the reloader. */
+    /** Returns the request classes in effect. Called when a request arrives, long after the reloader is set. */
     private ClassRegistry currentClasses() {
         return reloader.classes();
     }
 
-    /** Reports these lines behind the node's own metrics; before the start. */
+    /** Appends these lines to the node's metrics. Must be called before the node starts. */
     void setExtraMetrics(Supplier<String> lines) {
         controlCalls.setExtraMetrics(lines);
     }
 
-    /** Opens the control address, where the node is not ready until clients can connect; null without one. */
+    /**
+     * Opens the control address. There the node reports that it is not ready until clients can connect.
+     *
+     * @return done once operators can connect; null if the node has no control address
+     */
     ChannelFuture startControl() {
         return control == null ? null : control.listen(config.operations().controlAddress());
     }
 
     /**
-     * Begins to follow the endpoint list, if it has not begun yet.
+     * Starts to follow the endpoint list. Further calls do nothing.
      *
-     * <p>To be called ahead of {@link #start}: the list that a node starts with may be old, and its first requests
-     * would go to servers that drain or are gone.
+     * <p>Should be called well before {@link #start}: the list in the configuration file may be old, and the first
+     * requests would go to servers that are draining or gone.
      */
     void followEndpointList() {
         loop.execute(() -> {
@@ -122,15 +127,15 @@
         });
     }
 
-    /** Starts to serve clients on a listening socket of its own; the future is done once they can connect. */
+    /** Starts to serve clients on a new listening socket. The future is done once they can connect. */
     ChannelFuture start() {
         return start(null);
     }
 
     /**
-     * Starts to serve clients; the future is done once they can connect.
+     * Starts to serve clients. The future is done once they can connect.
      *
-     * @param inherited the listening socket that the platform holds; null for one of the node's own
+     * @param inherited the listening socket inherited from the platform; null to open a new one
      */
     ChannelFuture start(ServerSocketChannel inherited) {
         followEndpointList();
@@ -139,12 +144,16 @@
                 .addListener(listening -> controlCalls.setReady(listening.isSuccess()));
     }
 
-    /** Reads the configuration file again and applies it, if it is valid. */
+    /** Reads the configuration file again, and applies it if it is valid. */
     void reload(Map<String, String> env) {
         reloader.reload(env);
     }
 
-    /** Is no longer ready, serves what is in flight and still comes, and calls back once no client is left. */
+    /**
+     * Reports that the node is no longer ready, and drains it as {@link GracefulShutdown} describes.
+     *
+     * @param onDrained called on the event loop once no client is connected and the node no longer accepts connections
+     */
     void drain(Runnable onDrained) {
         loop.execute(() -> {
             controlCalls.setReady(false);
@@ -152,7 +161,10 @@
         });
     }
 
-    /** Closes all sockets and cancels all timers at once; open requests get no response. */
+    /**
+     * Stops the node without draining it: closes the listening sockets, the client connections, the idle server
+     * connections and the watch of the endpoint list, and stops the periodic work. Open requests get no response.
+     */
     public void close() {
         loop.execute(() -> {
             housekeeping.stop();
--- a/node/src/main/java/loadbalancer/process/NodeActions.java
+++ b/node/src/main/java/loadbalancer/process/NodeActions.java
@@ -9,9 +9,9 @@
 import loadbalancer.request.RequestTable;
 
 /**
- * Carries out on sockets and timers what the balancer decides. It decides nothing itself.
+ * Carries out the balancer's decisions on sockets and timers. It makes no decisions.
  *
- * <p>Called by the balancer, on the event loop, from inside an event that it handles.
+ * <p>The balancer calls it on the event loop, while the balancer handles an event.
  */
 final class NodeActions implements BalancerActions {
     private final RequestServices services;
--- a/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -14,14 +14,15 @@
 import loadbalancer.net.SocketAddresses;
 
 /**
- * The process in which a node runs: the steps of its start, its signals and its exit codes.
+ * Runs a node in this process: the steps of the start, the signals and the exit codes.
  *
- * <p>SIGHUP reloads the configuration ({@link ReloadSignal}). SIGTERM runs the shutdown hook, which waits until the
- * node has drained ({@link GracefulShutdown}); the process then ends with 143, the JVM's code for SIGTERM. A process
- * that cannot start writes one line to standard error and ends with {@value #EXIT_CANNOT_START}.
+ * <p>SIGHUP reloads the configuration ({@link ReloadSignal}). Once the node listens, SIGTERM runs a shutdown hook that
+ * waits until the node has drained ({@link GracefulShutdown}). The process then exits with 143, the JVM's exit code for
+ * SIGTERM. If the configuration is invalid or an address cannot be listened on, the process writes one line to standard
+ * error and exits with {@value #EXIT_CANNOT_START}.
  */
 public final class ProcessLifecycle {
-    /** The configuration is not valid, or an address cannot be listened on. */
+    /** The configuration is invalid, or an address cannot be listened on. */
     private static final int EXIT_CANNOT_START = 2;
 
     private final NodeConfig config;
@@ -33,7 +34,7 @@
         node = new Node(config, loop);
     }
 
-    /** Starts a node by this environment; it runs until SIGTERM. Returns once it listens. */
+    /** Starts a node that this environment configures. Returns once the node listens; it runs until SIGTERM. */
     public static void run(Map<String, String> env) {
         NodeConfig config;
         ServerSocketChannel inherited;
@@ -47,7 +48,10 @@
         new ProcessLifecycle(config).start(env, inherited);
     }
 
-    /** The list is followed ahead of the warm-up, which takes longer than discovery to answer. */
+    /**
+     * Starts the parts in order. Following the endpoint list starts before the warm-up: the warm-up takes longer than
+     * the response of discovery, so the list is current when the node listens.
+     */
     private void start(Map<String, String> env, ServerSocketChannel inherited) {
         ReloadSignal.handle(() -> node.reload(env));
         Runnable leaveMembership = joinMembership();
@@ -55,16 +59,16 @@
         node.followEndpointList();
         warmUp();
         ChannelFuture listening = node.start(inherited);
-        awaitListening("listen " + config.listenAddress(), listening);
+        awaitListening("listen: cannot listen on " + config.listenAddress(), listening);
         drainOnSigterm(leaveMembership);
         Log.info("listening", "address", addressOf(listening));
     }
 
     /**
-     * Joins the membership of the fleet, if the node takes part in one.
+     * Joins the membership of the fleet if one is configured.
      *
-     * @return leaves it again; null where there is nothing to leave. A Runnable, so that a node without a
-     *     fleet loads no class of the membership.
+     * @return leaves the membership; null if none is configured. The type is Runnable so that a node without a fleet
+     *     loads no membership class.
      */
     private Runnable joinMembership() {
         if (config.membership() == null) {
@@ -76,7 +80,7 @@
     private void startControl() {
         ChannelFuture control = node.startControl();
         if (control != null) {
-            awaitListening("control " + config.operations().controlAddress(), control);
+            awaitListening("control: cannot listen on " + config.operations().controlAddress(), control);
             Log.info("control_listening", "address", addressOf(control));
         }
     }
@@ -92,7 +96,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(() -> leaveAndDrain(leaveMembership), "drain"));
     }
 
-    /** Leaves the membership first: the process that follows this one waits for its address. */
+    /** Leaves the membership first, because the next process of the node waits for the membership address. */
     private void leaveAndDrain(Runnable leaveMembership) {
         if (leaveMembership != null) {
             leaveMembership.run();
@@ -110,9 +114,9 @@
         return SocketAddresses.format((InetSocketAddress) listening.channel().localAddress());
     }
 
-    private static void awaitListening(String where, ChannelFuture listening) {
+    private static void awaitListening(String errorPrefix, ChannelFuture listening) {
         if (!listening.awaitUninterruptibly().isSuccess()) {
-            exitCannotStart(where + ": " + listening.cause().getMessage());
+            exitCannotStart(errorPrefix + ": " + listening.cause().getMessage());
         }
     }
 
--- a/node/src/main/java/loadbalancer/process/ReloadSignal.java
+++ b/node/src/main/java/loadbalancer/process/ReloadSignal.java
@@ -4,17 +4,19 @@
 import loadbalancer.common.Log;
 
 /**
- * Handles SIGHUP, by which the platform says that the configuration file has been replaced. Without a handler the
- * signal ends the process.
+ * Handles SIGHUP, which the platform sends after it has replaced the configuration file. Without a handler, the signal
+ * ends the process.
  *
- * <p>The JDK offers signals by {@code sun.misc.Signal} only, which it exports. It is called by reflection, as the
- * compiler warns of that package and the warning cannot be suppressed.
+ * <p>The JDK handles signals only through {@code sun.misc.Signal}, in a package that it exports. It is called by
+ * reflection because the compiler warns about that package and the warning cannot be suppressed.
  */
 final class ReloadSignal {
     private ReloadSignal() {}
 
     /**
-     * Runs this each time that the signal comes, on a thread of its own: two signals may run it on two threads at once.
+     * Sets the handler for SIGHUP.
+     *
+     * @param reload runs on a new thread for each signal, so two signals may run it on two threads at the same time
      */
     static void handle(Runnable reload) {
         try {
@@ -35,8 +37,9 @@
     }
 
     /**
-     * Guards against a reload that is lost without a trace: the JVM leaves a signal ignored that was ignored at its
-     * start, as under nohup. The node then never learns of a discovery that has moved.
+     * Logs a warning if SIGHUP is ignored, because reloads are then lost silently. The JVM keeps ignoring a signal that
+     * was ignored when the process started, as under nohup. The node would then keep using the old address of a
+     * discovery service that has moved.
      */
     private static void warnIfIgnored(Object previousHandler, Class<?> handlerType)
             throws ReflectiveOperationException {
@@ -44,7 +47,7 @@
             Log.warn(
                     "reload_unavailable",
                     "reason",
-                    "SIGHUP is ignored, as by nohup: no new configuration will be taken");
+                    "SIGHUP was ignored at the start, as under nohup: the configuration cannot be reloaded");
         }
     }
 }
--- a/node/src/main/java/loadbalancer/process/ServerListUpdater.java
+++ b/node/src/main/java/loadbalancer/process/ServerListUpdater.java
@@ -10,13 +10,15 @@
 import loadbalancer.request.RequestServices;
 
 /**
- * Hands each change of the servers on to the server pool and to the balancer: the endpoint list of discovery, and the
- * cordons of the operators.
+ * Passes changes of the endpoint list and of the operators' cordons on to the server pool and the balancer.
  *
- * <p>Used on the event loop only.
+ * <p>All methods run on the event loop.
  */
 final class ServerListUpdater implements EndpointWatcher.Listener {
-    /** By then any other process of this node has refreshed its cordons, even after a short stall. */
+    /**
+     * How long another process of this node takes at most to read a new cordon. Two housekeeping intervals, so that a
+     * short stall of that process is covered.
+     */
     static final long CORDON_PROPAGATION_MILLIS = 2 * Housekeeping.INTERVAL_MILLIS;
 
     private final RequestServices services;
@@ -39,15 +41,15 @@
                 .submit(balancer -> balancer.onListFailed(services.clock().nowUs()));
     }
 
-    /** Takes the list that the node starts with, which may be old. */
+    /** Applies the list of the configuration file, which may be old. */
     void loadCached(EndpointList list) {
         update(list, ListKind.CACHED);
     }
 
     /**
-     * The pool is updated first, as the balancer sends to new servers at once. The pool closes connections to draining
-     * servers, and the attempts that this ends are reported to the balancer after the list: otherwise it would retry
-     * them on the same servers.
+     * Updates the pool before the balancer, because the balancer sends requests to new servers at once. The pool ends
+     * the attempts that wait for a connection to a draining server. All of this is one event, so the outcomes of these
+     * attempts reach the balancer after the list. Otherwise the balancer would retry them on the same servers.
      */
     private void update(EndpointList list, ListKind kind) {
         services.events().submit(balancer -> {
@@ -63,9 +65,9 @@
     /**
      * Cordons a server, or ends its cordon.
      *
-     * @return after how many milliseconds all processes of the node follow it: another process finds out with its next
-     *     refresh
-     * @throws RejectedCallException if the change cannot be made; nothing has changed then
+     * @return how many milliseconds it takes until all processes of the node respect a new cordon, because another
+     *     process reads it at its next refresh; 0 if the cordon is not shared, or if a cordon ends
+     * @throws RejectedCallException if the change cannot be made; then nothing has changed
      */
     long setCordoned(String serverId, boolean cordoned) throws RejectedCallException {
         cordons.setCordoned(serverId, cordoned);
@@ -74,7 +76,7 @@
         return cordoned && cordons.isShared() ? CORDON_PROPAGATION_MILLIS : 0;
     }
 
-    /** Follows the cordons that another process of this node has changed. */
+    /** Reads and applies cordons that another process of this node has changed. */
     void refreshCordons() {
         if (cordons.refresh()) {
             publishCordons();
--- a/node/src/main/java/loadbalancer/process/WakeTimer.java
+++ b/node/src/main/java/loadbalancer/process/WakeTimer.java
@@ -5,14 +5,13 @@
 import loadbalancer.request.RequestServices;
 
 /**
- * The timer that the balancer asks for with {@link loadbalancer.policy.BalancerActions#wakeAt}. At most one wake-up
- * is pending: a later call takes the place of an earlier one.
+ * The timer that the balancer sets with {@link loadbalancer.policy.BalancerActions#wakeAt}. At most one wake-up is
+ * pending: a later call replaces an earlier one.
  *
- * <p>Guards against wake-ups that come before their time by the node's clock, if a timer of the loop fires early: the
- * balancer would find nothing due and ask for the same time again, over and over. An early timer is set again for the
- * time that is left.
+ * <p>A timer of the event loop may fire before its time by the node's clock. The balancer would then find nothing due
+ * and set the same time again, repeatedly. A timer that fires early is therefore set again for the remaining time.
  *
- * <p>Used on the event loop only.
+ * <p>All methods run on the event loop.
  */
 final class WakeTimer {
     private final RequestServices services;
@@ -23,14 +22,14 @@
         this.services = services;
     }
 
-    /** Wakes the balancer at this time, and no longer at the one that was set before. */
+    /** Wakes the balancer at this time; replaces a time that was set before. */
     void schedule(long atUs) {
         cancel();
         wakeAtUs = atUs;
         scheduleRemaining();
     }
 
-    /** Wakes the balancer no more, unless it is scheduled again. */
+    /** Cancels the pending wake-up, if there is one. */
     void cancel() {
         if (pending != null) {
             pending.cancel(false);
--- a/node/src/main/java/loadbalancer/process/WarmUp.java
+++ b/node/src/main/java/loadbalancer/process/WarmUp.java
@@ -40,26 +40,30 @@
 import loadbalancer.transfer.TransferLimits;
 
 /**
- * The warm-up traffic of a starting process: before it listens to clients, a second node in the same process serves
- * requests from a client of its own to a server of its own, on the address that the node may listen on.
+ * Warms up a starting process before it listens for clients: a second node in the same process serves requests from a
+ * built-in client to a built-in server. The second node and the server listen on free ports of the IP address that the
+ * node will listen on.
  *
- * <p>What it warms: the classes of the request path are loaded and initialized, its lambdas are linked, its methods are
- * compiled, and the buffer pool has its first chunks. The second node shares the event loop and the code, and nothing
- * else: no metric, no record of a server, and no connection of it outlasts the warm-up.
+ * <p>The warm-up loads and initializes the classes of the request path, links its lambdas, gets its methods compiled,
+ * and allocates the first chunks of the buffer pool. The second node shares only the event loop and the code. Its
+ * metrics and its record of servers are discarded, and its connections are closed.
  *
- * <p>Guards against a restart under full load: there, cold code stalled the event loop for up to 90 ms at a time in the
- * first second, and requests ran out of time. It shows as time-outs in the first second after a start.
+ * <p>Without a warm-up, a restart under full load makes requests time out: cold code stalls the event loop for up to 90
+ * ms at a time in the first second after the start.
  *
- * <p>{@link #run} blocks the calling thread, which must not be the event loop; the handlers run on the event loop.
+ * <p>{@link #run} blocks the calling thread, which must not be the event loop. The handlers run on the event loop.
  */
 final class WarmUp {
-    /** Enough that what each request calls is compiled; with 600 a restart took over a second longer. */
+    /**
+     * Number of requests: enough to get the methods compiled that every request calls. 600 requests make a restart over
+     * a second longer.
+     */
     static final int REQUESTS = 200;
 
     private static final int CONNECTIONS = 4;
     /**
-     * A start must not wait for longer, however little processor time there is: cold, half a core serves 35 requests in
-     * 500 ms, and a node that listens before it is warm does the same with clients waiting.
+     * Upper bound on the delay of a start with little processor time. Half a core serves only 35 requests in 500 ms
+     * while the code is cold. A node that listens before it is warm is as slow, but with clients waiting.
      */
     private static final long MAX_DURATION_MILLIS = 6_000;
 
@@ -68,14 +72,14 @@
 
     private final MeasuredEventLoop loop;
     private final List<RequestClass> classes;
-    private final CountDownLatch unanswered = new CountDownLatch(REQUESTS);
+    private final CountDownLatch remainingResponses = new CountDownLatch(REQUESTS);
 
     private WarmUp(MeasuredEventLoop loop, List<RequestClass> classes) {
         this.loop = loop;
         this.classes = classes;
     }
 
-    /** Serves requests until there were {@link #REQUESTS} or the time is up; returns how many there were. */
+    /** Serves {@link #REQUESTS} requests, or fewer if the time is up first. Returns the number of requests served. */
     static long run(NodeConfig config, MeasuredEventLoop loop) {
         return new WarmUp(loop, config.settings().classes).run(config);
     }
@@ -85,10 +89,10 @@
         Node node = new Node(config.isolated(listOf(server)), loop);
         Channel listener = node.start().syncUninterruptibly().channel();
         connectClients((InetSocketAddress) listener.localAddress());
-        awaitAnswers();
+        awaitResponses();
         node.close();
         server.close();
-        return REQUESTS - unanswered.getCount();
+        return REQUESTS - remainingResponses.getCount();
     }
 
     private Channel startServer(NodeConfig config) {
@@ -119,9 +123,9 @@
         }
     }
 
-    private void awaitAnswers() {
+    private void awaitResponses() {
         try {
-            unanswered.await(MAX_DURATION_MILLIS, TimeUnit.MILLISECONDS);
+            remainingResponses.await(MAX_DURATION_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -141,7 +145,7 @@
         };
     }
 
-    /** A connection of the warm-up, which may break when the node closes in the middle of a request. */
+    /** Closes the connection on errors: the connection may break when the node closes in the middle of a request. */
     private abstract static class ConnectionHandler<T> extends SimpleChannelInboundHandler<T> {
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
@@ -149,7 +153,7 @@
         }
     }
 
-    /** Answers every request with a small body. */
+    /** Responds to every request with a small body. */
     private static final class ServerHandler extends ConnectionHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
@@ -160,7 +164,7 @@
         }
     }
 
-    /** Sends requests of each class in turn, the next one once the last is answered. */
+    /** Sends requests of each class in turn, each one after the response to the one before. */
     private final class ClientHandler extends ConnectionHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
@@ -169,14 +173,14 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            unanswered.countDown();
-            if (unanswered.getCount() > 0) {
+            remainingResponses.countDown();
+            if (remainingResponses.getCount() > 0) {
                 sendRequest(context);
             }
         }
 
         private void sendRequest(ChannelHandlerContext context) {
-            long number = unanswered.getCount();
+            long number = remainingResponses.getCount();
             RequestClass requestClass = classes.get((int) (number % classes.size()));
             boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
             int bodyBytes = idempotent ? 0 : BODY_BYTES;
--- a/node/src/main/java/loadbalancer/process/package-info.java
+++ b/node/src/main/java/loadbalancer/process/package-info.java
@@ -1,9 +1,12 @@
 /**
- * The process of a node: the steps of its start, its signals, warm-up, reload and graceful shutdown, and the wiring
- * of all parts.
+ * The process of a node: startup, signals, warm-up, reload, graceful shutdown, and the wiring of all parts.
  *
- * <p>Owns the order of the start and of the end, and the event loop on which all parts run. May use every other
- * package, but for the simulator's; no other package uses this one. Decides nothing about requests and servers: that
- * is the policy's.
+ * <p>{@link ProcessLifecycle} starts the parts in order and handles signals. {@link Node} creates the parts and
+ * connects them. All of them run on one event loop. Only the membership protocol has a separate loop.
+ *
+ * <p>"The platform" is the environment that starts the process, sends it SIGHUP and SIGTERM, and kills it.
+ *
+ * <p>This package may use every other package except the simulator's. Only the entry point of the program uses it. The
+ * policy, not this package, makes all decisions about requests and servers.
  */
 package loadbalancer.process;
