--- a/node/src/main/java/loadbalancer/common/Log.java
+++ b/node/src/main/java/loadbalancer/common/Log.java
@@ -1,35 +1,36 @@
 package loadbalancer.common;
 
 /**
- * The structured log of a node on standard error: one line an event, such as
- * {@code level=info event=listening address=127.0.0.1:8000}. Event names and keys are snake_case; a value that holds
- * spaces, quotes or equals signs is quoted. Fields whose value is null are left out.
+ * The structured log of a node on standard error, with one line per event, such as
+ * {@code level=info event=listening address=127.0.0.1:8000}. Event names and keys are in snake_case. A value that is
+ * empty or contains spaces, quotes or equals signs is quoted, and its line breaks are replaced by spaces. Fields whose
+ * value is null are omitted.
  *
- * <p>Thread-safe. At most {@value #MAX_EVENTS_PER_SECOND} events a second are written, the rest are dropped: a flood of
- * failures must not stall the event loop, which waits for the write.
+ * <p>Thread-safe. At most {@value #MAX_EVENTS_PER_SECOND} events per second are written, further ones are dropped. A
+ * write blocks the calling thread, so without this limit many failures at once could stall the event loop.
  */
 public final class Log {
     private static final int MAX_EVENTS_PER_SECOND = 20;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    private static long second;
-    private static int events;
+    private static long currentSecond;
+    private static int eventsInSecond;
 
     private Log() {}
 
-    /** Writes an event of ordinary operation; keys and values alternate. */
+    /** Logs an event of normal operation. Keys and values alternate. */
     public static void info(String event, Object... keysAndValues) {
         write("info", event, keysAndValues);
     }
 
-    /** Writes an event that an operator should look at; keys and values alternate. */
+    /** Logs an event that an operator should examine. Keys and values alternate. */
     public static void warn(String event, Object... keysAndValues) {
         write("warn", event, keysAndValues);
     }
 
-    /** Writes an exception that nobody expects, with its stack trace; keys and values alternate. */
+    /** Logs an unexpected exception with its stack trace, which takes further lines. Keys and values alternate. */
     public static void error(String event, Throwable cause, Object... keysAndValues) {
-        if (!hasRoom()) {
+        if (!tryAcquire()) {
             return;
         }
         StringBuilder text = new StringBuilder(line("error", event, keysAndValues));
@@ -41,12 +42,12 @@
     }
 
     private static void write(String level, String event, Object... keysAndValues) {
-        if (hasRoom()) {
+        if (tryAcquire()) {
             System.err.println(line(level, event, keysAndValues));
         }
     }
 
-    /** The text of an event. */
+    /** Formats an event as a line of the log. */
     static String line(String level, String event, Object... keysAndValues) {
         StringBuilder text =
                 new StringBuilder("level=").append(level).append(" event=").append(event);
@@ -74,12 +75,13 @@
         return value.isEmpty() || value.indexOf(' ') >= 0 || value.indexOf('"') >= 0 || value.indexOf('=') >= 0;
     }
 
-    private static synchronized boolean hasRoom() {
+    /** Counts an event and returns whether it is within the limit per second. */
+    private static synchronized boolean tryAcquire() {
         long now = System.nanoTime() / NANOS_PER_SECOND;
-        if (now != second) {
-            second = now;
-            events = 0;
+        if (now != currentSecond) {
+            currentSecond = now;
+            eventsInSecond = 0;
         }
-        return ++events <= MAX_EVENTS_PER_SECOND;
+        return ++eventsInSecond <= MAX_EVENTS_PER_SECOND;
     }
 }
--- a/node/src/main/java/loadbalancer/common/MonotonicWallClock.java
+++ b/node/src/main/java/loadbalancer/common/MonotonicWallClock.java
@@ -4,13 +4,15 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * Unix time in microseconds that never goes back: the wall clock is read once, when this clock is made, and the
- * monotonic clock measures the time since then.
+ * A clock of Unix time in microseconds that never goes backwards. It reads the wall clock once, when it is created, and
+ * measures the time since then with the monotonic clock.
  *
- * <p>Deadlines, backoffs and ejection times are points on this clock. If each were read from the wall clock, an
- * operator or NTP that sets it while requests are in flight would move their deadlines: set forward, all of them fail
- * at once; set back, none of them times out. The price is that the time drifts from the wall clock over a long life
- * of the process, which is harmless, as times are compared only with each other.
+ * <p>Deadlines, backoffs and ejection times are times of this clock. With the wall clock, an adjustment by an operator
+ * or by NTP would move the deadlines of requests in flight: set forward, all of them fail at once; set back, none of
+ * them times out.
+ *
+ * <p>Trade-off: the clock drifts from the wall clock while the process runs. This is harmless, because its times are
+ * only compared with each other.
  *
  * <p>Thread-safe.
  */
@@ -18,12 +20,12 @@
     private final long originUnixUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
     private final long originNanos = System.nanoTime();
 
-    /** The time now, in microseconds since 1970. */
+    /** Returns the current time in microseconds since 1970-01-01 UTC. */
     public long nowUs() {
         return unixMicrosOf(System.nanoTime());
     }
 
-    /** A reading of {@link System#nanoTime} as a time of this clock. */
+    /** Converts a value of {@link System#nanoTime} to a time of this clock. */
     public long unixMicrosOf(long nanoTime) {
         return originUnixUs + (nanoTime - originNanos) / 1_000;
     }
--- a/node/src/main/java/loadbalancer/common/SocketBudget.java
+++ b/node/src/main/java/loadbalancer/common/SocketBudget.java
@@ -1,19 +1,19 @@
 package loadbalancer.common;
 
 /**
- * Counts the open sockets of a node against the process's limit of file descriptors.
+ * Counts the open sockets of a node against the file descriptor limit of the process.
  *
- * <p>Guards against a flood of clients that takes every descriptor: connections to servers would then fail, and no
- * request could be served, however many clients are connected. Clients may hold only a share of the descriptors.
+ * <p>Clients may use only a share of the descriptors. If many clients could take all of them, connections to servers
+ * would fail, and no request could be served.
  *
- * <p>Not thread-safe: used on the node's event loop only.
+ * <p>Not thread-safe. Must be used on the node's event loop only.
  */
 public final class SocketBudget {
-    /** Descriptors for the JVM, the jar, the listening socket and the watch on discovery, with some to spare. */
+    /** Descriptors for the JVM, the jar, the listening socket and the watch of discovery, with a reserve. */
     private static final int RESERVED_DESCRIPTORS = 48;
-    /** What is left to clients and servers however low the process's limit is. */
+    /** The minimum for clients and servers together, however low the limit of the process is. */
     private static final int MIN_SOCKETS = 8;
-    /** The share that clients may hold: a request that is being served needs a connection to a server too. */
+    /** The share that clients may use. The rest is for servers, because a request also needs a server connection. */
     private static final double MAX_CLIENT_SHARE = 0.6;
 
     private final int maxSockets;
@@ -21,41 +21,46 @@
     private int openClientSockets;
 
     /**
-     * @param descriptorLimit how many descriptors the process may hold
-     * @param otherDescriptors how many of these are set aside, beside those that always are
+     * Creates a budget with no sockets open.
+     *
+     * @param descriptorLimit the file descriptor limit of the process
+     * @param extraReservedDescriptors how many more descriptors to reserve than {@link #RESERVED_DESCRIPTORS}
      */
-    public SocketBudget(int descriptorLimit, int otherDescriptors) {
-        maxSockets = Math.max(MIN_SOCKETS, descriptorLimit - RESERVED_DESCRIPTORS - otherDescriptors);
+    public SocketBudget(int descriptorLimit, int extraReservedDescriptors) {
+        maxSockets = Math.max(MIN_SOCKETS, descriptorLimit - RESERVED_DESCRIPTORS - extraReservedDescriptors);
     }
 
-    /** Counts a connection to a server. */
+    /** Adds a connection to a server. */
     public void serverOpened() {
         openSockets++;
     }
 
-    /** Gives back what {@link #serverOpened} counted; once for each connection. */
+    /** Removes a connection to a server. Must be called once for each {@link #serverOpened}. */
     public void serverClosed() {
         openSockets--;
     }
 
-    /** Counts a connection of a client. */
+    /** Adds a connection of a client. */
     public void clientOpened() {
         openSockets++;
         openClientSockets++;
     }
 
-    /** Gives back what {@link #clientOpened} counted; once for each connection. */
+    /** Removes a connection of a client. Must be called once for each {@link #clientOpened}. */
     public void clientClosed() {
         openSockets--;
         openClientSockets--;
     }
 
-    /** Whether one more connection to a server may be opened. */
+    /** Returns whether one more connection to a server may be opened. */
     public boolean hasRoomForServer() {
         return openSockets < maxSockets;
     }
 
-    /** Whether the connections that clients have opened by now are within their share. */
+    /**
+     * Returns whether the client connections are within their share, and all connections below the limit. The new
+     * connection must already be added.
+     */
     public boolean hasRoomForClient() {
         return openSockets < maxSockets && openClientSockets < MAX_CLIENT_SHARE * maxSockets;
     }
--- a/node/src/main/java/loadbalancer/common/package-info.java
+++ b/node/src/main/java/loadbalancer/common/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The clock, the log and the budget of sockets, shared by all parts of a node.
+ * The clock, the log and the socket budget that all parts of a node share.
  *
- * <p>Knows nothing of requests, servers or the policy: every other package may use this one, and this one uses none.
+ * <p>Every other package may use this one. It uses no other package of the node.
  */
 package loadbalancer.common;
--- a/node/src/main/java/loadbalancer/eventloop/LoopLagMeter.java
+++ b/node/src/main/java/loadbalancer/eventloop/LoopLagMeter.java
@@ -12,30 +12,32 @@
 import java.util.function.LongSupplier;
 
 /**
- * Measures the lag of an event loop: how long the bytes that it reads may have been waiting in the sockets.
+ * Measures the lag of an event loop: how long the bytes that it reads may have waited in the sockets.
  *
- * <p>Each turn of the loop polls its sockets, handles the events that are ready and runs the tasks that are due. An
- * event that is ready at a poll has come since the poll before. If the loop stalled between the two polls, by its own
- * work or because its thread did not run, the event may have waited for as long as that.
+ * <p>Each turn of the loop polls the sockets, handles the events that are ready and runs the tasks that are due. An
+ * event that is ready at a poll became ready after the poll before. If the loop stalled between the two polls, because
+ * its tasks took long or because its thread did not run, the event may have waited all that time.
  *
- * <p>Guards against requests that are served past their deadline: a request's remaining time counts from when it
- * arrived, and bytes do not say when that was. Counted from when the loop read it, a request that waited through a
- * stall would be sent to a server after its client had given up. The earliest time at which it may have arrived errs
- * on the safe side.
+ * <p>A request's remaining time counts from its arrival, but bytes do not carry an arrival time. If it counted from the
+ * time at which the loop reads the request, a request that waited through a stall would be sent to a server after its
+ * client has given up. The meter therefore gives the earliest possible arrival. A request whose deadline has passed by
+ * this estimate is rejected instead of being sent to a server. An estimate that is too early costs such a request, but
+ * no server works for a client that has given up.
  *
- * <p>Wraps the loop's I/O handler and is its strategy for polls. Used on the loop's thread only.
+ * <p>The meter wraps the loop's I/O handler and is its select strategy. All methods run on the loop's thread, except
+ * {@link #wakeup} and {@link #isCompatible}, which any thread may call.
  */
 public final class LoopLagMeter implements IoHandler, SelectStrategy {
-    /** A shorter lag counts as none: short ones are the rule, and no deadline is that exact. */
+    /** A shorter lag counts as none, because short lags are normal and no deadline is that exact. */
     static final long MIN_LAG_NANOS = 20_000_000;
 
     /**
-     * What a loop did over a period, to tell the cause of a stall: few turns and short times mean that its thread did
-     * not run; a long time names the part of a turn that took it.
+     * The activity of a loop over a period, which shows the cause of a stall. Few turns and short times mean that the
+     * thread did not run. A long time shows which part of a turn took it.
      *
-     * @param turns how often it polled
-     * @param longestHandlingNanos the longest time that it handled I/O events in one turn
-     * @param longestTasksNanos the longest time that it ran tasks in one turn
+     * @param turns the number of turns
+     * @param longestHandlingNanos the longest time that one turn spent on handling I/O events
+     * @param longestTasksNanos the longest time that one turn spent on running tasks
      */
     public record LoopActivity(long turns, long longestHandlingNanos, long longestTasksNanos) {}
 
@@ -43,13 +45,13 @@
     private IoHandler handler;
     private WholeMillisecondPollContext pollContext;
     /**
-     * When the last poll returned: the time of the first event that was handled, or of the turn's end if there was
-     * none.
+     * When the last poll returned, taken as the time at which its first event was handled. If there was no event, the
+     * time at which the I/O handler returned.
      */
     private long polledAtNanos;
 
     private boolean handledEventInTurn;
-    /** Whether the events of this turn may have been waiting since the poll before it. */
+    /** Whether the events of this turn may have waited since the poll before. */
     private boolean lagging;
 
     private long laggingSinceNanos;
@@ -65,19 +67,19 @@
         turnEndedAtNanos = polledAtNanos;
     }
 
-    /** Sets the I/O handler that is wrapped; once, before the loop runs. */
-    void measure(IoHandler measured) {
-        handler = measured;
+    /** Sets the I/O handler to wrap. Must be called once, before the loop runs. */
+    void setHandler(IoHandler wrapped) {
+        handler = wrapped;
     }
 
-    /** The number of the loop's current turn, counted from its start. */
+    /** Returns the number of the current turn, counted from the start of the loop. */
     public long turnNumber() {
         return turnNumber;
     }
 
     /**
-     * The earliest time at which the event that is handled now may have arrived, as a reading of {@link
-     * System#nanoTime}: now, unless the loop lags.
+     * Returns the earliest time at which the bytes that are handled now may have arrived, as a value of {@link
+     * System#nanoTime}. That is now, unless they may have waited for at least {@link #MIN_LAG_NANOS}.
      */
     public long earliestArrivalNanos() {
         long nowNanos = nanoTime.getAsLong();
@@ -90,7 +92,7 @@
         return nowNanos - sinceNanos < MIN_LAG_NANOS ? nowNanos : sinceNanos;
     }
 
-    /** What the loop did since the last call of this. */
+    /** Returns the activity since the previous call, and starts a new period. */
     public LoopActivity takeLoopActivity() {
         LoopActivity activity =
                 new LoopActivity(turnNumber - reportedTurnNumber, longestHandlingNanos, longestTasksNanos);
@@ -130,8 +132,8 @@
     }
 
     /**
-     * Polls as usual; a loop that lags first polls without waiting. If nothing is ready then, nothing came during the
-     * stall, and events of the poll that follows have not waited.
+     * Polls as Netty's default strategy does, but after a stall first polls without waiting. If nothing is ready then,
+     * nothing arrived during the stall, and the events of the next poll have not waited.
      */
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
@@ -180,7 +182,7 @@
         return handler.isCompatible(handleType);
     }
 
-    /** The handle of a channel; notes when the first event of a turn is handled. */
+    /** Wraps the handle of a channel and records when the first event of a turn is handled. */
     @SuppressWarnings("try")
     private final class MeasuredHandle implements NioIoHandle {
         private final NioIoHandle handle;
--- a/node/src/main/java/loadbalancer/eventloop/MeasuredEventLoop.java
+++ b/node/src/main/java/loadbalancer/eventloop/MeasuredEventLoop.java
@@ -8,13 +8,16 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * An event loop over NIO channels that sleeps until its timers are due and measures its own lag.
+ * An event loop for NIO channels that sleeps until its timers are due and measures its lag.
  *
- * <p>All of a node runs on one such loop: what its parts share needs no lock.
+ * <p>All parts of a node run on one such loop, so they share state without locks. Only the membership protocol has a
+ * separate loop.
  */
 public final class MeasuredEventLoop extends SingleThreadIoEventLoop {
     /**
-     * @param threadName the name of its one thread
+     * Creates a loop with one thread.
+     *
+     * @param threadName the name of the thread
      * @param daemon whether the process may end while the loop runs
      */
     public MeasuredEventLoop(String threadName, boolean daemon) {
@@ -23,12 +26,12 @@
 
     private static IoHandler handlerFor(ThreadAwareExecutor executor) {
         LoopLagMeter lagMeter = new LoopLagMeter(System::nanoTime);
-        lagMeter.measure(NioIoHandler.newFactory(SelectorProvider.provider(), () -> lagMeter)
+        lagMeter.setHandler(NioIoHandler.newFactory(SelectorProvider.provider(), () -> lagMeter)
                 .newHandler(executor));
         return lagMeter;
     }
 
-    /** Measures how far this loop lags behind its sockets; to be used on the loop itself. */
+    /** Returns the meter of this loop's lag. It must be used on the loop only. */
     public LoopLagMeter lagMeter() {
         return (LoopLagMeter) ioHandler();
     }
--- a/node/src/main/java/loadbalancer/eventloop/WholeMillisecondPollContext.java
+++ b/node/src/main/java/loadbalancer/eventloop/WholeMillisecondPollContext.java
@@ -3,16 +3,17 @@
 import io.netty.channel.IoHandlerContext;
 
 /**
- * Lets a poll of the loop wait until the next timer is due, in whole milliseconds, rounded up.
+ * An I/O handler context that rounds the time until the next timer up to whole milliseconds.
  *
- * <p>Guards against a busy loop before each timer: a poll waits for whole milliseconds, and Netty rounds the time
- * that is left to the nearest one, so that it does not wait at all for the last half millisecond but polls again and
- * again until the timer is due. Each timer then costs hundreds of system calls, which shows as processor time of an
- * idle node. Rounded up, the loop sleeps, and a timer is at most one millisecond late.
+ * <p>A poll can only wait for whole milliseconds, and Netty rounds the remaining time to the nearest one. For the last
+ * half millisecond before a timer it would therefore not wait but poll repeatedly. Each timer would cost hundreds of
+ * system calls, and an idle node would use processor time. Rounding up lets the loop sleep instead.
+ *
+ * <p>Trade-off: a timer may fire up to one millisecond late.
  */
 final class WholeMillisecondPollContext implements IoHandlerContext {
     private static final long NANOS_PER_MILLISECOND = 1_000_000;
-    /** Longer delays stand for "no timer" and must not overflow. */
+    /** Longer delays mean that there is no timer. They are not rounded, because the sum could overflow. */
     private static final long MAX_DELAY_NANOS = Long.MAX_VALUE / 2;
 
     private final IoHandlerContext loopContext;
@@ -21,7 +22,7 @@
         this.loopContext = loopContext;
     }
 
-    /** Whether this wraps the given context. */
+    /** Returns whether this wraps the given context. */
     boolean wraps(IoHandlerContext context) {
         return loopContext == context;
     }
--- a/node/src/main/java/loadbalancer/eventloop/package-info.java
+++ b/node/src/main/java/loadbalancer/eventloop/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The event loop of a node, and the measurement of how far it lags behind what has come to its sockets.
+ * The event loop of a node, and the measurement of its lag: how long bytes wait in the sockets before they are read.
  *
- * <p>Owns how the loop waits (its polls and timers) and what it says about stalls. Knows nothing of what runs on the
- * loop.
+ * <p>An event loop stall is a time in which the loop polls no sockets, either because one of its tasks takes long or
+ * because its thread does not get processor time. This package defines how the loop waits for I/O and timers, and what
+ * is measured of stalls. It does not depend on the code that runs on the loop.
  */
 package loadbalancer.eventloop;
--- a/node/src/main/java/loadbalancer/net/SocketAddresses.java
+++ b/node/src/main/java/loadbalancer/net/SocketAddresses.java
@@ -5,12 +5,13 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** Socket addresses as text, {@code address:port}, as files and peers write them. */
+/** Parses and formats socket addresses in the form {@code address:port}, as in files and messages of peers. */
 public final class SocketAddresses {
     private SocketAddresses() {}
 
     /**
-     * Parses an IP address with a port; null if the text is none. Host names are not accepted: a lookup would block.
+     * Parses an IP address with a port. Returns null if the text is not one. Host names are not accepted, because a
+     * lookup would block.
      */
     public static InetSocketAddress parseOrNull(String text) {
         int colon = text.lastIndexOf(':');
@@ -29,7 +30,7 @@
         }
     }
 
-    /** Formats an address so that {@link #parseOrNull} reads it. */
+    /** Formats an address such that {@link #parseOrNull} can parse it. */
     public static String format(InetSocketAddress address) {
         return NetUtil.toSocketAddressString(address);
     }
--- a/node/src/main/java/loadbalancer/net/package-info.java
+++ b/node/src/main/java/loadbalancer/net/package-info.java
@@ -1,2 +1,2 @@
-/** Parsing and formatting of network addresses. Knows no other package of the node, and looks up no names. */
+/** Parsing and formatting of network addresses, without name lookups. Uses no other package of the node. */
 package loadbalancer.net;
