--- a/node/src/test/java/loadbalancer/common/LogTest.java
+++ b/node/src/test/java/loadbalancer/common/LogTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void valuesThatWouldBeReadWrongAreQuoted() {
+    void ambiguousValuesAreQuoted() {
         assertEquals(
                 "level=warn event=e a=\"two words\" b=\"k=v\" c=\"say \\\"hi\\\"\" d=\"\" e=\"back\\\\slash here\"",
                 Log.line(
--- a/node/src/test/java/loadbalancer/eventloop/MeasuredEventLoopTest.java
+++ b/node/src/test/java/loadbalancer/eventloop/MeasuredEventLoopTest.java
@@ -7,35 +7,35 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** How the loop waits for its timers. */
+/** How the event loop waits for its timers. */
 class MeasuredEventLoopTest {
     private static final int TIMERS = 200;
-    /** Rounded to the nearest millisecond, the last four tenths of it are not waited for. */
+    /** With rounding to the nearest millisecond, a poll would end 0.4 ms before the timer. */
     private static final long DELAY_US = 1_400;
-    /** A poll that ends at the timer, one that a task may end, and one more. */
+    /** One poll that ends at the timer, one that a task may end, and one in reserve. */
     private static final int MOST_TURNS_PER_TIMER = 3;
 
     private final MeasuredEventLoop loop = new MeasuredEventLoop("test", true);
 
     @AfterEach
-    void end() {
+    void shutDownLoop() {
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     @Test
-    void sleepsUntilATimerIsDueInsteadOfPollingOverAndOver() throws Exception {
-        CountDownLatch left = new CountDownLatch(TIMERS);
-        long before = loop.submit(() -> loop.lagMeter().turnNumber()).get();
-        loop.schedule(() -> next(left), DELAY_US, TimeUnit.MICROSECONDS);
-        assertTrue(left.await(30, TimeUnit.SECONDS));
-        long turns = loop.submit(() -> loop.lagMeter().turnNumber()).get() - before;
+    void sleepsUntilATimerIsDueInsteadOfPollingRepeatedly() throws Exception {
+        CountDownLatch remainingTimers = new CountDownLatch(TIMERS);
+        long turnsBefore = loop.submit(() -> loop.lagMeter().turnNumber()).get();
+        loop.schedule(() -> runTimer(remainingTimers), DELAY_US, TimeUnit.MICROSECONDS);
+        assertTrue(remainingTimers.await(30, TimeUnit.SECONDS));
+        long turns = loop.submit(() -> loop.lagMeter().turnNumber()).get() - turnsBefore;
         assertTrue(turns <= MOST_TURNS_PER_TIMER * TIMERS, turns + " turns for " + TIMERS + " timers");
     }
 
-    private void next(CountDownLatch left) {
-        left.countDown();
-        if (left.getCount() > 0) {
-            loop.schedule(() -> next(left), DELAY_US, TimeUnit.MICROSECONDS);
+    private void runTimer(CountDownLatch remainingTimers) {
+        remainingTimers.countDown();
+        if (remainingTimers.getCount() > 0) {
+            loop.schedule(() -> runTimer(remainingTimers), DELAY_US, TimeUnit.MICROSECONDS);
         }
     }
 }
--- a/node/src/test/java/loadbalancer/process/ClassListTest.java
+++ b/node/src/test/java/loadbalancer/process/ClassListTest.java
@@ -14,11 +14,11 @@
 import loadbalancer.Main;
 import org.junit.jupiter.api.Test;
 
-/** The list from which the class-data archive is made: what it lacks makes every start of a node longer. */
+/** The class list of the class data archive. Each class that is missing in it makes every start of a node slower. */
 class ClassListTest {
 
     @Test
-    void theListNamesEveryClassOfANode() throws Exception {
+    void listContainsEveryClassOfANode() throws Exception {
         Path classes = Path.of(
                 Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         Set<String> listed = Set.copyOf(Files.readAllLines(Path.of("deploy/classes.lst")));
@@ -27,14 +27,17 @@
         List<String> missing =
                 built.stream().filter(name -> !listed.contains(name)).toList();
         assertEquals(List.of(), missing, "make the list anew, as the README says");
-        // What a node loads only where a setting asks for it.
+        // A class that a node loads only if a setting enables it must not be listed.
         assertEquals(
                 List.of(), listed.stream().filter(ClassListTest::isOffByDefault).toList());
     }
 
-    /** One more lambda in a class gives others new numbers: then they are made anew at each start. */
+    /**
+     * Guards against lambdas that are linked at each start. Another lambda in a class changes the numbers of the
+     * others, and the list then names lambdas that do not exist.
+     */
     @Test
-    void everyLambdaThatTheListNamesIsThereStill() throws Exception {
+    void everyListedLambdaExists() throws Exception {
         List<String> lambdas = Files.readAllLines(Path.of("deploy/classes.lst")).stream()
                 .filter(line -> line.startsWith("@lambda-proxy loadbalancer/") && line.contains(" lambda$"))
                 .toList();
@@ -62,7 +65,10 @@
         return name.startsWith("loadbalancer/membership/");
     }
 
-    /** The adapter's are left out, as no node loads them, and cores that are off by default. */
+    /**
+     * Returns the built classes, except those of the simulator adapter, which no node loads, and those that are off by
+     * default.
+     */
     private static List<String> built(Path classes) throws IOException {
         try (Stream<Path> files = Files.walk(classes.resolve("loadbalancer"))) {
             return files.map(file -> classes.relativize(file).toString().replace('\\', '/'))
--- a/node/src/test/java/loadbalancer/process/ClientDisconnectTest.java
+++ b/node/src/test/java/loadbalancer/process/ClientDisconnectTest.java
@@ -8,20 +8,21 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** What happens to a request whose client disconnects: {@code docs/acceptance.md}. */
+/** Requests whose client disconnects. The expected results are in {@code docs/acceptance.md}. */
 class ClientDisconnectTest {
     private static final String ORDER = Http.orderRequest("t", "15000m");
     private static final String PAGE = Http.pageRequest("/api/p", "t", "15000m");
     private static final String PIPELINED = Http.pageRequest("a") + Http.pageRequest("b");
 
     /**
-     * A client sends two requests at once and disconnects while the first is in flight. The node must read on to
-     * notice that, although it does not serve the second request yet; the second must never be sent to a server.
+     * Guards against sending a request whose client is gone. The client pipelines two requests and disconnects while
+     * the first is in flight. The node must read on behind the second request, otherwise it does not detect the
+     * disconnect.
      */
     @Test
     void disconnectIsNoticedBehindPipelinedRequests() throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
-        try (FakeServer server = FakeServer.respondingWhen(answer);
+        CountDownLatch responseAllowed = new CountDownLatch(1);
+        try (FakeServer server = FakeServer.respondingWhen(responseAllowed);
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             harness.hasControl = true;
             harness.start(server);
@@ -29,17 +30,17 @@
             NodeHarness.write(client, PIPELINED.replace("400m", "50000m"));
             assertEquals("a", FakeServer.awaitNext(server.requests).headers().get("x-txn"));
             client.close();
-            // Noticed while the server has not answered yet.
+            // The disconnect is detected before the server responds.
             harness.awaitMetric("node_in_progress 0");
-            answer.countDown();
+            responseAllowed.countDown();
             assertEquals(200, harness.exchange(Http.pageRequest("c")).status());
             assertEquals("c", FakeServer.awaitNext(server.requests).headers().get("x-txn"), "b was sent to the server");
         }
     }
 
     /**
-     * A request waits, as no server is known, and its client disconnects. A server that is announced afterwards must
-     * not get the request: nobody waits for its effect.
+     * Guards against sending a request whose client is gone. The request waits because no server is known, and its
+     * client disconnects. A server that is announced afterwards must not get the request.
      */
     @Test
     void nothingIsSentAfterADisconnectWhileTheRequestWaits() throws Exception {
@@ -62,19 +63,19 @@
     }
 
     /**
-     * The only server resets the connection of a request, and while the request waits for another server its client
-     * disconnects. The request must not be retried.
+     * Guards against retrying a request whose client is gone. The only server resets the connection, and the client
+     * disconnects while the request waits for another server.
      */
     @Test
     void nothingIsRetriedAfterADisconnectBetweenAttempts() throws Exception {
-        CountDownLatch reset = new CountDownLatch(1);
-        try (FakeServer first = FakeServer.resettingWhen(reset);
+        CountDownLatch resetAllowed = new CountDownLatch(1);
+        try (FakeServer first = FakeServer.resettingWhen(resetAllowed);
                 FakeServer second = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             Socket client = sendRequest(harness, first);
-            reset.countDown();
+            resetAllowed.countDown();
             FakeServer.awaitNext(first.answeredConnections);
-            // Its only server has failed: it waits for another.
+            // The only server has failed, so the request waits for another one.
             harness.awaitEventLoop();
             client.close();
             harness.awaitMetric("node_in_progress 0");
@@ -85,14 +86,14 @@
     }
 
     /**
-     * A client sends a request and disconnects at once, while the event loop is busy; the loop then reads both in
-     * one turn. The disconnect counts, though it is read after the request.
+     * Guards against sending a request whose client is gone. Clients send a request and disconnect while the event loop
+     * is blocked. The loop then reads both in one turn, the disconnect after the request.
      */
     @Test
     void nothingIsSentWhenRequestAndDisconnectAreReadInOneTurn() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
-            // An idle connection to the server: what is sent on it is written at once.
+            // Opens a connection to the server, so that a later request would be written at once.
             assertEquals(200, harness.exchange(Http.pageRequest("first")).status());
             Socket open = harness.connect();
             Socket late = harness.connect();
@@ -111,19 +112,19 @@
     }
 
     /**
-     * A server resets the connection of a request and its client disconnects, both while the event loop is busy. The
-     * loop reads both in one turn, in any order. The request must not be retried on the other server.
+     * Guards against retrying a request whose client is gone. The server resets the connection and the client
+     * disconnects while the event loop is blocked. The loop then reads both in one turn, in any order.
      */
     @Test
     void nothingIsRetriedWhenDisconnectAndFailureAreReadInOneTurn() throws Exception {
-        CountDownLatch reset = new CountDownLatch(1);
-        try (FakeServer first = FakeServer.resettingWhen(reset);
+        CountDownLatch resetAllowed = new CountDownLatch(1);
+        try (FakeServer first = FakeServer.resettingWhen(resetAllowed);
                 FakeServer second = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             Socket client = sendRequest(harness, first);
             announceAndAwait(harness, second);
             CountDownLatch release = harness.blockEventLoop();
-            reset.countDown();
+            resetAllowed.countDown();
             FakeServer.awaitNext(first.answeredConnections);
             client.close();
             release.countDown();
@@ -134,8 +135,8 @@
     }
 
     /**
-     * A server sends a response that never ends, and the client disconnects. The connection to the server is closed:
-     * otherwise each such client would cost the node a connection for good.
+     * Guards against leaking connections to servers. A server sends a response that never ends, and its client
+     * disconnects. The node must close the connection to the server.
      */
     @Test
     void endlessResponseEndsWhenItsClientDisconnects() throws Exception {
@@ -151,8 +152,8 @@
     }
 
     /**
-     * A server has sent half of a status line when the client disconnects; the loop reads both in one turn. The half
-     * line must not be taken for a response to the next request.
+     * Guards against reading the rest of one response as the response to the next request. The server has sent half of
+     * a status line when the client disconnects, and the event loop reads both in one turn.
      */
     @Test
     void partialResponseOfACancelledAttemptIsDropped() throws Exception {
@@ -165,7 +166,7 @@
             Socket client = harness.connect();
             NodeHarness.write(client, PAGE);
             FakeServer.Connection connection = FakeServer.awaitNext(server.answeredConnections);
-            // The loop reads the disconnect and half of a response's head in one turn.
+            // The loop reads the disconnect and half of the status line in one turn.
             CountDownLatch release = harness.blockEventLoop();
             connection.write("HTTP/1.1 200 O");
             client.close();
@@ -175,7 +176,7 @@
         }
     }
 
-    /** A client whose request is in flight at the node's only server. */
+    /** Returns a client whose request is in flight at the only server of the node. */
     private static Socket sendRequest(NodeHarness harness, FakeServer server) throws Exception {
         harness.hasControl = true;
         harness.start(server);
--- a/node/src/test/java/loadbalancer/process/ClientLimitsTest.java
+++ b/node/src/test/java/loadbalancer/process/ClientLimitsTest.java
@@ -12,15 +12,15 @@
 import loadbalancer.client.PipelinedMessages;
 import org.junit.jupiter.api.Test;
 
-/** Limits on what clients may hold: connections, and requests that they pipeline. */
+/** Limits on the connections and the pipelined requests of clients. */
 class ClientLimitsTest {
 
     /**
-     * Forty clients connect at once, more than the node has descriptors for, and then one more sends a request. Idle
-     * connections are closed to make room for new ones, and the request is served.
+     * Guards against clients that use up all descriptors. Forty clients connect at once, more than the node has
+     * descriptors for, and then one more sends a request. The node must close idle connections and serve the request.
      */
     @Test
-    void connectionsThatComeAtOnceEvictIdleOnes() throws Exception {
+    void connectionsThatArriveAtOnceEvictIdleOnes() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             harness.socketLimit = 64;
@@ -34,7 +34,7 @@
                     try {
                         assertEquals(-1, idle.getInputStream().read());
                     } catch (IOException e) {
-                        // A reset closes it as well.
+                        // A reset is also a close.
                     }
                     closed.countDown();
                 });
@@ -49,14 +49,14 @@
 
     @Test
     void pipelinedMessagesAreBounded() {
-        PipelinedMessages ahead = new PipelinedMessages();
+        PipelinedMessages pipelined = new PipelinedMessages();
         int parts = 0;
-        while (!ahead.isFull()) {
-            ahead.add(LastHttpContent.EMPTY_LAST_CONTENT, 0);
+        while (!pipelined.isFull()) {
+            pipelined.add(LastHttpContent.EMPTY_LAST_CONTENT, 0);
             parts++;
         }
         assertTrue(parts <= 128, parts + " parts");
-        ahead.poll();
-        assertFalse(ahead.isFull());
+        pipelined.poll();
+        assertFalse(pipelined.isFull());
     }
 }
--- a/node/src/test/java/loadbalancer/process/ClientServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ClientServerTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients see of a node. */
+/** A node as its clients see it: forwarding, rejections, draining and connection limits. */
 class ClientServerTest {
 
     @Test
@@ -26,22 +26,22 @@
             String photo = "POST /api/7f3a?x=1&y=%20 HTTP/1.1\r\nHost: h\r\nX-Txn: 9b1f\r\nX-Lane: photo\r\n"
                     + "X-Org: org\r\nX-Remaining: 480m\r\nIdempotency-Key: 5c0f\r\n"
                     + "Content-Length: 4\r\n\r\nbody";
-            Http.Message answer = harness.exchange(photo);
-            assertEquals(200, answer.status());
-            assertEquals("proof", answer.body());
+            Http.Message response = harness.exchange(photo);
+            assertEquals(200, response.status());
+            assertEquals("proof", response.body());
             Http.Message sent = FakeServer.awaitNext(server.requests);
             assertEquals("POST /api/7f3a?x=1&y=%20 HTTP/1.1", sent.startLine());
             assertEquals("9b1f", sent.headers().get("x-txn"));
             assertEquals("5c0f", sent.headers().get("idempotency-key"));
             assertEquals("body", sent.body());
-            long left = RequestReader.parseRemainingUs(sent.headers().get("x-remaining"));
-            assertTrue(left > 0 && left < 480_000, "left " + left);
+            long remainingUs = RequestReader.parseRemainingUs(sent.headers().get("x-remaining"));
+            assertTrue(remainingUs > 0 && remainingUs < 480_000, "left " + remainingUs);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"http://h:8000", "HTTP://h", "http://[::1]:80"})
-    void forwardsByPathWhereTheRequestLineNamesAHost(String host) throws Exception {
+    void forwardsByPathWhenTheRequestLineNamesAHost(String host) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             assertEquals(
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void answersPipelinedRequestsInOrder() throws Exception {
+    void respondsToPipelinedRequestsInOrder() throws Exception {
         try (FakeServer server = new FakeServer((request, peer) ->
                         peer.write(Http.okResponse(request.headers().get("x-txn"))));
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
@@ -101,8 +101,8 @@
     }
 
     /**
-     * A client sends a request that lacks a field, gives one twice, or combines class, method and key in a way that
-     * the protocol doesn't know. It gets a 400, no server sees the request, and the node serves the next one.
+     * Guards against forwarding an invalid request: a header field is missing, duplicated or malformed, or class,
+     * method and idempotency key do not match. The node must respond with 400 and serve the next request.
      */
     @ParameterizedTest
     @ValueSource(
@@ -121,7 +121,7 @@
                 "POST /api/x HTTP/1.1|X-Txn: t|X-Lane: order|X-Remaining: 400m|Idempotency-Key: k",
                 "not http at all",
             })
-    void rejectsUnusableRequestsWith400WithoutAServer(String lines) throws Exception {
+    void rejectsInvalidRequestsWith400WithoutContactingAServer(String lines) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             assertEquals(
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void answersAnUnknownPathWith404() throws Exception {
+    void respondsToAnUnknownPathWith404() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             assertEquals(
@@ -164,8 +164,9 @@
     }
 
     /**
-     * A client announces too large a body and goes on sending it after the node has rejected it. A socket closed over
-     * unread bytes would reset the connection and lose the response; the node reads on until the client has it.
+     * Guards against losing a rejection. A client announces a body that is too large, and keeps sending it after the
+     * node has rejected it. Closing a socket with unread bytes would reset the connection and lose the response, so the
+     * node must read on until the client has the response.
      */
     @Test
     void deliversTheRejectionOfALargeBodyWhileItIsStillArriving() throws Exception {
@@ -183,11 +184,11 @@
     }
 
     /**
-     * A client closes while a server works on its request. The node closes the connection to that server, as nobody
-     * waits for the response.
+     * Guards against servers that work for clients that are gone. A client disconnects while a server works on its
+     * request. The node must close the connection to that server.
      */
     @Test
-    void abortsTheAttemptOfAClientThatCloses() throws Exception {
+    void abortsTheAttemptOfAClientThatDisconnects() throws Exception {
         try (FakeServer server = new FakeServer((request, peer) -> {});
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
@@ -200,12 +201,12 @@
 
     @Test
     void drainingFailsReadinessServesOpenRequestsAndEnds() throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
-        CountDownLatch answer = new CountDownLatch(1);
+        CountDownLatch requestReceived = new CountDownLatch(1);
+        CountDownLatch responseAllowed = new CountDownLatch(1);
         try (FakeServer server = new FakeServer((request, peer) -> {
-                    asked.countDown();
+                    requestReceived.countDown();
                     try {
-                        answer.await();
+                        responseAllowed.await();
                     } catch (InterruptedException e) {
                         throw new IOException(e);
                     }
@@ -217,28 +218,29 @@
             Socket client = harness.connect();
             Socket idle = harness.connect();
             NodeHarness.write(client, Http.pageRequest("/api/x", "t", "5000m"));
-            assertTrue(asked.await(20, TimeUnit.SECONDS));
-            CountDownLatch done = new CountDownLatch(1);
-            harness.node.drain(done::countDown);
+            assertTrue(requestReceived.await(20, TimeUnit.SECONDS));
+            CountDownLatch drained = new CountDownLatch(1);
+            harness.node.drain(drained::countDown);
             Http.Message up = harness.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
             assertEquals(503, up.status());
             assertEquals("close", up.headers().get("connection"));
-            // The end of an idle connection tells that nothing new is taken; what is held is still answered.
+            // The node closes idle connections when it stops accepting new ones. It still serves open requests.
             assertEquals(-1, idle.getInputStream().read());
             harness.awaitConnectionRefused();
-            assertEquals(1, done.getCount());
-            answer.countDown();
+            assertEquals(1, drained.getCount());
+            responseAllowed.countDown();
             Http.Message last = Http.readMessage(client.getInputStream());
             assertEquals("late", last.body());
             assertEquals("close", last.headers().get("connection"));
             assertEquals(-1, client.getInputStream().read());
-            assertTrue(done.await(20, TimeUnit.SECONDS));
+            assertTrue(drained.await(20, TimeUnit.SECONDS));
         }
     }
 
     /**
-     * A peer connects and sends nothing, half a head, or a head without its body. It would hold a socket for as long
-     * as it likes, so the node closes it soon. A client that has sent a request before is left alone.
+     * Guards against peers that occupy sockets. A peer connects and sends nothing, half of a request head, or a head
+     * without its body. The node must close its connection soon, but keep that of a client that has completed a
+     * request.
      */
     @ParameterizedTest
     @ValueSource(
@@ -263,60 +265,60 @@
     }
 
     /**
-     * A client ends its connection amid the body of its request. That is no fault of the node, so nothing is logged as
-     * an error of the connection.
+     * Guards against logging an error that is not a fault of the node. A client closes its connection in the middle of
+     * a request body.
      */
     @Test
-    void doesNotLogAClientThatLeavesAmidItsRequest() throws Exception {
+    void doesNotLogAClientThatClosesDuringItsRequest() throws Exception {
         PrintStream err = System.err;
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
+        ByteArrayOutputStream log = new ByteArrayOutputStream();
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
-            System.setErr(new PrintStream(said, true, StandardCharsets.UTF_8));
+            System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
             Socket client = harness.connect();
             NodeHarness.write(client, Http.orderRequest("t", "400m").replace("Length: 2", "Length: 9"));
             client.shutdownOutput();
             assertEquals(-1, client.getInputStream().read());
-            // What the loop still does about the closed connection comes before this.
+            // Waits until the event loop has handled the close of the connection.
             harness.loop.submit(() -> {}).sync();
         } finally {
             System.setErr(err);
         }
-        String lines = said.toString(StandardCharsets.UTF_8);
+        String lines = log.toString(StandardCharsets.UTF_8);
         assertFalse(lines.contains("client_connection_error"), lines);
     }
 
     /**
-     * A client resets its connection amid the body of its request, which the node sees as an I/O error. That is no
-     * fault of the node either. Here the error reaches the connection's handler; after an orderly end there is none.
+     * Guards against logging an error that is not a fault of the node. A client resets its connection in the middle of
+     * a request body. Unlike an orderly close, this is an I/O error that reaches the handler of the connection.
      */
     @Test
-    void doesNotLogAClientThatResetsAmidItsRequest() throws Exception {
+    void doesNotLogAClientThatResetsDuringItsRequest() throws Exception {
         PrintStream err = System.err;
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
+        ByteArrayOutputStream log = new ByteArrayOutputStream();
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
-            System.setErr(new PrintStream(said, true, StandardCharsets.UTF_8));
+            System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
             Socket client = harness.connect();
             NodeHarness.write(client, Http.orderRequest("t", "400m").replace("Length: 2", "Length: 9"));
             client.setSoLinger(true, 0);
             client.close();
-            // The node serves on, and has read the reset before this request's response arrives.
+            // The node still serves requests, and has read the reset before this response arrives.
             assertEquals(200, harness.exchange(Http.pageRequest("next")).status());
             harness.loop.submit(() -> {}).sync();
         } finally {
             System.setErr(err);
         }
-        String lines = said.toString(StandardCharsets.UTF_8);
+        String lines = log.toString(StandardCharsets.UTF_8);
         assertFalse(lines.contains("client_connection_error"), lines);
     }
 
     /**
-     * More clients connect than the limit of sockets allows. The node closes the client that has been idle for
-     * longest, so that connections to servers can still be opened.
+     * Guards against clients that use up all sockets, so that no connection to a server can be opened. More clients
+     * connect than the socket limit allows. The node must close the client that has been idle longest.
      */
     @Test
-    void closesTheLongestIdleClientWhereSocketsRunOut() throws Exception {
+    void closesTheLongestIdleClientWhenSocketsRunOut() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             harness.socketLimit = 64;
@@ -337,10 +339,10 @@
         try (FakeServer server = new FakeServer(
                         (request, peer) -> peer.write(Http.response("503 Busy", "X-Turned-Away: 1\r\n", "")));
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
-            Http.Message answer = harness.exchange(Http.orderRequest("t", "300m"));
-            assertEquals(503, answer.status());
-            assertEquals("0.25", answer.headers().get("retry-after"));
-            assertFalse(answer.headers().containsKey("connection"));
+            Http.Message response = harness.exchange(Http.orderRequest("t", "300m"));
+            assertEquals(503, response.status());
+            assertEquals("0.25", response.headers().get("retry-after"));
+            assertFalse(response.headers().containsKey("connection"));
         }
     }
 }
--- a/node/src/test/java/loadbalancer/process/ControlServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ControlServerTest.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The control address of a whole node: health, metrics and cordons. */
+/** The control address of a node: health, metrics and cordons. */
 class ControlServerTest {
 
-    private static NodeHarness operated() throws Exception {
+    private static NodeHarness withControlAddress() throws Exception {
         NodeHarness harness = NodeHarness.withSilentDiscovery();
         harness.hasControl = true;
         return harness;
     }
 
     @Test
-    void aNodeIsHealthyFromWhenClientsCanConnectUntilItDrains() throws Exception {
+    void aNodeIsHealthyOnceClientsCanConnectAndUntilItDrains() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
-                NodeHarness harness = operated()) {
+                NodeHarness harness = withControlAddress()) {
             harness.createNode(NodeHarness.endpointList(1, true, "s0=" + server.endpoint() + "=Ready"));
             assertEquals("NO not serving\n", harness.controlCall("health\n"));
             harness.listen();
@@ -54,11 +54,11 @@
                 "uncordon none",
                 "GET / HTTP/1.1"
             })
-    void aLineThatIsNoCallIsRejected(String call) throws Exception {
+    void aLineThatIsNotACallIsRejected(String call) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
-                NodeHarness harness = operated().start(server)) {
-            String answer = harness.controlCall(call + "\n");
-            assertTrue(answer.matches("NO .+\n"), answer);
+                NodeHarness harness = withControlAddress().start(server)) {
+            String response = harness.controlCall(call + "\n");
+            assertTrue(response.matches("NO .+\n"), response);
             assertEquals(200, harness.exchange(Http.pageRequest("t")).status());
         }
     }
@@ -66,7 +66,7 @@
     @Test
     void aLineTooLongIsRejectedAndACallInPiecesIsRead() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
-                NodeHarness harness = operated().start(server)) {
+                NodeHarness harness = withControlAddress().start(server)) {
             assertEquals("NO line too long\n", harness.controlCall("cordon " + "s".repeat(5_000)));
             try (Socket caller = new Socket(harness.controlAddress.getAddress(), harness.controlAddress.getPort())) {
                 for (String piece : "health\n".split("")) {
@@ -78,9 +78,9 @@
     }
 
     @Test
-    void silentConnectionsDelayNobodyAndAreClosed() throws Exception {
+    void silentConnectionsDelayNoCallAndAreClosed() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
-                NodeHarness harness = operated().start(server)) {
+                NodeHarness harness = withControlAddress().start(server)) {
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 Socket caller = new Socket(harness.controlAddress.getAddress(), harness.controlAddress.getPort());
@@ -97,9 +97,9 @@
     }
 
     @Test
-    void metricsAgreeWithWhatClientsAndServersSaw() throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch left = new CountDownLatch(1);
+    void metricsMatchTheRequestsOfClientsAndServers() throws Exception {
+        CountDownLatch responseAllowed = new CountDownLatch(1);
+        CountDownLatch abandonedReceived = new CountDownLatch(1);
         try (FakeServer server = new FakeServer((request, peer) -> {
                     String txn = request.headers().get("x-txn");
                     if (txn.startsWith("full")) {
@@ -108,19 +108,19 @@
                         peer.write(Http.response("500 No", "", ""));
                     } else if (txn.equals("held")) {
                         try {
-                            held.await();
+                            responseAllowed.await();
                         } catch (InterruptedException e) {
                             Thread.currentThread().interrupt();
                         }
                         peer.write(Http.okResponse("x"));
                     } else if (txn.equals("left")) {
-                        left.countDown();
+                        abandonedReceived.countDown();
                     } else {
                         peer.write(Http.okResponse("x"));
                     }
                 });
-                NodeHarness harness = operated().start(server)) {
-            String none = harness.controlCall("counters\n");
+                NodeHarness harness = withControlAddress().start(server)) {
+            String metricsBefore = harness.controlCall("counters\n");
             for (String line : new String[] {
                 "handled{category=\"page\",outcome=\"passed\"}",
                 "handled{category=\"photo\",outcome=\"dropped\"}",
@@ -131,10 +131,10 @@
                 "loads",
                 "load_errors"
             }) {
-                assertTrue(none.contains("node_" + line + " 0\n"), none);
+                assertTrue(metricsBefore.contains("node_" + line + " 0\n"), metricsBefore);
             }
-            assertTrue(none.contains("node_known_app_servers 1\n"), none);
-            assertTrue(none.endsWith("\nEND\n"), none);
+            assertTrue(metricsBefore.contains("node_known_app_servers 1\n"), metricsBefore);
+            assertTrue(metricsBefore.endsWith("\nEND\n"), metricsBefore);
             for (int i = 0; i < 5; i++) {
                 assertEquals(200, harness.exchange(Http.pageRequest("t" + i)).status());
             }
@@ -148,25 +148,25 @@
                     harness.exchange(Http.pageRequest("/nothing", "u", "1m")).status());
             assertEquals(
                     400, harness.exchange(Http.pageRequest("/api/x", "", "1m")).status());
-            Socket leaver = harness.connect();
-            NodeHarness.write(leaver, Http.pageRequest("/api/x", "left", "5000m"));
-            // Written to a server, and read there: only then do both sides count the same.
-            left.await();
-            leaver.close();
+            Socket disconnecting = harness.connect();
+            NodeHarness.write(disconnecting, Http.pageRequest("/api/x", "left", "5000m"));
+            // Once the server has read the request, node and server count the same number of attempts.
+            abandonedReceived.await();
+            disconnecting.close();
             harness.awaitMetric("node_in_progress 0");
             Socket last = harness.connect();
             NodeHarness.write(last, Http.pageRequest("/api/x", "held", "5000m"));
             harness.awaitMetric("node_in_progress 1");
-            held.countDown();
+            responseAllowed.countDown();
             assertEquals(200, Http.readMessage(last.getInputStream()).status());
             harness.awaitMetric("node_in_progress 0");
-            String all = harness.controlCall("counters\n");
-            assertTrue(all.contains("{category=\"page\",outcome=\"passed\"} 6\n"), all);
-            assertTrue(all.contains("{category=\"page\",outcome=\"bad_gateway\"} 0\n"), all);
-            assertTrue(all.contains("{category=\"order\",outcome=\"passed\"} 1\n"), all);
-            assertTrue(all.contains("{category=\"order\",outcome=\"dropped\"} 1\n"), all);
-            assertTrue(all.contains("{category=\"order\",outcome=\"bad_gateway\"} 1\n"), all);
-            assertTrue(all.contains("node_upstream_tries " + server.requests.size() + "\n"), all);
+            String metricsAfter = harness.controlCall("counters\n");
+            assertTrue(metricsAfter.contains("{category=\"page\",outcome=\"passed\"} 6\n"), metricsAfter);
+            assertTrue(metricsAfter.contains("{category=\"page\",outcome=\"bad_gateway\"} 0\n"), metricsAfter);
+            assertTrue(metricsAfter.contains("{category=\"order\",outcome=\"passed\"} 1\n"), metricsAfter);
+            assertTrue(metricsAfter.contains("{category=\"order\",outcome=\"dropped\"} 1\n"), metricsAfter);
+            assertTrue(metricsAfter.contains("{category=\"order\",outcome=\"bad_gateway\"} 1\n"), metricsAfter);
+            assertTrue(metricsAfter.contains("node_upstream_tries " + server.requests.size() + "\n"), metricsAfter);
         }
     }
 
@@ -174,11 +174,11 @@
     void aCordonedServerGetsNoRequestsUntilItIsUncordoned() throws Exception {
         try (FakeServer one = FakeServer.respondingWith("one");
                 FakeServer two = FakeServer.respondingWith("two");
-                NodeHarness harness = operated().start(one, two)) {
+                NodeHarness harness = withControlAddress().start(one, two)) {
             FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
             assertEquals("YES\n", harness.controlCall("cordon s0\n"));
             assertEquals("YES\n", harness.controlCall("cordon s0\n"), "repeated");
-            // Dropped from the list and named again: the cordon stands.
+            // The server is removed from the list and listed again. It must stay cordoned.
             watch.write(NodeHarness.chunk(NodeHarness.endpointList(2, true, "s1=" + two.endpoint() + "=Ready") + "\n"));
             harness.awaitMetric("node_known_app_servers 1");
             watch.write(NodeHarness.chunk(NodeHarness.endpointList(
@@ -195,20 +195,20 @@
             assertEquals("YES\n", harness.controlCall("uncordon s0\n"), "one call back ends it");
             harness.awaitMetric("node_skipped_app_servers 0");
             assertEquals("YES\n", harness.controlCall("uncordon s0\n"), "not cordoned, but listed");
-            int asked = 0;
+            int sent = 0;
             while (one.requests.isEmpty()) {
-                assertTrue(asked < 10_000, "never used again");
-                harness.exchange(Http.pageRequest("/api/x", "u" + asked++, "4000m"));
+                assertTrue(sent < 10_000, "never used again");
+                harness.exchange(Http.pageRequest("/api/x", "u" + sent++, "4000m"));
             }
         }
     }
 
     @Test
-    void aCordonBindsAllProcessesOfANodeAndTheNextProcess(@TempDir Path folder) throws Exception {
+    void aCordonAppliesToAllProcessesOfANodeAndToTheNextProcess(@TempDir Path folder) throws Exception {
         try (FakeServer one = FakeServer.respondingWith("one");
                 FakeServer two = FakeServer.respondingWith("two");
-                NodeHarness first = operated();
-                NodeHarness second = operated()) {
+                NodeHarness first = withControlAddress();
+                NodeHarness second = withControlAddress()) {
             first.sharedFolder = folder;
             second.sharedFolder = folder;
             first.start(one, two);
@@ -220,10 +220,10 @@
             first.awaitMetric("node_skipped_app_servers 0");
             long calledAt = System.nanoTime();
             assertEquals("YES\n", second.controlCall("cordon s1\n"));
-            long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt);
+            long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt);
             assertTrue(
-                    tookMs >= ServerListUpdater.CORDON_PROPAGATION_MILLIS,
-                    "no yes before the other process has looked: " + tookMs);
+                    elapsedMs >= ServerListUpdater.CORDON_PROPAGATION_MILLIS,
+                    "no yes before the other process has looked: " + elapsedMs);
             first.awaitMetric("node_skipped_app_servers 1");
             assertEquals("one", first.exchange(Http.pageRequest("u")).body());
         }
@@ -232,7 +232,7 @@
     @Test
     void anUnreadableCordonFileDoesNotStopTheNodeAndAFailedWriteIsRejected(@TempDir Path folder) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
-                NodeHarness harness = operated()) {
+                NodeHarness harness = withControlAddress()) {
             harness.sharedFolder = folder;
             Files.write(folder.resolve("kitemux.cordons"), new byte[] {(byte) 0xff, (byte) 0xfe, 0});
             harness.start(server);
@@ -240,8 +240,8 @@
             assertEquals("YES\n", harness.controlCall("cordon s0\n"), "written anew");
             harness.awaitMetric("node_skipped_app_servers 1");
             Files.createDirectory(folder.resolve("kitemux.cordons.new"));
-            String answer = harness.controlCall("uncordon s0\n");
-            assertTrue(answer.startsWith("NO cordons cannot be kept: "), answer);
+            String response = harness.controlCall("uncordon s0\n");
+            assertTrue(response.startsWith("NO cordons cannot be kept: "), response);
             harness.awaitMetric("node_skipped_app_servers 1");
         }
     }
--- a/node/src/test/java/loadbalancer/process/EarlyResponseServer.java
+++ b/node/src/test/java/loadbalancer/process/EarlyResponseServer.java
@@ -6,7 +6,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A server that answers once it has read a request's head, and reads on. */
+/** A server that responds as soon as it has read the head of a request, and then keeps reading. */
 final class EarlyResponseServer implements AutoCloseable {
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
--- a/node/src/test/java/loadbalancer/process/FakeServer.java
+++ b/node/src/test/java/loadbalancer/process/FakeServer.java
@@ -16,20 +16,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A fake server, or a fake discovery: it records the requests that it receives, and a script responds. */
+/** A fake server or a fake discovery service. It records the requests that it receives, and a script responds. */
 public final class FakeServer implements AutoCloseable {
-    /** What the server does with a request. */
+    /** Handles the requests of a fake server. */
     public interface Script {
         void respond(Http.Message request, Connection connection) throws IOException;
     }
 
-    /** One connection that a node has opened. */
+    /** A connection that a node has opened. */
     public record Connection(Socket socket) {
         public void write(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** Breaks the connection. */
+        /** Resets the connection. */
         public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
@@ -54,7 +54,7 @@
         return new FakeServer((request, connection) -> connection.write(Http.okResponse(body)));
     }
 
-    /** Answers each request with its transaction id, once the latch is down. */
+    /** Returns a server that responds to each request with its transaction id once the latch has been counted down. */
     static FakeServer respondingWhen(CountDownLatch latch) throws IOException {
         return new FakeServer((request, connection) -> {
             awaitLatch(latch);
@@ -62,7 +62,7 @@
         });
     }
 
-    /** Resets the connection of each request, once the latch is down. */
+    /** Returns a server that resets the connection of each request once the latch has been counted down. */
     static FakeServer resettingWhen(CountDownLatch latch) throws IOException {
         return new FakeServer((request, connection) -> {
             awaitLatch(latch);
@@ -70,7 +70,7 @@
         });
     }
 
-    /** Waits within a script, which may only fail with an {@link IOException}. */
+    /** Waits for a latch in a script, which may throw {@link IOException} only. */
     static void awaitLatch(CountDownLatch latch) throws IOException {
         try {
             assertTrue(latch.await(20, TimeUnit.SECONDS));
@@ -108,7 +108,7 @@
                 Http.Message request = Http.readMessage(connection.socket.getInputStream());
                 requests.add(request);
                 script.respond(request, connection);
-                // Only now: what a test writes to the connection must come behind the script's answer.
+                // Added after the script's response, because what a test writes to the connection must follow it.
                 answeredConnections.add(connection);
             }
         } catch (IOException e) {
@@ -122,7 +122,7 @@
         return item;
     }
 
-    /** The process has ended: connections break and new ones are refused. */
+    /** Simulates the end of the server's process: closes all connections and refuses new ones. */
     public void stop() throws IOException {
         listener.close();
         for (Socket socket : openSockets) {
--- a/node/src/test/java/loadbalancer/process/GracefulShutdownTest.java
+++ b/node/src/test/java/loadbalancer/process/GracefulShutdownTest.java
@@ -12,24 +12,24 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients get whose requests are open when SIGTERM comes: {@code docs/acceptance.md}. */
+/** Requests that are open at SIGTERM. The expected results are in {@code docs/acceptance.md}. */
 class GracefulShutdownTest {
     private static final String ORDER = Http.orderRequest("t", "15000m");
     private static final String PAGE = Http.pageRequest("/api/p", "t", "15000m");
     private static final String PIPELINED = Http.pageRequest("a") + Http.pageRequest("b");
 
     /**
-     * SIGTERM comes while the node has read a part of a request: a part of its request line, of a header field, or
-     * all but the last byte of its body. The client sends the rest. It is owed a response, as it cannot know that
-     * the node is shutting down.
+     * Guards against dropping a request that has partly arrived at SIGTERM: a part of its request line, of a header
+     * field, or all but the last byte of its body. The client sends the rest, as it cannot know that the node shuts
+     * down, and must get a response.
      */
     @ParameterizedTest
     @CsvSource({"0, 10", "0, 40", "1, 10", "1, 70", "0, 1"})
-    void requestHalfReadAtSigtermIsServedOnceItIsComplete(int before, int cut) throws Exception {
+    void requestPartlyReadAtSigtermIsServedOnceItIsComplete(int previousRequests, int cut) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
-            for (int i = 0; i < before; i++) {
+            for (int i = 0; i < previousRequests; i++) {
                 assertEquals(
                         200, NodeHarness.exchange(client, Http.pageRequest("b")).status());
             }
@@ -39,13 +39,13 @@
             CountDownLatch drained = drainPastIdleClose(harness);
             NodeHarness.write(client, ORDER.substring(at));
             assertLastResponse(client, "x", drained);
-            assertEquals(before + 1, server.requests.size());
+            assertEquals(previousRequests + 1, server.requests.size());
         }
     }
 
     /**
-     * SIGTERM comes while a request waits, as no server is known yet. A server is announced afterwards. The request
-     * is sent to it as if there were no shutdown.
+     * Guards against failing a request that waits at SIGTERM because no server is known. A server that is announced
+     * afterwards must get it.
      */
     @Test
     void requestThatWaitsForAServerAtSigtermIsServed() throws Exception {
@@ -60,13 +60,13 @@
     }
 
     /**
-     * SIGTERM comes while a request is in flight, and then its server resets the connection. The request is retried
-     * on another server, also while the node drains.
+     * Guards against failing a request whose server resets the connection after SIGTERM. The node must retry it on
+     * another server while it drains.
      */
     @Test
     void requestThatIsRetriedAfterSigtermIsServed() throws Exception {
-        CountDownLatch drains = new CountDownLatch(1);
-        try (FakeServer first = FakeServer.resettingWhen(drains);
+        CountDownLatch draining = new CountDownLatch(1);
+        try (FakeServer first = FakeServer.resettingWhen(draining);
                 FakeServer second = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(first)) {
             Socket client = harness.connect();
@@ -74,22 +74,22 @@
             FakeServer.awaitNext(first.requests);
             CountDownLatch drained = drainPastIdleClose(harness);
             harness.announceServer("s1", second);
-            drains.countDown();
+            draining.countDown();
             assertLastResponse(client, "x", drained);
         }
     }
 
     /**
-     * SIGTERM comes in the middle of a large response. The rest of it still reaches the client; a node that closed
-     * the connection would leave the client with half of a response.
+     * Guards against truncating a response. SIGTERM arrives in the middle of a large response, and the rest must still
+     * reach the client.
      */
     @Test
     void responseInTransferAtSigtermIsCompleted() throws Exception {
-        CountDownLatch drains = new CountDownLatch(1);
+        CountDownLatch draining = new CountDownLatch(1);
         String half = "a".repeat(100_000);
         try (FakeServer server = new FakeServer((request, connection) -> {
                     connection.write("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + half);
-                    FakeServer.awaitLatch(drains);
+                    FakeServer.awaitLatch(draining);
                     connection.write(half);
                 });
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
@@ -97,9 +97,9 @@
             NodeHarness.write(client, PAGE);
             Http.Message head = Http.readHead(client.getInputStream());
             assertEquals(200, head.status());
-            // The head was sent without Connection: close; the close of the connection itself says so.
+            // The head was sent before SIGTERM, without Connection: close, so the client closes the connection.
             CountDownLatch drained = drainPastIdleClose(harness);
-            drains.countDown();
+            draining.countDown();
             assertEquals(200_000, Http.readBody(client.getInputStream(), head).length);
             client.close();
             assertTrue(drained.await(20, TimeUnit.SECONDS));
@@ -107,20 +107,21 @@
     }
 
     /**
-     * SIGTERM comes while a client has two requests pipelined. Both get a response, and only the last one says that
-     * the connection closes: after a response that says so, a client drops the requests behind it.
+     * Guards against losing pipelined requests. SIGTERM arrives while a client has two requests pipelined. Both must
+     * get a response, and only the last one may have Connection: close, because a client drops the requests behind a
+     * response with it.
      */
     @Test
-    void drainAnswersPipelinedRequestsAndClosesWithTheLastResponse() throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
-        try (FakeServer server = FakeServer.respondingWhen(answer);
+    void drainServesPipelinedRequestsAndClosesAfterTheLastResponse() throws Exception {
+        CountDownLatch responseAllowed = new CountDownLatch(1);
+        try (FakeServer server = FakeServer.respondingWhen(responseAllowed);
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
             NodeHarness.write(client, PIPELINED.replace("400m", "50000m"));
             FakeServer.awaitNext(server.requests);
             harness.awaitEventLoop();
             CountDownLatch drained = harness.drain();
-            answer.countDown();
+            responseAllowed.countDown();
             Http.Message first = Http.readMessage(client.getInputStream());
             assertEquals("a", first.body());
             assertFalse(first.headers().containsKey("connection"));
@@ -134,9 +135,9 @@
     }
 
     /**
-     * The node closes its side of an idle connection while a request is on its way to it. The client repeats that
-     * request elsewhere. So it must not be forwarded here, and it must not be answered by a reset, which could
-     * destroy a response that is still on its way.
+     * Guards against running a request twice. The node closes its side of an idle connection while a request is on its
+     * way, and the client retries the request elsewhere. The node must not forward it. It must not reset the connection
+     * either, which could destroy a response that is still on its way.
      */
     @Test
     void requestThatCrossesTheCloseOfAnIdleConnectionIsNotForwarded() throws Exception {
@@ -156,24 +157,24 @@
     }
 
     /**
-     * A client goes on sending after the response that ends its connection, be it by SIGTERM or by the client's own
-     * wish. A reset at that point could overtake the response. So its bytes are read and dropped, and none of them
-     * reaches a server.
+     * Guards against a reset that overtakes the last response on a connection. The response is the last one because of
+     * SIGTERM or because the client asked for it, and the client keeps sending. The node must read and drop these
+     * bytes.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void bytesBehindTheLastResponseAreReadAndDropped(boolean drains) throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
-        try (FakeServer server = FakeServer.respondingWhen(answer);
+    void bytesBehindTheLastResponseAreReadAndDropped(boolean draining) throws Exception {
+        CountDownLatch responseAllowed = new CountDownLatch(1);
+        try (FakeServer server = FakeServer.respondingWhen(responseAllowed);
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
             String last = Http.pageRequest("/api/page", "a", "5000m");
-            NodeHarness.write(client, drains ? last : last.replace("X-Org", "Connection: close\r\nX-Org"));
+            NodeHarness.write(client, draining ? last : last.replace("X-Org", "Connection: close\r\nX-Org"));
             FakeServer.awaitNext(server.requests);
-            if (drains) {
+            if (draining) {
                 harness.drain();
             }
-            answer.countDown();
+            responseAllowed.countDown();
             assertEquals("a", Http.readMessage(client.getInputStream()).body());
             assertEquals(-1, client.getInputStream().read());
             assertReadAndDropped(harness, client);
@@ -182,11 +183,11 @@
     }
 
     /**
-     * The node has closed its side of a connection, and the client never closes its own. The drain ends all the
-     * same: otherwise one such client would keep the process until it is killed.
+     * Guards against a client that delays the drain until the process is killed: the node has closed its side of the
+     * connection, and the client never closes its own.
      */
     @Test
-    void clientThatNeverClosesItsSideDoesNotHoldUpTheDrain() throws Exception {
+    void clientThatNeverClosesItsSideDoesNotDelayTheDrain() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
@@ -199,23 +200,23 @@
     }
 
     /**
-     * SIGTERM comes while a server never answers a request whose deadline is a minute away. The platform kills the
-     * process after 3.7 s. The client must have its response before that: a reset does not tell it whether its order
-     * may have been carried out.
+     * Guards against a reset at SIGKILL, which does not tell the client whether its order may have been carried out.
+     * The server never responds, the deadline of the request is a minute away, and the platform kills the process 3.7 s
+     * after SIGTERM. The client must get a response before that.
      */
     @Test
     void requestInFlightGetsAResponseBeforeTheProcessIsKilled() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         try (FakeServer server = new FakeServer((request, connection) -> FakeServer.awaitLatch(never));
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
-            Socket out = harness.connect();
-            NodeHarness.write(out, Http.orderRequest("out", "60000m"));
+            Socket client = harness.connect();
+            NodeHarness.write(client, Http.orderRequest("out", "60000m"));
             FakeServer.awaitNext(server.requests);
             CountDownLatch drained = harness.drain();
-            Http.Message answer = Http.readMessage(out.getInputStream());
-            assertEquals(502, answer.status());
-            assertEquals("close", answer.headers().get("connection"));
-            out.close();
+            Http.Message response = Http.readMessage(client.getInputStream());
+            assertEquals(502, response.status());
+            assertEquals("close", response.headers().get("connection"));
+            client.close();
             assertTrue(drained.await(20, TimeUnit.SECONDS));
             never.countDown();
         }
@@ -223,31 +224,31 @@
 
     /** Drains the node and waits until it has closed its idle connections. */
     private static CountDownLatch drainPastIdleClose(NodeHarness harness) throws Exception {
-        Socket resting = harness.connect();
+        Socket idle = harness.connect();
         assertEquals(
                 404,
-                NodeHarness.exchange(resting, Http.pageRequest("/nothing", "u", "1m"))
+                NodeHarness.exchange(idle, Http.pageRequest("/nothing", "u", "1m"))
                         .status());
         CountDownLatch drained = new CountDownLatch(1);
         harness.node.drain(drained::countDown);
-        assertEquals(-1, resting.getInputStream().read());
-        resting.close();
+        assertEquals(-1, idle.getInputStream().read());
+        idle.close();
         return drained;
     }
 
     private static void assertLastResponse(Socket client, String body, CountDownLatch drained) throws Exception {
-        Http.Message answer = Http.readMessage(client.getInputStream());
-        assertEquals(body, answer.body());
-        assertEquals("close", answer.headers().get("connection"));
+        Http.Message response = Http.readMessage(client.getInputStream());
+        assertEquals(body, response.body());
+        assertEquals("close", response.headers().get("connection"));
         assertEquals(-1, client.getInputStream().read());
         client.close();
         assertTrue(drained.await(20, TimeUnit.SECONDS));
     }
 
-    /** What the client still writes is read and dropped: it is never answered by a reset. */
+    /** Asserts that the node reads and drops what the client still writes, and does not reset the connection. */
     private static void assertReadAndDropped(NodeHarness harness, Socket client) throws Exception {
         for (int i = 0; i < 20; i++) {
-            // A closed connection answers the first of these by a reset, and the next write fails.
+            // On a closed connection, the first write would cause a reset, and the next write would fail.
             NodeHarness.write(client, Http.pageRequest("late" + i));
             harness.awaitEventLoop();
         }
--- a/node/src/test/java/loadbalancer/process/Http.java
+++ b/node/src/test/java/loadbalancer/process/Http.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** HTTP/1.1 messages as bytes, for the clients and servers of a node under test. */
+/** Reads and builds HTTP/1.1 messages for the clients and servers of a node under test. */
 public final class Http {
     private Http() {}
 
-    /** A message; header names are in small letters. */
+    /** A message. Header names are in lower case. */
     public record Message(String startLine, Map<String, String> headers, String body) {
         public int status() {
             return Integer.parseInt(startLine.split(" ")[1]);
@@ -24,13 +24,13 @@
         }
     }
 
-    /** Reads one message with its body. */
+    /** Reads a message with its body. */
     public static Message readMessage(InputStream in) throws IOException {
         Message head = readHead(in);
         return new Message(head.startLine, head.headers, new String(readBody(in, head), StandardCharsets.ISO_8859_1));
     }
 
-    /** Reads a message up to its body. */
+    /** Reads the head of a message. */
     static Message readHead(InputStream in) throws IOException {
         String startLine = readLine(in);
         Map<String, String> headers = new TreeMap<>();
@@ -52,7 +52,7 @@
                 body.writeBytes(readExactly(in, length));
             } while (length > 0 && readLine(in).isEmpty());
             while (length == 0 && !readLine(in).isEmpty()) {
-                // A trailer.
+                // Skips the trailer.
             }
             return body.toByteArray();
         }
--- a/node/src/test/java/loadbalancer/process/LargeBodyTest.java
+++ b/node/src/test/java/loadbalancer/process/LargeBodyTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies and answers that flow, and all the forms in which HTTP/1.1 has them. */
+/** Streamed request bodies and responses, in all framings of HTTP/1.1. */
 class LargeBodyTest {
     private static final int LARGE = 300_000;
 
-    /** Text of this length that is all different. */
+    /** Returns pseudo-random text of this length. */
     private static String text(int length) {
         SplittableRandom random = new SplittableRandom(length);
         StringBuilder text = new StringBuilder(length);
@@ -29,7 +29,7 @@
         return text.toString();
     }
 
-    /** In chunks of a prime length, with extensions and a trailer. */
+    /** Formats text in chunks of a prime length, with chunk extensions and a trailer. */
     private static String chunks(String text) {
         StringBuilder chunks = new StringBuilder();
         for (int i = 0; i < text.length(); i += 7_919) {
@@ -46,7 +46,7 @@
         return Http.orderRequest(txn, "5000m").replace("Content-Length: 2\r\n\r\nab", framing + "\r\n\r\n" + body);
     }
 
-    /** In pieces that are cut anywhere. */
+    /** Writes text in pieces of random length. */
     private static void writeInPieces(Socket to, String text) throws IOException {
         SplittableRandom random = new SplittableRandom(text.length());
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
@@ -76,7 +76,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 65_536, 65_537, LARGE})
-    void returnsResponsesUnchangedHoweverTheyAreFramed(int length) throws Exception {
+    void returnsResponsesUnchangedInEveryFraming(int length) throws Exception {
         String body = text(length);
         String interim = "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
         try (FakeServer server = new FakeServer((request, peer) -> {
@@ -95,15 +95,15 @@
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
             for (String txn : new String[] {"length", "chunks", "end", "length"}) {
-                Http.Message answer = NodeHarness.exchange(client, Http.pageRequest("/api/x", txn, "5000m"));
-                assertEquals(200, answer.status());
-                assertEquals(body, answer.body());
+                Http.Message response = NodeHarness.exchange(client, Http.pageRequest("/api/x", txn, "5000m"));
+                assertEquals(200, response.status());
+                assertEquals(body, response.body());
             }
         }
     }
 
     @Test
-    void answersExpectContinueAndRejectsOtherExpectations() throws Exception {
+    void respondsToExpectContinueAndRejectsOtherExpectations() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
@@ -111,13 +111,13 @@
             assertEquals(100, Http.readMessage(client.getInputStream()).status());
             assertEquals(200, NodeHarness.exchange(client, "hello").status());
             assertEquals("hello", FakeServer.awaitNext(server.requests).body());
-            String odd = order("t", "Expect: miracles\r\nContent-Length: 5", "");
-            assertEquals(417, NodeHarness.exchange(client, odd).status());
+            String unsupported = order("t", "Expect: miracles\r\nContent-Length: 5", "");
+            assertEquals(417, NodeHarness.exchange(client, unsupported).status());
         }
     }
 
     @Test
-    void answersRequestsPipelinedBehindALargeOneInOrder() throws Exception {
+    void respondsInOrderToRequestsPipelinedBehindALargeOne() throws Exception {
         String body = text(LARGE);
         try (FakeServer server = new FakeServer((request, peer) -> peer.write(Http.okResponse(
                         request.headers().get("x-txn") + request.body().length())));
@@ -129,15 +129,16 @@
                             + Http.pageRequest("/api/x", "b", "5000m")
                             + order("c", "Transfer-Encoding: chunked", chunks(body))
                             + Http.orderRequest("d", "5000m"));
-            for (String answer : new String[] {"a" + LARGE, "b0", "c" + LARGE, "d2"}) {
-                assertEquals(answer, Http.readMessage(client.getInputStream()).body());
+            for (String response : new String[] {"a" + LARGE, "b0", "c" + LARGE, "d2"}) {
+                assertEquals(response, Http.readMessage(client.getInputStream()).body());
             }
         }
     }
 
     /**
-     * A request has two lengths, a length and chunks, or a coding that the node can't pass on. Node and server could
-     * disagree on where it ends and where the next one begins, so the node rejects it and closes.
+     * Guards against request smuggling. With two lengths, a length and chunks, or a transfer coding that the node
+     * cannot pass on, node and server could disagree on where the request ends. The node must reject it and close the
+     * connection.
      */
     @ParameterizedTest
     @ValueSource(
@@ -149,7 +150,7 @@
                 "Content-Length: two",
                 "Content-Length: -2",
             })
-    void rejectsAmbiguousFramingWith400WithoutAServer(String framing) throws Exception {
+    void rejectsAmbiguousFramingWith400WithoutContactingAServer(String framing) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
@@ -163,8 +164,8 @@
     }
 
     /**
-     * A streamed body breaks off in the middle of its chunks. The server must not take what it has for the complete
-     * body, so the node closes the connection to it.
+     * Guards against a server that takes a truncated body for complete. The framing of a streamed body is invalid in
+     * the middle of its chunks. The node must close the connection to the server.
      */
     @Test
     void neverCompletesABodyWhoseFramingBreaks() throws Exception {
@@ -185,11 +186,11 @@
     }
 
     /**
-     * A client leaves while it sends a large body, and another while it receives a large response. In both cases the
-     * node closes the connection to the server, which would else work for nobody.
+     * Guards against servers that work for clients that are gone. One client disconnects while it sends a large body,
+     * another one while it receives a large response. The node must close the connection to the server.
      */
     @Test
-    void closesTheServersConnectionWhenAClientLeavesAmidAStream() throws Exception {
+    void closesTheServerConnectionWhenAClientDisconnectsDuringAStream() throws Exception {
         String body = text(8_000_000);
         try (FakeServer server = FakeServer.respondingWith(body);
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
@@ -210,12 +211,13 @@
     }
 
     /**
-     * A server resets the connection after the node has begun to stream its response. The client has part of it, so
-     * there is no retry; the client's connection ends such that it can't take the response for complete.
+     * Guards against a client that takes a truncated response for complete. The server resets the connection after the
+     * node has begun to stream its response. The client has part of it, so the node must not retry, and must end the
+     * client's connection such that the response is visibly incomplete.
      */
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunks", "end"})
-    void resetsAStreamedResponseThatBreaksWithoutARetry(String framing) throws Exception {
+    void abortsAStreamedResponseThatBreaksWithoutARetry(String framing) throws Exception {
         String part = text(LARGE);
         try (FakeServer server = new FakeServer((request, peer) -> {
                     peer.write("HTTP/1.1 200 OK\r\n"
@@ -243,11 +245,12 @@
     }
 
     /**
-     * A server resets the connection amid a small response. The node has buffered it and the client has seen nothing,
-     * so another server's response takes its place.
+     * Guards against failing a request that can be retried. A server resets the connection in the middle of a small
+     * response. The node buffers such a response, so the client has received nothing, and the node must retry on
+     * another server.
      */
     @Test
-    void retriesWhereABufferedResponseBreaks() throws Exception {
+    void retriesWhenABufferedResponseBreaks() throws Exception {
         try (FakeServer bad = new FakeServer((request, peer) -> {
                     peer.write(
                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + NodeHarness.chunk(text(60_000)));
@@ -267,25 +270,25 @@
 
     @Test
     void streamsALargeResponseFromItsFirstBytes() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+        CountDownLatch firstBytesReceived = new CountDownLatch(1);
         String body = text(LARGE);
         try (FakeServer server = new FakeServer((request, peer) -> {
-                    String answer = Http.okResponse(body);
-                    peer.write(answer.substring(0, 100));
+                    String response = Http.okResponse(body);
+                    peer.write(response.substring(0, 100));
                     try {
-                        assertTrue(seen.await(20, TimeUnit.SECONDS));
+                        assertTrue(firstBytesReceived.await(20, TimeUnit.SECONDS));
                     } catch (InterruptedException e) {
                         throw new IOException(e);
                     }
-                    peer.write(answer.substring(100));
+                    peer.write(response.substring(100));
                 });
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
-            // Its time runs out while it flows: what has begun goes on all the same.
+            // The deadline may pass while the response is streamed. A response that has started goes on.
             NodeHarness.write(client, Http.pageRequest("/api/x", "t", "300m"));
             Http.Message head = Http.readHead(client.getInputStream());
             assertEquals(body.charAt(0), client.getInputStream().read());
-            seen.countDown();
+            firstBytesReceived.countDown();
             assertEquals(LARGE, Integer.parseInt(head.headers().get("content-length")));
             assertEquals(
                     body.substring(1),
@@ -295,11 +298,11 @@
 
     @Test
     void streamsASlowResponseOfUnknownLength() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+        CountDownLatch firstBytesReceived = new CountDownLatch(1);
         try (FakeServer server = new FakeServer((request, peer) -> {
                     peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + NodeHarness.chunk("first"));
                     try {
-                        assertTrue(seen.await(20, TimeUnit.SECONDS));
+                        assertTrue(firstBytesReceived.await(20, TimeUnit.SECONDS));
                     } catch (InterruptedException e) {
                         throw new IOException(e);
                     }
@@ -309,7 +312,7 @@
             Socket client = harness.connect();
             NodeHarness.write(client, Http.pageRequest("/api/x", "t", "5000m"));
             Http.Message head = Http.readHead(client.getInputStream());
-            seen.countDown();
+            firstBytesReceived.countDown();
             assertEquals("firstlast", new String(Http.readBody(client.getInputStream(), head), StandardCharsets.UTF_8));
             assertEquals(
                     200,
@@ -320,17 +323,17 @@
     }
 
     /**
-     * One of two servers refuses connections. An attempt that had no connection has taken nothing of the body, so the
-     * body goes to the other server from its start.
+     * Guards against a retry with a truncated body. One of two servers refuses connections. An attempt without a
+     * connection has taken nothing of the body, so the other server must get the body from its start.
      */
     @Test
     void replaysALargeBodyToAnotherServerFromItsStart() throws Exception {
         String body = text(LARGE);
-        try (FakeServer dead = FakeServer.respondingWith("x");
+        try (FakeServer stopped = FakeServer.respondingWith("x");
                 FakeServer good = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            dead.stop();
-            harness.start(dead, good);
+            stopped.stop();
+            harness.start(stopped, good);
             for (int i = 0; i < 12; i++) {
                 assertEquals(
                         200,
@@ -342,20 +345,20 @@
     }
 
     /**
-     * A server responds with an error before it has read the body. The client gets the final response at once, the
-     * rest of its body is read and dropped, and its connection serves the next request.
+     * Guards against withholding a response until the whole body has arrived. A server responds with an error before it
+     * has read the body. The client must get the response at once, and its connection must serve the next request.
      */
     @Test
-    void returnsAResponseThatArrivesAmidTheBody() throws Exception {
+    void returnsAResponseThatArrivesDuringTheBody() throws Exception {
         String body = text(LARGE);
         try (EarlyResponseServer server = new EarlyResponseServer(Http.response("500 No", "", ""));
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             harness.startWithList(NodeHarness.endpointList(1, true, "s0=" + server.endpoint() + "=Ready"));
             Socket client = harness.connect();
             NodeHarness.write(client, order("t", "Content-Length: " + (LARGE + 1), body));
-            Http.Message answer = Http.readMessage(client.getInputStream());
-            assertEquals(502, answer.status());
-            // The rest of the body is read, and the connection carries the next request.
+            Http.Message response = Http.readMessage(client.getInputStream());
+            assertEquals(502, response.status());
+            // The node reads and drops the rest of the body, and serves the next request on the connection.
             NodeHarness.write(client, "z");
             assertEquals(
                     404,
--- a/node/src/test/java/loadbalancer/process/LargeListTest.java
+++ b/node/src/test/java/loadbalancer/process/LargeListTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A node with the memory that it has in service gets a long endpoint list. */
+/** A node with the memory limits of production receives a long endpoint list. */
 class LargeListTest {
     private static final String HEAP = "-Xmx64m";
 
-    /** An entry as discovery writes it, with all its fields. */
+    /** Returns an entry with all fields that discovery sends. */
     private static String entry(int server, String endpoint) {
         return "{\"uid\":\"s-%08x\",\"endpoint\":\"%s\",\"az\":\"here\",\"model\":\"m2\",\"pod_group\":%d,"
                         .formatted(server, endpoint, server % 40)
@@ -33,7 +33,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1_024, 5_000, 19_000})
-    void aNodeServesBeforeAndAfterALongListComes(int servers, @TempDir Path folder) throws Exception {
+    void aNodeServesBeforeAndAfterALongListArrives(int servers, @TempDir Path folder) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 FakeServer discovery = new FakeServer((request, peer) -> peer.write(NodeHarness.watchResponseHead()))) {
             String known = NodeHarness.endpointList(1, true, "s0=" + server.endpoint() + "=Ready");
@@ -42,7 +42,7 @@
                 String listening =
                         NodeProgram.awaitLine(program, line -> line.startsWith("level=info event=listening "));
                 int port = Integer.parseInt(listening.substring(listening.lastIndexOf(':') + 1));
-                assertEquals(200, ask(port, "before"));
+                assertEquals(200, sendRequest(port, "before"));
                 String list = fullList(servers, server.endpoint());
                 FakeServer.awaitNext(discovery.answeredConnections).write(NodeHarness.chunk(list + "\n"));
                 NodeProgram.awaitLine(
@@ -50,7 +50,7 @@
                         line -> line.endsWith("event=endpoint_list version=2 kind=full first_of_watch=true ready="
                                 + servers + " draining=0 gone=0"));
                 for (int i = 0; i < 20; i++) {
-                    assertEquals(200, ask(port, "after" + i));
+                    assertEquals(200, sendRequest(port, "after" + i));
                 }
             } finally {
                 program.destroyForcibly();
@@ -75,7 +75,7 @@
                 "-XX:+ExitOnOutOfMemoryError");
     }
 
-    private static int ask(int port, String txn) throws IOException {
+    private static int sendRequest(int port, String txn) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(60_000);
             NodeHarness.write(socket, Http.pageRequest("/api/p", txn, "60000m"));
--- a/node/src/test/java/loadbalancer/process/LateConnectionTest.java
+++ b/node/src/test/java/loadbalancer/process/LateConnectionTest.java
@@ -24,16 +24,16 @@
 import loadbalancer.policy.ServiceQBalancer;
 import org.junit.jupiter.api.Test;
 
-/** Connections to servers that come up once what they were opened for has changed. */
+/** Connections to servers that open when the request that they were opened for must no longer be sent. */
 class LateConnectionTest {
     private static final String PHOTO = "POST /api/7f3a HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: photo\r\n"
             + "X-Remaining: 15000m\r\nIdempotency-Key: 5c0f\r\nContent-Length: 0\r\n\r\n";
 
     private static final int TASKS_UP_TO_DIAL = 4;
 
-    /** A server whose backlog is full: the system asks again a second later, so connections come up late. */
+    /** A server whose backlog is full. The system retries a connection a second later, so connections open late. */
     private static final class LateServer implements AutoCloseable {
-        private final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+        private final BlockingQueue<String> receivedTxns = new LinkedBlockingQueue<>();
         private final List<Socket> open = new ArrayList<>();
         private final ServerSocket listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
 
@@ -47,8 +47,8 @@
             return id + "=127.0.0.1:" + listening.getLocalPort() + "=Ready";
         }
 
-        /** Takes connections from now on and notes what is asked on each. */
-        void letIn() {
+        /** Accepts connections from now on, and records and serves the requests on them. */
+        void startAccepting() {
             Thread thread = new Thread(
                     () -> {
                         try {
@@ -71,12 +71,12 @@
         private void serve(Socket socket) {
             try {
                 while (true) {
-                    asked.add(
+                    receivedTxns.add(
                             Http.readMessage(socket.getInputStream()).headers().get("x-txn"));
                     new FakeServer.Connection(socket).write(Http.okResponse("late"));
                 }
             } catch (IOException e) {
-                // It has ended.
+                // The connection has ended.
             }
         }
 
@@ -86,8 +86,8 @@
         }
     }
 
-    /** The module, with a permit for each attempt that it has started. */
-    private static Balancer counting(NodeHarness harness, BalancerActions actions, Semaphore started) {
+    /** Returns a balancer that releases a permit for each attempt that it starts. */
+    private static Balancer countingAttempts(NodeHarness harness, BalancerActions actions, Semaphore started) {
         return new ServiceQBalancer(harness.settings, 7, (BalancerActions) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {BalancerActions.class}, (proxy, method, args) -> {
                     try {
@@ -101,9 +101,9 @@
     }
 
     /**
-     * Waits until the connection of an attempt has been asked for. The balancer's choice, the start of the attempt and
-     * the dial each run in a task of their own; a task from outside may run ahead of the next one of them. Were the
-     * server to accept before the dial, the connection would not be late.
+     * Waits until the node has dialed the connection of an attempt. The balancer's choice, the start of the attempt and
+     * the dial each run in a separate task, and a task of the test may run before the next one of them. If the server
+     * accepted before the dial, the connection would not open late.
      */
     private static void awaitDial(NodeHarness harness) throws InterruptedException {
         for (int task = 0; task < TASKS_UP_TO_DIAL; task++) {
@@ -112,11 +112,11 @@
     }
 
     /**
-     * A retry waits for a connection that opens only after the deduplication window has passed. The server would no
-     * longer know the idempotency key and could run the request twice, so nothing is sent and the request fails.
+     * Guards against running a request twice. The connection for a retry opens only after the deduplication window has
+     * passed, when the servers no longer know the idempotency key. Nothing must be sent, and the request fails.
      */
     @Test
-    void doesNotSendARetryWhoseConnectionOpensAfterItsWindow() throws Exception {
+    void doesNotSendARetryWhoseConnectionOpensAfterTheDeduplicationWindow() throws Exception {
         Semaphore started = new Semaphore(0);
         CountDownLatch listed = new CountDownLatch(1);
         try (LateServer late = new LateServer();
@@ -143,7 +143,7 @@
                             DeduplicationScope.CELL,
                             900_000,
                             false));
-            harness.balancerFactory = actions -> counting(harness, actions, started);
+            harness.balancerFactory = actions -> countingAttempts(harness, actions, started);
             harness.start(first);
             FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
             Socket client = harness.connect();
@@ -152,18 +152,18 @@
             watch.write(NodeHarness.chunk(NodeHarness.endpointList(2, false, late.entry("s1")) + "\n"));
             harness.awaitMetric("node_known_app_servers 2");
             listed.countDown();
-            // The repeat has asked for its connection, and is to be asked again by the system.
+            // The retry dials its connection, and the system will retry the dial.
             assertTrue(started.tryAcquire(2, 20, TimeUnit.SECONDS));
             awaitDial(harness);
-            late.letIn();
+            late.startAccepting();
             assertEquals(502, Http.readMessage(client.getInputStream()).status());
-            assertTrue(late.asked.isEmpty(), "sent behind its window");
+            assertTrue(late.receivedTxns.isEmpty(), "sent behind its window");
         }
     }
 
     /**
-     * A client leaves while its request waits for a connection. When the connection opens, nothing of that request is
-     * sent on it, and the next request uses it.
+     * Guards against sending a request whose client is gone. The client disconnects while its request waits for a
+     * connection. When the connection opens, the node must use it for the next request.
      */
     @Test
     void usesALateConnectionForTheNextRequest() throws Exception {
@@ -171,7 +171,7 @@
         try (LateServer late = new LateServer();
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             harness.hasControl = true;
-            harness.balancerFactory = actions -> counting(harness, actions, started);
+            harness.balancerFactory = actions -> countingAttempts(harness, actions, started);
             harness.startWithList(NodeHarness.endpointList(1, true, late.entry("s0")));
             Socket client = harness.connect();
             NodeHarness.write(client, PHOTO.formatted("gone"));
@@ -179,9 +179,9 @@
             awaitDial(harness);
             client.close();
             harness.awaitMetric("node_in_progress 0");
-            late.letIn();
+            late.startAccepting();
             assertEquals(200, harness.exchange(PHOTO.formatted("next")).status());
-            assertEquals(List.of("next"), List.copyOf(late.asked));
+            assertEquals(List.of("next"), List.copyOf(late.receivedTxns));
         }
     }
 }
--- a/node/src/test/java/loadbalancer/process/NodeHarness.java
+++ b/node/src/test/java/loadbalancer/process/NodeHarness.java
@@ -29,22 +29,22 @@
 import loadbalancer.policy.ServiceQBalancer;
 import loadbalancer.policy.Tenant;
 
-/** A node under test on loopback sockets: its servers and its discovery are fakes that a test scripts. */
+/** A node under test on loopback sockets. Its servers and its discovery service are fakes that a test scripts. */
 public final class NodeHarness implements AutoCloseable {
     public final BalancerSettings settings = new BalancerSettings();
     public final FakeServer discovery;
     public final MeasuredEventLoop loop = new MeasuredEventLoop("node", false);
     int socketLimit = 256;
     public long connIdleUs = 60_000_000;
-    /** Makes the balancer of the node; a test may put a faulty one in its place. */
+    /** Creates the balancer of the node. A test may replace it to get a faulty balancer. */
     public Function<BalancerActions, Balancer> balancerFactory;
     /** Whether the node has a control address. */
     boolean hasControl;
 
-    /** What it shares with other processes of the same node; null where it shares nothing. */
+    /** The folder that the node shares with other processes of the same node; null if there is none. */
     Path sharedFolder;
 
-    Set<String> keys = Set.of();
+    Set<String> configuredKeys = Set.of();
     public Node node;
     InetSocketAddress controlAddress;
     private InetSocketAddress address;
@@ -65,11 +65,12 @@
         settings.pollsEndpointList = true;
     }
 
-    private static RequestClass requestClass(String name, Idempotency repeat, DeduplicationScope group) {
-        return new RequestClass(name, 1_000_000, 0, 5_000_000, 1, 0, repeat, group, 1_200_000, false);
+    private static RequestClass requestClass(
+            String name, Idempotency idempotency, DeduplicationScope deduplicationScope) {
+        return new RequestClass(name, 1_000_000, 0, 5_000_000, 1, 0, idempotency, deduplicationScope, 1_200_000, false);
     }
 
-    /** A node whose discovery opens a watch and says nothing on it. */
+    /** Returns a node whose discovery service accepts the watch and sends no list on it. */
     public static NodeHarness withSilentDiscovery() throws IOException {
         return new NodeHarness(new FakeServer((request, connection) -> connection.write(watchResponseHead())));
     }
@@ -82,7 +83,7 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** A list whose entries are id=endpoint=state. */
+    /** Returns an endpoint list as JSON. Each entry is given as id=endpoint=state. */
     public static String endpointList(int rev, boolean all, String... entries) {
         StringBuilder targets = new StringBuilder();
         for (String entry : entries) {
@@ -103,21 +104,21 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    public NodeConfig config(String known) throws Exception {
+    public NodeConfig config(String initialList) throws Exception {
         return new NodeConfig(
                 anyPort(),
                 SocketAddresses.parseOrNull(discovery.endpoint()),
                 7,
                 socketLimit,
                 connIdleUs,
-                new EndpointListDecoder(settings.zones).decode(new ObjectMapper().readTree(known)),
+                new EndpointListDecoder(settings.zones).decode(new ObjectMapper().readTree(initialList)),
                 settings,
-                keys,
+                configuredKeys,
                 new OperationsConfig(hasControl ? anyPort() : null, sharedFolder, false),
                 null);
     }
 
-    /** Starts the node with the servers s0, s1, ... */
+    /** Starts the node with these servers, which get the ids s0, s1, ... */
     public NodeHarness start(FakeServer... servers) throws Exception {
         String[] entries = new String[servers.length];
         for (int i = 0; i < servers.length; i++) {
@@ -126,14 +127,14 @@
         return startWithList(endpointList(1, true, entries));
     }
 
-    public NodeHarness startWithList(String known) throws Exception {
-        createNode(known);
+    public NodeHarness startWithList(String initialList) throws Exception {
+        createNode(initialList);
         return listen();
     }
 
-    /** Makes a node that does not serve clients yet. */
-    void createNode(String known) throws Exception {
-        node = new Node(config(known), loop, balancerFactory);
+    /** Creates a node that does not serve clients yet. */
+    void createNode(String initialList) throws Exception {
+        node = new Node(config(initialList), loop, balancerFactory);
         if (hasControl) {
             controlAddress =
                     (InetSocketAddress) node.startControl().sync().channel().localAddress();
@@ -145,14 +146,14 @@
         return this;
     }
 
-    /** Begins the graceful shutdown; the latch is down once the node has drained. */
+    /** Starts the graceful shutdown. The latch is counted down once the node has drained. */
     CountDownLatch drain() {
         CountDownLatch drained = new CountDownLatch(1);
         node.drain(drained::countDown);
         return drained;
     }
 
-    /** Lets discovery announce one more server, as the first change behind the list that the node started with. */
+    /** Makes discovery announce another server, as the first change after the list that the node started with. */
     void announceServer(String id, FakeServer server) throws Exception {
         FakeServer.awaitNext(discovery.answeredConnections)
                 .write(chunk(endpointList(2, false, id + "=" + server.endpoint() + "=Ready") + "\n"));
@@ -165,7 +166,7 @@
         return client;
     }
 
-    /** The whole response to a control call. */
+    /** Sends a control call and returns the whole response. */
     String controlCall(String line) throws IOException {
         try (Socket caller = new Socket(controlAddress.getAddress(), controlAddress.getPort())) {
             caller.setSoTimeout(20_000);
@@ -174,7 +175,7 @@
         }
     }
 
-    /** Waits until the metrics have this line. */
+    /** Waits until the metrics contain this line. */
     void awaitMetric(String line) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         String metrics = controlCall("counters\n");
@@ -184,7 +185,7 @@
         }
     }
 
-    /** Waits until connections are refused: the system closes a listener with the loop's next select. */
+    /** Waits until connections are refused. The system closes a listening socket at the loop's next select. */
     void awaitConnectionRefused() {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (true) {
@@ -198,7 +199,10 @@
         }
     }
 
-    /** Keeps the node's one loop from running until the latch is down: it meets all that comes at once. */
+    /**
+     * Blocks the event loop until the returned latch is counted down, for 20 s at most. The loop then handles
+     * everything that has arrived meanwhile in one turn.
+     */
     public CountDownLatch blockEventLoop() throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
@@ -214,7 +218,7 @@
         return release;
     }
 
-    /** Waits until the loop has done all that it had to do by now. */
+    /** Waits until the loop has run all tasks that are queued now. */
     void awaitEventLoop() throws InterruptedException {
         loop.submit(() -> {}).sync();
     }
@@ -228,7 +232,7 @@
         client.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** One request on a connection of its own. */
+    /** Sends a request on a new connection and returns the response. */
     public Http.Message exchange(String request) throws IOException {
         return exchange(connect(), request);
     }
--- a/node/src/test/java/loadbalancer/process/NodeProgram.java
+++ b/node/src/test/java/loadbalancer/process/NodeProgram.java
@@ -12,13 +12,13 @@
 import java.util.function.Predicate;
 import loadbalancer.Main;
 
-/** The program itself in a process of its own, run by the JVM and the class path of the tests. */
+/** Runs the program in a separate process, with the JVM and the class path of the tests. */
 final class NodeProgram {
     private static final int SIGTERM_EXIT_CODE = 143;
 
     private NodeProgram() {}
 
-    /** The command that runs a node with these options of the JVM. */
+    /** Returns the command that runs a node with these JVM options. */
     static List<String> command(String... jvmOptions) {
         List<String> command = new ArrayList<>();
         command.add(ProcessHandle.current().info().command().orElseThrow());
@@ -27,14 +27,14 @@
         return command;
     }
 
-    /** Starts a node; its output holds its log. */
+    /** Starts a node. Its output contains its log. */
     static Process start(Map<String, String> env, String... jvmOptions) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(command(jvmOptions));
         builder.environment().putAll(env);
         return builder.redirectErrorStream(true).start();
     }
 
-    /** Reads the output up to the first line that matches; fails if the program ends before. */
+    /** Reads the output up to the first line that matches. Fails if the program ends before that. */
     static String awaitLine(Process program, Predicate<String> awaited) throws IOException {
         List<String> lines = new ArrayList<>();
         while (true) {
@@ -47,12 +47,12 @@
         }
     }
 
-    /** Reads the output up to the first line that starts like this. */
+    /** Reads the output up to the first line that starts with this text. */
     static String awaitLine(Process program, String start) throws IOException {
         return awaitLine(program, line -> line.startsWith(start));
     }
 
-    /** Sends SIGTERM and asserts that the program ends by its shutdown hook. */
+    /** Sends SIGTERM and asserts that the program exits after its shutdown hook. */
     static void assertEndsOnSigterm(Process program) throws InterruptedException {
         program.destroy();
         assertTrue(program.waitFor(20, TimeUnit.SECONDS));
--- a/node/src/test/java/loadbalancer/process/NodeTest.java
+++ b/node/src/test/java/loadbalancer/process/NodeTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A node as a whole: its program, its signals, and what it does before it serves clients. */
+/** A whole node: startup, signals and failures of the balancer. */
 class NodeTest {
 
-    /** A balancer that throws the first time that this event comes. */
+    /** Returns a balancer that throws the first time it gets this event. */
     private static Balancer failingOnce(Balancer balancer, String event) {
         boolean[] failed = {false};
         return (Balancer) Proxy.newProxyInstance(
@@ -37,13 +37,13 @@
     }
 
     /**
-     * A defect in the balancer throws on an event of one request. That request still gets a response, and the node
-     * goes on to serve the next one.
+     * Guards against a defect in the balancer that stops the node. The balancer throws on an event of one request. That
+     * request must still get a response, and the node must serve the next one.
      */
     @ParameterizedTest
     @ValueSource(strings = {"onRequest", "onOutcome"})
     void balancerExceptionCostsOneRequestWhichStillGetsAResponse(String event) throws Exception {
-        // The server fails each request, so that a response of the node itself is to be told apart.
+        // The server fails each request, which gives 502. An exception of the balancer gives 500.
         try (FakeServer server = new FakeServer((request, peer) -> peer.write(Http.response("500 No", "", "")));
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             harness.balancerFactory = actions -> failingOnce(new ServiceQBalancer(harness.settings, 7, actions), event);
@@ -62,7 +62,7 @@
                 """.formatted(discovery);
     }
 
-    /** Starts a node whose environment names this discovery too, as the platform does. */
+    /** Starts a node whose environment also names this discovery address, as on the platform. */
     private static Process start(Path config, String discovery) throws IOException {
         return NodeProgram.start(
                 Map.of("PROXY_CONFIG", config.toString(), "PROXY_DISCOVERY", discovery), "-XX:TieredStopAtLevel=1");
@@ -89,8 +89,9 @@
     }
 
     /**
-     * Discovery moves to another address. A first file is half written when SIGHUP comes, and changes nothing; with the
-     * second one the watch is opened at the new address, though the environment still names the old one.
+     * Guards against a node that keeps using the old address after discovery has moved, or that applies an incomplete
+     * file. The first file is half written at SIGHUP and must change nothing. With the second one, the watch must be
+     * opened at the new address, although the environment still names the old one.
      */
     @Test
     void sighupMovesTheWatchToTheDiscoveryAddressOfTheFile(@TempDir Path folder) throws Exception {
@@ -118,9 +119,8 @@
     }
 
     /**
-     * A server leaves the fleet while a node starts, whose configuration still lists it. On such a day nodes that had
-     * just started sent requests to servers that were gone. The node follows the endpoint list before it serves
-     * clients.
+     * Guards against requests to servers that are gone. A server leaves the fleet while a node starts whose
+     * configuration still lists it. The node must follow the endpoint list before it serves clients.
      */
     @Test
     void nodeFollowsTheEndpointListBeforeItServesClients() throws Exception {
--- a/node/src/test/java/loadbalancer/process/ReloadTest.java
+++ b/node/src/test/java/loadbalancer/process/ReloadTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A configuration file that is replaced while requests are open. */
+/** Reloads of the configuration file while the node serves requests. */
 class ReloadTest {
     private static final String CLASS =
             "{\"name\":\"%s\",\"onTimeUs\":1000000,\"giveUpUs\":%d,\"repeat\":\"%s\",\"importance\":2.0}";
@@ -33,11 +33,11 @@
     private Map<String, String> env;
 
     @BeforeEach
-    void name() {
+    void setEnvironment() {
         env = Map.of("PROXY_CONFIG", folder.resolve("config.json").toString(), "PROXY_DISCOVERY", "127.0.0.1:9");
     }
 
-    private static String file(NodeHarness harness, int attempts, String... classes) {
+    private static String configText(NodeHarness harness, int attempts, String... classes) {
         return """
                 {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"7",
                  "limits":{"memory_mb":128,"sockets":256},
@@ -56,11 +56,11 @@
         harness.hasControl = true;
         harness.settings.classes.clear();
         harness.settings.classes.addAll(NodeConfigReader.read(env).settings().classes);
-        harness.keys = NodeConfigReader.read(env).configuredKeys();
+        harness.configuredKeys = NodeConfigReader.read(env).configuredKeys();
         return harness.start(servers);
     }
 
-    /** Does what SIGHUP does, and waits until it is done. */
+    /** Reloads the file as SIGHUP does, and waits until the reload is finished. */
     private void reload(NodeHarness harness, String text) throws Exception {
         write(text);
         harness.node.reload(env);
@@ -71,12 +71,12 @@
     void classesAndTheirMetricsAreAddedAndDropped() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            start(harness, file(harness, 4, PAGE, ORDER), server);
+            start(harness, configText(harness, 4, PAGE, ORDER), server);
             String note = Http.orderRequest("t", "4000m").replace("X-Lane: order", "X-Lane: note");
             assertEquals(400, harness.exchange(note).status());
-            // Short deadlines, so that what is dropped is soon out of use.
-            reload(harness, file(harness, 4, PAGE, CLASS.formatted("order", 200_000, "unsafe")));
-            reload(harness, file(harness, 4, PAGE, CLASS.formatted("note", 5_000_000, "unsafe")));
+            // The class order first gets another deadline, and is then dropped.
+            reload(harness, configText(harness, 4, PAGE, CLASS.formatted("order", 200_000, "unsafe")));
+            reload(harness, configText(harness, 4, PAGE, CLASS.formatted("note", 5_000_000, "unsafe")));
             assertEquals(200, harness.exchange(note).status());
             assertEquals(
                     200, harness.exchange(Http.orderRequest("old", "4000m")).status(), "repeats may still come");
@@ -88,11 +88,11 @@
     }
 
     @Test
-    void aDroppedClassIsRejectedOnceNobodyCanRepeatIt() throws Exception {
+    void aDroppedClassIsRejectedOnceItsDeadlineHasPassed() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            start(harness, file(harness, 4, PAGE, CLASS.formatted("order", 200_000, "unsafe")), server);
-            reload(harness, file(harness, 4, PAGE));
+            start(harness, configText(harness, 4, PAGE, CLASS.formatted("order", 200_000, "unsafe")), server);
+            reload(harness, configText(harness, 4, PAGE));
             int tries = 0;
             while (harness.exchange(Http.orderRequest("t" + tries, "150m")).status() != 400) {
                 assertTrue(tries++ < 100_000, "still served");
@@ -102,13 +102,13 @@
     }
 
     @Test
-    void anOpenRequestIsRetriedByTheRulesItCameUnder() throws Exception {
+    void anOpenRequestIsRetriedByTheRulesAtItsArrival() throws Exception {
         CountDownLatch arrived = new CountDownLatch(2);
-        CountDownLatch reset = new CountDownLatch(1);
+        CountDownLatch resetAllowed = new CountDownLatch(1);
         try (FakeServer server = new FakeServer((request, peer) -> {
                     arrived.countDown();
                     try {
-                        reset.await();
+                        resetAllowed.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -116,16 +116,16 @@
                 });
                 FakeServer other = FakeServer.respondingWith("other");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            start(harness, file(harness, 4, PAGE, ORDER), server);
+            start(harness, configText(harness, 4, PAGE, ORDER), server);
             Socket page = harness.connect();
             NodeHarness.write(page, Http.pageRequest("/api/x", "p", "5000m"));
             Socket order = harness.connect();
             NodeHarness.write(order, Http.orderRequest("o", "5000m"));
             arrived.await();
-            // Safe becomes unsafe and the other way round, and no second attempt is allowed any more.
+            // Class page becomes unsafe, class order becomes safe, and only one attempt is allowed.
             reload(
                     harness,
-                    file(
+                    configText(
                             harness,
                             1,
                             CLASS.formatted("page", 5_000_000, "unsafe"),
@@ -134,30 +134,33 @@
             watch.write(
                     NodeHarness.chunk(NodeHarness.endpointList(2, false, "s1=" + other.endpoint() + "=Ready") + "\n"));
             harness.awaitMetric("node_known_app_servers 2");
-            reset.countDown();
+            resetAllowed.countDown();
             assertEquals("other", Http.readMessage(page.getInputStream()).body(), "safe when it was asked");
             assertEquals(502, Http.readMessage(order.getInputStream()).status(), "unsafe when it was asked");
-            // By now both ways of asking are understood, each by its own rules.
-            for (String asked :
+            // Requests of class order are now accepted under its new rules (GET) and under its old rules (POST).
+            for (String orderRequest :
                     new String[] {Http.pageRequest("/api/x", "q", "5000m"), Http.orderRequest("r", "5000m")}) {
                 assertNotEquals(
                         400,
-                        harness.exchange(asked.replace("page\r", "order\r")).status());
+                        harness.exchange(orderRequest.replace("page\r", "order\r")).status());
             }
         }
     }
 
-    /** SIGHUP comes before the file has been written to its end. It must be loaded once, and not count as an error. */
+    /**
+     * Guards against a failed reload if SIGHUP arrives before the file is completely written. The file must be loaded
+     * once, and must not count as an error.
+     */
     @Test
-    void aFileThatIsStillBeingWrittenIsLoadedOnceItIsComplete() throws Exception {
+    void aFileThatIsStillBeingWrittenIsLoadedWhenItIsComplete() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            String text = file(harness, 4, PAGE, ORDER);
+            String text = configText(harness, 4, PAGE, ORDER);
             start(harness, text, server);
             write(text.substring(0, text.length() / 2));
             Thread signal = new Thread(() -> harness.node.reload(env));
             signal.start();
-            // Until it has read what is there and waits for more, or has given up.
+            // Waits until the reload has read the incomplete file and waits to read it again, or has failed.
             while (signal.getState() != Thread.State.TIMED_WAITING && signal.isAlive()) {
                 Thread.onSpinWait();
             }
@@ -194,17 +197,17 @@
                 "\"name\":\"n0\", | `` | name is missing",
                 "\"memory_mb\":128, | `` | limits.memory_mb is missing",
             })
-    void anInvalidFileChangesNothingAndIsCounted(String good, String bad, String reason) throws Exception {
+    void anInvalidFileChangesNothingAndIsCounted(String pattern, String replacement, String reason) throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 FakeServer moved = FakeServer.respondingWith("");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            String before = file(harness, 4, PAGE, ORDER);
+            String before = configText(harness, 4, PAGE, ORDER);
             start(harness, before, server);
             NodeConfig running = harness.config(NodeHarness.endpointList(1, true));
             reload(
                     harness,
                     before.replace(harness.discovery.endpoint(), moved.endpoint())
-                            .replaceFirst(good, bad));
+                            .replaceFirst(pattern, replacement));
             ConfigException e = assertThrows(ConfigException.class, () -> ReloadedConfigReader.read(running, env));
             assertTrue(e.getMessage().startsWith(reason), e.getMessage());
             harness.awaitMetric("node_load_errors 1");
--- a/node/src/test/java/loadbalancer/process/ResponseFailureTest.java
+++ b/node/src/test/java/loadbalancer/process/ResponseFailureTest.java
@@ -13,20 +13,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Responses that fail while they are transferred: {@code docs/acceptance.md}. */
+/** Responses that fail during the transfer. The expected results are in {@code docs/acceptance.md}. */
 class ResponseFailureTest {
     private static final String ORDER = Http.orderRequest("t", "15000m");
 
     /**
-     * A response comes while the event loop is busy, and the deadline of its request passes before the loop runs
-     * again. Either may win, but the client gets one response, and both connections go on being used in step.
+     * Guards against two responses to one request, and against connections that are out of step. A response arrives and
+     * its deadline passes while the event loop is blocked. Either may win, but the client must get one response, and
+     * both connections must serve the next request.
      */
     @Test
     void responseAndTimeoutInOneTurnGiveOneResponse() throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch responseAllowed = new CountDownLatch(1);
         try (FakeServer server = new FakeServer((request, connection) -> {
                     if ("t0".equals(request.headers().get("x-txn"))) {
-                        FakeServer.awaitLatch(held);
+                        FakeServer.awaitLatch(responseAllowed);
                     }
                     connection.write(Http.okResponse(request.headers().get("x-txn")));
                 });
@@ -35,10 +36,10 @@
             NodeHarness.write(client, Http.pageRequest("/api/p", "t0", "60m"));
             FakeServer.awaitNext(server.requests);
             CountDownLatch release = harness.blockEventLoop();
-            long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(80);
-            held.countDown();
+            long releaseAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(80);
+            responseAllowed.countDown();
             FakeServer.awaitNext(server.answeredConnections);
-            while (System.nanoTime() < due) {
+            while (System.nanoTime() < releaseAtNanos) {
                 Thread.onSpinWait();
             }
             release.countDown();
@@ -55,18 +56,18 @@
     }
 
     /**
-     * A server sends a response whose end is the end of the connection, and resets the connection in the middle of
-     * it. The client must not take the part that it has for a complete response.
+     * Guards against a client that takes a truncated response for complete. The end of the connection marks the end of
+     * the server's response, and the server resets the connection in the middle of it.
      */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void resetResponseOfUnknownLengthIsNeverComplete(boolean transferring) throws Exception {
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch responseStarted = new CountDownLatch(1);
         try (FakeServer server = new FakeServer((request, connection) -> {
                     connection.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nonly a part"
                             + "a".repeat(transferring ? 70_000 : 0));
                     if (transferring) {
-                        FakeServer.awaitLatch(begun);
+                        FakeServer.awaitLatch(responseStarted);
                     }
                     connection.reset();
                 });
@@ -75,7 +76,7 @@
             NodeHarness.write(client, ORDER);
             Http.Message head = Http.readHead(client.getInputStream());
             assertEquals(transferring ? 200 : 502, head.status());
-            begun.countDown();
+            responseStarted.countDown();
             if (transferring) {
                 assertEquals("chunked", head.headers().get("transfer-encoding"));
                 boolean complete = true;
@@ -91,8 +92,8 @@
     }
 
     /**
-     * A server begins a response of unknown length and stalls. The client's deadline passes. The response is aborted
-     * soon after; without that the client would wait for as long as the server keeps the connection open.
+     * Guards against a client that waits for as long as a stalled server keeps the connection open. The server begins a
+     * response of unknown length and stalls. The node must abort the response soon after the deadline.
      */
     @Test
     void stalledResponseOfUnknownLengthIsAbortedSoonAfterItsDeadline() throws Exception {
--- a/node/src/test/java/loadbalancer/process/RestartTest.java
+++ b/node/src/test/java/loadbalancer/process/RestartTest.java
@@ -27,11 +27,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Graceful restart: processes of one node that follow each other on a listening socket that the platform holds. */
+/** Graceful restarts: two processes of one node accept on the listening socket of the platform in succession. */
 class RestartTest {
     private static final int CLIENTS = 4;
 
-    /** The platform: it holds the listening socket and starts nodes with it as descriptor 0, as Java cannot. */
+    /** A Perl stand-in for the platform. It starts nodes with its listening socket as descriptor 0, as Java cannot. */
     private static final String PLATFORM = """
             use Socket; use POSIX (); $| = 1; $SIG{CHLD} = 'IGNORE';
             socket(my $held, PF_INET, SOCK_STREAM, 0) or die;
@@ -54,7 +54,7 @@
         return builder.redirectError(ProcessBuilder.Redirect.INHERIT).start();
     }
 
-    /** Lets the platform start a node on its socket, which logs to this file. */
+    /** Makes the platform start a node on its socket. The node logs to this file. */
     private static ProcessHandle startNode(Process platform, Path log) throws IOException {
         Writer in = platform.outputWriter();
         in.write(log + "\t127.0.0.1:0\t" + String.join("\t", NodeProgram.command("-XX:TieredStopAtLevel=1")) + "\n");
@@ -101,7 +101,8 @@
     }
 
     /**
-     * Sends one request after the other on connections that are kept until the node closes them; fails if any fails.
+     * Sends requests one after the other, and keeps a connection until a response has Connection: close. Fails if a
+     * request fails.
      */
     private static void sendRequests(int port, AtomicInteger served, AtomicBoolean running) throws IOException {
         Socket socket = null;
@@ -111,10 +112,10 @@
                 socket.setSoTimeout(20_000);
             }
             String txn = "t" + served.incrementAndGet();
-            Http.Message answer = NodeHarness.exchange(socket, Http.pageRequest("/api/x", txn, "5000m"));
-            assertEquals(200, answer.status());
-            assertEquals("two", answer.body(), "the server that is not cordoned");
-            if ("close".equals(answer.headers().get("connection"))) {
+            Http.Message response = NodeHarness.exchange(socket, Http.pageRequest("/api/x", txn, "5000m"));
+            assertEquals(200, response.status());
+            assertEquals("two", response.body(), "the server that is not cordoned");
+            if ("close".equals(response.headers().get("connection"))) {
                 socket.close();
                 socket = null;
             }
@@ -135,9 +136,9 @@
     }
 
     /**
-     * A node is restarted under load: the platform holds the listening socket, starts a second process on it, and sends
-     * SIGTERM to the first once the second serves. No request may fail in between, and a server that operators have
-     * cordoned stays cordoned.
+     * Guards against failed requests during a restart under load. The platform holds the listening socket, starts a
+     * second process on it, and sends SIGTERM to the first one when the second one is ready. No request may fail, and a
+     * cordoned server must stay cordoned.
      */
     @Test
     void newProcessTakesOverUnderLoadAndNoRequestFails(@TempDir Path folder) throws Exception {
@@ -175,22 +176,22 @@
             nodes.add(startNode(platform, newLog));
             InetSocketAddress after = awaitControlAddress(newLog);
             await(() -> controlCall(after, "health").equals("YES\n"), "the second process does not serve");
-            int atTerm = served.get();
-            assertTrue(atTerm > 0);
+            int servedAtSigterm = served.get();
+            assertTrue(servedAtSigterm > 0);
             assertTrue(nodes.get(0).destroy(), "told to end");
             await(() -> !nodes.get(0).isAlive(), "the first process goes on");
             assertTrue(read(oldLog).contains("event=draining"), "the log outlasts the socket: " + read(oldLog));
-            int atEnd = served.get();
-            await(() -> served.get() > atEnd + 100, "the second process serves nothing");
+            int servedAtExit = served.get();
+            await(() -> served.get() > servedAtExit + 100, "the second process serves nothing");
             running.set(false);
             for (Future<?> run : runs) {
                 run.get(30, TimeUnit.SECONDS);
             }
-            String figures = controlCall(after, "counters");
-            int passed = Integer.parseInt(figures.replaceAll("(?s).*outcome=\"passed\"} (\\d+).*", "$1"));
-            assertTrue(passed >= 100 && passed < served.get(), "counted from 0: " + figures);
-            assertTrue(figures.contains("outcome=\"dropped\"} 0\n"), figures);
-            assertTrue(figures.contains("node_skipped_app_servers 1\n"), figures);
+            String metrics = controlCall(after, "counters");
+            int passed = Integer.parseInt(metrics.replaceAll("(?s).*outcome=\"passed\"} (\\d+).*", "$1"));
+            assertTrue(passed >= 100 && passed < served.get(), "counted from 0: " + metrics);
+            assertTrue(metrics.contains("outcome=\"dropped\"} 0\n"), metrics);
+            assertTrue(metrics.contains("node_skipped_app_servers 1\n"), metrics);
             assertTrue(one.requests.isEmpty(), "cordoned before either served clients");
             assertEquals("YES\n", controlCall(after, "uncordon s0"));
         } finally {
@@ -204,10 +205,11 @@
     }
 
     /**
-     * The platform passes no listening socket, by mistake. The program says so in one line and ends with exit code 2.
+     * Guards against a node that starts without a socket to listen on. The platform passes no listening socket by
+     * mistake. The program must write one line that names the setting, and exit with code 2.
      */
     @Test
-    void descriptorThatIsNoListeningSocketFailsTheStart(@TempDir Path folder) throws Exception {
+    void descriptorThatIsNotAListeningSocketFailsTheStart(@TempDir Path folder) throws Exception {
         try (FakeServer one = FakeServer.respondingWith("one");
                 FakeServer two = FakeServer.respondingWith("two")) {
             for (String descriptor : new String[] {"0", "3"}) {
--- a/node/src/test/java/loadbalancer/process/SmallHeapTest.java
+++ b/node/src/test/java/loadbalancer/process/SmallHeapTest.java
@@ -25,16 +25,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node whose clients transfer far more at once than it has memory for. */
+/** A node whose clients transfer far more data at the same time than fits into its memory. */
 class SmallHeapTest {
     private static final int BODY_BYTES = 32 << 20;
-    /** Each way; together 512 MB. */
+    /** Number of uploads, and number of downloads. Together they transfer 512 MB. */
     private static final int EXCHANGES = 8;
 
     private static final int CHUNK_BYTES = 8_192;
 
     private final ExecutorService threads = Executors.newCachedThreadPool();
-    /** No transfer goes on before all have started: the node then buffers what it can of each. */
+    /** A transfer continues only once all have started, so that the node buffers as much of each as it can. */
     private final CountDownLatch started = new CountDownLatch(2 * EXCHANGES);
 
     private void awaitAllStarted() throws IOException {
@@ -63,7 +63,7 @@
         }
     }
 
-    private static MessageDigest sha() {
+    private static MessageDigest newSha256() {
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
@@ -72,7 +72,7 @@
     }
 
     private static String digest(String txn) {
-        MessageDigest sha = sha();
+        MessageDigest sha = newSha256();
         Content content = new Content(txn);
         for (int sent = 0; sent < BODY_BYTES; sent += CHUNK_BYTES) {
             sha.update(content.next());
@@ -81,15 +81,15 @@
     }
 
     private String digest(InputStream in, int firstBytes) throws IOException {
-        MessageDigest sha = sha();
+        MessageDigest sha = newSha256();
         sha.update(in.readNBytes(firstBytes));
         awaitAllStarted();
-        for (int left = BODY_BYTES - firstBytes; left > 0; ) {
-            byte[] part = in.readNBytes(Math.min(left, CHUNK_BYTES));
+        for (int remaining = BODY_BYTES - firstBytes; remaining > 0; ) {
+            byte[] part = in.readNBytes(Math.min(remaining, CHUNK_BYTES));
             sha.update(part);
-            left -= part.length;
+            remaining -= part.length;
             if (part.length == 0) {
-                throw new IOException("cut short, " + left + " left");
+                throw new IOException("cut short, " + remaining + " left");
             }
         }
         return HexFormat.of().formatHex(sha.digest());
@@ -102,7 +102,7 @@
         }
     }
 
-    /** A server that answers GET with a large body, and any other request with the digest of its large body. */
+    /** Responds to GET with a large body, and to any other request with the digest of its large body. */
     private void serve(ServerSocket listening) {
         threads.submit(() -> {
             while (true) {
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Eight clients upload and eight download 32 MB each at the same time, through a node with a heap of 32 MB. A node
-     * that buffered without bound would run out of memory. Every byte must arrive, in order.
+     * Guards against buffering without a limit, which would run out of memory. Eight clients upload and eight clients
+     * download 32 MB each at the same time, through a node with a heap of 32 MB. Every byte must arrive, in order.
      */
     @Test
     void largeTransfersAtOnceArriveUnchanged(@TempDir Path folder) throws Exception {
--- a/node/src/test/java/loadbalancer/process/StalledLoopTest.java
+++ b/node/src/test/java/loadbalancer/process/StalledLoopTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests that arrive, and deadlines that pass, while the event loop of the node is stalled. */
+/** Requests that arrive and deadlines that pass while the event loop of the node is stalled. */
 class StalledLoopTest {
     private static final long STALL_MS = 300;
 
-    /** Keeps the loop stalled for a while from now on, and then lets it run. */
+    /** Waits for {@value #STALL_MS} ms, and then counts down the latch, which may release the event loop. */
     private static void stall(CountDownLatch release) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STALL_MS);
         while (System.nanoTime() < end) {
@@ -38,8 +38,8 @@
     }
 
     /**
-     * A request waits in the socket for 300 ms, as the loop is stalled. Its deadline counts from when it arrived: the
-     * server must be given the time that is left, or it works for a client that has given up.
+     * Guards against a server that works for a client that has given up. A request waits in the socket for 300 ms while
+     * the loop is stalled. Its deadline counts from its arrival, so the server must get the time that remains.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -54,15 +54,15 @@
             stall(release);
             assertEquals(200, Http.readMessage(client.getInputStream()).status());
             FakeServer.awaitNext(server.requests);
-            String left = FakeServer.awaitNext(server.requests).headers().get("x-remaining");
-            long remainingUs = Long.parseLong(left.substring(0, left.length() - 1));
-            assertTrue(remainingUs <= 15_000_000 - STALL_MS * 1_000, "remaining " + left);
+            String remaining = FakeServer.awaitNext(server.requests).headers().get("x-remaining");
+            long remainingUs = Long.parseLong(remaining.substring(0, remaining.length() - 1));
+            assertTrue(remainingUs <= 15_000_000 - STALL_MS * 1_000, "remaining " + remaining);
         }
     }
 
     /**
-     * A request with a deadline of 200 ms waits in the socket for 300 ms, as the loop is stalled. It is rejected at
-     * once, and no server gets it: its client has given up.
+     * Guards against a server that works for a client that has given up. A request with a deadline of 200 ms waits in
+     * the socket for 300 ms while the loop is stalled. It must be rejected at once, and no server must get it.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -84,8 +84,8 @@
     }
 
     /**
-     * A client pipelines two requests, and the server takes 300 ms for the first. The second has waited for as long:
-     * the server is given the time that is left of it.
+     * Guards against giving a server too much time for a pipelined request. The server takes 300 ms for the first of
+     * two pipelined requests. The second one has waited as long, so the server must get the time that remains.
      */
     @Test
     void pipelinedRequestHasTheRemainingTimeAtItsTurn() throws Exception {
@@ -102,15 +102,16 @@
                     Http.pageRequest("/api/p", "first", "15000m") + Http.pageRequest("/api/p", "second", "15000m"));
             assertEquals(200, Http.readMessage(client.getInputStream()).status());
             FakeServer.awaitNext(server.requests);
-            String left = FakeServer.awaitNext(server.requests).headers().get("x-remaining");
-            long remainingUs = Long.parseLong(left.substring(0, left.length() - 1));
-            assertTrue(remainingUs <= 15_000_000 - STALL_MS * 1_000, "remaining " + left);
+            String remaining = FakeServer.awaitNext(server.requests).headers().get("x-remaining");
+            long remainingUs = Long.parseLong(remaining.substring(0, remaining.length() - 1));
+            assertTrue(remainingUs <= 15_000_000 - STALL_MS * 1_000, "remaining " + remaining);
         }
     }
 
     /**
-     * While the loop is stalled, an attempt times out and a new request arrives. The balancer must be told of the
-     * time-out before the new attempt is written to a server: it may choose another server then.
+     * Guards against a new attempt at a server that has just timed out. While the loop is stalled, an attempt times out
+     * and a new request arrives. The timeout must be reported to the balancer before the new attempt is written,
+     * because the balancer may then choose another server.
      */
     @Test
     void timeoutIsReportedBeforeANewAttemptBegins() throws Exception {
@@ -125,7 +126,7 @@
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             Function<BalancerActions, Balancer> factory = harness.balancerFactory;
             harness.balancerFactory = actions -> onTimeout(factory.apply(actions), () -> {
-                // What has been written by now reaches the server in the meantime.
+                // Gives an attempt that is already written time to reach the server.
                 stall(new CountDownLatch(1));
                 newAttemptWasFirst.set(server.requests.stream()
                         .anyMatch(request -> "new".equals(request.headers().get("x-txn"))));
@@ -135,7 +136,7 @@
             Socket second = harness.connect();
             NodeHarness.write(first, Http.orderRequest("hangs", "150m"));
             FakeServer.awaitNext(server.requests);
-            // An idle connection to the server, so that the new attempt is written as it begins.
+            // Opens a connection to the server, so that the new attempt is written as soon as it starts.
             assertEquals(
                     200,
                     NodeHarness.exchange(second, Http.pageRequest("/api/p", "before", "15000m"))
@@ -149,13 +150,13 @@
         }
     }
 
-    /** The same balancer, which runs this whenever an attempt has timed out. */
-    private static Balancer onTimeout(Balancer balancer, Runnable then) {
+    /** Returns a balancer that runs a task before it passes on the outcome of an attempt that has timed out. */
+    private static Balancer onTimeout(Balancer balancer, Runnable task) {
         return (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, arguments) -> {
                     if (method.getName().equals("onOutcome")
                             && ((AttemptOutcome) arguments[1]).result() == AttemptResult.TIMEOUT) {
-                        then.run();
+                        task.run();
                     }
                     return method.invoke(balancer, arguments);
                 });
--- a/node/src/test/java/loadbalancer/process/WarmUpTest.java
+++ b/node/src/test/java/loadbalancer/process/WarmUpTest.java
@@ -20,8 +20,8 @@
     }
 
     /**
-     * The process has a small part of a core, and its loop is stopped for most of the time. The warm-up still serves
-     * all of its requests: one that was cut short left the first clients to a cold node.
+     * Guards against a warm-up that ends early, after which the first clients meet a cold node. The event loop pauses
+     * for most of the time, as in a process with a small share of a core, and all requests must still be served.
      */
     @Test
     void warmUpIsCompleteWithLittleProcessorTime() throws Exception {
