--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
@@ -37,7 +37,7 @@
         harness = NodeHarness.withSilentDiscovery();
         next = silent();
         start(TIMEOUTS);
-        before = FakeServer.awaitNext(harness.discovery.answeredConnections);
+        before = FakeServer.awaitNext(harness.discovery.respondedConnections);
         say(before, 42, false);
         assertEquals("42", FakeServer.awaitNext(notifications));
     }
@@ -97,7 +97,7 @@
     @Test
     void theOldAddressCountsUntilTheNewOneHasAnswered() throws Exception {
         move(next);
-        FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
+        FakeServer.Connection after = FakeServer.awaitNext(next.respondedConnections);
         say(before, 43, false);
         assertEquals("43", FakeServer.awaitNext(notifications));
         begin(after, 44, false);
@@ -111,8 +111,8 @@
     @Test
     void aSilentNewAddressIsConnectedAgainWhileTheOldOneCounts() throws Exception {
         move(next);
-        FakeServer.awaitNext(next.answeredConnections);
-        FakeServer.Connection second = FakeServer.awaitNext(next.answeredConnections);
+        FakeServer.awaitNext(next.respondedConnections);
+        FakeServer.Connection second = FakeServer.awaitNext(next.respondedConnections);
         say(before, 43, false);
         assertEquals("43", FakeServer.awaitNext(notifications));
         begin(second, 44, false);
@@ -122,8 +122,8 @@
     @Test
     void aNewAddressThatSendsOnlyAHeadIsConnectedAgain() throws Exception {
         move(next);
-        FakeServer.awaitNext(next.answeredConnections).write(NodeHarness.watchResponseHead());
-        begin(FakeServer.awaitNext(next.answeredConnections), 43, false);
+        FakeServer.awaitNext(next.respondedConnections).write(NodeHarness.watchResponseHead());
+        begin(FakeServer.awaitNext(next.respondedConnections), 43, false);
         assertEquals("43", FakeServer.awaitNext(notifications));
     }
 
@@ -150,7 +150,7 @@
     @Test
     void anOlderListIsIgnoredUntilTheNewAddressHasCaughtUp() throws Exception {
         move(next);
-        FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
+        FakeServer.Connection after = FakeServer.awaitNext(next.respondedConnections);
         begin(after, 40, true);
         say(after, 41, false);
         // It has not caught up, so the old one still counts.
@@ -167,11 +167,11 @@
     void aServiceThatStaysBehindIsAskedForAll() throws Exception {
         harness.loop.execute(discovery::close);
         start(new WatchTimeouts(20_000_000, 20_000_000, 100_000));
-        FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
+        FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.respondedConnections);
         say(peer, 42, false);
         assertEquals("42", FakeServer.awaitNext(notifications));
         move(next);
-        FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
+        FakeServer.Connection after = FakeServer.awaitNext(next.respondedConnections);
         begin(after, 3, true);
         // Its beats go on until it is given up.
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
@@ -179,7 +179,7 @@
             assertTrue(System.nanoTime() < end, "the watch on an agent that lags is still open");
             Thread.onSpinWait();
         }
-        begin(FakeServer.awaitNext(next.answeredConnections), 3, true);
+        begin(FakeServer.awaitNext(next.respondedConnections), 3, true);
         assertEquals("3", FakeServer.awaitNext(notifications));
         assertEquals(
                 "/discovery/hosts?watch=1&after=42",
@@ -204,7 +204,7 @@
         String line = line(43, false);
         before.write(line.substring(0, line.length() / 2));
         move(next);
-        FakeServer.Connection after = FakeServer.awaitNext(next.answeredConnections);
+        FakeServer.Connection after = FakeServer.awaitNext(next.respondedConnections);
         before.write(line.substring(line.length() / 2));
         assertEquals("43", FakeServer.awaitNext(notifications));
         before.write(line(44, false).substring(0, 20));
@@ -216,9 +216,9 @@
     void aSecondMoveKeepsTheWatchThatHasBeenAnswered() throws Exception {
         try (FakeServer third = silent()) {
             move(next);
-            FakeServer.awaitNext(next.answeredConnections);
+            FakeServer.awaitNext(next.respondedConnections);
             move(third);
-            FakeServer.Connection last = FakeServer.awaitNext(third.answeredConnections);
+            FakeServer.Connection last = FakeServer.awaitNext(third.respondedConnections);
             FakeServer.awaitNext(next.closedConnections);
             say(before, 43, false);
             assertEquals("43", FakeServer.awaitNext(notifications));
--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherTest.java
@@ -51,7 +51,7 @@
             assertEquals(
                     "/discovery/hosts?watch=1&after=41",
                     FakeServer.awaitNext(harness.discovery.requests).path());
-            FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.respondedConnections);
             String line = NodeHarness.endpointList(43, true, ENTRY, "s1=10.0.0.2:80=Terminating");
             peer.write(NodeHarness.chunk(line.substring(0, 20)));
             peer.write(
@@ -72,7 +72,7 @@
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
             EndpointWatcher discovery = watch(harness, WatchTimeouts.DEFAULT, notifications);
-            FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.respondedConnections);
             String line = NodeHarness.endpointList(42, false, ENTRY) + "\n";
             peer.write(NodeHarness.chunk(line.substring(0, 30)));
             peer.reset();
@@ -82,7 +82,7 @@
             assertEquals(
                     "/discovery/hosts?watch=1&after=41",
                     FakeServer.awaitNext(harness.discovery.requests).path());
-            FakeServer.awaitNext(harness.discovery.answeredConnections).write(NodeHarness.chunk(line));
+            FakeServer.awaitNext(harness.discovery.respondedConnections).write(NodeHarness.chunk(line));
             assertEquals("42 changes 1", FakeServer.awaitNext(notifications));
         }
     }
@@ -92,7 +92,7 @@
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
             watch(harness, WatchTimeouts.DEFAULT, notifications);
-            FakeServer.awaitNext(harness.discovery.answeredConnections)
+            FakeServer.awaitNext(harness.discovery.respondedConnections)
                     .write(NodeHarness.chunk("\n")
                             + NodeHarness.chunk("\n")
                             + NodeHarness.chunk(NodeHarness.endpointList(42, false, ENTRY) + "\n"));
@@ -114,7 +114,7 @@
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
             watch(harness, WatchTimeouts.DEFAULT, notifications);
-            FakeServer.awaitNext(harness.discovery.answeredConnections).write(NodeHarness.chunk(line + "\n"));
+            FakeServer.awaitNext(harness.discovery.respondedConnections).write(NodeHarness.chunk(line + "\n"));
             assertEquals("failed", FakeServer.awaitNext(notifications));
             FakeServer.awaitNext(harness.discovery.closedConnections);
         }
@@ -125,7 +125,7 @@
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
             watch(harness, WatchTimeouts.DEFAULT, notifications);
-            FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.respondedConnections);
             String indented = new ObjectMapper()
                             .readTree(NodeHarness.endpointList(42, true, "s\\\"]{=10.0.0.1:80=Ready"))
                             .toPrettyString()
@@ -205,7 +205,7 @@
             assertEquals(
                     "first",
                     harness.exchange(Http.pageRequest("/api/p", "t", "5000m")).body());
-            FakeServer.awaitNext(discovery.answeredConnections).socket().close();
+            FakeServer.awaitNext(discovery.respondedConnections).socket().close();
             assertEquals(
                     "/discovery/hosts?watch=1&after=2",
                     FakeServer.awaitNext(discovery.requests).path());
--- a/node/src/test/java/loadbalancer/process/ClientDisconnectTest.java
+++ b/node/src/test/java/loadbalancer/process/ClientDisconnectTest.java
@@ -74,7 +74,7 @@
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             Socket client = sendRequest(harness, first);
             resetAllowed.countDown();
-            FakeServer.awaitNext(first.answeredConnections);
+            FakeServer.awaitNext(first.respondedConnections);
             // The only server has failed, so the request waits for another one.
             harness.awaitEventLoop();
             client.close();
@@ -125,7 +125,7 @@
             announceAndAwait(harness, second);
             CountDownLatch release = harness.blockEventLoop();
             resetAllowed.countDown();
-            FakeServer.awaitNext(first.answeredConnections);
+            FakeServer.awaitNext(first.respondedConnections);
             client.close();
             release.countDown();
             harness.awaitMetric("node_in_progress 0");
@@ -165,7 +165,7 @@
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(server)) {
             Socket client = harness.connect();
             NodeHarness.write(client, PAGE);
-            FakeServer.Connection connection = FakeServer.awaitNext(server.answeredConnections);
+            FakeServer.Connection connection = FakeServer.awaitNext(server.respondedConnections);
             // The loop reads the disconnect and half of the status line in one turn.
             CountDownLatch release = harness.blockEventLoop();
             connection.write("HTTP/1.1 200 O");
--- a/node/src/test/java/loadbalancer/process/ControlServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ControlServerTest.java
@@ -175,7 +175,7 @@
         try (FakeServer one = FakeServer.respondingWith("one");
                 FakeServer two = FakeServer.respondingWith("two");
                 NodeHarness harness = withControlAddress().start(one, two)) {
-            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.respondedConnections);
             assertEquals("YES\n", harness.controlCall("cordon s0\n"));
             assertEquals("YES\n", harness.controlCall("cordon s0\n"), "repeated");
             // The server is removed from the list and listed again. It must stay cordoned.
--- a/node/src/test/java/loadbalancer/process/FakeServer.java
+++ b/node/src/test/java/loadbalancer/process/FakeServer.java
@@ -37,7 +37,7 @@
     }
 
     public final BlockingQueue<Http.Message> requests = new LinkedBlockingQueue<>();
-    public final BlockingQueue<Connection> answeredConnections = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Connection> respondedConnections = new LinkedBlockingQueue<>();
     public final BlockingQueue<Connection> closedConnections = new LinkedBlockingQueue<>();
     final AtomicInteger connectionCount = new AtomicInteger();
     private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
@@ -109,7 +109,7 @@
                 requests.add(request);
                 script.respond(request, connection);
                 // Added after the script's response, because what a test writes to the connection must follow it.
-                answeredConnections.add(connection);
+                respondedConnections.add(connection);
             }
         } catch (IOException e) {
             closedConnections.add(connection);
--- a/node/src/test/java/loadbalancer/process/LargeListTest.java
+++ b/node/src/test/java/loadbalancer/process/LargeListTest.java
@@ -44,7 +44,7 @@
                 int port = Integer.parseInt(listening.substring(listening.lastIndexOf(':') + 1));
                 assertEquals(200, sendRequest(port, "before"));
                 String list = fullList(servers, server.endpoint());
-                FakeServer.awaitNext(discovery.answeredConnections).write(NodeHarness.chunk(list + "\n"));
+                FakeServer.awaitNext(discovery.respondedConnections).write(NodeHarness.chunk(list + "\n"));
                 NodeProgram.awaitLine(
                         program,
                         line -> line.endsWith("event=endpoint_list version=2 kind=full first_of_watch=true ready="
--- a/node/src/test/java/loadbalancer/process/LateConnectionTest.java
+++ b/node/src/test/java/loadbalancer/process/LateConnectionTest.java
@@ -145,7 +145,7 @@
                             false));
             harness.balancerFactory = actions -> countingAttempts(harness, actions, started);
             harness.start(first);
-            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.respondedConnections);
             Socket client = harness.connect();
             NodeHarness.write(client, PHOTO.formatted("t"));
             FakeServer.awaitNext(first.requests);
--- a/node/src/test/java/loadbalancer/process/NodeHarness.java
+++ b/node/src/test/java/loadbalancer/process/NodeHarness.java
@@ -155,7 +155,7 @@
 
     /** Makes discovery announce another server, as the first change after the list that the node started with. */
     void announceServer(String id, FakeServer server) throws Exception {
-        FakeServer.awaitNext(discovery.answeredConnections)
+        FakeServer.awaitNext(discovery.respondedConnections)
                 .write(chunk(endpointList(2, false, id + "=" + server.endpoint() + "=Ready") + "\n"));
     }
 
--- a/node/src/test/java/loadbalancer/process/NodeTest.java
+++ b/node/src/test/java/loadbalancer/process/NodeTest.java
@@ -131,7 +131,7 @@
             harness.createNode(NodeHarness.endpointList(
                     1, true, "s0=" + one.endpoint() + "=Ready", "s1=" + two.endpoint() + "=Ready"));
             harness.node.followEndpointList();
-            FakeServer.awaitNext(harness.discovery.answeredConnections)
+            FakeServer.awaitNext(harness.discovery.respondedConnections)
                     .write(NodeHarness.chunk(
                             NodeHarness.endpointList(2, false, "s0=" + one.endpoint() + "=Gone") + "\n"));
             harness.awaitMetric("node_known_app_servers 1");
--- a/node/src/test/java/loadbalancer/process/ReloadTest.java
+++ b/node/src/test/java/loadbalancer/process/ReloadTest.java
@@ -130,7 +130,7 @@
                             1,
                             CLASS.formatted("page", 5_000_000, "unsafe"),
                             CLASS.formatted("order", 5_000_000, "safe")));
-            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.respondedConnections);
             watch.write(
                     NodeHarness.chunk(NodeHarness.endpointList(2, false, "s1=" + other.endpoint() + "=Ready") + "\n"));
             harness.awaitMetric("node_known_app_servers 2");
--- a/node/src/test/java/loadbalancer/process/ResponseFailureTest.java
+++ b/node/src/test/java/loadbalancer/process/ResponseFailureTest.java
@@ -38,7 +38,7 @@
             CountDownLatch release = harness.blockEventLoop();
             long releaseAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(80);
             responseAllowed.countDown();
-            FakeServer.awaitNext(server.answeredConnections);
+            FakeServer.awaitNext(server.respondedConnections);
             while (System.nanoTime() < releaseAtNanos) {
                 Thread.onSpinWait();
             }
--- a/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
+++ b/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
@@ -157,12 +157,12 @@
             harness.start(server);
             assertEquals(200, harness.exchange(Http.pageRequest("a")).status());
             assertEquals(200, harness.exchange(Http.pageRequest("b")).status());
-            FakeServer.Connection first = FakeServer.awaitNext(server.answeredConnections);
-            assertEquals(first, FakeServer.awaitNext(server.answeredConnections), "used again");
+            FakeServer.Connection first = FakeServer.awaitNext(server.respondedConnections);
+            assertEquals(first, FakeServer.awaitNext(server.respondedConnections), "used again");
             assertEquals(
                     first, FakeServer.awaitNext(server.closedConnections), "closed by the node before the server does");
             assertEquals(200, harness.exchange(Http.pageRequest("c")).status());
-            assertNotEquals(first, FakeServer.awaitNext(server.answeredConnections));
+            assertNotEquals(first, FakeServer.awaitNext(server.respondedConnections));
         }
     }
 
@@ -181,7 +181,7 @@
             assertTrue(one.isConnected() && two.isConnected());
             String hangs = "s0=127.0.0.1:" + hanging.getLocalPort();
             harness.startWithList(NodeHarness.endpointList(1, true, hangs + "=Ready"));
-            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.respondedConnections);
             Socket client = harness.connect();
             NodeHarness.write(client, Http.orderRequest("t", "5000m"));
             // Once the answer to a later request is there, the order has been taken up and awaits its turn.
@@ -204,7 +204,7 @@
         try (FakeServer drains = FakeServer.respondingWith("drains");
                 FakeServer other = FakeServer.respondingWith("other");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(drains)) {
-            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.respondedConnections);
             Socket client = harness.connect();
             assertEquals(
                     "drains",
@@ -226,7 +226,7 @@
         try (FakeServer before = FakeServer.respondingWith("old");
                 FakeServer after = FakeServer.respondingWith("new");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(before)) {
-            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.respondedConnections);
             assertEquals("old", harness.exchange(Http.pageRequest("a")).body());
             watch.write(
                     NodeHarness.chunk(NodeHarness.endpointList(2, false, "s0=" + after.endpoint() + "=Ready") + "\n"));
