--- a/node/src/test/java/loadbalancer/process/NodeHarness.java
+++ b/node/src/test/java/loadbalancer/process/NodeHarness.java
@@ -35,7 +35,7 @@
     public final FakeServer discovery;
     public final MeasuredEventLoop loop = new MeasuredEventLoop("node", false);
     int socketLimit = 256;
-    public long connIdleUs = 60_000_000;
+    public long serverIdleTimeoutUs = 60_000_000;
     /** Creates the balancer of the node. A test may replace it to get a faulty balancer. */
     public Function<BalancerActions, Balancer> balancerFactory;
     /** Whether the node has a control address. */
@@ -110,7 +110,7 @@
                 SocketAddresses.parseOrNull(discovery.endpoint()),
                 7,
                 socketLimit,
-                connIdleUs,
+                serverIdleTimeoutUs,
                 new EndpointListDecoder(settings.zones).decode(new ObjectMapper().readTree(initialList)),
                 settings,
                 configuredKeys,
--- a/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
+++ b/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
@@ -153,7 +153,7 @@
     void reusesTheNewestConnectionAndEvictsIdleOnes() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            harness.connIdleUs = 200_000;
+            harness.serverIdleTimeoutUs = 200_000;
             harness.start(server);
             assertEquals(200, harness.exchange(Http.pageRequest("a")).status());
             assertEquals(200, harness.exchange(Http.pageRequest("b")).status());
