--- a/node/src/main/java/loadbalancer/process/Housekeeping.java
+++ b/node/src/main/java/loadbalancer/process/Housekeeping.java
@@ -13,9 +13,9 @@
  * The periodic work of a node: closes connections that have been idle for too long, ends attempts whose transfer has
  * stalled, reads cordons that another process has changed, and logs stalls of the event loop.
  *
- * <p>An event loop stall is a time in which the loop handles nothing, either because one of its tasks takes long or
+ * <p>An event loop stall is a time in which the loop polls no sockets, either because one of its tasks takes long or
  * because its thread does not get processor time. Stalls are logged because all requests share one loop: during a stall
- * the node sends no responses, and clients see timeouts that no other log line explains. {@link LoopLagMeter} accounts
+ * the node reads no requests, and clients see timeouts that no other log line explains. {@link LoopLagMeter} accounts
  * for the time that requests wait through a stall.
  *
  * <p>{@link #start} may be called from any thread. All other methods run on the event loop.
--- a/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Starts the parts in order. Following the endpoint list starts before the warm-up: the warm-up takes longer than
-     * the response of discovery, so the list is current when the node listens.
+     * Starts the parts in order. The node follows the endpoint list from before the warm-up: the warm-up takes longer
+     * than discovery needs to respond, so the list is normally current when the node listens.
      */
     private void start(Map<String, String> env, ServerSocketChannel inherited) {
         ReloadSignal.handle(() -> node.reload(env));
--- a/node/src/main/java/loadbalancer/process/ServerListUpdater.java
+++ b/node/src/main/java/loadbalancer/process/ServerListUpdater.java
@@ -47,9 +47,10 @@
     }
 
     /**
-     * Updates the pool before the balancer, because the balancer sends requests to new servers at once. The pool ends
-     * the attempts that wait for a connection to a draining server. All of this is one event, so the outcomes of these
-     * attempts reach the balancer after the list. Otherwise the balancer would retry them on the same servers.
+     * Updates the pool before the balancer, because the balancer sends requests to new servers at once. The pool closes
+     * the idle connections to a draining server and ends the attempts that wait for a connection to it. The update of
+     * pool and balancer is one event, so the outcomes of these attempts reach the balancer after the list. Otherwise it
+     * would retry them on the same servers.
      */
     private void update(EndpointList list, ListKind kind) {
         services.events().submit(balancer -> {
