--- a/node/src/test/java/loadbalancer/process/ClassListTest.java
+++ b/node/src/test/java/loadbalancer/process/ClassListTest.java
@@ -26,7 +26,7 @@
         assertTrue(built.contains("loadbalancer/process/Node"), built.toString());
         List<String> missing =
                 built.stream().filter(name -> !listed.contains(name)).toList();
-        assertEquals(List.of(), missing, "make the list anew, as the README says");
+        assertEquals(List.of(), missing, "classes missing in deploy/classes.lst; rebuild it as the README says");
         // A class that a node loads only if a setting enables it must not be listed.
         assertEquals(
                 List.of(), listed.stream().filter(ClassListTest::isOffByDefault).toList());
@@ -41,7 +41,7 @@
         List<String> lambdas = Files.readAllLines(Path.of("deploy/classes.lst")).stream()
                 .filter(line -> line.startsWith("@lambda-proxy loadbalancer/") && line.contains(" lambda$"))
                 .toList();
-        assertTrue(lambdas.size() > 50, "lambdas named: " + lambdas.size());
+        assertTrue(lambdas.size() > 50, "lambdas in deploy/classes.lst: " + lambdas.size());
         for (String line : lambdas) {
             String[] words = line.split(" ");
             int method = List.of(words)
@@ -57,7 +57,7 @@
                                     && MethodType.methodType(m.getReturnType(), m.getParameterTypes())
                                             .toMethodDescriptorString()
                                             .equals(words[method + 1])),
-                    "make the list anew, as the README says: " + line);
+                    "rebuild deploy/classes.lst as the README says, it names a lambda that does not exist: " + line);
         }
     }
 
--- a/node/src/test/java/loadbalancer/process/ClientLimitsTest.java
+++ b/node/src/test/java/loadbalancer/process/ClientLimitsTest.java
@@ -43,7 +43,7 @@
             }
             release.countDown();
             assertEquals(200, harness.exchange(Http.pageRequest("last")).status());
-            assertTrue(closed.await(20, TimeUnit.SECONDS), closed.getCount() + " too many are open");
+            assertTrue(closed.await(20, TimeUnit.SECONDS), closed.getCount() + " idle connections were not closed");
         }
     }
 
--- a/node/src/test/java/loadbalancer/process/ClientServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ClientServerTest.java
@@ -35,7 +35,7 @@
             assertEquals("5c0f", sent.headers().get("idempotency-key"));
             assertEquals("body", sent.body());
             long remainingUs = RequestReader.parseRemainingUs(sent.headers().get("x-remaining"));
-            assertTrue(remainingUs > 0 && remainingUs < 480_000, "left " + remainingUs);
+            assertTrue(remainingUs > 0 && remainingUs < 480_000, "remaining time in µs: " + remainingUs);
         }
     }
 
@@ -128,7 +128,7 @@
                     400,
                     harness.exchange(lines.replace("|", "\r\n") + "\r\n\r\n").status());
             assertEquals(0, server.connectionCount.get());
-            assertEquals(200, harness.exchange(Http.pageRequest("next")).status(), "the node goes on");
+            assertEquals(200, harness.exchange(Http.pageRequest("next")).status(), "the next request is served");
         }
     }
 
@@ -330,7 +330,7 @@
                 harness.connect();
             }
             assertEquals(200, harness.exchange(Http.pageRequest("last")).status());
-            assertEquals(-1, first.getInputStream().read(), "the longest idle made room");
+            assertEquals(-1, first.getInputStream().read(), "the client that was idle longest is closed");
         }
     }
 
--- a/node/src/test/java/loadbalancer/process/ControlServerTest.java
+++ b/node/src/test/java/loadbalancer/process/ControlServerTest.java
@@ -177,7 +177,7 @@
                 NodeHarness harness = withControlAddress().start(one, two)) {
             FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.respondedConnections);
             assertEquals("YES\n", harness.controlCall("cordon s0\n"));
-            assertEquals("YES\n", harness.controlCall("cordon s0\n"), "repeated");
+            assertEquals("YES\n", harness.controlCall("cordon s0\n"), "repeated call");
             // The server is removed from the list and listed again. It must stay cordoned.
             watch.write(NodeHarness.chunk(NodeHarness.endpointList(2, true, "s1=" + two.endpoint() + "=Ready") + "\n"));
             harness.awaitMetric("node_known_app_servers 1");
@@ -192,12 +192,12 @@
                         harness.exchange(Http.pageRequest("/api/x", "t" + i, "4000m"))
                                 .body());
             }
-            assertEquals("YES\n", harness.controlCall("uncordon s0\n"), "one call back ends it");
+            assertEquals("YES\n", harness.controlCall("uncordon s0\n"), "one call ends a cordon that was set twice");
             harness.awaitMetric("node_skipped_app_servers 0");
-            assertEquals("YES\n", harness.controlCall("uncordon s0\n"), "not cordoned, but listed");
+            assertEquals("YES\n", harness.controlCall("uncordon s0\n"), "a listed server that is not cordoned");
             int sent = 0;
             while (one.requests.isEmpty()) {
-                assertTrue(sent < 10_000, "never used again");
+                assertTrue(sent < 10_000, "the server gets no requests after the end of its cordon");
                 harness.exchange(Http.pageRequest("/api/x", "u" + sent++, "4000m"));
             }
         }
@@ -223,7 +223,7 @@
             long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt);
             assertTrue(
                     elapsedMs >= ServerListUpdater.CORDON_PROPAGATION_MILLIS,
-                    "no yes before the other process has looked: " + elapsedMs);
+                    "YES came before the other process refreshed its cordons, after ms: " + elapsedMs);
             first.awaitMetric("node_skipped_app_servers 1");
             assertEquals("one", first.exchange(Http.pageRequest("u")).body());
         }
@@ -237,7 +237,7 @@
             Files.write(folder.resolve("kitemux.cordons"), new byte[] {(byte) 0xff, (byte) 0xfe, 0});
             harness.start(server);
             assertEquals(200, harness.exchange(Http.pageRequest("t")).status());
-            assertEquals("YES\n", harness.controlCall("cordon s0\n"), "written anew");
+            assertEquals("YES\n", harness.controlCall("cordon s0\n"), "the unreadable file is replaced");
             harness.awaitMetric("node_skipped_app_servers 1");
             Files.createDirectory(folder.resolve("kitemux.cordons.new"));
             String response = harness.controlCall("uncordon s0\n");
--- a/node/src/test/java/loadbalancer/process/FakeServer.java
+++ b/node/src/test/java/loadbalancer/process/FakeServer.java
@@ -118,7 +118,7 @@
 
     public static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
         T item = queue.poll(20, TimeUnit.SECONDS);
-        assertNotNull(item, "nothing came");
+        assertNotNull(item, "nothing arrived within 20 s");
         return item;
     }
 
--- a/node/src/test/java/loadbalancer/process/GracefulShutdownTest.java
+++ b/node/src/test/java/loadbalancer/process/GracefulShutdownTest.java
@@ -150,7 +150,7 @@
             assertEquals(-1, client.getInputStream().read());
             assertReadAndDropped(harness, client);
             assertEquals(1, server.requests.size());
-            assertEquals(1, drained.getCount(), "the client may not know of the close yet");
+            assertEquals(1, drained.getCount(), "drained although the client has not closed its side");
             client.close();
             assertTrue(drained.await(20, TimeUnit.SECONDS));
         }
@@ -195,7 +195,7 @@
                     200, NodeHarness.exchange(client, Http.pageRequest("t")).status());
             CountDownLatch drained = harness.drain();
             assertEquals(-1, client.getInputStream().read());
-            assertTrue(drained.await(20, TimeUnit.SECONDS), "it never closes its side");
+            assertTrue(drained.await(20, TimeUnit.SECONDS), "not drained although the client never closes its side");
         }
     }
 
--- a/node/src/test/java/loadbalancer/process/Http.java
+++ b/node/src/test/java/loadbalancer/process/Http.java
@@ -62,7 +62,7 @@
     private static byte[] readExactly(InputStream in, int length) throws IOException {
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new EOFException("message cut short");
+            throw new EOFException("truncated message");
         }
         return body;
     }
@@ -71,7 +71,7 @@
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
-                throw new EOFException("connection ended");
+                throw new EOFException("connection closed");
             }
             line.write(b);
         }
--- a/node/src/test/java/loadbalancer/process/LargeBodyTest.java
+++ b/node/src/test/java/loadbalancer/process/LargeBodyTest.java
@@ -201,7 +201,7 @@
             }
             sender.close();
             FakeServer.awaitNext(server.closedConnections);
-            assertTrue(server.requests.isEmpty(), "never whole");
+            assertTrue(server.requests.isEmpty(), "the server got a complete request");
             Socket reader = harness.connect();
             NodeHarness.write(reader, Http.pageRequest("/api/x", "u", "5000m"));
             assertEquals(200, Http.readHead(reader.getInputStream()).status());
@@ -235,7 +235,7 @@
             NodeHarness.write(client, Http.pageRequest("/api/x", "t", "5000m"));
             assertThrows(IOException.class, () -> {
                 if (Http.readMessage(client.getInputStream()).body().length() < LARGE) {
-                    throw new IOException("cut short");
+                    throw new IOException("truncated body");
                 }
             });
             harness.awaitMetric("node_handled{category=\"page\",outcome=\"bad_gateway\"} 1");
@@ -318,7 +318,7 @@
                     200,
                     NodeHarness.exchange(client, Http.pageRequest("/api/x", "u", "5000m"))
                             .status(),
-                    "and goes on");
+                    "the connection serves the next request");
         }
     }
 
--- a/node/src/test/java/loadbalancer/process/LateConnectionTest.java
+++ b/node/src/test/java/loadbalancer/process/LateConnectionTest.java
@@ -157,7 +157,7 @@
             awaitDial(harness);
             late.startAccepting();
             assertEquals(502, Http.readMessage(client.getInputStream()).status());
-            assertTrue(late.receivedTxns.isEmpty(), "sent behind its window");
+            assertTrue(late.receivedTxns.isEmpty(), "sent after the deduplication window");
         }
     }
 
--- a/node/src/test/java/loadbalancer/process/NodeProgram.java
+++ b/node/src/test/java/loadbalancer/process/NodeProgram.java
@@ -56,6 +56,6 @@
     static void assertEndsOnSigterm(Process program) throws InterruptedException {
         program.destroy();
         assertTrue(program.waitFor(20, TimeUnit.SECONDS));
-        assertEquals(SIGTERM_EXIT_CODE, program.exitValue(), "ended by SIGTERM in good order");
+        assertEquals(SIGTERM_EXIT_CODE, program.exitValue(), "exit code after SIGTERM");
     }
 }
--- a/node/src/test/java/loadbalancer/process/NodeTest.java
+++ b/node/src/test/java/loadbalancer/process/NodeTest.java
@@ -104,7 +104,7 @@
                 Files.writeString(file, "{");
                 sendSighup(process);
                 NodeProgram.awaitLine(process, "level=warn event=reload_failed reason=\"PROXY_CONFIG is not JSON");
-                assertTrue(before.closedConnections.isEmpty(), "a file that cannot be read changes nothing");
+                assertTrue(before.closedConnections.isEmpty(), "an invalid file closed the watch");
                 Files.writeString(file, config(after.endpoint()));
                 sendSighup(process);
                 assertEquals(
@@ -143,7 +143,7 @@
                                 .body());
             }
             assertTrue(one.requests.isEmpty());
-            assertEquals(1, harness.discovery.requests.size(), "one watch");
+            assertEquals(1, harness.discovery.requests.size(), "number of watches");
         }
     }
 }
--- a/node/src/test/java/loadbalancer/process/ReloadTest.java
+++ b/node/src/test/java/loadbalancer/process/ReloadTest.java
@@ -79,7 +79,7 @@
             reload(harness, configText(harness, 4, PAGE, CLASS.formatted("note", 5_000_000, "unsafe")));
             assertEquals(200, harness.exchange(note).status());
             assertEquals(
-                    200, harness.exchange(Http.orderRequest("old", "4000m")).status(), "repeats may still come");
+                    200, harness.exchange(Http.orderRequest("old", "4000m")).status(), "clients may still retry requests of the dropped class");
             harness.awaitMetric("node_handled{category=\"note\",outcome=\"passed\"} 1");
             harness.awaitMetric("node_handled{category=\"order\",outcome=\"passed\"} 1");
             harness.awaitMetric("node_loads 2");
@@ -95,7 +95,7 @@
             reload(harness, configText(harness, 4, PAGE));
             int tries = 0;
             while (harness.exchange(Http.orderRequest("t" + tries, "150m")).status() != 400) {
-                assertTrue(tries++ < 100_000, "still served");
+                assertTrue(tries++ < 100_000, "the dropped class is still served");
             }
             assertEquals(200, harness.exchange(Http.pageRequest("t")).status());
         }
@@ -135,8 +135,8 @@
                     NodeHarness.chunk(NodeHarness.endpointList(2, false, "s1=" + other.endpoint() + "=Ready") + "\n"));
             harness.awaitMetric("node_known_app_servers 2");
             resetAllowed.countDown();
-            assertEquals("other", Http.readMessage(page.getInputStream()).body(), "safe when it was asked");
-            assertEquals(502, Http.readMessage(order.getInputStream()).status(), "unsafe when it was asked");
+            assertEquals("other", Http.readMessage(page.getInputStream()).body(), "the class was safe when the request arrived");
+            assertEquals(502, Http.readMessage(order.getInputStream()).status(), "the class was unsafe when the request arrived");
             // Requests of class order are now accepted under its new rules (GET) and under its old rules (POST).
             for (String orderRequest :
                     new String[] {Http.pageRequest("/api/x", "q", "5000m"), Http.orderRequest("r", "5000m")}) {
@@ -213,7 +213,7 @@
             harness.awaitMetric("node_load_errors 1");
             harness.awaitMetric("node_loads 0");
             assertEquals(200, harness.exchange(Http.pageRequest("t")).status());
-            assertEquals(0, moved.connectionCount.get(), "discovery is where it was");
+            assertEquals(0, moved.connectionCount.get(), "connections to the discovery address of the invalid file");
         }
     }
 }
--- a/node/src/test/java/loadbalancer/process/ResponseFailureTest.java
+++ b/node/src/test/java/loadbalancer/process/ResponseFailureTest.java
@@ -85,9 +85,9 @@
                 } catch (IOException e) {
                     complete = false;
                 }
-                assertFalse(complete, "a cut response passed for complete");
+                assertFalse(complete, "a truncated response looked complete");
             }
-            assertEquals(1, server.requests.size(), "an order is sent once");
+            assertEquals(1, server.requests.size(), "attempts of a non-idempotent request");
         }
     }
 
@@ -110,7 +110,7 @@
             NodeHarness.write(client, Http.pageRequest("/api/p", "stands", "200m"));
             Http.Message head = Http.readHead(client.getInputStream());
             assertThrows(IOException.class, () -> Http.readBody(client.getInputStream(), head));
-            assertEquals(0, other.getInputStream().available(), "its deadline is much later");
+            assertEquals(0, other.getInputStream().available(), "a response came long before the deadline");
         }
     }
 }
--- a/node/src/test/java/loadbalancer/process/RestartTest.java
+++ b/node/src/test/java/loadbalancer/process/RestartTest.java
@@ -85,7 +85,7 @@
         await(
                 () -> read(log).contains(event)
                         && read(log).substring(read(log).indexOf(event)).contains("\n"),
-                "no address for operators");
+                "the log names no control address");
         String rest = read(log).substring(read(log).indexOf(event) + event.length());
         return new InetSocketAddress(
                 InetAddress.getLoopbackAddress(), Integer.parseInt(rest.substring(0, rest.indexOf('\n'))));
@@ -114,7 +114,7 @@
             String txn = "t" + served.incrementAndGet();
             Http.Message response = NodeHarness.exchange(socket, Http.pageRequest("/api/x", txn, "5000m"));
             assertEquals(200, response.status());
-            assertEquals("two", response.body(), "the server that is not cordoned");
+            assertEquals("two", response.body(), "response of the server that is not cordoned");
             if ("close".equals(response.headers().get("connection"))) {
                 socket.close();
                 socket = null;
@@ -178,9 +178,9 @@
             await(() -> controlCall(after, "health").equals("YES\n"), "the second process does not serve");
             int servedAtSigterm = served.get();
             assertTrue(servedAtSigterm > 0);
-            assertTrue(nodes.get(0).destroy(), "told to end");
-            await(() -> !nodes.get(0).isAlive(), "the first process goes on");
-            assertTrue(read(oldLog).contains("event=draining"), "the log outlasts the socket: " + read(oldLog));
+            assertTrue(nodes.get(0).destroy(), "SIGTERM could not be sent");
+            await(() -> !nodes.get(0).isAlive(), "the first process has not ended");
+            assertTrue(read(oldLog).contains("event=draining"), "the log lacks the drain, perhaps it was closed with the socket: " + read(oldLog));
             int servedAtExit = served.get();
             await(() -> served.get() > servedAtExit + 100, "the second process serves nothing");
             running.set(false);
@@ -189,10 +189,10 @@
             }
             String metrics = controlCall(after, "counters");
             int passed = Integer.parseInt(metrics.replaceAll("(?s).*outcome=\"passed\"} (\\d+).*", "$1"));
-            assertTrue(passed >= 100 && passed < served.get(), "counted from 0: " + metrics);
+            assertTrue(passed >= 100 && passed < served.get(), "metrics of the second process do not count from 0: " + metrics);
             assertTrue(metrics.contains("outcome=\"dropped\"} 0\n"), metrics);
             assertTrue(metrics.contains("node_skipped_app_servers 1\n"), metrics);
-            assertTrue(one.requests.isEmpty(), "cordoned before either served clients");
+            assertTrue(one.requests.isEmpty(), "the cordoned server got requests");
             assertEquals("YES\n", controlCall(after, "uncordon s0"));
         } finally {
             running.set(false);
--- a/node/src/test/java/loadbalancer/process/SmallHeapTest.java
+++ b/node/src/test/java/loadbalancer/process/SmallHeapTest.java
@@ -89,7 +89,7 @@
             sha.update(part);
             remaining -= part.length;
             if (part.length == 0) {
-                throw new IOException("cut short, " + remaining + " left");
+                throw new IOException("truncated body, " + remaining + " bytes missing");
             }
         }
         return HexFormat.of().formatHex(sha.digest());
