--- a/node/src/test/java/loadbalancer/process/ClientDisconnectTest.java
+++ b/node/src/test/java/loadbalancer/process/ClientDisconnectTest.java
@@ -34,7 +34,10 @@
             harness.awaitMetric("node_in_progress 0");
             responseAllowed.countDown();
             assertEquals(200, harness.exchange(Http.pageRequest("c")).status());
-            assertEquals("c", FakeServer.awaitNext(server.requests).headers().get("x-txn"), "request b was sent to the server");
+            assertEquals(
+                    "c",
+                    FakeServer.awaitNext(server.requests).headers().get("x-txn"),
+                    "request b was sent to the server");
         }
     }
 
--- a/node/src/test/java/loadbalancer/process/ReloadTest.java
+++ b/node/src/test/java/loadbalancer/process/ReloadTest.java
@@ -79,7 +79,9 @@
             reload(harness, configText(harness, 4, PAGE, CLASS.formatted("note", 5_000_000, "unsafe")));
             assertEquals(200, harness.exchange(note).status());
             assertEquals(
-                    200, harness.exchange(Http.orderRequest("old", "4000m")).status(), "clients may still retry requests of the dropped class");
+                    200,
+                    harness.exchange(Http.orderRequest("old", "4000m")).status(),
+                    "clients may still retry requests of the dropped class");
             harness.awaitMetric("node_handled{category=\"note\",outcome=\"passed\"} 1");
             harness.awaitMetric("node_handled{category=\"order\",outcome=\"passed\"} 1");
             harness.awaitMetric("node_loads 2");
@@ -135,14 +137,21 @@
                     NodeHarness.chunk(NodeHarness.endpointList(2, false, "s1=" + other.endpoint() + "=Ready") + "\n"));
             harness.awaitMetric("node_known_app_servers 2");
             resetAllowed.countDown();
-            assertEquals("other", Http.readMessage(page.getInputStream()).body(), "the class was safe when the request arrived");
-            assertEquals(502, Http.readMessage(order.getInputStream()).status(), "the class was unsafe when the request arrived");
+            assertEquals(
+                    "other",
+                    Http.readMessage(page.getInputStream()).body(),
+                    "the class was safe when the request arrived");
+            assertEquals(
+                    502,
+                    Http.readMessage(order.getInputStream()).status(),
+                    "the class was unsafe when the request arrived");
             // Requests of class order are now accepted under its new rules (GET) and under its old rules (POST).
             for (String orderRequest :
                     new String[] {Http.pageRequest("/api/x", "q", "5000m"), Http.orderRequest("r", "5000m")}) {
                 assertNotEquals(
                         400,
-                        harness.exchange(orderRequest.replace("page\r", "order\r")).status());
+                        harness.exchange(orderRequest.replace("page\r", "order\r"))
+                                .status());
             }
         }
     }
--- a/node/src/test/java/loadbalancer/process/RestartTest.java
+++ b/node/src/test/java/loadbalancer/process/RestartTest.java
@@ -180,7 +180,9 @@
             assertTrue(servedAtSigterm > 0);
             assertTrue(nodes.get(0).destroy(), "SIGTERM could not be sent");
             await(() -> !nodes.get(0).isAlive(), "the first process has not ended");
-            assertTrue(read(oldLog).contains("event=draining"), "the log lacks the drain, perhaps it was closed with the socket: " + read(oldLog));
+            assertTrue(
+                    read(oldLog).contains("event=draining"),
+                    "the log lacks the drain, perhaps it was closed with the socket: " + read(oldLog));
             int servedAtExit = served.get();
             await(() -> served.get() > servedAtExit + 100, "the second process serves nothing");
             running.set(false);
@@ -189,7 +191,9 @@
             }
             String metrics = controlCall(after, "counters");
             int passed = Integer.parseInt(metrics.replaceAll("(?s).*outcome=\"passed\"} (\\d+).*", "$1"));
-            assertTrue(passed >= 100 && passed < served.get(), "metrics of the second process do not count from 0: " + metrics);
+            assertTrue(
+                    passed >= 100 && passed < served.get(),
+                    "metrics of the second process do not count from 0: " + metrics);
             assertTrue(metrics.contains("outcome=\"dropped\"} 0\n"), metrics);
             assertTrue(metrics.contains("node_skipped_app_servers 1\n"), metrics);
             assertTrue(one.requests.isEmpty(), "the cordoned server got requests");
