--- a/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
+++ b/node/src/test/java/loadbalancer/discovery/EndpointWatcherMoveTest.java
@@ -37,7 +37,7 @@
         harness = NodeHarness.withSilentDiscovery();
         newService = silentService();
         start(TIMEOUTS);
-        oldConnection = FakeServer.awaitNext(harness.discovery.answeredConnections);
+        oldConnection = FakeServer.awaitNext(harness.discovery.respondedConnections);
         sendList(oldConnection, 42, false);
         assertEquals("42", FakeServer.awaitNext(notifications));
     }
@@ -97,7 +97,7 @@
     @Test
     void oldAddressIsUsedUntilTheNewOneHasSentAList() throws Exception {
         move(newService);
-        FakeServer.Connection newConnection = FakeServer.awaitNext(newService.answeredConnections);
+        FakeServer.Connection newConnection = FakeServer.awaitNext(newService.respondedConnections);
         sendList(oldConnection, 43, false);
         assertEquals("43", FakeServer.awaitNext(notifications));
         sendHeadAndList(newConnection, 44, false);
@@ -111,8 +111,8 @@
     @Test
     void silentNewAddressIsReconnectedWhileTheOldOneIsUsed() throws Exception {
         move(newService);
-        FakeServer.awaitNext(newService.answeredConnections);
-        FakeServer.Connection second = FakeServer.awaitNext(newService.answeredConnections);
+        FakeServer.awaitNext(newService.respondedConnections);
+        FakeServer.Connection second = FakeServer.awaitNext(newService.respondedConnections);
         sendList(oldConnection, 43, false);
         assertEquals("43", FakeServer.awaitNext(notifications));
         sendHeadAndList(second, 44, false);
@@ -122,8 +122,8 @@
     @Test
     void newAddressThatSendsOnlyAResponseHeadIsReconnected() throws Exception {
         move(newService);
-        FakeServer.awaitNext(newService.answeredConnections).write(NodeHarness.watchResponseHead());
-        sendHeadAndList(FakeServer.awaitNext(newService.answeredConnections), 43, false);
+        FakeServer.awaitNext(newService.respondedConnections).write(NodeHarness.watchResponseHead());
+        sendHeadAndList(FakeServer.awaitNext(newService.respondedConnections), 43, false);
         assertEquals("43", FakeServer.awaitNext(notifications));
     }
 
@@ -150,7 +150,7 @@
     @Test
     void olderListsAreIgnoredUntilTheNewAddressHasCaughtUp() throws Exception {
         move(newService);
-        FakeServer.Connection newConnection = FakeServer.awaitNext(newService.answeredConnections);
+        FakeServer.Connection newConnection = FakeServer.awaitNext(newService.respondedConnections);
         sendHeadAndList(newConnection, 40, true);
         sendList(newConnection, 41, false);
         // The new address has not caught up, so lists from the old one are still accepted.
@@ -167,11 +167,11 @@
     void allServersAreRequestedFromAServiceThatStaysBehind() throws Exception {
         harness.loop.execute(discovery::close);
         start(new WatchTimeouts(20_000_000, 20_000_000, 100_000));
-        FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.answeredConnections);
+        FakeServer.Connection peer = FakeServer.awaitNext(harness.discovery.respondedConnections);
         sendList(peer, 42, false);
         assertEquals("42", FakeServer.awaitNext(notifications));
         move(newService);
-        FakeServer.Connection newConnection = FakeServer.awaitNext(newService.answeredConnections);
+        FakeServer.Connection newConnection = FakeServer.awaitNext(newService.respondedConnections);
         sendHeadAndList(newConnection, 3, true);
         // Heartbeats continue until the node closes the watch.
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
@@ -179,7 +179,7 @@
             assertTrue(System.nanoTime() < end, "the watch on a service that lags is still open");
             Thread.onSpinWait();
         }
-        sendHeadAndList(FakeServer.awaitNext(newService.answeredConnections), 3, true);
+        sendHeadAndList(FakeServer.awaitNext(newService.respondedConnections), 3, true);
         assertEquals("3", FakeServer.awaitNext(notifications));
         assertEquals(
                 "/discovery/hosts?watch=1&after=42",
@@ -204,7 +204,7 @@
         String line = listChunk(43, false);
         oldConnection.write(line.substring(0, line.length() / 2));
         move(newService);
-        FakeServer.Connection newConnection = FakeServer.awaitNext(newService.answeredConnections);
+        FakeServer.Connection newConnection = FakeServer.awaitNext(newService.respondedConnections);
         oldConnection.write(line.substring(line.length() / 2));
         assertEquals("43", FakeServer.awaitNext(notifications));
         oldConnection.write(listChunk(44, false).substring(0, 20));
@@ -216,9 +216,9 @@
     void secondMoveKeepsTheWatchThatHasReceivedAMessage() throws Exception {
         try (FakeServer third = silentService()) {
             move(newService);
-            FakeServer.awaitNext(newService.answeredConnections);
+            FakeServer.awaitNext(newService.respondedConnections);
             move(third);
-            FakeServer.Connection last = FakeServer.awaitNext(third.answeredConnections);
+            FakeServer.Connection last = FakeServer.awaitNext(third.respondedConnections);
             FakeServer.awaitNext(newService.closedConnections);
             sendList(oldConnection, 43, false);
             assertEquals("43", FakeServer.awaitNext(notifications));
--- a/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
+++ b/node/src/test/java/loadbalancer/upstream/ServerPoolTest.java
@@ -153,16 +153,16 @@
     void newestConnectionIsReusedAndIdleOnesAreEvicted() throws Exception {
         try (FakeServer server = FakeServer.respondingWith("x");
                 NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            harness.connIdleUs = 200_000;
+            harness.serverIdleTimeoutUs = 200_000;
             harness.start(server);
             assertEquals(200, harness.exchange(Http.pageRequest("a")).status());
             assertEquals(200, harness.exchange(Http.pageRequest("b")).status());
-            FakeServer.Connection first = FakeServer.awaitNext(server.answeredConnections);
-            assertEquals(first, FakeServer.awaitNext(server.answeredConnections), "the connection must be reused");
+            FakeServer.Connection first = FakeServer.awaitNext(server.respondedConnections);
+            assertEquals(first, FakeServer.awaitNext(server.respondedConnections), "the connection must be reused");
             assertEquals(
                     first, FakeServer.awaitNext(server.closedConnections), "the node must close the idle connection");
             assertEquals(200, harness.exchange(Http.pageRequest("c")).status());
-            assertNotEquals(first, FakeServer.awaitNext(server.answeredConnections));
+            assertNotEquals(first, FakeServer.awaitNext(server.respondedConnections));
         }
     }
 
@@ -181,7 +181,7 @@
             assertTrue(one.isConnected() && two.isConnected());
             String entry = "s0=127.0.0.1:" + hanging.getLocalPort();
             harness.startWithList(NodeHarness.endpointList(1, true, entry + "=Ready"));
-            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.respondedConnections);
             Socket client = harness.connect();
             NodeHarness.write(client, Http.orderRequest("t", "5000m"));
             // Once a later request has its response, the order has been read and waits for a connection.
@@ -204,7 +204,7 @@
         try (FakeServer drains = FakeServer.respondingWith("drains");
                 FakeServer other = FakeServer.respondingWith("other");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(drains)) {
-            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.respondedConnections);
             Socket client = harness.connect();
             assertEquals(
                     "drains",
@@ -226,7 +226,7 @@
         try (FakeServer before = FakeServer.respondingWith("old");
                 FakeServer after = FakeServer.respondingWith("new");
                 NodeHarness harness = NodeHarness.withSilentDiscovery().start(before)) {
-            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.answeredConnections);
+            FakeServer.Connection watch = FakeServer.awaitNext(harness.discovery.respondedConnections);
             assertEquals("old", harness.exchange(Http.pageRequest("a")).body());
             watch.write(
                     NodeHarness.chunk(NodeHarness.endpointList(2, false, "s0=" + after.endpoint() + "=Ready") + "\n"));
