--- a/node/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/node/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -3,21 +3,21 @@
 import java.util.SplittableRandom;
 
 /**
- * Load shedding on arrival. Acts where many nodes share each server: as answers come late, a node takes up fewer
- * requests, those of low value first, so that overloaded servers come to the pauses that they need to recover. Some
- * are always taken up, else a node would not learn that the servers have recovered.
+ * Sheds load on arrival, where many nodes share each server. As the on-time ratio falls, a node admits fewer requests
+ * and rejects those of low value first. Overloaded servers then get the pauses that they need to recover. A minimum
+ * share is always admitted, because without responses a node would not detect that the servers have recovered.
  *
- * <p>Harm: requests are rejected that could have been served, while the on-time ratio follows a recovery.
- * Single-threaded; no I/O.
+ * <p>Trade-off: while the on-time ratio lags behind a recovery, requests are rejected that could have been served.
  */
 final class AdmissionController {
-    /** On-time ratio under which requests of middling value are shed. */
+    /** On-time ratio below which requests of half the highest value are shed. */
     private static final double SHEDDING_THRESHOLD = 0.7;
-    /** Least share of requests that are taken up. */
+    /** Smallest share of requests that is admitted. */
     private static final double MIN_ADMITTED_SHARE = 0.05;
-    /** Factor of the admitted share for a request of no value, and what the highest value adds to it. */
+    /** Factor of the admitted share for a request of value 0. */
     private static final double LOWEST_RANK_FACTOR = 0.75;
 
+    /** Added to that factor for a request of the highest value. */
     private static final double RANK_BONUS = 0.5;
 
     private final BalancerState state;
@@ -33,7 +33,7 @@
         this.random = random;
     }
 
-    /** Whether a request that has arrived is to be rejected. Draws a random number only where many nodes share. */
+    /** Whether to reject a request on arrival. Draws a random number only where many nodes share each server. */
     boolean sheds(PendingRequest request) {
         return state.manyNodesPerServer && random.nextDouble() >= admissionProbability(request);
     }
--- a/node/src/main/java/loadbalancer/policy/AttemptId.java
+++ b/node/src/main/java/loadbalancer/policy/AttemptId.java
@@ -1,4 +1,4 @@
 package loadbalancer.policy;
 
-/** One attempt of a request. */
+/** Identifies one attempt of a request by its number. */
 record AttemptId(PendingRequest request, int attempt) {}
--- a/node/src/main/java/loadbalancer/policy/AttemptOutcome.java
+++ b/node/src/main/java/loadbalancer/policy/AttemptOutcome.java
@@ -1,13 +1,14 @@
 package loadbalancer.policy;
 
 /**
- * The end of one attempt.
+ * The outcome of one attempt.
  *
  * @param requestId the request
- * @param attempt its number
+ * @param attempt the number of the attempt
  * @param result how it ended
- * @param latencyUs time since it was sent
- * @param requestEnded true if the request is over, by this outcome or before; else an answer is still owed
+ * @param latencyUs time since it was sent, in microseconds
+ * @param requestEnded true if the request has its final response, through this outcome or earlier; false if the
+ *     balancer still has to give one
  * @param report the server's load report, or null
  */
 public record AttemptOutcome(
--- a/node/src/main/java/loadbalancer/policy/AttemptResult.java
+++ b/node/src/main/java/loadbalancer/policy/AttemptResult.java
@@ -2,24 +2,24 @@
 
 /** How an attempt or a probe ended. */
 public enum AttemptResult {
-    /** Served. */
+    /** The server served the request. */
     OK(false),
-    /** The server answered with an error; the request may have run. */
+    /** The server responded with an error; the request may have run. */
     ERROR(false),
-    /** Rejected by an overloaded server, unread. */
+    /** An overloaded server rejected the request without reading it. */
     FULL(true),
-    /** No answer in time; it may have run or still be running. */
+    /** No response in time; the request may have run or may still be running. */
     TIMEOUT(false),
     /** No connection in time, or the request could not be written in full. */
     CONNECT_FAILED(true),
-    /** The connection broke; it may have run. */
+    /** The connection broke; the request may have run. */
     RESET(false),
-    /** Cancelled; it may have run. */
+    /** The node cancelled the attempt; the request may have run. */
     CANCELLED(false),
-    /** Never sent, as it was no longer wanted or lawful when its turn came. */
+    /** Never sent: when its turn came, the attempt was no longer needed or no longer allowed. */
     MOOT(true);
 
-    /** Whether the request is known never to have run. */
+    /** Whether it is certain that the request did not run. */
     public final boolean neverRan;
 
     AttemptResult(boolean neverRan) {
--- a/node/src/main/java/loadbalancer/policy/Balancer.java
+++ b/node/src/main/java/loadbalancer/policy/Balancer.java
@@ -4,23 +4,26 @@
 import java.util.Set;
 
 /**
- * Makes every routing decision of one node. The node reports events (endpoint lists, requests, outcomes, timers); the
- * balancer answers through {@link BalancerActions}.
+ * Makes all routing decisions of one node. The node reports events (endpoint lists, requests, outcomes, timers); the
+ * balancer decides through {@link BalancerActions}.
  *
- * <p>Times are microseconds of the caller's clock, which never goes backwards; durations are microseconds too. An
+ * <p>Times are microseconds of the caller's clock, which never goes backwards; durations are also in microseconds. An
  * instance is single-threaded, never blocks, and calls its {@link BalancerActions} only from within an event method.
  * The same events and seed give the same actions.
  */
 public interface Balancer {
 
-    /** The endpoint list as it stands; servers that a {@link ListKind#FULL} list lacks have been removed. */
+    /**
+     * Delivers an endpoint list. Servers that are missing from a {@link ListKind#FULL} or {@link ListKind#CACHED} list
+     * have been removed.
+     */
     void onServers(long nowUs, ListKind kind, List<ServerEntry> entries);
 
-    /** A list call failed or the watch broke; the last list stays in force. */
+    /** A request for the endpoint list failed or the watch broke; the last list remains in force. */
     void onListFailed(long nowUs);
 
     /**
-     * A client's request arrived; exactly one final answer is owed to it.
+     * A client's request arrived. It gets exactly one final response, unless its client leaves first.
      *
      * @throws IllegalArgumentException if its class or tenant is not in the settings, or its id is in use
      */
@@ -30,33 +33,37 @@
     void onOutcome(long nowUs, AttemptOutcome outcome);
 
     /**
-     * The request is bound to this attempt: part of its answer has gone to the client, or part of the request is held
-     * by nobody but the server. It has no deadline from here on.
+     * Binds a request to this attempt: part of its response has been sent to the client, or the request can no longer
+     * be replayed to another server. No further attempt is made, and the balancer applies no deadline to the request
+     * from here on.
      */
     void onFirstByte(long nowUs, long requestId, int attempt);
 
-    /** The client has left; nothing more is owed. Unknown ids are ignored. */
+    /**
+     * The client has left, or the node has sent the final response itself; the balancer gives none. Unknown ids are
+     * ignored.
+     */
     void onClientGone(long nowUs, long requestId);
 
     /** A probe ended; {@code report} as in {@link AttemptOutcome}. */
     default void onProbe(long nowUs, String serverId, AttemptResult result, long latencyUs, LoadReport report) {
-        // Only a balancer that asks for probes has a use for their results.
+        // Only a balancer that sends probes uses their results.
     }
 
     /** The timer set by {@link BalancerActions#wakeAt} fired. */
     void onWake(long nowUs);
 
     /**
-     * New settings apply from now on. Open requests keep the rules of their class; classes and tenants keep their
-     * indexes, new ones follow behind, and zones and load report fields are unchanged.
+     * Applies new settings. Open requests keep the rules of their class. Existing classes and tenants keep their
+     * indexes and new ones are appended; zones and load report fields do not change.
      *
-     * @throws IllegalArgumentException if a setting is out of range; then nothing changes
+     * @throws IllegalArgumentException if a setting is out of range; no setting changes in that case
      */
     void onSettings(long nowUs, BalancerSettings settings);
 
-    /** The complete set of servers that operators have cordoned, whatever the endpoint list says. */
+    /** Delivers the complete set of servers that operators have cordoned, independent of the endpoint list. */
     void onCordoned(long nowUs, Set<String> serverIds);
 
-    /** How many servers of the list are cordoned or ejected, for all classes or for one. */
+    /** Number of listed servers that are cordoned, plus number of servers ejected for all classes or for one. */
     int excludedServers();
 }
--- a/node/src/main/java/loadbalancer/policy/BalancerActions.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerActions.java
@@ -1,27 +1,30 @@
 package loadbalancer.policy;
 
-/** What a balancer asks of its node. Calls take effect in order, at the time of the event. */
+/** The actions that a balancer requests from its node. Calls take effect in order, at the time of the event. */
 public interface BalancerActions {
     /**
-     * Starts the next attempt of a request (numbered 0, 1, 2 ...), to be given up at {@code untilUs}. After
-     * {@code beginByUs} it must not begin, whatever it waits for: a retry that still needs a connection may outlast
-     * the window in which the servers recognize it as a duplicate.
+     * Starts the next attempt of a request (numbered 0, 1, 2 ...), which times out at {@code untilUs}. The attempt must
+     * not begin after {@code beginByUs}, whatever it waits for: while a retry waits for a connection, the time window
+     * in which servers recognize it as a duplicate may end.
      */
     void send(long requestId, String serverId, long beginByUs, long untilUs);
 
-    /** Stops waiting for an attempt; its outcome is still reported. */
+    /** Cancels an attempt; its outcome is still reported. */
     void cancel(long requestId, int attempt);
 
-    /** Final answer: rejected, a retry by the client is harmless; {@code retryAfterUs} 0 gives no advice on when. */
+    /**
+     * Gives the final response "rejected": the client may safely retry. {@code retryAfterUs} of 0 gives no advice on
+     * when to retry.
+     */
     void reject(long requestId, long retryAfterUs);
 
-    /** Final answer: failed, with no promise about its effect. */
+    /** Gives the final response "failed", without a statement whether the request ran. */
     void fail(long requestId);
 
     /** Calls {@link Balancer#onWake} at this time or soon after. A later call replaces an earlier one. */
     void wakeAt(long atUs);
 
-    /** Probes a server. */
+    /** Sends a probe to a server. */
     void probe(String serverId);
 
     /** Closes this node's idle connections to a server. */
@@ -31,13 +34,14 @@
     void subscribe();
 
     /**
-     * A server is ejected: it gets trial requests only.
+     * Reports that a server is ejected: it receives only trial requests, and fallback requests while other servers are
+     * full.
      *
-     * @param failures how many of its last answers failed
+     * @param failures number of failures among its last outcomes
      * @param className the class of requests that it is ejected for, or null for all
      */
     void ejected(String serverId, int failures, String className);
 
-    /** A server is no longer ejected, for this class or, where it is null, for all. */
+    /** Reports that a server is no longer ejected, for this class or, if null, for all. */
     void restored(String serverId, String className);
 }
--- a/node/src/main/java/loadbalancer/policy/BalancerRules.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerRules.java
@@ -3,27 +3,27 @@
 import java.util.SplittableRandom;
 
 /**
- * The rules of one balancer, each built once and given the rules and the state that it rests on. Rules know neither
- * the balancer nor each other beyond what their constructors take, so their dependencies are acyclic.
+ * Creates the rules of one balancer and passes to each the rules and the state that it depends on. A rule refers only
+ * to what its constructor takes, so the dependencies are acyclic.
  */
 final class BalancerRules {
     final BalancerState state = new BalancerState();
     final PerClass<ClassLatency> latencies = new PerClass<>(ClassLatency::new);
     final OnTimeRatio onTimeRatio = new OnTimeRatio();
 
-    // What is measured.
+    // Measurements.
     final LoadReports loadReports;
     final RequestPriority priority = new RequestPriority(state, latencies);
     final ErrorCounter errorCounter = new ErrorCounter(state);
 
-    // What a server may get.
+    // Load that a server may receive.
     final SlowStart slowStart = new SlowStart(state);
     final ConcurrencyLimiter limiter;
     final OutlierDetector outlierDetector;
     final TrialRequests trialRequests;
     final ServersInUse serversInUse;
 
-    // What happens to a request.
+    // Path of a request.
     final PendingRequestFactory requestFactory = new PendingRequestFactory();
     final AdmissionController admissionController;
     final FirstAttemptPicker firstAttemptPicker;
@@ -51,7 +51,7 @@
         endpointListRefresh = new EndpointListRefresh(state, random, actions);
     }
 
-    /** Puts settings that are valid into force. */
+    /** Applies settings that have been validated. */
     void applySettings(BalancerSettings settings) {
         state.settings = settings;
         loadReports.applySettings(settings);
--- a/node/src/main/java/loadbalancer/policy/BalancerSettings.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerSettings.java
@@ -4,25 +4,25 @@
 import java.util.List;
 
 /**
- * The settings of one node's balancer. Fields that are not set keep the defaults given here. Mutable until it is given
- * to a balancer, which does not change it.
+ * The settings of one node's balancer. Fields that are not set keep the defaults given here. Mutable until passed to a
+ * balancer, which does not change it.
  */
 public final class BalancerSettings {
     /** Number of nodes in the fleet, this one included. */
     public int nodes = 1;
-    /** This node's index among them, from 0. */
+    /** Index of this node among the nodes of the fleet, from 0. */
     public int nodeIndex;
-    /** This node's zone, an index into {@link #zones}. */
+    /** Zone of this node, as an index into {@link #zones}. */
     public int localZone;
-    /** Zones by name. */
+    /** Names of the zones. */
     public List<String> zones = new ArrayList<>();
     /** Request classes; at least one. */
     public List<RequestClass> classes = new ArrayList<>();
     /** Tenants; may be empty. */
     public List<Tenant> tenants = new ArrayList<>();
-    /** Whether weight counts for each unit of work and not for each request. */
+    /** Whether a class's weight applies per unit of work instead of per request. */
     public boolean weightByWork;
-    /** Maximum number of attempts for a request. */
+    /** Maximum number of attempts per request. */
     public int maxAttempts = 3;
     /** Maximum number of open requests: clients have no connections left for more. */
     public int maxOpen = Integer.MAX_VALUE;
@@ -30,36 +30,39 @@
     public boolean hedging;
     /** Whether attempts may be cancelled. */
     public boolean cancellation;
-    /** Whether servers may be probed. Part of the protocol; no rule probes. */
+    /** Whether servers may be probed. Part of the protocol; no rule sends probes. */
     public boolean probes;
-    /** Longest advice to a client on when to retry; 0 means none may be given. */
+    /** Longest retry-after advice to a client; 0 if none may be given. */
     public long maxRetryAfterUs;
-    /** Events come at most this often. */
+    /** Shortest time between two events. */
     public long tickUs = 1_000;
-    /** Time allowed to open a connection. */
+    /** Time limit for opening a connection. */
     public long connectTimeoutUs = 250_000;
     /** Whether the endpoint list must be polled. */
     public boolean pollsEndpointList;
-    /** Where it must be polled: without a subscription, at least this often. */
+    /** Where the endpoint list must be polled: longest time without a subscription until the next poll. */
     public long pollIntervalUs = 10_000_000;
-    /** Sends to a server must end this long after the notification that it drains or is gone; they end at once. */
+    /**
+     * Time after the notification that a server drains or is gone until sends to it must stop. Part of the protocol; no
+     * rule reads it, because sends stop at once.
+     */
     public long drainGraceUs = 1_000_000;
-    /** A server starts with this share of its capacity or more. */
+    /** Minimum share of its capacity that a server has when it starts. */
     public double warmUpInitialShare = 0.2;
-    /** A server is warm this long after its start at most. */
+    /** Longest time from the start of a server until it is warm. */
     public long warmUpUs = 20_000_000;
-    /** A server that warms up is overloaded when all nodes send it more than this many times what it can do. */
+    /** Multiple of a warming server's current capacity above which the load from all nodes together overloads it. */
     public double overloadMultiple = 3;
-    /** How long an overloaded server that warms up fails. Part of the protocol; no rule reads it. */
+    /** How long a warming server fails after an overload. Part of the protocol; no rule reads it. */
     public long overloadUs = 2_000_000;
     /** Cost of an attempt that crosses zones; 0 if crossing is free. */
     public double crossZoneCost;
-    /** Whether a server that served a key lately needs less work to serve it again. */
+    /** Whether servers serve a key with less work if they have served it recently. */
     public boolean keyAffinity;
     /** The fields of load reports, in order; empty if there are none. */
     public List<LoadReportField> reportFields = new ArrayList<>();
 
-    /** Throws IllegalArgumentException, naming the field, if a setting is missing or out of range. */
+    /** Throws IllegalArgumentException, naming the settings concerned, if one is missing or out of range. */
     public void validate() {
         require(!classes.isEmpty(), "classes is empty");
         require(nodes >= 1, "nodes is under 1");
--- a/node/src/main/java/loadbalancer/policy/BalancerState.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerState.java
@@ -1,38 +1,43 @@
 package loadbalancer.policy;
 
-/**
- * What the rules share: the settings in force, the servers in use and sums over them. Plain state without rules;
- * single-threaded.
- */
+/** State that the rules share: the settings in force, the servers in use and sums over them. Contains no rules. */
 final class BalancerState {
     BalancerSettings settings;
-    /** The servers in use, in list order: all that are ready, or this node's subset of them. */
+    /** The servers in use, in list order: all available servers, or this node's subset of them. */
     ServerRecord[] servers = new ServerRecord[0];
-    /** The same, to draw from. */
+    /** The servers in use, as candidates for a draw. */
     WeightedServers allServers = new WeightedServers(servers, new ServerRecord[0]);
-    /** Those in this node's zone; the same object as {@link #allServers} where crossing zones is free. */
+    /** The servers in use in this node's zone; the same object as {@link #allServers} where crossing zones is free. */
     WeightedServers localServers = allServers;
 
-    /** How many nodes send to each server. */
+    /** Number of nodes that send to each server, on average. */
     double nodesPerServer;
-    /** Whether these are so many that this node's own requests in flight show little of a server's load. */
+    /**
+     * Whether {@link #nodesPerServer} is so high that this node's own requests in flight are a poor measure of a
+     * server's load.
+     */
     boolean manyNodesPerServer;
 
-    /** Sums over the servers in use that are not ejected. */
+    /** Sum of the limits of the servers in use that are not ejected for all classes. */
     double totalLimit;
 
+    /** Sum of this node's attempts in flight at these servers. */
     int totalInFlight;
+    /** Sum of the loads that these servers reported. */
     double totalReportedLoad;
 
-    /** Set by a change of an error count, an ejection or the servers in use; cleared by {@link ServerWeights}. */
+    /** Set when an error count, an ejection or the servers in use change; cleared by {@link ServerWeights}. */
     boolean weightsStale;
 
-    /** Whether the sums contain this server. What is stuck at one ejected or removed must not hold back the others. */
+    /**
+     * Whether the sums include this server. Attempts stuck at an ejected or removed server must not block attempts at
+     * the others.
+     */
     boolean isCounted(ServerRecord server) {
         return server.inUse && !server.health.ejected;
     }
 
-    /** Makes the sums anew, after a change of the servers in use or of an ejection. */
+    /** Recomputes the sums, after a change of the servers in use or of an ejection. */
     void recount() {
         weightsStale = true;
         totalLimit = 0;
--- a/node/src/main/java/loadbalancer/policy/ConcurrencyLimiter.java
+++ b/node/src/main/java/loadbalancer/policy/ConcurrencyLimiter.java
@@ -1,44 +1,71 @@
 package loadbalancer.policy;
 
 /**
- * Adaptive limits on the attempts in flight, for each server and over all. A server's limit grows when it was met
- * while an attempt was out that was answered well within its latency objective (additive increase), and is cut when
- * an answer is slow or an attempt is rejected or times out (multiplicative decrease). Acts when a draw would exceed
- * the server's limit, or the sum of all: where many nodes send to one server, what each may have at every server would
- * else be out at once after a stall.
+ * Adaptive limits on the attempts in flight, per server and in total.
  *
- * <p>With many nodes a server's part for each may be under one attempt. It is then kept by time: after each attempt
- * the server rests so long that it is in use for that share of the time.
+ * <p>A server's limit grows (additive increase) with each response that is not slow and that predicts no late response
+ * by its load report, provided that an attempt was held back by a limit since the request was sent. The limit of a
+ * warming server grows only while it is below the mean. A limit is cut (multiplicative decrease) when a response is
+ * slow or its load report predicts late responses, when a client leaves after a long wait, and when an attempt is
+ * rejected or times out.
  *
- * <p>Harm: after a fault of short duration a server stays under its capacity while its limit grows back.
- * Single-threaded; no I/O.
+ * <p>An attempt is held back if it would exceed the server's limit or the sum of all limits. The sum matters where many
+ * nodes share a server: each limit may then be below one, and an idle server still takes one attempt. Without the sum,
+ * every node could have an attempt in flight at every server at once after a stall.
+ *
+ * <p>A limit below one is enforced by time: each attempt pauses the server for its latency / limit, counted from when
+ * it was sent, so that this node uses the server for that share of the time.
+ *
+ * <p>Trade-off: after a short fault a server stays below its capacity until its limit has grown back.
  */
 final class ConcurrencyLimiter {
-    /** Limit of a server over all nodes at the start: few enough for a server of one core. */
+    /** Initial limit of a server, summed over all nodes: low enough for a server of one core. */
     private static final double INITIAL_LIMIT = 4;
-    /** The same where servers remember keys: above what any holds, so that the first cut finds what it does hold. */
+    /**
+     * Initial limit where servers cache keys, summed over all nodes. It is higher than any server's load, so that the
+     * first cut sets the limit to the actual load.
+     */
     private static final double INITIAL_LIMIT_WITH_KEYS = 64;
-    /** Growth over all nodes for an answer in good time, and cut for a slow one, with one node for each server. */
+    /** Added to the limit per response in good time, with one node per server. */
     private static final double INCREASE = 0.15;
 
+    /** Share cut from the limit after a slow response, with one node per server. */
     private static final double DECREASE = 0.1;
-    /** Cut for a rejected attempt or one without an answer in time. */
+    /** Share cut from the limit after a timed-out attempt, and after a rejected one where servers cache no keys. */
     private static final double STRONG_DECREASE = 0.3;
-    /** Power of the number of nodes with which both grow: at 0 nodes learn slowly, at 0.5 limits oscillate. */
+    /**
+     * Exponent of the number of nodes per server that scales the steps: with 0 nodes adapt slowly, with 0.5 limits
+     * oscillate.
+     */
     private static final double PACE_EXPONENT = 0.25;
-    /** Share of the growth that stays when half of the answers come late, so that limits can grow back at all. */
+    /**
+     * Share of the increase that remains when half or more of the attempts are late, so that limits can grow back at
+     * all.
+     */
     private static final double MIN_GROWTH_SHARE = 0.1;
-    /** Answers slower than this share of the objective show overload; the rest is margin for chance. */
+    /**
+     * Responses slower than this share of the objective indicate overload; the rest is a margin for random variation.
+     */
     private static final double SLOW_OBJECTIVE_SHARE = 0.35;
-    /** The same with keys or many nodes: load then is uneven, so servers with room are slow at times. */
+    /**
+     * The same share with key affinity or many nodes per server: load is uneven then, so that servers with spare
+     * capacity are slow at times.
+     */
     private static final double SLOW_OBJECTIVE_SHARE_UNEVEN = 0.7;
-    /** Answers that take this many times their class's least mean show overload, however far the objective is. */
+    /**
+     * Responses that take this many times the least mean of their class indicate overload, however long the objective
+     * is.
+     */
     private static final double SLOW_LEAST_MEAN_FACTOR = 3;
 
+    /** The same factor where many nodes share each server. */
     private static final double SLOW_LEAST_MEAN_FACTOR_MANY_NODES = 2 * SLOW_LEAST_MEAN_FACTOR;
-    /** Longest pause of a server whose limit is under one. */
+    /** Longest pause of a server whose limit is below one. */
     private static final long MAX_PAUSE_US = 2_000_000;
-    /** Attempts that one node of many may send ahead of such a pause, as arrivals come in bunches. */
+    /**
+     * Most attempts that a node may send ahead of a limit or a pause where many nodes share a server, as arrivals come
+     * in bursts.
+     */
     private static final double BURST = 2;
 
     private final BalancerState state;
@@ -65,36 +92,39 @@
         this.loadReports = loadReports;
     }
 
-    /** Sets the pace: both steps grow by the same factor, so that the balance over all nodes stays. */
+    /**
+     * Scales both steps to the number of nodes per server: the more nodes, the smaller the increase and the larger the
+     * cut.
+     */
     void onNodesPerServer(double nodesPerServer) {
         double pace = Math.pow(nodesPerServer, PACE_EXPONENT);
         increase = INCREASE / pace;
         decrease = 1 - Math.pow(1 - DECREASE, pace);
     }
 
-    /** Gives a server its first limit, once it is known how many nodes share it. */
+    /** Sets the initial limit of a server, once the number of nodes that share it is known. */
     void assignFirstLimit(ServerRecord server, long nowUs) {
         if (server.limit == 0) {
-            // A server that warms up knows no keys. It gets too little to have its limit cut before it is warm, and
-            // would then be filled up to the high limit by all nodes.
+            // A warming server has cached no keys, and receives too few requests for its limit to be cut before it is
+            // warm. With the high limit, all nodes together would then overload it.
             boolean knowsKeys = state.settings.keyAffinity && !slowStart.isWarmingUp(server, nowUs);
             server.limit = (knowsKeys ? INITIAL_LIMIT_WITH_KEYS : INITIAL_LIMIT) / state.nodesPerServer;
         }
     }
 
-    /** A server that may be a new process begins with little, as one that warms up. */
+    /** Resets the limit of a server that may be a new process to the low initial limit, as for a warming server. */
     void reset(ServerRecord server) {
         server.limit = INITIAL_LIMIT / state.nodesPerServer;
     }
 
-    /** Whether a further attempt would exceed the server's limit or the sum of all; notes that the limit was met. */
+    /** Whether a further attempt would exceed the server's limit or the sum of all limits. Records the time if so. */
     boolean isAtLimit(PendingRequest request, ServerRecord server, long nowUs) {
         boolean exceedsServer = server.inFlight + 1 > server.limit;
         boolean exceedsTotal = state.totalInFlight + 1 > state.totalLimit;
         if (!exceedsServer && !exceedsTotal) {
             return false;
         }
-        // Sending ahead ends as answers come late: in an overload it would keep overloaded servers so.
+        // The allowance for bursts shrinks as responses come late: in an overload it would keep the servers overloaded.
         double margin = state.manyNodesPerServer ? Math.max(0, onTimeRatio.margin()) : 0;
         double burst = state.manyNodesPerServer ? BURST * priority.rank(request) : 0;
         boolean serverIsBusy =
@@ -113,7 +143,8 @@
         double limitBefore = server.limit;
         switch (signal) {
             case ANSWERED, ABANDONED -> adaptToLatency(request, attempt, latencyUs, signal, nowUs);
-            // Where keys are warm a full server is cut to what it held: less would send its keys elsewhere.
+            // With key affinity, a full server's limit is cut only to its load: a lower limit would move its keys to
+            // servers that have not cached them.
             case REJECTED -> decrease(server, sentAtUs, state.settings.keyAffinity ? 0 : STRONG_DECREASE, nowUs);
             case TIMED_OUT -> decrease(server, sentAtUs, STRONG_DECREASE, nowUs);
             default -> {}
@@ -138,7 +169,7 @@
         }
     }
 
-    /** The latency above which an answer to this request shows overload. */
+    /** Latency above which a response to this request indicates overload. */
     private double slowAnswerUs(PendingRequest request) {
         boolean keyAffinity = state.settings.keyAffinity;
         ClassLatency latency = latencies.get(request.classIndex);
@@ -152,8 +183,9 @@
     }
 
     /**
-     * A limit that was not met shows nothing. A server that warms up gets little and is quick with it: its limit must
-     * not pass the mean, or all nodes together would overload it when slow start ends.
+     * Whether a response may increase the limit: only if the limit has held back an attempt since the request was sent.
+     * The limit of a warming server must not exceed the mean limit: its few requests are served quickly, and when slow
+     * start ends all nodes together would overload it.
      */
     private boolean mayGrow(ServerRecord server, long sentAtUs, long nowUs) {
         boolean wasMet = server.limitReachedAtUs >= sentAtUs;
@@ -161,15 +193,19 @@
                 && (!slowStart.isWarmingUp(server, nowUs) || server.limit * state.servers.length < state.totalLimit);
     }
 
-    /** While answers come late everywhere, one on time shows little; growth would prolong the overload. */
+    /**
+     * Share of the increase that applies now: while most attempts are late, a few responses in time are weak evidence,
+     * and growth would prolong the overload.
+     */
     private double growthShare() {
         return state.settings.keyAffinity ? 1 : Math.max(MIN_GROWTH_SHARE, onTimeRatio.margin());
     }
 
-    /** Cuts a limit once for all that was sent before the last cut. */
+    /** Cuts a limit, once for all attempts that were sent before the last cut. */
     private void decrease(ServerRecord server, long sentAtUs, double share, long nowUs) {
         if (sentAtUs >= server.limitCutAtUs) {
-            // With keys a limit may be far above what was ever in flight, and says nothing then.
+            // With key affinity a limit may be far above any load that occurred, so the cut starts from the actual
+            // load.
             double from = state.settings.keyAffinity ? Math.min(server.limit, server.inFlight + 1) : server.limit;
             server.limit = Math.max(1.0 / state.nodesPerServer, from * (1 - share));
             server.limitCutAtUs = nowUs;
--- a/node/src/main/java/loadbalancer/policy/DeduplicationScope.java
+++ b/node/src/main/java/loadbalancer/policy/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-/** The servers among which duplicates of a request with an idempotency key are dropped. */
+/** The servers that recognize duplicates of each other's requests with an idempotency key. */
 public enum DeduplicationScope {
     /** All servers. */
     ALL,
--- a/node/src/main/java/loadbalancer/policy/EndpointListRefresh.java
+++ b/node/src/main/java/loadbalancer/policy/EndpointListRefresh.java
@@ -3,14 +3,15 @@
 import java.util.SplittableRandom;
 
 /**
- * When the endpoint list is polled, where the settings say that it must be: at once after a cached list, again after
- * half of the poll interval without an answer, and with jittered exponential backoff after a failure, so that nodes
- * whose calls failed together don't repeat them together. A list that arrives ends the polling.
- *
- * <p>Single-threaded; the poll itself is {@link BalancerActions#subscribe}.
+ * Schedules polls of the endpoint list, where the settings require polling: at once after a cached list, again after
+ * half of the poll interval without a response, and with jittered exponential backoff after a failure, so that nodes
+ * whose calls failed at the same time do not repeat them at the same time. A list from the discovery service ends the
+ * polling.
  */
 final class EndpointListRefresh {
-    /** Mean pause after the first failed call; doubled with each further one, up to a quarter of the poll interval. */
+    /**
+     * Mean delay after the first failed call; doubles with each further failure, up to a quarter of the poll interval.
+     */
     private static final long INITIAL_BACKOFF_US = 250_000;
 
     private final BalancerState state;
@@ -34,7 +35,7 @@
         }
     }
 
-    /** Only called where the list is polled. */
+    /** Must be called only where the list is polled. */
     void onListFailed(long nowUs) {
         nextPollAtUs = nowUs + backoffUs / 2 + random.nextLong(backoffUs);
         backoffUs = Math.min(2 * backoffUs, Math.max(1, state.settings.pollIntervalUs / 4));
@@ -46,7 +47,7 @@
         }
     }
 
-    /** When {@link #onWake} has to be called next; Long.MAX_VALUE for never. */
+    /** When {@link #onWake} must be called next; Long.MAX_VALUE for never. */
     long nextPollAtUs() {
         return nextPollAtUs;
     }
--- a/node/src/main/java/loadbalancer/policy/ErrorCounter.java
+++ b/node/src/main/java/loadbalancer/policy/ErrorCounter.java
@@ -1,14 +1,15 @@
 package loadbalancer.policy;
 
 /**
- * The error counts that lower servers' weights: a failed attempt adds one, a success clears the count.
+ * Maintains the error counts that lower the weights of servers: a failed attempt adds one, a success clears the count.
  *
- * <p>Where many nodes share each server, a success that was slower than most of its class adds one as well, and any
- * other takes one off: the weights settle where all servers are about equally quick. Harm: a server that is slow by
- * its kind of requests gets fewer of them. Single-threaded; no I/O.
+ * <p>Where many nodes share each server, a success that was slower than most of its class adds one, and any other
+ * success subtracts one. The weights then settle where all servers are about equally quick.
+ *
+ * <p>Trade-off: a server that is slow because of the kind of requests it serves receives fewer of them.
  */
 final class ErrorCounter {
-    /** Slow answers raise a count no further: the concurrency limit holds a server that is slower still. */
+    /** Slow responses raise a count up to this value; the concurrency limit restricts a server that is slower still. */
     private static final int MAX_ERRORS_OF_SLOW_ANSWERS = 8;
 
     private final BalancerState state;
--- a/node/src/main/java/loadbalancer/policy/FirstAttemptPicker.java
+++ b/node/src/main/java/loadbalancer/policy/FirstAttemptPicker.java
@@ -1,15 +1,21 @@
 package loadbalancer.policy;
 
 /**
- * The server for a first attempt, or for a request that has waited. An ejected server that is due for a trial request
- * comes first, then the choice by weight, then an ejected server as a fallback.
+ * Picks the server for a first attempt, or for a request that has been queued. An ejected server that is due for a
+ * trial request comes first, then the choice by weight, then an ejected server as a fallback.
  *
- * <p>Where crossing zones costs, the choice is among local servers, and a second one among all wins only if the local
- * choice found none, has errors the other lacks, or has {@link #SPILL_IN_FLIGHT} requests more in flight. Harm: other
- * zones stay idle while the local one is a little busier. Single-threaded; no I/O.
+ * <p>Where crossing zones has a cost, the choice by weight is made among local servers. If it finds none, or one with
+ * errors or with {@link #SPILL_IN_FLIGHT} requests in flight, a second choice is made among all servers. The second one
+ * wins if there is no first one, or if it has fewer errors or at least {@link #SPILL_IN_FLIGHT} requests fewer in
+ * flight.
+ *
+ * <p>Trade-off: servers in other zones stay idle while the local ones are slightly busier.
  */
 final class FirstAttemptPicker {
-    /** Own requests in flight from which on a local server is compared with others, and the lead that others need. */
+    /**
+     * Requests of this node in flight at which a local server is compared with others, and the difference at which
+     * another server is preferred.
+     */
     private static final int SPILL_IN_FLIGHT = 2;
 
     private final BalancerState state;
@@ -22,7 +28,7 @@
         this.weightedPicker = weightedPicker;
     }
 
-    /** A server for the request, or null if none may be sent to now. */
+    /** Returns a server for the request, or null if the request may not be sent to any now. */
     ServerRecord pick(PendingRequest request, long nowUs) {
         ServerRecord due = trialRequests.pickDue(request, nowUs);
         if (due != null) {
--- a/node/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/node/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -4,28 +4,32 @@
 import java.util.List;
 
 /**
- * Finds attempts that have had no answer for {@link #LATENCY_FACTOR} times their class's mean latency, and says
- * whether a second attempt may be made beside such a one (a hedged request, within a retry budget). Guards against a
- * server, or a path to it, that swallows requests or answers while clients leave before any time-out shows it.
+ * Finds attempts that have had no response for {@link #LATENCY_FACTOR} times the mean latency of their class, and
+ * decides whether to make a second attempt in parallel (a hedged request, within a retry budget). Guards against a
+ * server, or a network path, that drops requests or responses while clients leave before a timeout reveals it.
  *
- * <p>Not asked after a pause of the node itself, when answers are still to be read. Harm: rare heavy requests run
- * twice. Single-threaded; no I/O.
+ * <p>Not used after a pause of the node itself, when responses that have arrived are still unread.
+ *
+ * <p>Trade-off: rare heavy requests run twice.
  */
 final class HedgingPolicy {
-    /** Times the mean latency of its class after which an attempt counts as unresponsive: one in fifty takes longer. */
+    /**
+     * Multiple of its class's mean latency after which an attempt counts as unresponsive: one in fifty takes longer.
+     */
     private static final double LATENCY_FACTOR = 4;
-    /** Ticks of the node added to that: an answer is seen only at the next one. */
+    /** Ticks of the node added to that time, because a response is processed only at the next tick. */
     private static final int EXTRA_TICKS = 2;
-    /** Until the mean latency is known, far in the future; small enough for a time to be added. */
+    /** Used until the mean latency is known. Far in the future, but small enough to be added to a time. */
     private static final long UNKNOWN_LATENCY_US = Long.MAX_VALUE / 4;
-    /** Retry budget: hedged requests that each first attempt pays for, and the most that are saved up. */
+    /** Hedged requests that each first attempt adds to the retry budget. */
     private static final double BUDGET_PER_REQUEST = 0.2;
 
+    /** Most hedged requests that the budget saves up. */
     private static final double MAX_BUDGET = 20;
 
     private final BalancerState state;
     private final PerClass<ClassLatency> latencies;
-    /** The attempts of each class, in the order sent, until they are known or found unresponsive. */
+    /** The attempts of each class in the order sent, until they are settled or found unresponsive. */
     private final PerClass<ArrayDeque<AttemptId>> watched = new PerClass<>(ArrayDeque::new);
 
     private double budget = MAX_BUDGET;
@@ -39,7 +43,7 @@
         watched.extendTo(classes);
     }
 
-    /** Watches an attempt that is sent now. */
+    /** Starts to watch an attempt that is sent now. */
     void onSent(PendingRequest request, int attempt) {
         if (attempt == 0) {
             budget = Math.min(MAX_BUDGET, budget + BUDGET_PER_REQUEST);
@@ -47,7 +51,9 @@
         watched.get(request.classIndex).add(new AttemptId(request, attempt));
     }
 
-    /** The next attempt that is found unresponsive by now, each once; null if there is none. */
+    /**
+     * Returns the next attempt that has become unresponsive, or null if there is none. Each attempt is returned once.
+     */
     AttemptId pollUnresponsive(long nowUs) {
         for (int classIndex = 0; classIndex < watched.size(); classIndex++) {
             ArrayDeque<AttemptId> attempts = watched.get(classIndex);
@@ -75,7 +81,9 @@
         return id.request().sentAtUs[id.attempt()];
     }
 
-    /** When the first attempt could be found unresponsive, at {@code earliestUs} or later; or Long.MAX_VALUE. */
+    /**
+     * When an attempt may next be found unresponsive, not before {@code earliestUs}; Long.MAX_VALUE if none is watched.
+     */
     long nextCheckAtUs(long earliestUs) {
         long nextUs = Long.MAX_VALUE;
         for (int classIndex = 0; classIndex < watched.size(); classIndex++) {
@@ -95,7 +103,7 @@
                 : UNKNOWN_LATENCY_US;
     }
 
-    /** Whether a second attempt may be made beside the one that is in flight. */
+    /** Whether a second attempt may be made in parallel with the one in flight. */
     boolean mayHedge(PendingRequest request, long nowUs) {
         return state.settings.hedging
                 && !request.isQueued()
@@ -104,7 +112,7 @@
                 && RetryPolicy.mayRetry(request, nowUs);
     }
 
-    /** A hedged attempt is made. */
+    /** Charges a hedged attempt to the budget. */
     void onHedged() {
         budget--;
     }
--- a/node/src/main/java/loadbalancer/policy/Idempotency.java
+++ b/node/src/main/java/loadbalancer/policy/Idempotency.java
@@ -4,7 +4,7 @@
 public enum Idempotency {
     /** Any number of times. */
     IDEMPOTENT,
-    /** Only among servers that recognize duplicates by a key, and within their deduplication window. */
+    /** Only on servers that recognize duplicates by a key, and within their deduplication window. */
     IDEMPOTENT_WITH_KEY,
     /** Never. */
     NON_IDEMPOTENT
--- a/node/src/main/java/loadbalancer/policy/KeyAffinityPicker.java
+++ b/node/src/main/java/loadbalancer/policy/KeyAffinityPicker.java
@@ -1,24 +1,28 @@
 package loadbalancer.policy;
 
 /**
- * Draws of servers that are fixed by a request's key, as in rendezvous hashing. Acts where servers remember keys: all
- * nodes draw the same servers for a key, in the same order, and a server that gains errors loses keys to those drawn
- * next, while the other keys stay where they are known.
+ * Draws servers by a hash of the request's key, as in rendezvous hashing. Used where servers cache keys: all nodes draw
+ * the same servers for a key, in the same order. A server with errors loses some keys to the servers drawn next, while
+ * all other keys stay on the servers that have cached them.
  *
- * <p>When no drawn server may be sent to, the request waits: at any other server it would cost the work that the
- * memory saves, and an overload would feed itself. Harm: a few hot keys may wait while other servers have room.
+ * <p>If none of the drawn servers may be sent to, the request waits. On any other server it would cost the work that
+ * caching saves, and an overload would reinforce itself.
  *
- * <p>Single-threaded; no I/O; allocates nothing per draw.
+ * <p>Trade-off: requests for a few hot keys may wait while other servers have spare capacity. Allocates nothing per
+ * draw.
  */
 final class KeyAffinityPicker {
     /** Seed of a request without a key. */
     static final long NO_KEY = 0;
 
-    /** Draws for one choice; some are turned down by weight, and a burst has to spread over several servers. */
+    /** Draws per choice. Some are rejected by weight, and a burst of one key must spread over several servers. */
     private static final int MAX_DRAWS = 8;
-    /** Least places in the table for each server. It grows only as the fleet doubles, as all keys move then. */
+    /**
+     * Entries of the table per server if the number of servers is a power of two, else down to half of it. The table
+     * grows only when the number of servers doubles, because a change of its length moves all keys.
+     */
     private static final int MIN_PLACES_PER_SERVER = 16;
-    /** Increment of SplitMix64: tells the draws of one key apart. */
+    /** Increment of SplitMix64, which gives each draw of a key a different hash. */
     private static final long DRAW_INCREMENT = 0x9E3779B97F4A7C15L;
 
     private static final long LOW_32_BITS = 0xFFFFFFFFL;
@@ -32,19 +36,22 @@
         this.eligibility = eligibility;
     }
 
-    /** What fixes the draws for a key; {@link #NO_KEY} if it is null, else never that. */
+    /** Returns the seed of the draws for a key: {@link #NO_KEY} if the key is null, never that otherwise. */
     static long seedOf(String key) {
         return key == null ? NO_KEY : mix(key.hashCode()) | 1;
     }
 
-    /** The table of places that draws by key use. */
+    /** Builds the table from which servers are drawn by key. */
     static ServerRecord[] placesOf(ServerRecord[] servers) {
         return servers.length == 0
                 ? servers
                 : MaglevTable.build(servers, MIN_PLACES_PER_SERVER * Integer.highestOneBit(servers.length), 1);
     }
 
-    /** The first server drawn that the request may be sent to, other than {@code excluded}; null if there is none. */
+    /**
+     * Returns the first drawn server that the request may be sent to, other than {@code excluded}; null if there is
+     * none.
+     */
     ServerRecord pick(PendingRequest request, WeightedServers from, ServerRecord excluded, long nowUs) {
         for (int i = 0; i < MAX_DRAWS && from.keyPlaces.length > 0; i++) {
             ServerRecord server = draw(request, from, i);
@@ -55,7 +62,7 @@
         return null;
     }
 
-    /** The same for a retry, other than the servers that the request was sent to. */
+    /** As {@link #pick} for a retry: skips all servers that the request was sent to. */
     ServerRecord pickUntried(PendingRequest request, WeightedServers from, long nowUs) {
         for (int i = 0; i < MAX_DRAWS && from.keyPlaces.length > 0; i++) {
             ServerRecord server = draw(request, from, i);
@@ -66,7 +73,10 @@
         return null;
     }
 
-    /** The key's draw of this number: high bits name a place, low bits turn it down in proportion to the weight. */
+    /**
+     * Returns the key's draw with this number, or null if it is rejected. The high bits select a table entry; the low
+     * bits accept it with a probability proportional to the server's weight.
+     */
     private ServerRecord draw(PendingRequest request, WeightedServers from, int number) {
         long hash = mix(request.keySeed + number * DRAW_INCREMENT);
         ServerRecord server = from.keyPlaces[(int) ((hash >>> 32) % from.keyPlaces.length)];
--- a/node/src/main/java/loadbalancer/policy/ListKind.java
+++ b/node/src/main/java/loadbalancer/policy/ListKind.java
@@ -1,11 +1,11 @@
 package loadbalancer.policy;
 
-/** What an endpoint list event holds. */
+/** The kind of an endpoint list, by the entries that it contains. */
 public enum ListKind {
     /** Only the entries that changed. */
     CHANGES,
     /** All entries. */
     FULL,
-    /** All entries as the node last had them, perhaps outdated; given once, at the start. */
+    /** All entries as this node last received them, possibly outdated; delivered once, at the start. */
     CACHED
 }
--- a/node/src/main/java/loadbalancer/policy/LoadReport.java
+++ b/node/src/main/java/loadbalancer/policy/LoadReport.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-/** What a server reported of its load with one answer. Immutable. */
+/** The load that a server reported with one response. Immutable. */
 public final class LoadReport {
     private final double[] values;
 
@@ -8,17 +8,20 @@
         this.values = values;
     }
 
-    /** Values in the order of {@link BalancerSettings#reportFields}, NaN where one is missing; the array is copied. */
+    /**
+     * Creates a report of values in the order of {@link BalancerSettings#reportFields}, NaN where one is missing;
+     * copies the array.
+     */
     public static LoadReport of(double... values) {
         return new LoadReport(values.clone());
     }
 
-    /** The value of the field at this index of {@link BalancerSettings#reportFields}; NaN if it is missing. */
+    /** Returns the field at this index of {@link BalancerSettings#reportFields}; NaN if it is missing. */
     public double value(int fieldIndex) {
         return values[fieldIndex];
     }
 
-    /** A copy of all values, in order. */
+    /** Returns a copy of all values, in order. */
     public double[] values() {
         return values.clone();
     }
--- a/node/src/main/java/loadbalancer/policy/LoadReportField.java
+++ b/node/src/main/java/loadbalancer/policy/LoadReportField.java
@@ -1,18 +1,18 @@
 package loadbalancer.policy;
 
-/** What a server may report of its load. */
+/** The fields of a load report. */
 public enum LoadReportField {
-    /** Requests that it works on. */
+    /** Requests that the server is working on. */
     IN_FLIGHT,
     /** Requests that wait in its queue. */
     QUEUED,
-    /** Share of its capacity in use. */
+    /** Used share of its capacity. */
     UTILISATION,
     /** Mean latency, in milliseconds. */
     LATENCY_MS,
-    /** Requests served each second. */
+    /** Requests served per second. */
     SERVED_PER_S,
-    /** Errors each second. */
+    /** Errors per second. */
     ERRORS_PER_S,
     /** Any other value. */
     OTHER
--- a/node/src/main/java/loadbalancer/policy/LoadReports.java
+++ b/node/src/main/java/loadbalancer/policy/LoadReports.java
@@ -1,25 +1,30 @@
 package loadbalancer.policy;
 
 /**
- * What servers report of their load over all nodes. Acts where answers carry the number of requests in flight: a
- * node's own requests in flight show little of that where it is one of many. A server that is loaded well beyond the
- * mean is passed over, as in consistent hashing with bounded loads; a draw by key then goes on to the key's next
- * server.
+ * Tracks the load that servers report, which comes from all nodes. Used where responses carry the number of requests in
+ * flight: where many nodes share a server, a node's own requests in flight are a poor measure of its load. A server
+ * that is loaded well above the mean is skipped, as in consistent hashing with bounded loads; a draw by key then
+ * continues with the key's next server.
  *
- * <p>A report loses its effect in about the time in which the reported requests are worked off: a server that is
- * passed over sends no new report, and would stay passed over. Harm: while reports are old, a server with room is
- * passed over. Single-threaded; no I/O.
+ * <p>A report decays with the latency of the response that carried it as time constant, roughly the time in which the
+ * reported requests are completed. A server that is skipped sends no new reports, and would otherwise be skipped
+ * forever.
+ *
+ * <p>Trade-off: while its last report is outdated, a server with spare capacity is skipped.
  */
 final class LoadReports {
-    /** A server is overloaded with this many times the mean load, and one request more. */
+    /** A server is overloaded above this multiple of the mean load plus one request. */
     private static final double OVERLOADED_FACTOR = 1.5;
-    /** Predicted latency, in shortest objectives, from which a server's limit is cut; the margin keeps servers busy. */
+    /**
+     * Multiple of the shortest objective above which a predicted latency cuts the server's limit; the margin keeps
+     * servers busy.
+     */
     private static final double LATE_FACTOR = 1.5;
 
     private final BalancerState state;
-    /** Index of the field with the requests in flight, or -1. */
+    /** Index of the field with the requests in flight, or -1 if there is none. */
     private final int inFlightField;
-    /** Latency of an answer for each request that the server had in flight. */
+    /** Latency of a response divided by the number of requests that the server had in flight. */
     private final RunningMean latencyPerRequestUs = new RunningMean();
 
     private long shortestObjectiveUs;
@@ -37,7 +42,7 @@
                 .orElse(0);
     }
 
-    /** Takes in the report that came with an outcome, if any. */
+    /** Records the load report of an outcome, if it has one. */
     void record(ServerRecord server, AttemptOutcome outcome, long nowUs) {
         if (!hasLoad(outcome.report())) {
             return;
@@ -58,7 +63,7 @@
         return inFlightField >= 0 && report != null && report.value(inFlightField) >= 0;
     }
 
-    /** Whether a server is to be passed over. */
+    /** Whether a server must be skipped because of its reported load. */
     boolean isOverloaded(ServerRecord server, long nowUs) {
         if (inFlightField < 0) {
             return false;
@@ -68,13 +73,15 @@
         return mean + (server.reportedLoad - mean) * freshness > OVERLOADED_FACTOR * mean + 1;
     }
 
-    /** Whether, by a report of this moment, one more request of the shortest objective would be answered late. */
+    /**
+     * Whether, according to a report received at this time, one more request with the shortest objective would be late.
+     */
     boolean predictsLateAnswer(ServerRecord server, long nowUs) {
         return server.reportedAtUs == nowUs
                 && (server.reportedLoad + 1) * latencyPerRequestUs.value() > LATE_FACTOR * shortestObjectiveUs;
     }
 
-    /** Forgets a server's report. */
+    /** Discards the report of a server. */
     void reset(ServerRecord server) {
         server.reportedLoad = 0;
         server.reportedAtUs = 0;
--- a/node/src/main/java/loadbalancer/policy/LoadSignal.java
+++ b/node/src/main/java/loadbalancer/policy/LoadSignal.java
@@ -1,19 +1,19 @@
 package loadbalancer.policy;
 
-/** What the end of an attempt shows of a server's load. */
+/** Indicates a server's load by the outcome of an attempt. */
 enum LoadSignal {
-    /** Answered; the latency shows the load. */
+    /** The server responded; the latency indicates its load. */
     ANSWERED,
     /**
-     * The client left after more than the usual latency: the answer would have been no quicker. Without these only the
-     * quick answers of an overloaded server would be seen.
+     * The client left after more than the usual latency, so the response would have been at least that slow. Without
+     * this signal only the quick responses of an overloaded server would be counted.
      */
     ABANDONED,
-    /** Rejected unread: the server is full. */
+    /** Rejected without being read: the server is full. */
     REJECTED,
-    /** Not answered in time. */
+    /** No response in time. */
     TIMED_OUT,
-    /** Nothing: it failed, was cancelled by this node or never sent. */
+    /** No indication: the attempt failed, was cancelled by this node or was never sent. */
     NONE;
 
     static LoadSignal of(PendingRequest request, AttemptOutcome outcome, ClassLatency latency) {
--- a/node/src/main/java/loadbalancer/policy/MaglevTable.java
+++ b/node/src/main/java/loadbalancer/policy/MaglevTable.java
@@ -5,18 +5,18 @@
 import java.util.Comparator;
 
 /**
- * Builds tables of places that servers claim in turn, as in Maglev hashing: each server has about equally many places,
- * every node builds the same table from the same list, and a change of the list moves few places.
+ * Builds lookup tables as in Maglev hashing: servers take turns to claim entries. Each server has about equally many
+ * entries, every node builds the same table from the same list, and a change of the list moves few entries.
  *
- * <p>The number of places is a prime, so that a server's steps through the table reach every place. A table may be cut
- * into rows; no server then has two places in one row. Stateless.
+ * <p>The length is a prime, so that a server's permutation reaches every entry. A table may be divided into rows; no
+ * server has two entries in one row. Stateless.
  */
 final class MaglevTable {
 
     private MaglevTable() {}
 
     /**
-     * Builds a table of at least {@code minPlaces} places in rows of {@code rowLength}. A place that no server can
+     * Builds a table of at least {@code minEntries} entries in rows of {@code rowLength}. An entry that no server can
      * claim is null.
      */
     static ServerRecord[] build(ServerRecord[] servers, int minPlaces, int rowLength) {
@@ -43,13 +43,16 @@
         return BigInteger.valueOf(from - 1L).nextProbablePrime().intValueExact();
     }
 
-    /** A server on its walk through the table, in an order of its own. */
+    /** The order in which one server visits the entries of the table: from an offset, in steps of constant length. */
     private static final class Claimant {
         private final ServerRecord server;
         private final int step;
         private int place;
         private int visited;
-        /** The rows that it has places in. Kept here: a search of the row in the table would cost the row's length. */
+        /**
+         * The rows in which the server has entries. Stored because searching the row in the table would cost time
+         * proportional to its length.
+         */
         private int[] rows = new int[0];
 
         Claimant(ServerRecord server, int places) {
@@ -58,7 +61,10 @@
             step = 1 + (int) Math.floorMod(server.hash >> 32, places - 1L);
         }
 
-        /** Claims the next free place in a row where this server has none; false if the walk is at its end. */
+        /**
+         * Claims the next free entry in a row where this server has none; returns false if all entries have been
+         * visited.
+         */
         boolean claim(ServerRecord[] table, int rowLength) {
             while (visited < table.length && (table[place] != null || hasRow(place / rowLength))) {
                 place = (place + step) % table.length;
--- a/node/src/main/java/loadbalancer/policy/OnTimeRatio.java
+++ b/node/src/main/java/loadbalancer/policy/OnTimeRatio.java
@@ -1,10 +1,16 @@
 package loadbalancer.policy;
 
-/** The share of recent answers that came within their latency objective, over all classes. Single-threaded. */
+/**
+ * The share of recent attempts whose response came within the latency objective, over all classes. Rejected, timed-out
+ * and abandoned attempts count as late.
+ */
 final class OnTimeRatio {
-    /** Weight of a new answer: the ratio follows an overload within some eight answers. */
+    /** Weight of a new value: the ratio follows an overload within about eight attempts. */
     private static final double GAIN = 1.0 / 8;
-    /** Assumed before the first answer: enough to send, not enough to send ahead of limits. */
+    /**
+     * Assumed before the first attempt ends. With it most requests are admitted, and half of the largest burst may be
+     * sent ahead of limits.
+     */
     private static final double INITIAL = 0.75;
 
     private double value = INITIAL;
@@ -17,7 +23,7 @@
         return value;
     }
 
-    /** How far answers on time outnumber the others: from -1, all late, to 1, none. */
+    /** The share of attempts on time minus the share of the others: from -1 if all are late to 1 if none is. */
     double margin() {
         return 2 * value - 1;
     }
--- a/node/src/main/java/loadbalancer/policy/OutcomeRecorder.java
+++ b/node/src/main/java/loadbalancer/policy/OutcomeRecorder.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy;
 
 /**
- * Hands the end of each attempt to the rules that learn from it, in the order in which they rest on each other, and
- * makes them forget a server whose process is a new one. Single-threaded; no I/O.
+ * Passes the outcome of each attempt to the rules that learn from it, in the order of their dependencies, and resets
+ * their data on a server whose process has been replaced.
  */
 final class OutcomeRecorder {
     private final BalancerRules rules;
@@ -11,7 +11,10 @@
         this.rules = rules;
     }
 
-    /** An attempt ended; its result stands in the request by now. */
+    /**
+     * Records the outcome of an attempt, whose result the request already holds. A request that is bound to an attempt
+     * is no load signal, because its transfer depends on the client.
+     */
     void onOutcome(PendingRequest request, AttemptOutcome outcome, long nowUs) {
         rules.loadReports.record(request.servers[outcome.attempt()], outcome, nowUs);
         recordHealth(request, outcome, nowUs);
@@ -45,7 +48,10 @@
         };
     }
 
-    /** Whether a failure shows a fault of the server. A full server, or a slow one that answers others, is loaded. */
+    /**
+     * Whether a failure indicates a fault of the server. A server that rejects a request as full is only loaded, and so
+     * is one that times out but has responded to another request of the class meanwhile.
+     */
     private static boolean showsFault(AttemptResult result, ServerHealth classHealth, long sentAtUs) {
         return switch (result) {
             case FULL -> false;
@@ -78,7 +84,8 @@
         LoadSignal signal = LoadSignal.of(request, outcome, latency);
         if (signal != LoadSignal.NONE) {
             boolean answered = signal == LoadSignal.ANSWERED;
-            // By its arrival here, not by its client's first attempt: the ratio measures this node and its servers.
+            // The objective counts from the arrival at this node, not from the client's first attempt: the ratio
+            // measures this node and its servers.
             rules.onTimeRatio.record(answered && nowUs <= request.arrivedAtUs + request.latencyObjectiveUs);
         }
         if (signal == LoadSignal.ANSWERED) {
@@ -88,7 +95,10 @@
         rules.limiter.onOutcome(request, outcome.attempt(), outcome.latencyUs(), signal, nowUs);
     }
 
-    /** An attempt had no answer for long: counts as a failure now, unless its server has answered others since. */
+    /**
+     * Counts an unresponsive attempt as a failure now, unless its server has responded to another request of the class
+     * since it was sent.
+     */
     void onUnresponsive(PendingRequest request, int attempt, long nowUs) {
         ServerRecord server = request.servers[attempt];
         ServerHealth classHealth = server.classHealth.get(request.classIndex);
@@ -98,14 +108,14 @@
         }
     }
 
-    /** The server's process is a new one: what was measured of the old one says nothing of it. */
+    /** Resets a server whose process has been replaced: measurements of the old process do not apply to it. */
     void onRestarted(ServerRecord server) {
         rules.slowStart.reset(server);
         rules.outlierDetector.onRestarted(server);
         forgetMeasurements(server);
     }
 
-    /** A server that returns from ejection may be a new process too, which the list is yet to show. */
+    /** Also used when an ejection ends: the server may be a new process that the endpoint list does not show yet. */
     private void forgetMeasurements(ServerRecord server) {
         rules.errorCounter.reset(server);
         rules.limiter.reset(server);
--- a/node/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/node/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -5,27 +5,32 @@
 import java.util.SplittableRandom;
 
 /**
- * Ejection of servers that fail. A server that failed {@link #MIN_FAILURES} of its last
- * {@link ServerHealth#HISTORY_LENGTH} answers, of all classes or of one, is ejected for these: it gets nothing but
- * single trial requests (see {@link TrialRequests}), further apart each time one fails, until several in a row
- * succeed. Classes are looked at by themselves, since a class that a server serves would hide one that it fails.
+ * Ejects servers that fail. A server with {@link #MIN_FAILURES} failures among its last {@link
+ * ServerHealth#HISTORY_LENGTH} outcomes, of all classes or of one, is ejected for all classes or for that one. It then
+ * receives only single trial requests, at longer intervals after each one that fails, until several in a row succeed,
+ * and fallback requests while other servers are full (see {@link TrialRequests}). Each class is also judged on its own,
+ * because successes of one class would hide failures of another.
  *
- * <p>Never more than half of the servers are ejected: when most fail, the fault is not theirs. Harm: a server that
- * fails by chance is without requests for a time. Single-threaded; no I/O.
+ * <p>Never more than half of the servers are ejected: when most servers fail, the cause is elsewhere.
+ *
+ * <p>Trade-off: a server whose failures are random receives no ordinary requests while it is ejected.
  */
 final class OutlierDetector {
-    /** Failures among the last answers from which on a server is ejected. */
+    /** Failures among the last outcomes at which a server is ejected. */
     private static final int MIN_FAILURES = 4;
-    /** Successful trial requests in a row that end an ejection: one may be luck, three hardly. */
+    /**
+     * Successful trial requests in a row that end an ejection: one success may be random, three are very unlikely to
+     * be.
+     */
     private static final int SUCCESSES_TO_RETURN = 3;
-    /** Mean time from an ejection to its first trial request. */
+    /** Mean time from an ejection to the first trial request. */
     private static final long BASE_TRIAL_INTERVAL_US = 250_000;
-    /** The longest mean time between trial requests, which doubles with each that fails. */
+    /** Upper bound of the mean time between trial requests, which doubles with each one that fails. */
     private static final long MAX_TRIAL_INTERVAL_US = 4_000_000;
 
-    /** What a success did to an ejection. */
+    /** The effect of a success on an ejection. */
     enum Recovery {
-        /** There was none, or it goes on. */
+        /** The server was not ejected, or remains ejected. */
         NONE,
         /** The server is no longer ejected for the class. */
         CLASS,
@@ -45,15 +50,15 @@
         this.actions = actions;
     }
 
-    /** The servers in use that are ejected for all classes or for one; a view. */
+    /** Returns a live view of the servers in use that are ejected for all classes or for one. */
     List<ServerRecord> ejectedServers() {
         return ejected;
     }
 
     /**
-     * An attempt failed.
+     * Records a failed attempt.
      *
-     * @param unhealthy whether the failure shows a fault of the server, not its load
+     * @param serverFault whether the failure indicates a fault of the server, not load
      */
     void onFailure(ServerRecord server, ServerHealth classHealth, boolean unhealthy, long nowUs) {
         server.lastAttemptAnswered = false;
@@ -80,7 +85,9 @@
         return concernsOneClass || !servesOtherClasses(server, classHealth);
     }
 
-    /** Whether another class has succeeded since this one did, without a failure among its last answers. */
+    /**
+     * Whether another class has had a success since the last one of this class, and no failure among its last outcomes.
+     */
     private static boolean servesOtherClasses(ServerRecord server, ServerHealth classHealth) {
         for (int classIndex = 0; classIndex < server.classHealth.size(); classIndex++) {
             ServerHealth other = server.classHealth.get(classIndex);
@@ -91,7 +98,7 @@
         return false;
     }
 
-    /** Ejects a server, or doubles the time of one that is ejected. */
+    /** Ejects a server, or doubles the trial interval of one that is already ejected. */
     private void eject(ServerRecord server, ServerHealth health, long nowUs) {
         if (!health.ejected) {
             int classIndex = server.classHealth.indexOf(health);
@@ -103,17 +110,17 @@
             actions.ejected(server.id, health.recentFailures(), className(classIndex));
         }
         health.trialIntervalUs = Math.min(MAX_TRIAL_INTERVAL_US, 2 * health.trialIntervalUs);
-        // Jitter: nodes that ejected a server together must not try it together.
+        // Jitter: nodes that ejected a server at the same time must not send trial requests at the same time.
         health.trialAtUs = nowUs + health.trialIntervalUs / 2 + random.nextLong(health.trialIntervalUs);
         refresh();
     }
 
-    /** Never more than half are ejected: when most servers fail, the fault is not theirs. */
+    /** At most half of the servers may be ejected: when most servers fail, the cause is elsewhere. */
     private boolean mayEjectOneMore(int classIndex) {
         return 2 * (countEjectedFor(classIndex) + 1) <= state.servers.length;
     }
 
-    /** How many servers are ejected for this class, or with -1 for all. */
+    /** Number of servers that are ejected for this class; -1 means all classes. */
     private int countEjectedFor(int classIndex) {
         int count = 0;
         for (ServerRecord server : ejected) {
@@ -127,7 +134,10 @@
         return classIndex < 0 ? null : state.settings.classes.get(classIndex).name();
     }
 
-    /** An attempt succeeded. If that ends an ejection, the caller resets the server and calls {@link #refresh}. */
+    /**
+     * Records a successful attempt. If it ends an ejection, the caller must call {@link #refresh}, and must reset the
+     * server if the ejection was for all classes.
+     */
     Recovery onSuccess(ServerRecord server, ServerHealth classHealth, long nowUs) {
         if (recordSuccess(server.health, nowUs)) {
             actions.restored(server.id, null);
@@ -142,7 +152,7 @@
         return Recovery.NONE;
     }
 
-    /** Returns true if this success ends the ejection. */
+    /** Records a success; returns true if it ends the ejection. */
     private static boolean recordSuccess(ServerHealth health, long nowUs) {
         health.history <<= 1;
         health.succeededAtUs = nowUs;
@@ -150,7 +160,7 @@
         return health.ejected && ++health.trialsSucceeded >= SUCCESSES_TO_RETURN;
     }
 
-    /** The server's process is a new one: nothing that was counted says anything of it. */
+    /** Clears the history of a server whose process has been replaced and ends its ejections. */
     void onRestarted(ServerRecord server) {
         server.health.history = 0;
         for (int classIndex = 0; classIndex < server.classHealth.size(); classIndex++) {
@@ -166,13 +176,19 @@
         }
     }
 
-    /** The last answers stand: the next failure ejects again, until the failures among them are made up for. */
+    /**
+     * Ends an ejection. The history is kept: the server is ejected again by the next failure, while enough older
+     * failures remain among its last outcomes.
+     */
     private static void returnToUse(ServerHealth health) {
         health.ejected = false;
         health.trialsSucceeded = 0;
     }
 
-    /** Lists the ejected servers and counts the others anew, after a change of either. */
+    /**
+     * Rebuilds the list of ejected servers and the sums over the others, after an ejection or a change of the servers
+     * in use.
+     */
     void refresh() {
         state.recount();
         ejected.clear();
--- a/node/src/main/java/loadbalancer/policy/PendingQueue.java
+++ b/node/src/main/java/loadbalancer/policy/PendingQueue.java
@@ -5,30 +5,40 @@
 import java.util.List;
 
 /**
- * The requests that wait for a server, ordered by value, first come first served among those of equal value. They are
- * tried anew with each event and at each sweep. A request leaves the queue when a server takes it, when its client's
- * time is up, or when it is too late for an answer that earns anything.
+ * Requests that wait for a server, ordered by value, and by arrival among those of equal value. A pass over the queue
+ * tries to send them: after each outcome, after each change of servers, cordons or settings, after an arrival that had
+ * to wait, and at each wake-up.
  *
- * <p>The queue is bounded by the settings' maximum of open requests: beyond that clients would find no connection, so
- * the request of the lowest value makes room.
+ * <p>A request leaves the queue when it is sent to a server, or when its client leaves. It gets a final response when
+ * its deadline is near, when it is late and a late response to its class has no value, or when it may no longer be sent
+ * (see {@link RetryPolicy}). That response is a rejection if the client may safely retry, else a failure. A late
+ * request whose class gives late responses some value stays, with its value reduced once.
  *
- * <p>Single-threaded; sends and final answers are the owner's.
+ * <p>Queued requests and attempts in flight together are bounded by the maximum of open requests, because clients have
+ * no connections for more. Beyond that the queued request with the lowest value gets its final response.
  */
 final class PendingQueue {
-    /** Shortest time between sweeps: long against the cost of one, short against any latency objective. */
+    /**
+     * Shortest interval between sweeps: long compared to the cost of a sweep, short compared to any latency objective.
+     */
     private static final long MIN_SWEEP_INTERVAL_US = 5_000;
 
+    /** Ticks of the node between sweeps, if that is longer. */
     private static final int SWEEP_INTERVAL_TICKS = 2;
     /**
-     * A request is late with less than so many mean latencies left until its objective, or with less than a share of
-     * the objective if that is shorter.
+     * A request is late if the time until its objective is less than this many mean latencies of its class and less
+     * than {@link #LATE_OBJECTIVE_SHARE} of the objective.
      */
     private static final double LATE_MEAN_LATENCIES = 2;
 
+    /** Share of the latency objective; see {@link #LATE_MEAN_LATENCIES}. */
     private static final double LATE_OBJECTIVE_SHARE = 0.8;
-    /** Requests with a key that are tried in vain at each event and at each sweep; a bound on the work. */
+    /**
+     * Requests with a key that may fail to find a server per event before no further ones are tried; bounds the work.
+     */
     static final int KEYS_PER_EVENT = 4;
 
+    /** The same number per sweep. */
     static final int KEYS_PER_SWEEP = 64;
 
     /** Sends a request if a server may take it now; false if none may. */
@@ -37,7 +47,7 @@
         boolean trySend(PendingRequest request, long nowUs);
     }
 
-    /** Gives a request its final answer, which ends it. */
+    /** Gives a request the final response that ends it, as no server has served it. */
     @FunctionalInterface
     interface Answerer {
         void answerUnserved(PendingRequest request);
@@ -47,12 +57,12 @@
     private final PerClass<ClassLatency> latencies;
     private final Sender sender;
     private final Answerer answerer;
-    /** Holds requests that have ended or were sent until the next pass removes them. */
+    /** May still contain requests that were sent or have ended; the next pass removes them. */
     private final List<PendingRequest> queue = new ArrayList<>();
 
     private long sweepIntervalUs;
 
-    // The state of one pass.
+    // State of the current pass.
     private boolean fullForAll;
     private boolean fullForNonIdempotent;
     private int keysToTry;
@@ -68,7 +78,7 @@
         sweepIntervalUs = Math.max(MIN_SWEEP_INTERVAL_US, SWEEP_INTERVAL_TICKS * settings.tickUs);
     }
 
-    /** Time until a queue that is not empty has to be swept again. */
+    /** Longest time until a non-empty queue must be swept again. */
     long sweepIntervalUs() {
         return sweepIntervalUs;
     }
@@ -77,7 +87,10 @@
         return queue.isEmpty();
     }
 
-    /** Adds a request; returns the one that has to make room for it, which may be the same, or null. */
+    /**
+     * Adds a request. Returns the request with the lowest value if there is no room for it, which may be the one added,
+     * else null.
+     */
     PendingRequest add(PendingRequest request) {
         request.enqueue();
         int position = queue.size();
@@ -90,7 +103,7 @@
         return hasRoom || !lowest.isQueued() ? null : lowest;
     }
 
-    /** Whether the request would most likely be answered after its latency objective. */
+    /** Whether the response to the request would probably come after its latency objective. */
     boolean isLate(PendingRequest request, long nowUs) {
         return request.objectiveAtUs - nowUs
                 < Math.min(
@@ -99,9 +112,10 @@
     }
 
     /**
-     * Sends what waits as far as servers allow, and answers what has run out of time.
+     * Makes a pass over the queue: sends requests as far as servers accept them, and ends those that may wait no
+     * longer.
      *
-     * @param maxKeys how many requests with a key may be tried in vain
+     * @param maxKeyedTries number of requests with a key that may fail to find a server
      */
     void serve(int maxKeys, long nowUs) {
         fullForAll = false;
@@ -138,15 +152,16 @@
         return outOfTime || earnsNothing || !RetryPolicy.mayRetry(request, nowUs);
     }
 
-    /** Tries one request, unless one before it has shown in this pass that no server takes any of its kind. */
+    /** Tries to send one request, unless an earlier one of this pass has shown that no server accepts its kind. */
     private boolean trySend(PendingRequest request, long nowUs) {
         boolean nonIdempotent = request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT;
         boolean isFull = fullForAll || nonIdempotent && fullForNonIdempotent;
         if (!isFull && sender.trySend(request, nowUs)) {
             return true;
         }
-        // A request that was not sent yet may go anywhere, but for those which are not idempotent and ejected servers:
-        // if it finds no server, nor does the next one. One with a key may go to few servers.
+        // A request without a key that was never sent may go to any server, so if it finds none, the next one would not
+        // either. Only non-idempotent requests are excluded from some ejected servers, so their failure proves nothing
+        // for others. A request with a key may go to few servers only.
         if (request.attempts == 0 && (!request.hasKey() || --keysToTry <= 0)) {
             fullForNonIdempotent = true;
             fullForAll |= !nonIdempotent || request.hasKey();
--- a/node/src/main/java/loadbalancer/policy/PendingRequest.java
+++ b/node/src/main/java/loadbalancer/policy/PendingRequest.java
@@ -1,20 +1,20 @@
 package loadbalancer.policy;
 
 /**
- * A client's request that is still owed an answer, or whose attempts have not all ended, with its attempts by number.
- * Plain state without rules.
+ * A client's request that has no final response yet, or has attempts in flight, with its attempts by number. Contains
+ * no rules.
  */
 final class PendingRequest {
     private enum State {
-        /** Has attempts in flight, or is about to be sent, queued or answered. */
+        /** Has attempts in flight, or is about to be sent, queued or ended. */
         IN_PROGRESS,
         /** Waits in the {@link PendingQueue}. */
         QUEUED,
-        /** Nothing is owed any more; attempts may still be in flight. */
+        /** Needs no final response any more; attempts may still be in flight. */
         ENDED
     }
 
-    /** Value of {@link #boundAttempt} while the request is bound to none. */
+    /** Value of {@link #boundAttempt} if the request is not bound to any attempt. */
     static final int UNBOUND = -1;
 
     final long id;
@@ -22,33 +22,32 @@
     final RequestClass requestClass;
     final long arrivedAtUs;
     final long latencyObjectiveUs;
-    /** An answer by then earns the full weight. */
+    /** The latest time at which a response has the full weight of its class. */
     final long objectiveAtUs;
 
     final long deadlineAtUs;
-    /** Fixes the draws by the request's key; 0 without one. */
+    /** Seed of the draws by the request's key; {@link KeyAffinityPicker#NO_KEY} without a key. */
     final long keySeed;
 
-    /** Servers, times and results of the attempts; a result is null while the attempt is in flight. */
+    /** Server of each attempt. */
     final ServerRecord[] servers;
 
+    /** When each attempt was sent. */
     final long[] sentAtUs;
+    /** Result of each attempt; null while it is in flight. */
     final AttemptResult[] results;
-    /** Attempts that were counted as failures before they ended. */
+    /** Attempts that were counted as failures before their outcome. */
     final boolean[] countedAsFailure;
 
     int attempts;
     int outstanding;
-    /** What it earns for its work; the queue's order. */
+    /** Weight per expected work, which orders the queue; see {@link RequestPriority}. */
     double value;
-    /** Whether {@link #value} is that of an answer after the latency objective. */
+    /** Whether {@link #value} has been reduced to that of a response after the latency objective. */
     boolean valuedAsLate;
 
     boolean clientGone;
-    /**
-     * The attempt that the request is bound to: part of its answer or of the request has gone, see {@link
-     * Balancer#onFirstByte}.
-     */
+    /** The attempt that the request is bound to, see {@link Balancer#onFirstByte}. */
     int boundAttempt = UNBOUND;
 
     private State state = State.IN_PROGRESS;
@@ -92,7 +91,7 @@
         return state == State.ENDED;
     }
 
-    /** Whether it ended and none of its attempts is in flight. */
+    /** Whether the request has ended and none of its attempts is in flight. */
     boolean isOver() {
         return isEnded() && outstanding == 0;
     }
@@ -109,7 +108,7 @@
         return servers.length;
     }
 
-    /** Adds an attempt, which takes the request out of the queue; returns its number. */
+    /** Adds an attempt, which removes the request from the queue; returns its number. */
     int addAttempt(ServerRecord server, long nowUs) {
         state = State.IN_PROGRESS;
         int attempt = attempts++;
@@ -119,7 +118,7 @@
         return attempt;
     }
 
-    /** Whether there is such an attempt and it has not ended. */
+    /** Whether an attempt with this number exists and is in flight. */
     boolean isInFlight(int attempt) {
         return attempt >= 0 && attempt < attempts && results[attempt] == null;
     }
@@ -139,8 +138,8 @@
     }
 
     /**
-     * The earliest attempt that is not known never to have run, or -1. It is what restricts further attempts and what
-     * may be said to the client.
+     * Returns the earliest attempt that may have run, or -1 if it is certain that none has. This attempt restricts
+     * further attempts and the final response.
      */
     int earliestThatMayHaveRun() {
         for (int attempt = 0; attempt < attempts; attempt++) {
--- a/node/src/main/java/loadbalancer/policy/PendingRequestFactory.java
+++ b/node/src/main/java/loadbalancer/policy/PendingRequestFactory.java
@@ -3,29 +3,33 @@
 import java.util.List;
 
 /**
- * Makes the record of a request that arrives: its deadline, until when an answer earns the full weight, and the seed
- * of its draws by key.
+ * Creates the record of an arriving request, with its deadline, the time of its latency objective, and the seed of its
+ * draws by key.
  *
- * <p>The latency objective runs from the client's first attempt, which this node may not have seen. Clients give a
- * retry the rest of their whole time, so a retry with other than a first attempt's remaining time tells when the first
- * one was made. A retry with a first attempt's remaining time is taken for new.
- *
- * <p>Single-threaded.
+ * <p>The latency objective counts from the client's first attempt, which this node may not have received. Clients give
+ * a retry the rest of their whole deadline, so the remaining time of a retry reveals when the first attempt was made. A
+ * retry whose remaining time is that of a first attempt is treated as new.
  */
 final class PendingRequestFactory {
-    /** Fall of the largest remaining time with each first attempt, to follow changes: by a third in 4,000 requests. */
+    /**
+     * Factor by which the largest remaining time falls with each first attempt, to follow changes: by a third in 4,000
+     * requests.
+     */
     private static final double REMAINING_TIME_DRIFT = 1.0001;
-    /** Share of the deadline by which a remaining time may differ and still be a first attempt's. */
+    /** Share of the class's deadline within which a remaining time counts as that of a first attempt. */
     private static final double REMAINING_TIME_SLACK = 0.01;
 
-    /** The time that a client gives its first attempt of a class; 0 while it is unknown. */
+    /** The remaining time of a client's first attempt of a class; 0 while unknown. */
     private static final class RemainingTime {
         double us;
     }
 
     private final PerClass<RemainingTime> firstRemaining = new PerClass<>(RemainingTime::new);
 
-    /** Adds new classes; clients' times are a part of the rules, so they are learned anew under the new rules. */
+    /**
+     * Adds new classes. A class that is listed again has new rules and may have other client deadlines, so its
+     * remaining time is learned again.
+     */
     void addClasses(List<RequestClass> classes) {
         int before = firstRemaining.size();
         firstRemaining.extendTo(classes);
@@ -53,7 +57,7 @@
                 settings.keyAffinity ? KeyAffinityPicker.seedOf(request.key()) : KeyAffinityPicker.NO_KEY);
     }
 
-    /** How long ago the client made its first attempt, as far as this request tells. */
+    /** Time since the client's first attempt, as far as this request reveals it; else 0. */
     private long sinceFirstAttemptUs(BalancerRequest request, RequestClass requestClass) {
         RemainingTime first = firstRemaining.get(request.classIndex());
         if (!request.retry() || first.us <= 0) {
--- a/node/src/main/java/loadbalancer/policy/PerClass.java
+++ b/node/src/main/java/loadbalancer/policy/PerClass.java
@@ -5,8 +5,8 @@
 import java.util.function.Supplier;
 
 /**
- * One value for each request class, by the class's index. Settings that change a class's rules list it again, under
- * the same name and with a new index: both indexes then share one value, so that what was measured stays.
+ * One value for each request class, by class index. Settings that change a class's rules list it again, under the same
+ * name and with a new index. Both indexes then share one value, so that measurements are kept.
  */
 final class PerClass<T> {
     private final Supplier<T> initial;
@@ -16,7 +16,7 @@
         this.initial = initial;
     }
 
-    /** Adds values for the classes that have none yet. */
+    /** Adds values for classes that have none yet. */
     void extendTo(List<RequestClass> classes) {
         if (values.length < classes.size()) {
             int before = values.length;
@@ -41,7 +41,7 @@
         return (T) values[classIndex];
     }
 
-    /** The first index that has this value, or -1. */
+    /** The first index with this value, or -1. */
     int indexOf(T value) {
         return Arrays.asList(values).indexOf(value);
     }
--- a/node/src/main/java/loadbalancer/policy/RequestPriority.java
+++ b/node/src/main/java/loadbalancer/policy/RequestPriority.java
@@ -1,13 +1,14 @@
 package loadbalancer.policy;
 
 /**
- * What a request earns for its work: its class's priority weight, divided by the class's mean latency unless weights
- * already count for each unit of work. The queue and load shedding go by it. Single-threaded; no I/O.
+ * Values requests by weight per expected work: the priority weight of the class divided by its mean latency, or the
+ * weight alone if weights already apply per unit of work. The queue, load shedding and concurrency limits use the
+ * value.
  */
 final class RequestPriority {
     private final BalancerState state;
     private final PerClass<ClassLatency> latencies;
-    /** The highest value of all classes; kept, since each draw of a node among many asks for it. */
+    /** Highest value of all classes. Cached because it is needed for each draw where many nodes share a server. */
     private double highestClassValue;
 
     private boolean highestStale = true;
@@ -17,19 +18,19 @@
         this.latencies = latencies;
     }
 
-    /** The value of a request of this class if its answer earns this weight. */
+    /** Value of a request of this class whose response has this weight. */
     double valueOf(double weight, int classIndex) {
         return state.settings.weightByWork
                 ? weight
                 : weight / Math.max(1, latencies.get(classIndex).meanUs());
     }
 
-    /** A class's latency or the settings have changed. */
+    /** Must be called when a class's latency or the settings have changed. */
     void invalidate() {
         highestStale = true;
     }
 
-    /** The value of a request against that of the most valuable class, from 0 to 1. */
+    /** Value of a request relative to the most valuable class, from 0 to 1. */
     double rank(PendingRequest request) {
         if (highestStale) {
             highestClassValue = highestClassValue();
@@ -42,7 +43,7 @@
     private double highestClassValue() {
         double highest = 0;
         for (int classIndex = 0; classIndex < latencies.size(); classIndex++) {
-            // Without an answer there is no measure of a class's work; it must not outrank all others.
+            // Without a response the work of a class is unknown, and it must not outrank all others.
             if (latencies.get(classIndex).hasAnswers()) {
                 double weight = state.settings.classes.get(classIndex).priorityWeight();
                 highest = Math.max(highest, valueOf(weight, classIndex));
--- a/node/src/main/java/loadbalancer/policy/RetryPicker.java
+++ b/node/src/main/java/loadbalancer/policy/RetryPicker.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy;
 
 /**
- * The server for a retry or a hedged attempt: the next one in list order that the request was not sent to. A request
- * with a key that surely has not run goes on to its key's next server. Single-threaded; no I/O.
+ * Picks the server for a retry or a hedged attempt: the next one in list order that the request was not sent to. A
+ * request with a key that certainly has not run goes to its key's next server instead.
  */
 final class RetryPicker {
     private final BalancerState state;
@@ -15,7 +15,10 @@
         this.eligibility = eligibility;
     }
 
-    /** A server for the next attempt after one at {@code previous}, or null if none may be sent to now. */
+    /**
+     * Returns a server for the next attempt after one at {@code previous}, or null if the request may not be sent to
+     * any now.
+     */
     ServerRecord pick(PendingRequest request, ServerRecord previous, long nowUs) {
         if (request.hasKey() && request.earliestThatMayHaveRun() < 0) {
             return keyAffinityPicker.pickUntried(request, state.allServers, nowUs);
--- a/node/src/main/java/loadbalancer/policy/RetryPolicy.java
+++ b/node/src/main/java/loadbalancer/policy/RetryPolicy.java
@@ -1,18 +1,18 @@
 package loadbalancer.policy;
 
 /**
- * Whether, until when and where a further attempt of a request is lawful, and which final answer tells the client the
- * truth. A request may have run if any attempt is not known never to have run. One with an idempotency key may then
- * only go to servers that recognize the duplicate, and within their deduplication window; one that is not idempotent
- * may not be sent again.
+ * Decides whether, until when and where a request may be sent again, and whether its client may safely retry. A request
+ * may have run unless it is certain for each of its attempts that it did not. If it may have run, a request with an
+ * idempotency key may only be sent to servers that recognize the duplicate, within their deduplication window, and a
+ * non-idempotent request may not be sent again.
  *
- * <p>Stateless; acts before each attempt and each final answer.
+ * <p>Stateless. Applies before each attempt and each final response.
  */
 final class RetryPolicy {
 
     private RetryPolicy() {}
 
-    /** Whether any further attempt may be made, wherever it goes. */
+    /** Whether a further attempt may be made, at any server. */
     static boolean mayRetry(PendingRequest request, long nowUs) {
         if (request.attempts >= request.maxAttempts() || nowUs >= request.deadlineAtUs || request.isBound()) {
             return false;
@@ -23,7 +23,7 @@
                         && nowUs <= beginByUs(request, binding);
     }
 
-    /** When the next attempt must have begun; Long.MAX_VALUE if that does not matter. */
+    /** The latest time at which the next attempt may begin; Long.MAX_VALUE if there is no limit. */
     static long beginByUs(PendingRequest request) {
         return beginByUs(request, request.earliestThatMayHaveRun());
     }
@@ -34,7 +34,7 @@
                 : Long.MAX_VALUE;
     }
 
-    /** Whether the server would recognize a duplicate, or none can arise. */
+    /** Whether the server would recognize a duplicate, or no duplicate can arise. */
     static boolean mayRunAt(PendingRequest request, ServerRecord server) {
         if (request.requestClass.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY) {
             return true;
@@ -50,7 +50,7 @@
         };
     }
 
-    /** Whether the client may be told that sending the request again does no harm. */
+    /** Whether a retry by the client can do no harm. */
     static boolean isRetryByClientHarmless(PendingRequest request) {
         if (request.earliestThatMayHaveRun() < 0) {
             return true;
--- a/node/src/main/java/loadbalancer/policy/RunningMean.java
+++ b/node/src/main/java/loadbalancer/policy/RunningMean.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy;
 
-/** A mean of the values seen so far that turns into an exponentially weighted one as their number grows. */
+/** The mean of all values at first, which turns into an exponentially weighted one as their number grows. */
 final class RunningMean {
-    /** Weight of a new value once there are many: the mean follows a change within some 32 values. */
+    /** Smallest weight of a new value: the mean follows a change within about 32 values. */
     static final double GAIN = 1.0 / 32;
 
     private double value;
--- a/node/src/main/java/loadbalancer/policy/ServerEligibility.java
+++ b/node/src/main/java/loadbalancer/policy/ServerEligibility.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-/** Whether a request may be sent to a server, by all rules that exclude servers. Single-threaded; no I/O. */
+/** Applies all rules that decide whether a request may be sent to a server. */
 final class ServerEligibility {
     private final LoadReports loadReports;
     private final ConcurrencyLimiter limiter;
@@ -12,7 +12,7 @@
         this.slowStart = slowStart;
     }
 
-    /** Whether an ordinary attempt may go there. */
+    /** Whether an ordinary attempt may be sent to the server. */
     boolean maySend(PendingRequest request, ServerRecord server, long nowUs) {
         return !server.health.ejected
                 && !server.classHealth.get(request.classIndex).ejected
@@ -21,7 +21,10 @@
                 && maySendTrial(request, server, nowUs);
     }
 
-    /** Whether a trial request may go there: by the rules that hold whatever the server's health and load. */
+    /**
+     * Whether a trial request may be sent to the server: applies only the rules that hold regardless of its health and
+     * load.
+     */
     boolean maySendTrial(PendingRequest request, ServerRecord server, long nowUs) {
         return server.state == ServerState.READY
                 && slowStart.maySend(server, nowUs)
--- a/node/src/main/java/loadbalancer/policy/ServerHealth.java
+++ b/node/src/main/java/loadbalancer/policy/ServerHealth.java
@@ -1,30 +1,33 @@
 package loadbalancer.policy;
 
-/** The last answers of a server, of all classes or of one, and whether it is ejected for them. Plain state. */
+/**
+ * The last outcomes at a server, of all classes or of one, and the state of its ejection. Contains no rules. Outcomes
+ * that only indicate load are not recorded.
+ */
 final class ServerHealth {
-    /** Answers that {@link #history} holds. */
+    /** Number of last outcomes that decide on an ejection. */
     static final int HISTORY_LENGTH = 16;
 
-    /** One bit for each answer, the newest lowest; 1 is a failure. */
+    /** One bit per outcome, the newest lowest; 1 is a failure. Holds the last 32. */
     int history;
 
     boolean ejected;
-    /** When an ejected server is due for its next trial request. */
+    /** When the next trial request of an ejected server is due. */
     long trialAtUs;
-    /** Mean time until the next trial request of an ejected server; doubles with each that fails. */
+    /** Mean time until the next trial request of an ejected server; doubles with each one that fails. */
     long trialIntervalUs;
-    /** Successes since the last failure, of which enough end an ejection. */
+    /** Successes in a row since the ejection or the last failure; enough of them end the ejection. */
     int trialsSucceeded;
 
     long answeredAtUs;
     long succeededAtUs;
 
-    /** Failures among the last {@link #HISTORY_LENGTH} answers. */
+    /** Failures among the last {@link #HISTORY_LENGTH} outcomes. */
     int recentFailures() {
         return Integer.bitCount(history & (1 << HISTORY_LENGTH) - 1);
     }
 
-    /** Failures since the last success. */
+    /** Failures since the last success, at most 32. */
     int consecutiveFailures() {
         return Integer.numberOfTrailingZeros(~history);
     }
--- a/node/src/main/java/loadbalancer/policy/ServerRecord.java
+++ b/node/src/main/java/loadbalancer/policy/ServerRecord.java
@@ -3,62 +3,69 @@
 import java.util.SplittableRandom;
 
 /**
- * What this node knows of one server. Plain state without rules: each group of fields is written by the class that
- * its comment names.
+ * The state that this node keeps of one server. Contains no rules: a comment above each group of fields names the class
+ * that writes them.
  */
 final class ServerRecord {
     final String id;
-    /** A pseudo-random number drawn from the id, the same at every node. */
+    /** A pseudo-random number derived from the id, the same at every node. */
     final long hash;
 
     // Written by ServerRegistry, from the endpoint list.
     int zone;
     int cell;
     ServerState state;
-    /** When its process started; 0 means long ago. */
+    /** When its process started, in microseconds; 0 means long ago. */
     long startedAtUs;
 
     // Written by ServersInUse.
-    /** Whether this node sends to it. */
+    /** Whether this node sends requests to it. */
     boolean inUse;
     /** Its index among the servers in use. */
     int position;
-    /** This node's own attempts that are in flight there. */
+    /** This node's own attempts in flight at the server, except those that their request is bound to. */
     int inFlight;
 
     // Written by ErrorCounter.
     int errors;
 
-    // Written by OutlierDetector, and as answers come by OutcomeRecorder.
-    /** What all its answers show, and those of each class: it may fail one class and serve the others. */
+    // Written by OutlierDetector, and by OutcomeRecorder when responses arrive.
+    /** Health over all classes. */
     final ServerHealth health = new ServerHealth();
 
+    /** Health per class: a server may fail one class and serve the others. */
     final PerClass<ServerHealth> classHealth = new PerClass<>(ServerHealth::new);
-    /** Whether its last attempt had an answer of any kind. */
+    /** Whether its last outcome was a response, which may be an error. A rejection as full is none. */
     boolean lastAttemptAnswered;
 
     // Written by ConcurrencyLimiter.
-    /** How many attempts this node may have in flight there; may be under one. */
+    /** Maximum of this node's attempts in flight at the server; may be below one, and is 0 until first assigned. */
     double limit;
-    /** When a draw last met the limit. */
+    /** When an attempt at this server was last held back by its limit or by the sum of all limits. */
     long limitReachedAtUs;
 
+    /** When its limit was last cut. */
     long limitCutAtUs;
-    /** A limit under one: the pause after the last attempt, and its end. */
+    /** With a limit below one: the length of the pause after the last attempt. */
     long pauseUs;
 
+    /** The end of that pause. */
     long pausedUntilUs;
 
     // Written by SlowStart.
-    /** From when the gap to its next request counts while it warms up; 0 if none is set for this start. */
+    /**
+     * Start of the interval after which the next request may be sent while the server warms up; 0 if not set since its
+     * start.
+     */
     long warmUpSlotAtUs;
 
     // Written by LoadReports.
-    /** Requests that it reported to have in flight for all nodes. */
+    /** Requests of all nodes that the server reported to have in flight. */
     double reportedLoad;
 
+    /** When it reported them; 0 if it has not, or if the report was discarded. */
     long reportedAtUs;
-    /** How long the answer with the report took. */
+    /** Latency of the response that carried the report. */
     double reportLatencyUs = 1;
 
     ServerRecord(String id) {
--- a/node/src/main/java/loadbalancer/policy/ServerRegistry.java
+++ b/node/src/main/java/loadbalancer/policy/ServerRegistry.java
@@ -8,22 +8,22 @@
 import java.util.Set;
 
 /**
- * The servers that this node knows: those of the endpoint list, those that operators have cordoned, and those that
- * were removed while requests are still in flight there. Single-threaded; no I/O.
+ * All servers that this node knows: those of the endpoint list, with the cordons of the operators, and those that were
+ * removed while attempts were still in flight.
  */
 final class ServerRegistry {
     private final Map<String, ServerRecord> byId = new HashMap<>();
-    /** The servers of the endpoint list, in the order in which they came. */
+    /** The servers of the endpoint list, in the order of their first entry. */
     private final Set<ServerRecord> listed = new LinkedHashSet<>();
-    /** The cordoned servers, with the time when each was cordoned. */
+    /** The ids of the cordoned servers, each with the time at which it was cordoned. */
     private Map<String, Long> cordonedAtUs = Map.of();
 
-    /** Gives all servers the state that is kept for each class. */
+    /** Adds state for new classes to all servers. */
     void addClasses(List<RequestClass> classes) {
         byId.values().forEach(server -> server.classHealth.extendTo(classes));
     }
 
-    /** Takes in a list event; returns the servers whose process is a new one. */
+    /** Applies an endpoint list event; returns the servers whose process has been replaced. */
     List<ServerRecord> apply(ListKind kind, List<ServerEntry> entries, List<RequestClass> classes) {
         if (kind != ListKind.CHANGES) {
             listed.forEach(server -> server.state = ServerState.GONE);
@@ -49,14 +49,15 @@
         return restarted;
     }
 
-    /** Takes in the complete set of cordoned servers; returns those that must be taken for restarted. */
+    /** Replaces the set of cordoned servers; returns the servers that must be considered restarted. */
     List<ServerRecord> setCordoned(Set<String> serverIds, long nowUs) {
         Map<String, Long> before = cordonedAtUs;
         cordonedAtUs = new HashMap<>();
         serverIds.forEach(id -> cordonedAtUs.put(id, before.getOrDefault(id, nowUs)));
         List<ServerRecord> restarted = new ArrayList<>();
         for (ServerRecord server : listed) {
-            // A server that returns has most likely been restarted meanwhile: now, unless the list has said when.
+            // A server whose cordon ends has most likely been restarted meanwhile. Its start is taken to be now, unless
+            // the endpoint list has reported a start since the cordon.
             if (!isCordoned(server) && server.startedAtUs < before.getOrDefault(server.id, 0L)) {
                 server.startedAtUs = nowUs;
                 restarted.add(server);
@@ -69,24 +70,24 @@
         return cordonedAtUs.containsKey(server.id);
     }
 
-    /** The servers that take requests and are not cordoned, in list order. */
+    /** Returns the servers that take requests and are not cordoned, in list order. */
     ServerRecord[] available() {
         return listed.stream()
                 .filter(server -> server.state == ServerState.READY && !isCordoned(server))
                 .toArray(ServerRecord[]::new);
     }
 
-    /** How many servers of the list are cordoned. */
+    /** Number of listed servers that are cordoned. */
     int cordonedCount() {
         return (int) listed.stream().filter(this::isCordoned).count();
     }
 
-    /** Forgets removed servers without requests in flight: servers come and go as long as a node runs. */
+    /** Drops removed servers without attempts in flight, so that memory does not grow as servers come and go. */
     void forgetRemoved() {
         byId.values().removeIf(server -> server.state == ServerState.GONE && server.inFlight == 0);
     }
 
-    /** How many servers are known. */
+    /** Number of known servers. */
     int size() {
         return byId.size();
     }
--- a/node/src/main/java/loadbalancer/policy/ServerState.java
+++ b/node/src/main/java/loadbalancer/policy/ServerState.java
@@ -1,10 +1,10 @@
 package loadbalancer.policy;
 
-/** The lifecycle of a server in the endpoint list. */
+/** State of a server in the endpoint list. */
 public enum ServerState {
     /** Takes requests. */
     READY,
-    /** Finishes what it has and takes nothing new. */
+    /** Finishes its requests and takes no new ones. */
     DRAINING,
     /** Removed from the list. */
     GONE
--- a/node/src/main/java/loadbalancer/policy/ServerWeights.java
+++ b/node/src/main/java/loadbalancer/policy/ServerWeights.java
@@ -1,21 +1,22 @@
 package loadbalancer.policy;
 
 /**
- * ServiceQ's weights of servers: ceil(E / (1 + errors)), where E = floor((1 + m)^1.5) and m is the highest error count
- * of the servers in use. An ejected server weighs 1. Worked out anew only after a change. Single-threaded; no I/O.
+ * Weights of servers as defined by ServiceQ: ceil(E / (1 + errors)), where E = floor((1 + m)^1.5) and m is the highest
+ * error count of the servers in use. A server that is ejected for all classes has weight 1. Recomputed only after a
+ * change.
  */
 final class ServerWeights {
     private static final double EXPONENT = 1.5;
 
     private final BalancerState state;
-    /** The weight of a server without errors. */
+    /** Weight of a server without errors. */
     private double highest = 1;
 
     ServerWeights(BalancerState state) {
         this.state = state;
     }
 
-    /** Works the weights out anew if an error count, an ejection or the servers in use have changed. */
+    /** Recomputes the weights if an error count, an ejection or the servers in use have changed. */
     void refreshIfStale() {
         if (state.weightsStale) {
             int maxErrors = 0;
@@ -37,7 +38,7 @@
         }
     }
 
-    /** The weight of a server without errors, as of the last refresh. */
+    /** Weight of a server without errors, as of the last refresh. */
     double highest() {
         return highest;
     }
--- a/node/src/main/java/loadbalancer/policy/ServersInUse.java
+++ b/node/src/main/java/loadbalancer/policy/ServersInUse.java
@@ -4,12 +4,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Puts the choice of {@link SubsetSelector} into effect: what each server is given when its use begins, what is drawn
- * from, and the attempts in flight at each. Connections to a server that is no longer in use are closed, since they
- * would take the places of nodes that do use it. Single-threaded; no I/O.
+ * Applies the choice of {@link SubsetSelector}: initializes servers that come into use, builds the candidate sets for
+ * draws, and counts the attempts in flight at each server. Closes idle connections to a server that is no longer in
+ * use, because they would occupy connections that nodes which use it need.
  */
 final class ServersInUse {
-    /** Nodes that send to a server above which one node's requests in flight show little of the server's load. */
+    /** Nodes per server above which one node's requests in flight are a poor measure of a server's load. */
     private static final double MANY_NODES_PER_SERVER = 20;
 
     private final BalancerState state;
@@ -34,7 +34,10 @@
         this.actions = actions;
     }
 
-    /** Chooses anew from the servers that are available, in list order. The sums are the caller's to make anew. */
+    /**
+     * Chooses the servers in use from those available, in list order. The caller must recompute the sums of {@link
+     * BalancerState} afterwards.
+     */
     void choose(ServerRecord[] available, long nowUs) {
         ServerRecord[] before = state.servers;
         slowStart.onServersChosen(nowUs);
@@ -57,7 +60,7 @@
         state.localServers = state.settings.crossZoneCost == 0 ? state.allServers : weighted(localServers());
     }
 
-    /** Sets how many nodes send to each server, and what follows from that. */
+    /** Sets the number of nodes that send to each server, and the values derived from it. */
     void shareAmong(double nodesPerServer) {
         state.nodesPerServer = nodesPerServer;
         state.manyNodesPerServer = nodesPerServer > MANY_NODES_PER_SERVER;
@@ -75,7 +78,7 @@
                 servers, state.settings.keyAffinity ? KeyAffinityPicker.placesOf(servers) : new ServerRecord[0]);
     }
 
-    /** An attempt is sent there. */
+    /** Counts an attempt that is sent to a server. */
     void acquire(ServerRecord server) {
         server.inFlight++;
         if (state.isCounted(server)) {
@@ -83,7 +86,7 @@
         }
     }
 
-    /** An attempt there ended, or needs no more of the server's work. */
+    /** Uncounts an attempt that has ended, or whose remaining duration depends on the client. */
     void release(ServerRecord server) {
         server.inFlight--;
         if (state.isCounted(server)) {
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -7,14 +7,14 @@
 import java.util.SplittableRandom;
 
 /**
- * The path of a request through the balancer; each rule on it stands in a class of its own (see
- * {@link BalancerRules}).
+ * Implements the path of a request through the balancer; each rule on that path is a separate class (see {@link
+ * BalancerRules}).
  *
- * <p>The path is that of ServiceQ, a published load balancer that weighs servers by their errors. A first attempt goes
- * to the better of two servers drawn by weights that fall with their
- * errors ({@link FirstAttemptPicker}); a failed one is retried at the next server in list order ({@link RetryPolicy},
- * {@link RetryPicker}); when no server may be sent to, the request waits within its client's time
- * ({@link PendingQueue}), or gets a final answer.
+ * <p>The path is that of ServiceQ, a published load balancer that weights servers by their errors. A first attempt goes
+ * to the better of two servers, drawn with weights that fall with their errors ({@link FirstAttemptPicker}). A failed
+ * attempt is retried at the next server in list order ({@link RetryPolicy}, {@link RetryPicker}). If the request may
+ * not be sent to any server, it waits within its client's deadline ({@link PendingQueue}); if it may not be sent again,
+ * it gets a final response.
  */
 public final class ServiceQBalancer implements Balancer {
     private final BalancerActions actions;
@@ -24,11 +24,11 @@
     private final PendingQueue queue;
     private final WakeUpTimer wakeUpTimer;
     private final ServerRegistry registry = new ServerRegistry();
-    /** The requests that are not over, by id. */
+    /** The requests that have no final response yet or have attempts in flight, by id. */
     private final Map<Long, PendingRequest> requests = new HashMap<>();
 
     /**
-     * A balancer that knows no servers yet.
+     * Creates a balancer without servers.
      *
      * @throws IllegalArgumentException if a setting is missing or out of range
      */
@@ -68,8 +68,9 @@
     }
 
     /**
-     * Whether a request may be tried before those that wait: none does, or it has a key. Requests with keys wait for
-     * few servers each, and those that wait for the same ones are tried with each answer.
+     * Whether a request may be tried before those in the queue: if the queue is empty, or if the request has a key and
+     * is not late. Each request with a key waits for a few servers only, and the queue retries the waiting ones after
+     * each outcome.
      */
     private boolean mayPassQueue(PendingRequest request, long nowUs) {
         boolean isFirst = queue.isEmpty() || request.hasKey() && !queue.isLate(request, nowUs);
@@ -119,7 +120,7 @@
         serveQueue(nowUs);
     }
 
-    /** A failed request goes to another server, or waits, or gets its final answer. */
+    /** Sends a failed request to another server, or queues it, or gives it its final response. */
     private void retryOrAnswer(PendingRequest request, ServerRecord failed, long nowUs) {
         if (!RetryPolicy.mayRetry(request, nowUs)) {
             answerUnserved(request);
@@ -140,7 +141,9 @@
         }
     }
 
-    /** The final answer to a request that no server served: rejected only where a retry by the client is harmless. */
+    /**
+     * Gives the final response to a request that no server has served: "rejected" only if the client may safely retry.
+     */
     private void answerUnserved(PendingRequest request) {
         if (RetryPolicy.isRetryByClientHarmless(request)) {
             actions.reject(request.id, state.settings.maxRetryAfterUs);
@@ -156,7 +159,7 @@
         forgetIfOver(request);
     }
 
-    /** Cancels the attempts in flight but for this one; with {@link PendingRequest#UNBOUND}, all. */
+    /** Cancels all attempts in flight except this one; {@link PendingRequest#UNBOUND} cancels all. */
     private void cancelAttemptsExcept(int needed, PendingRequest request) {
         if (!state.settings.cancellation) {
             return;
@@ -180,7 +183,8 @@
     public void onFirstByte(long nowUs, long requestId, int attempt) {
         PendingRequest request = requests.get(requestId);
         if (request != null && !request.isBound() && request.isInFlight(attempt)) {
-            // From here on the answer flows at the client's pace, which says nothing of the server's load.
+            // From here on the response is transferred at the client's pace, which does not depend on the server's
+            // load.
             rules.serversInUse.release(request.servers[attempt]);
             request.boundAttempt = attempt;
             cancelAttemptsExcept(attempt, request);
@@ -264,7 +268,7 @@
         return rules.outlierDetector.ejectedServers().size() + registry.cordonedCount();
     }
 
-    /** How many servers are remembered, those removed from the list included. */
+    /** Number of servers in the registry, including removed ones with attempts in flight. */
     int knownServers() {
         return registry.size();
     }
--- a/node/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/node/src/main/java/loadbalancer/policy/SlowStart.java
@@ -3,23 +3,27 @@
 import java.util.SplittableRandom;
 
 /**
- * What a server that warms up may get. Its requests are spaced: the gap between two is that of an even part of what
- * this node gets answered, divided by the share of its capacity that the server has by now at least and by the
- * multiple that the settings allow. Arrivals would be no measure of traffic, as they grow while answers stall.
+ * Limits the rate of requests to warming servers. The interval between two requests is that of an even share of this
+ * node's responses, divided by the minimum share of its capacity that the server has reached and by the multiple that
+ * the settings allow. The rate of arrivals is not used, because it grows while responses stall.
  *
- * <p>All nodes together may send the settings' multiple; each spends half of it, or all while the server reports less
- * than half of the mean load. The concurrency limit holds a server that is slower still below even that.
+ * <p>All nodes together may send the settings' multiple of the server's capacity. Each node uses half of it, or all of
+ * it while the server reports less than half of the mean load. The concurrency limit restricts a server that is even
+ * slower.
  *
- * <p>Harm: a server that warms up faster than assumed idles. Single-threaded; no I/O.
+ * <p>Trade-off: a server that warms up faster than assumed is partly idle.
  */
 final class SlowStart {
-    /** Gap between answers that is assumed before any was seen: long, so that little is sent to servers warming up. */
+    /**
+     * Interval between responses that is assumed before the first response: long, so that little is sent to warming
+     * servers.
+     */
     private static final double INITIAL_ANSWER_GAP_US = 50_000;
-    /** Cost of a request whose key the server does not know, against the mean cost; a cautious guess. */
+    /** Cost of a request whose key the server has not cached, as a multiple of the mean cost; a cautious estimate. */
     private static final double UNKNOWN_KEY_COST = 3;
-    /** A server that reports less load than the mean by this factor has room for all that is allowed. */
+    /** Factor by which a server's reported load must be below the mean for it to receive all that is allowed. */
     private static final double IDLE_FACTOR = 2;
-    /** What a server that has no such room gets of what is allowed: chance adds the rest. */
+    /** Share of the allowed multiple for other servers: random variation uses up the rest. */
     private static final double NORMAL_BUDGET_SHARE = 0.5;
 
     private final BalancerState state;
@@ -30,14 +34,14 @@
         this.state = state;
     }
 
-    /** Gaps between answers count from the first endpoint list on, not from the start of the clock. */
+    /** Makes intervals between responses count from the first endpoint list instead of from the origin of the clock. */
     void onServersChosen(long nowUs) {
         if (lastAnswerAtUs == 0) {
             lastAnswerAtUs = nowUs;
         }
     }
 
-    /** A request was answered, by any server. */
+    /** Records a successful response of any server. */
     void onSuccess(long nowUs) {
         answerGapUs += RunningMean.GAIN * (nowUs - lastAnswerAtUs - answerGapUs);
         lastAnswerAtUs = nowUs;
@@ -47,12 +51,15 @@
         return server.startedAtUs > 0 && nowUs < server.startedAtUs + state.settings.warmUpUs;
     }
 
-    /** Whether a server is warm, or its next slot has come. */
+    /** Whether the server is warm, or the interval since its last slot has passed. */
     boolean maySend(ServerRecord server, long nowUs) {
         return !isWarmingUp(server, nowUs) || nowUs >= server.warmUpSlotAtUs + gapUs(server, nowUs);
     }
 
-    /** Starts a server's slots at a random time: all nodes learn of a start at once and would send together. */
+    /**
+     * Starts a server's slots at a random time: all nodes learn of a start at the same time and would otherwise send
+     * together.
+     */
     void assignFirstSlot(ServerRecord server, SplittableRandom random, long nowUs) {
         if (isWarmingUp(server, nowUs) && server.warmUpSlotAtUs == 0) {
             server.warmUpSlotAtUs = nowUs - (long) (random.nextDouble() * gapUs(server, nowUs));
@@ -60,8 +67,9 @@
     }
 
     /**
-     * Takes a slot. The next gap counts from the slot, not from the send: a request that draws the server comes late
-     * where traffic is thin, and the slots lost by that would be most of them.
+     * Uses a slot. The next interval counts from the slot and not from the send, but from at most one even-share
+     * interval ago. Under light traffic the request that draws the server comes long after its slot, and counting from
+     * the send would lose most slots.
      */
     void onSent(ServerRecord server, long nowUs) {
         if (isWarmingUp(server, nowUs)) {
@@ -70,7 +78,10 @@
         }
     }
 
-    /** A new process: its slots begin anew. */
+    /**
+     * Discards the slots of a server whose process has been replaced; new ones are assigned with the next choice of
+     * servers.
+     */
     void reset(ServerRecord server) {
         server.warmUpSlotAtUs = 0;
     }
@@ -82,14 +93,15 @@
         double room = meanLoadRatio(server);
         double budgetShare = room < IDLE_FACTOR ? NORMAL_BUDGET_SHARE : 1;
         double multiple = Math.max(1, settings.overloadMultiple * budgetShare);
-        // Once it reports no more load than others, it bears what unknown keys cost.
+        // A server that has reported a load above the mean, or none yet, is charged the cost of keys that it has not
+        // cached.
         double requestCost = settings.keyAffinity && room < 1 ? UNKNOWN_KEY_COST : 1;
         return (long) (evenGapUs(nowUs) * requestCost / (capacityShare * multiple));
     }
 
     /**
-     * The mean reported load divided by the server's; 0 if it has reported none since it started. Where neither it nor
-     * any other holds anything, this is NaN, which no comparison holds for: the server then counts as idle.
+     * The mean reported load divided by the server's; 0 if it has reported none since it started. NaN if neither this
+     * server nor any other has load: comparisons with NaN are false, so the server counts as idle.
      */
     private double meanLoadRatio(ServerRecord server) {
         return server.reportedAtUs > server.startedAtUs
@@ -97,7 +109,7 @@
                 : 0;
     }
 
-    /** Time between two requests to a server that gets an even part of what this node gets answered. */
+    /** Time between two requests to a server that receives an even share of this node's responses. */
     private double evenGapUs(long nowUs) {
         return Math.max(answerGapUs, RunningMean.GAIN * (nowUs - lastAnswerAtUs)) * Math.max(1, state.servers.length);
     }
--- a/node/src/main/java/loadbalancer/policy/SubsetSelector.java
+++ b/node/src/main/java/loadbalancer/policy/SubsetSelector.java
@@ -8,30 +8,38 @@
 import java.util.Set;
 
 /**
- * Which part of the servers this node uses. Acts when more than {@link #NODES_PER_SERVER} nodes would share each
- * server: connections are capped and cost work at both ends, and the more servers a node uses, the fewer answers it
- * sees of each. Servers in the node's own zone come first where crossing zones costs.
+ * Selects the servers that this node uses. Takes effect when more than {@link #NODES_PER_SERVER} nodes would share each
+ * server: connections are limited and cost work at both ends, and the more servers a node uses, the fewer responses it
+ * gets from each. Where crossing zones has a cost, a node uses more servers of the local zone than of others.
  *
- * <p>Each server takes places in a {@link MaglevTable}, and node i uses the servers of row i modulo the number of
- * rows: all servers get about equally many nodes, all nodes find the same table, and a change of the list moves few
- * places.
+ * <p>Servers claim entries in a {@link MaglevTable}, and node i uses the servers of row i modulo the number of rows.
+ * All servers get about equally many nodes, all nodes compute the same table, and a change of the list moves few
+ * entries.
  *
- * <p>Harm: a node whose few servers all fail has no others. Single-threaded; no I/O.
+ * <p>Trade-off: a node whose few servers all fail has no others.
  */
 final class SubsetSelector {
-    /** Nodes that share a server: many, so that their loads add up evenly; few, so that each sees many answers. */
+    /**
+     * Target number of nodes that share a server: enough for their loads to add up evenly, few enough for each to get
+     * many responses.
+     */
     private static final int NODES_PER_SERVER = 24;
-    /** Least servers that a node uses, where there are as many: one may fail and another hang. */
+    /**
+     * Minimum number of servers that a node uses, where that keeps within {@link #MAX_NODES_PER_SERVER}: one may fail
+     * while another hangs.
+     */
     private static final int MIN_SUBSET_SIZE = 4;
-    /** Least places in the table for each server, so that all have about equally many. */
+    /** Minimum number of table entries per server, so that all servers have about equally many. */
     private static final int MIN_PLACES_PER_SERVER = 4;
-    /** Least servers, however few there are, where there is one zone: one may fail. */
+    /** Minimum number of servers with one zone, even above {@link #MAX_NODES_PER_SERVER}: one may fail. */
     private static final int MIN_SERVERS_OF_ONE_ZONE = 2;
-    /** Least servers of the own zone, and of all others, where there are several. */
+    /** Minimum number of servers of the node's own zone, and of all other zones together, with several zones. */
     private static final int MIN_SERVERS_OF_EACH_SIDE = 1;
-    /** Most nodes that share a server: more would exceed the cap on connections. */
+    /** Maximum number of nodes that share a server; more would exceed the limit of connections. */
     private static final int MAX_NODES_PER_SERVER = 2 * NODES_PER_SERVER;
-    /** Servers of the own zone to each of another: these are used only where the own zone's do not suffice. */
+    /**
+     * Servers of the own zone per server of another zone; the latter are used only if the own zone's do not suffice.
+     */
     private static final int LOCAL_PER_REMOTE = 2;
 
     private final BalancerState state;
@@ -41,7 +49,7 @@
         this.state = state;
     }
 
-    /** The candidates that this node uses, in the order given. */
+    /** Returns the candidates that this node uses, in the given order. */
     ServerRecord[] select(ServerRecord[] candidates) {
         Set<ServerRecord> used = new HashSet<>(subsets(candidates));
         return Arrays.stream(candidates).filter(used::contains).toArray(ServerRecord[]::new);
@@ -69,7 +77,7 @@
         return used;
     }
 
-    /** The size decides the table's length: with each change of it, all places move. */
+    /** Keeps the size unless it is doubled or halved, because a change of the table's length moves all entries. */
     private void keepSizeUnlessDoubledOrHalved(int newSize) {
         boolean near = 2 * newSize > localSubsetSize && newSize < 2 * localSubsetSize;
         localSubsetSize = near ? localSubsetSize : newSize;
@@ -80,7 +88,10 @@
         return Math.min(servers, Math.max(least, (int) Math.ceil(NODES_PER_SERVER * servers / nodes)));
     }
 
-    /** This node's row of the table. Rows are fewer than nodes: a row for each would make the table costly. */
+    /**
+     * Returns the servers of this node's row of the table. There are at most as many rows as nodes; one row for every
+     * node would make the table expensive.
+     */
     private List<ServerRecord> subset(ServerRecord[] from, int size) {
         if (size == from.length) {
             return Arrays.asList(from);
--- a/node/src/main/java/loadbalancer/policy/Tenant.java
+++ b/node/src/main/java/loadbalancer/policy/Tenant.java
@@ -1,4 +1,4 @@
 package loadbalancer.policy;
 
-/** A tenant, whose requests are served like all others'. */
+/** A tenant. Requests of all tenants are treated alike. */
 public record Tenant(String name) {}
--- a/node/src/main/java/loadbalancer/policy/TrialRequests.java
+++ b/node/src/main/java/loadbalancer/policy/TrialRequests.java
@@ -3,34 +3,38 @@
 import java.util.List;
 
 /**
- * The requests that ejected servers get. A server that is due gets one request at a time; failed trial requests of
- * all servers together have a budget, since trials of a whole lost zone, from every node, would else take up most
- * idempotent requests. Requests that are not idempotent are risked only where no others could show a recovery: for a
- * class of their own.
+ * Picks requests that are sent to ejected servers.
  *
- * <p>As a fallback, where all other servers are full, an ejected server that still answers, if with errors, gets
- * idempotent requests with a further attempt to spare. Errors cost no work, so what the server does serve is gained;
- * but the longer it only fails, the longer it is left alone, else one that fails at once would draw most requests.
+ * <p>A trial request shows whether an ejected server has recovered. A server that is due receives one at a time. Failed
+ * trial requests share a budget over all servers, because trials of a whole failed zone, from every node, would
+ * otherwise take most idempotent requests. Non-idempotent requests are used as trials only where no others could show a
+ * recovery: if the server is ejected only for their class.
  *
- * <p>Harm: a trial request to a server that still fails costs the request an attempt. Single-threaded; no I/O.
+ * <p>As a fallback, while all other servers are full, an ejected server that still responds, even with errors, receives
+ * idempotent requests that have a further attempt left. Error responses cost no work, so each request that it serves is
+ * a gain. The longer it only fails, the longer it gets none, because a server that fails immediately would otherwise
+ * attract most requests.
+ *
+ * <p>Trade-off: a trial request to a server that still fails costs the request one of its attempts.
  */
 final class TrialRequests {
-    /** Budget: trial requests that each first attempt pays for, and the most that are saved up. */
+    /** Trial requests that each first attempt adds to the budget. */
     private static final double BUDGET_PER_REQUEST = 0.05;
 
+    /** Most trial requests that the budget saves up. */
     private static final double MAX_BUDGET = 4;
-    /** Ejection times that requests which are not idempotent wait longer: each that fails is lost. */
+    /** Multiple of the trial interval that non-idempotent requests wait in addition: each one that fails is lost. */
     private static final int NON_IDEMPOTENT_WAIT_FACTOR = 4;
     /**
-     * Failures in a row from which on a fallback server rests, up to about its class's mean latency, as if each
-     * failure took as long as an answer. A server that serves three in ten fails so many in one of seventeen runs,
-     * one that serves none always.
+     * Failures in a row above which a fallback server is paused after its last response: for 1/16 of the mean latency
+     * of the request's class per further failure, at most for 1.5 mean latencies. A server that serves three of ten
+     * requests reaches this number in one of seventeen runs; one that serves none always does.
      */
     private static final int FALLBACK_FAILURES = ServerHealth.HISTORY_LENGTH / 2;
 
     private final PerClass<ClassLatency> latencies;
     private final ServerEligibility eligibility;
-    /** The ejected servers; a view. */
+    /** The ejected servers; a live view. */
     private final List<ServerRecord> ejected;
 
     private double budget = MAX_BUDGET;
@@ -45,14 +49,17 @@
         budget = Math.min(MAX_BUDGET, budget + BUDGET_PER_REQUEST);
     }
 
-    /** An ejected server answered: the trial request gives back what it cost. */
+    /** Refunds the cost of a trial request that an ejected server has served. */
     void onSuccess(ServerRecord server, ServerHealth classHealth) {
         if (server.health.ejected || classHealth.ejected) {
             budget = Math.min(MAX_BUDGET, budget + 1);
         }
     }
 
-    /** An ejected server that is due for a trial with this request, which is paid for; null if there is none. */
+    /**
+     * Returns an ejected server that is due for a trial with this request, and charges the budget; null if there is
+     * none.
+     */
     ServerRecord pickDue(PendingRequest request, long nowUs) {
         if (ejected.isEmpty() || budget < 1) {
             return null;
@@ -67,7 +74,7 @@
         return null;
     }
 
-    /** An ejected server for a request that no other server may get; null if there is none. */
+    /** Returns an ejected server for a request that no other server may receive; null if there is none. */
     ServerRecord pickFallback(PendingRequest request, long nowUs) {
         boolean canBeRisked = request.requestClass.idempotency() == Idempotency.IDEMPOTENT
                 && request.attempts < request.maxAttempts() - 1;
--- a/node/src/main/java/loadbalancer/policy/WakeUpTimer.java
+++ b/node/src/main/java/loadbalancer/policy/WakeUpTimer.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy;
 
-/** The one timer of a balancer: asks for an earlier wake-up when one is needed. Single-threaded. */
+/** The single timer of a balancer. Requests a wake-up only if it is earlier than the pending one. */
 final class WakeUpTimer {
-    /** A wake-up that comes this much too late shows that the node itself was paused. */
+    /** Delay of a wake-up beyond which the node itself must have been paused. */
     private static final long PAUSE_THRESHOLD_US = 50_000;
 
     private static final long NONE = Long.MAX_VALUE;
@@ -14,7 +14,7 @@
         this.actions = actions;
     }
 
-    /** Makes sure that a wake-up comes at this time or before. */
+    /** Ensures that a wake-up comes at this time or earlier. */
     void schedule(long atUs, long nowUs) {
         if (atUs < pendingAtUs) {
             pendingAtUs = Math.max(atUs, nowUs + 1);
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Takes a wake-up; true if it comes so late that the node must have been paused. */
+    /** Handles a wake-up; returns true if it is so late that the node must have been paused. */
     boolean onWake(long nowUs) {
         boolean paused = pendingAtUs != NONE && nowUs > pendingAtUs + PAUSE_THRESHOLD_US;
         if (nowUs >= pendingAtUs) {
--- a/node/src/main/java/loadbalancer/policy/WeightedServerPicker.java
+++ b/node/src/main/java/loadbalancer/policy/WeightedServerPicker.java
@@ -4,13 +4,15 @@
 import java.util.SplittableRandom;
 
 /**
- * The choice between two random servers: two draws by weight, and the server with fewer of this node's own requests
- * in flight wins, ties at random. Draws of a request with a key are fixed by the key instead.
- *
- * <p>Single-threaded; no I/O; allocates nothing.
+ * Chooses between two random servers: makes two draws by weight and picks the server with fewer of this node's own
+ * requests in flight, at random if equal. For a request with a key the draws are determined by the key, and the first
+ * one wins if equal. Allocates nothing.
  */
 final class WeightedServerPicker {
-    /** How often a draw that met a server which may not be sent to is repeated; a search of all would be costly. */
+    /**
+     * How often a draw is repeated if the request may not be sent to the drawn server; a search of all servers would be
+     * expensive.
+     */
     private static final int MAX_REDRAWS = 15;
 
     private final ServerWeights weights;
@@ -29,7 +31,7 @@
         this.random = random;
     }
 
-    /** A server for the request, or null if the draws found none that it may be sent to. */
+    /** Returns a server for the request, or null if it may not be sent to any of those drawn. */
     ServerRecord pick(PendingRequest request, WeightedServers from, long nowUs) {
         weights.refreshIfStale();
         ServerRecord first = draw(request, from, null, nowUs);
@@ -43,8 +45,8 @@
         if (first.inFlight != second.inFlight) {
             return first.inFlight < second.inFlight ? first : second;
         }
-        // The first draw prefers the heavier server: without a toss of its own, ties would too. A key's first draw
-        // is the server that knows the key.
+        // The first draw prefers the server with the higher weight, so ties need a random choice of their own. The
+        // first draw of a key is the server that has most likely cached it.
         return request.hasKey() || random.nextInt(2) == 0 ? first : second;
     }
 
--- a/node/src/main/java/loadbalancer/policy/WeightedServers.java
+++ b/node/src/main/java/loadbalancer/policy/WeightedServers.java
@@ -1,10 +1,10 @@
 package loadbalancer.policy;
 
-/** Servers to draw from, with their weights summed up to each, and the table that draws by key use. Plain state. */
+/** Servers to draw from, with their cumulative weights and the table for draws by key. Contains no rules. */
 final class WeightedServers {
     final ServerRecord[] servers;
     final long[] cumulativeWeights;
-    /** Empty where no draws are made by key. */
+    /** Empty if no draws are made by key. */
     final ServerRecord[] keyPlaces;
 
     WeightedServers(ServerRecord[] servers, ServerRecord[] keyPlaces) {
--- a/node/src/main/java/loadbalancer/policy/package-info.java
+++ b/node/src/main/java/loadbalancer/policy/package-info.java
@@ -1,21 +1,22 @@
 /**
- * The decisions of a load-balancing node: which server gets an attempt, whether a request is retried, deferred or
- * rejected, and which servers are left out. Pure computation: no threads, sockets, files or clocks; the time of each
- * event is handed in, and one instance belongs to one thread.
+ * The routing decisions of a load-balancing node: which server receives an attempt, whether a request is retried,
+ * queued or rejected, and which servers are excluded. Pure computation: no threads, sockets, files or clocks. The
+ * caller passes in the time of each event. Every class is single-threaded and does no I/O.
  *
- * <p>{@link loadbalancer.policy.Balancer} is what a node calls, {@link loadbalancer.policy.BalancerActions} what it is
- * called back with. {@code ServiceQBalancer} is the path of a request, {@code BalancerRules} how the rules are built on
- * each other, and {@code BalancerState}, {@code ServerRecord} and {@code PendingRequest} the state that they share.
+ * <p>A node calls {@link loadbalancer.policy.Balancer} and carries out the calls to {@link
+ * loadbalancer.policy.BalancerActions}. {@code ServiceQBalancer} implements the path of a request, {@code
+ * BalancerRules} creates and connects the rules, and {@code BalancerState}, {@code ServerRecord} and {@code
+ * PendingRequest} hold the state that the rules share.
  *
  * <ul>
- *   <li>Which server: {@code FirstAttemptPicker}, {@code WeightedServerPicker}, {@code KeyAffinityPicker},
- *       {@code RetryPicker}; and whether it may be sent to at all: {@code ServerEligibility}.
- *   <li>What is lawful: {@code RetryPolicy}. What is shed, waits or is hedged: {@code AdmissionController},
- *       {@code PendingQueue}, {@code HedgingPolicy}.
- *   <li>What a server gets: {@code OutlierDetector} and {@code TrialRequests}, {@code ConcurrencyLimiter},
+ *   <li>Choice of a server: {@code FirstAttemptPicker}, {@code WeightedServerPicker}, {@code KeyAffinityPicker}, {@code
+ *       RetryPicker}; {@code ServerEligibility} says which servers are allowed at all.
+ *   <li>Whether a request may be sent again: {@code RetryPolicy}. Load shedding, queueing and hedging: {@code
+ *       AdmissionController}, {@code PendingQueue}, {@code HedgingPolicy}.
+ *   <li>Load that each server receives: {@code OutlierDetector} and {@code TrialRequests}, {@code ConcurrencyLimiter},
  *       {@code SlowStart}, {@code LoadReports}, {@code ErrorCounter} and {@code ServerWeights}.
- *   <li>Which servers there are: {@code EndpointListRefresh}, {@code ServerRegistry}, {@code SubsetSelector},
- *       {@code ServersInUse}.
+ *   <li>The set of servers: {@code EndpointListRefresh}, {@code ServerRegistry}, {@code SubsetSelector}, {@code
+ *       ServersInUse}.
  * </ul>
  */
 package loadbalancer.policy;
