--- a/node/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/node/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -15,10 +15,10 @@
     /** Smallest share of requests that is admitted. */
     private static final double MIN_ADMITTED_SHARE = 0.05;
     /** Factor of the admitted share for a request of value 0. */
-    private static final double LOWEST_RANK_FACTOR = 0.75;
+    private static final double ZERO_VALUE_FACTOR = 0.75;
 
     /** Added to that factor for a request of the highest value. */
-    private static final double RANK_BONUS = 0.5;
+    private static final double HIGHEST_VALUE_BONUS = 0.5;
 
     private final BalancerState state;
     private final OnTimeRatio onTimeRatio;
@@ -34,13 +34,13 @@
     }
 
     /** Whether to reject a request on arrival. Draws a random number only where many nodes share each server. */
-    boolean sheds(PendingRequest request) {
+    boolean shouldShed(PendingRequest request) {
         return state.manyNodesPerServer && random.nextDouble() >= admissionProbability(request);
     }
 
     private double admissionProbability(PendingRequest request) {
         double onTime = onTimeRatio.value() / SHEDDING_THRESHOLD;
-        double rankFactor = LOWEST_RANK_FACTOR + priority.rank(request) * RANK_BONUS;
-        return Math.max(MIN_ADMITTED_SHARE, onTime * onTime * rankFactor);
+        double valueFactor = ZERO_VALUE_FACTOR + priority.relativeValue(request) * HIGHEST_VALUE_BONUS;
+        return Math.max(MIN_ADMITTED_SHARE, onTime * onTime * valueFactor);
     }
 }
--- a/node/src/main/java/loadbalancer/policy/BalancerSettings.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerSettings.java
@@ -62,14 +62,14 @@
     /** The fields of load reports, in order; empty if there are none. */
     public List<LoadReportField> reportFields = new ArrayList<>();
 
-    /** Throws IllegalArgumentException, naming the settings concerned, if one is missing or out of range. */
+    /** Throws IllegalArgumentException, naming the configuration keys concerned, if one is missing or out of range. */
     public void validate() {
         require(!classes.isEmpty(), "classes is empty");
-        require(nodes >= 1, "nodes is under 1");
-        require(nodeIndex >= 0 && nodeIndex < nodes, "me is not among nodes");
-        require(maxAttempts >= 1, "maxAttempts is under 1");
-        require(maxOpen >= 1, "maxOpen is under 1");
-        require(localZone >= 0 && localZone < Math.max(1, zones.size()), "myZone is not among zones");
+        require(nodes >= 1, "balancers must be at least 1");
+        require(nodeIndex >= 0 && nodeIndex < nodes, "me must be at least 0 and below balancers");
+        require(maxAttempts >= 1, "limits.attemptsCap must be at least 1");
+        require(maxOpen >= 1, "the maximum of open requests must be at least 1");
+        require(localZone >= 0 && localZone < Math.max(1, zones.size()), "myZone must be one of zones");
         require(
                 tickUs >= 0
                         && warmUpUs >= 0
@@ -78,28 +78,33 @@
                         && connectTimeoutUs >= 0
                         && pollIntervalUs >= 0
                         && maxRetryAfterUs >= 0,
-                "a length of time is negative");
-        require(warmUpInitialShare > 0 && warmUpInitialShare <= 1, "coldFrom is not in (0, 1]");
-        require(overloadMultiple > 0, "fallMultiple is not above 0");
+                "quantumUs, limits.dialTimeoutUs, limits.maxRetryAfterUs, rules.askWithinUs, rules.coldUs,"
+                        + " rules.drainGraceUs and rules.fallUs must not be negative");
+        require(warmUpInitialShare > 0 && warmUpInitialShare <= 1, "rules.coldFrom must be above 0 and at most 1");
+        require(overloadMultiple > 0, "rules.overloadFactor must be above 0");
         classes.forEach(BalancerSettings::validate);
     }
 
-    private static void validate(RequestClass c) {
+    private static void validate(RequestClass requestClass) {
         require(
-                c.latencyObjectiveUs() >= 0
-                        && c.deadlineUs() > 0
-                        && c.deduplicationWindowUs() >= 0
-                        && c.objectiveStretch() >= 0,
-                "class " + c.name() + " has a length of time out of range");
-        require(c.priorityWeight() >= 0 && c.lateWeight() >= 0, "class " + c.name() + " has a negative worth");
+                requestClass.latencyObjectiveUs() >= 0
+                        && requestClass.deadlineUs() > 0
+                        && requestClass.deduplicationWindowUs() >= 0
+                        && requestClass.objectiveStretch() >= 0,
+                "class " + requestClass.name()
+                        + ": onTimeUs, windowUs and aimStretch must not be negative, giveUpUs must be above 0");
         require(
-                c.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY || c.deduplicationScope() != null,
-                "class " + c.name() + " has no group");
+                requestClass.priorityWeight() >= 0 && requestClass.lateWeight() >= 0,
+                "class " + requestClass.name() + ": importance and lateWorth must not be negative");
+        require(
+                requestClass.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY
+                        || requestClass.deduplicationScope() != null,
+                "class " + requestClass.name() + ": group is required where repeat is keyed");
     }
 
-    private static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new IllegalArgumentException(otherwise);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/node/src/main/java/loadbalancer/policy/BalancerState.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerState.java
@@ -38,7 +38,7 @@
     }
 
     /** Recomputes the sums, after a change of the servers in use or of an ejection. */
-    void recount() {
+    void recomputeSums() {
         weightsStale = true;
         totalLimit = 0;
         totalInFlight = 0;
--- a/node/src/main/java/loadbalancer/policy/ClassLatency.java
+++ b/node/src/main/java/loadbalancer/policy/ClassLatency.java
@@ -37,7 +37,7 @@
         return leastMeanUs < Double.MAX_VALUE;
     }
 
-    boolean hasAnswers() {
+    boolean hasSamples() {
         return mean.samples() > 0;
     }
 
--- a/node/src/main/java/loadbalancer/policy/ConcurrencyLimiter.java
+++ b/node/src/main/java/loadbalancer/policy/ConcurrencyLimiter.java
@@ -107,8 +107,8 @@
         if (server.limit == 0) {
             // A warming server has cached no keys, and receives too few requests for its limit to be cut before it is
             // warm. With the high limit, all nodes together would then overload it.
-            boolean knowsKeys = state.settings.keyAffinity && !slowStart.isWarmingUp(server, nowUs);
-            server.limit = (knowsKeys ? INITIAL_LIMIT_WITH_KEYS : INITIAL_LIMIT) / state.nodesPerServer;
+            boolean cachesKeys = state.settings.keyAffinity && !slowStart.isWarmingUp(server, nowUs);
+            server.limit = (cachesKeys ? INITIAL_LIMIT_WITH_KEYS : INITIAL_LIMIT) / state.nodesPerServer;
         }
     }
 
@@ -126,10 +126,10 @@
         }
         // The allowance for bursts shrinks as responses come late: in an overload it would keep the servers overloaded.
         double margin = state.manyNodesPerServer ? Math.max(0, onTimeRatio.margin()) : 0;
-        double burst = state.manyNodesPerServer ? BURST * priority.rank(request) : 0;
-        boolean serverIsBusy =
+        double burst = state.manyNodesPerServer ? BURST * priority.relativeValue(request) : 0;
+        boolean isServerBusy =
                 server.inFlight > margin * burst || nowUs < server.pausedUntilUs - margin * burst * server.pauseUs;
-        boolean atLimit = exceedsServer && serverIsBusy || exceedsTotal && state.totalInFlight > margin * (1 + burst);
+        boolean atLimit = exceedsServer && isServerBusy || exceedsTotal && state.totalInFlight > margin * (1 + burst);
         if (atLimit) {
             server.limitReachedAtUs = nowUs;
         }
@@ -161,16 +161,16 @@
     private void adaptToLatency(PendingRequest request, int attempt, long latencyUs, LoadSignal signal, long nowUs) {
         ServerRecord server = request.servers[attempt];
         long sentAtUs = request.sentAtUs[attempt];
-        double rank = state.manyNodesPerServer ? priority.rank(request) : 1;
-        if (latencyUs > slowAnswerUs(request) || loadReports.predictsLateAnswer(server, nowUs)) {
-            decrease(server, sentAtUs, decrease * rank, nowUs);
+        double relativeValue = state.manyNodesPerServer ? priority.relativeValue(request) : 1;
+        if (latencyUs > slowResponseUs(request) || loadReports.predictsLateResponse(server, nowUs)) {
+            decrease(server, sentAtUs, decrease * relativeValue, nowUs);
         } else if (signal == LoadSignal.ANSWERED && mayGrow(server, sentAtUs, nowUs)) {
-            server.limit += increase * rank * growthShare();
+            server.limit += increase * relativeValue * growthShare();
         }
     }
 
     /** Latency above which a response to this request indicates overload. */
-    private double slowAnswerUs(PendingRequest request) {
+    private double slowResponseUs(PendingRequest request) {
         boolean keyAffinity = state.settings.keyAffinity;
         ClassLatency latency = latencies.get(request.classIndex);
         boolean uneven = keyAffinity || state.manyNodesPerServer && latency.hasLeastMean();
@@ -188,8 +188,8 @@
      * start ends all nodes together would overload it.
      */
     private boolean mayGrow(ServerRecord server, long sentAtUs, long nowUs) {
-        boolean wasMet = server.limitReachedAtUs >= sentAtUs;
-        return wasMet
+        boolean wasReached = server.limitReachedAtUs >= sentAtUs;
+        return wasReached
                 && (!slowStart.isWarmingUp(server, nowUs) || server.limit * state.servers.length < state.totalLimit);
     }
 
@@ -203,12 +203,12 @@
 
     /** Cuts a limit, once for all attempts that were sent before the last cut. */
     private void decrease(ServerRecord server, long sentAtUs, double share, long nowUs) {
-        if (sentAtUs >= server.limitCutAtUs) {
+        if (sentAtUs >= server.limitDecreasedAtUs) {
             // With key affinity a limit may be far above any load that occurred, so the cut starts from the actual
             // load.
-            double from = state.settings.keyAffinity ? Math.min(server.limit, server.inFlight + 1) : server.limit;
-            server.limit = Math.max(1.0 / state.nodesPerServer, from * (1 - share));
-            server.limitCutAtUs = nowUs;
+            double base = state.settings.keyAffinity ? Math.min(server.limit, server.inFlight + 1) : server.limit;
+            server.limit = Math.max(1.0 / state.nodesPerServer, base * (1 - share));
+            server.limitDecreasedAtUs = nowUs;
         }
     }
 }
--- a/node/src/main/java/loadbalancer/policy/ErrorCounter.java
+++ b/node/src/main/java/loadbalancer/policy/ErrorCounter.java
@@ -10,7 +10,7 @@
  */
 final class ErrorCounter {
     /** Slow responses raise a count up to this value; the concurrency limit restricts a server that is slower still. */
-    private static final int MAX_ERRORS_OF_SLOW_ANSWERS = 8;
+    private static final int MAX_ERRORS_OF_SLOW_RESPONSES = 8;
 
     private final BalancerState state;
 
@@ -34,7 +34,7 @@
             return 0;
         }
         if (slow) {
-            return Math.max(errors, Math.min(MAX_ERRORS_OF_SLOW_ANSWERS, errors + 1));
+            return Math.max(errors, Math.min(MAX_ERRORS_OF_SLOW_RESPONSES, errors + 1));
         }
         return Math.max(0, errors - 1);
     }
--- a/node/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/node/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -59,12 +59,12 @@
             ArrayDeque<AttemptId> attempts = watched.get(classIndex);
             long limitUs = unresponsiveAfterUs(classIndex);
             for (AttemptId first = attempts.peek(); first != null; first = attempts.peek()) {
-                boolean known = isKnown(first);
-                if (!known && nowUs < sentAtUs(first) + limitUs) {
+                boolean settled = isSettled(first);
+                if (!settled && nowUs < sentAtUs(first) + limitUs) {
                     break;
                 }
                 attempts.poll();
-                if (!known) {
+                if (!settled) {
                     return first;
                 }
             }
@@ -72,7 +72,7 @@
         return null;
     }
 
-    private static boolean isKnown(AttemptId id) {
+    private static boolean isSettled(AttemptId id) {
         PendingRequest request = id.request();
         return request.isEnded() || request.isBound() || request.results[id.attempt()] != null;
     }
--- a/node/src/main/java/loadbalancer/policy/KeyAffinityPicker.java
+++ b/node/src/main/java/loadbalancer/policy/KeyAffinityPicker.java
@@ -21,7 +21,7 @@
      * Entries of the table per server if the number of servers is a power of two, else down to half of it. The table
      * grows only when the number of servers doubles, because a change of its length moves all keys.
      */
-    private static final int MIN_PLACES_PER_SERVER = 16;
+    private static final int ENTRIES_PER_SERVER = 16;
     /** Increment of SplitMix64, which gives each draw of a key a different hash. */
     private static final long DRAW_INCREMENT = 0x9E3779B97F4A7C15L;
 
@@ -42,19 +42,19 @@
     }
 
     /** Builds the table from which servers are drawn by key. */
-    static ServerRecord[] placesOf(ServerRecord[] servers) {
+    static ServerRecord[] buildTable(ServerRecord[] servers) {
         return servers.length == 0
                 ? servers
-                : MaglevTable.build(servers, MIN_PLACES_PER_SERVER * Integer.highestOneBit(servers.length), 1);
+                : MaglevTable.build(servers, ENTRIES_PER_SERVER * Integer.highestOneBit(servers.length), 1);
     }
 
     /**
      * Returns the first drawn server that the request may be sent to, other than {@code excluded}; null if there is
      * none.
      */
-    ServerRecord pick(PendingRequest request, WeightedServers from, ServerRecord excluded, long nowUs) {
-        for (int i = 0; i < MAX_DRAWS && from.keyPlaces.length > 0; i++) {
-            ServerRecord server = draw(request, from, i);
+    ServerRecord pick(PendingRequest request, WeightedServers candidates, ServerRecord excluded, long nowUs) {
+        for (int i = 0; i < MAX_DRAWS && candidates.keyTable.length > 0; i++) {
+            ServerRecord server = draw(request, candidates, i);
             if (server != null && server != excluded && eligibility.maySend(request, server, nowUs)) {
                 return server;
             }
@@ -63,9 +63,9 @@
     }
 
     /** As {@link #pick} for a retry: skips all servers that the request was sent to. */
-    ServerRecord pickUntried(PendingRequest request, WeightedServers from, long nowUs) {
-        for (int i = 0; i < MAX_DRAWS && from.keyPlaces.length > 0; i++) {
-            ServerRecord server = draw(request, from, i);
+    ServerRecord pickUntried(PendingRequest request, WeightedServers candidates, long nowUs) {
+        for (int i = 0; i < MAX_DRAWS && candidates.keyTable.length > 0; i++) {
+            ServerRecord server = draw(request, candidates, i);
             if (server != null && !request.wasSentTo(server) && eligibility.maySend(request, server, nowUs)) {
                 return server;
             }
@@ -77,9 +77,9 @@
      * Returns the key's draw with this number, or null if it is rejected. The high bits select a table entry; the low
      * bits accept it with a probability proportional to the server's weight.
      */
-    private ServerRecord draw(PendingRequest request, WeightedServers from, int number) {
+    private ServerRecord draw(PendingRequest request, WeightedServers candidates, int number) {
         long hash = mix(request.keySeed + number * DRAW_INCREMENT);
-        ServerRecord server = from.keyPlaces[(int) ((hash >>> 32) % from.keyPlaces.length)];
+        ServerRecord server = candidates.keyTable[(int) ((hash >>> 32) % candidates.keyTable.length)];
         boolean drawn = (hash & LOW_32_BITS) * weights.highest() < weights.weight(server) * TWO_TO_32;
         return drawn ? server : null;
     }
--- a/node/src/main/java/loadbalancer/policy/LoadReports.java
+++ b/node/src/main/java/loadbalancer/policy/LoadReports.java
@@ -68,15 +68,15 @@
         if (inFlightField < 0) {
             return false;
         }
-        double mean = state.totalReportedLoad / Math.max(1, state.servers.length);
+        double meanLoad = state.totalReportedLoad / Math.max(1, state.servers.length);
         double freshness = Math.exp((server.reportedAtUs - nowUs) / server.reportLatencyUs);
-        return mean + (server.reportedLoad - mean) * freshness > OVERLOADED_FACTOR * mean + 1;
+        return meanLoad + (server.reportedLoad - meanLoad) * freshness > OVERLOADED_FACTOR * meanLoad + 1;
     }
 
     /**
      * Whether, according to a report received at this time, one more request with the shortest objective would be late.
      */
-    boolean predictsLateAnswer(ServerRecord server, long nowUs) {
+    boolean predictsLateResponse(ServerRecord server, long nowUs) {
         return server.reportedAtUs == nowUs
                 && (server.reportedLoad + 1) * latencyPerRequestUs.value() > LATE_FACTOR * shortestObjectiveUs;
     }
--- a/node/src/main/java/loadbalancer/policy/MaglevTable.java
+++ b/node/src/main/java/loadbalancer/policy/MaglevTable.java
@@ -19,35 +19,35 @@
      * Builds a table of at least {@code minEntries} entries in rows of {@code rowLength}. An entry that no server can
      * claim is null.
      */
-    static ServerRecord[] build(ServerRecord[] servers, int minPlaces, int rowLength) {
-        ServerRecord[] table = new ServerRecord[nextPrime(minPlaces)];
-        ServerRecord[] inTurn = servers.clone();
-        Arrays.sort(inTurn, Comparator.comparingLong(server -> server.hash));
-        Claimant[] claimants = Arrays.stream(inTurn)
-                .map(server -> new Claimant(server, table.length))
-                .toArray(Claimant[]::new);
+    static ServerRecord[] build(ServerRecord[] servers, int minEntries, int rowLength) {
+        ServerRecord[] table = new ServerRecord[nextPrime(minEntries)];
+        ServerRecord[] sorted = servers.clone();
+        Arrays.sort(sorted, Comparator.comparingLong(server -> server.hash));
+        Permutation[] permutations = Arrays.stream(sorted)
+                .map(server -> new Permutation(server, table.length))
+                .toArray(Permutation[]::new);
         int unclaimed = table.length;
-        int failuresInTurn = 0;
-        for (int i = 0; unclaimed > 0 && failuresInTurn < claimants.length; i = (i + 1) % claimants.length) {
-            if (claimants[i].claim(table, rowLength)) {
+        int failuresInARow = 0;
+        for (int i = 0; unclaimed > 0 && failuresInARow < permutations.length; i = (i + 1) % permutations.length) {
+            if (permutations[i].claim(table, rowLength)) {
                 unclaimed--;
-                failuresInTurn = 0;
+                failuresInARow = 0;
             } else {
-                failuresInTurn++;
+                failuresInARow++;
             }
         }
         return table;
     }
 
-    private static int nextPrime(int from) {
-        return BigInteger.valueOf(from - 1L).nextProbablePrime().intValueExact();
+    private static int nextPrime(int min) {
+        return BigInteger.valueOf(min - 1L).nextProbablePrime().intValueExact();
     }
 
     /** The order in which one server visits the entries of the table: from an offset, in steps of constant length. */
-    private static final class Claimant {
+    private static final class Permutation {
         private final ServerRecord server;
-        private final int step;
-        private int place;
+        private final int skip;
+        private int entry;
         private int visited;
         /**
          * The rows in which the server has entries. Stored because searching the row in the table would cost time
@@ -55,10 +55,10 @@
          */
         private int[] rows = new int[0];
 
-        Claimant(ServerRecord server, int places) {
+        Permutation(ServerRecord server, int tableLength) {
             this.server = server;
-            place = (int) Math.floorMod(server.hash, (long) places);
-            step = 1 + (int) Math.floorMod(server.hash >> 32, places - 1L);
+            entry = (int) Math.floorMod(server.hash, (long) tableLength);
+            skip = 1 + (int) Math.floorMod(server.hash >> 32, tableLength - 1L);
         }
 
         /**
@@ -66,16 +66,16 @@
          * visited.
          */
         boolean claim(ServerRecord[] table, int rowLength) {
-            while (visited < table.length && (table[place] != null || hasRow(place / rowLength))) {
-                place = (place + step) % table.length;
+            while (visited < table.length && (table[entry] != null || hasRow(entry / rowLength))) {
+                entry = (entry + skip) % table.length;
                 visited++;
             }
             if (visited == table.length) {
                 return false;
             }
-            table[place] = server;
+            table[entry] = server;
             rows = Arrays.copyOf(rows, rows.length + 1);
-            rows[rows.length - 1] = place / rowLength;
+            rows[rows.length - 1] = entry / rowLength;
             return true;
         }
 
--- a/node/src/main/java/loadbalancer/policy/OutcomeRecorder.java
+++ b/node/src/main/java/loadbalancer/policy/OutcomeRecorder.java
@@ -31,13 +31,13 @@
             boolean slow = rules.latencies.get(request.classIndex).isSlow(outcome.latencyUs());
             onSuccess(server, classHealth, slow, nowUs);
         } else if (isFailure(outcome.result()) && !request.countedAsFailure[attempt]) {
-            boolean unhealthy = showsFault(outcome.result(), classHealth, request.sentAtUs[attempt]);
-            onFailure(server, classHealth, unhealthy, nowUs);
+            boolean serverFault = isServerFault(outcome.result(), classHealth, request.sentAtUs[attempt]);
+            onFailure(server, classHealth, serverFault, nowUs);
         }
         if (outcome.result() == AttemptResult.OK || outcome.result() == AttemptResult.ERROR) {
-            classHealth.answeredAtUs = nowUs;
-            server.health.answeredAtUs = nowUs;
-            server.lastAttemptAnswered = true;
+            classHealth.lastResponseAtUs = nowUs;
+            server.health.lastResponseAtUs = nowUs;
+            server.lastOutcomeWasResponse = true;
         }
     }
 
@@ -52,10 +52,10 @@
      * Whether a failure indicates a fault of the server. A server that rejects a request as full is only loaded, and so
      * is one that times out but has responded to another request of the class meanwhile.
      */
-    private static boolean showsFault(AttemptResult result, ServerHealth classHealth, long sentAtUs) {
+    private static boolean isServerFault(AttemptResult result, ServerHealth classHealth, long sentAtUs) {
         return switch (result) {
             case FULL -> false;
-            case TIMEOUT -> classHealth.answeredAtUs < sentAtUs;
+            case TIMEOUT -> classHealth.lastResponseAtUs < sentAtUs;
             default -> true;
         };
     }
@@ -65,7 +65,7 @@
         rules.trialRequests.onSuccess(server, classHealth);
         OutlierDetector.Recovery recovery = rules.outlierDetector.onSuccess(server, classHealth, nowUs);
         if (recovery == OutlierDetector.Recovery.SERVER) {
-            forgetMeasurements(server);
+            resetMeasurements(server);
         }
         if (recovery != OutlierDetector.Recovery.NONE) {
             rules.outlierDetector.refresh();
@@ -74,19 +74,19 @@
         }
     }
 
-    private void onFailure(ServerRecord server, ServerHealth classHealth, boolean unhealthy, long nowUs) {
+    private void onFailure(ServerRecord server, ServerHealth classHealth, boolean serverFault, long nowUs) {
         rules.errorCounter.onFailure(server);
-        rules.outlierDetector.onFailure(server, classHealth, unhealthy, nowUs);
+        rules.outlierDetector.onFailure(server, classHealth, serverFault, nowUs);
     }
 
     private void recordLoad(PendingRequest request, AttemptOutcome outcome, long nowUs) {
         ClassLatency latency = rules.latencies.get(request.classIndex);
         LoadSignal signal = LoadSignal.of(request, outcome, latency);
         if (signal != LoadSignal.NONE) {
-            boolean answered = signal == LoadSignal.ANSWERED;
+            boolean responded = signal == LoadSignal.ANSWERED;
             // The objective counts from the arrival at this node, not from the client's first attempt: the ratio
             // measures this node and its servers.
-            rules.onTimeRatio.record(answered && nowUs <= request.arrivedAtUs + request.latencyObjectiveUs);
+            rules.onTimeRatio.record(responded && nowUs <= request.arrivedAtUs + request.latencyObjectiveUs);
         }
         if (signal == LoadSignal.ANSWERED) {
             latency.record(outcome.latencyUs());
@@ -102,7 +102,7 @@
     void onUnresponsive(PendingRequest request, int attempt, long nowUs) {
         ServerRecord server = request.servers[attempt];
         ServerHealth classHealth = server.classHealth.get(request.classIndex);
-        if (classHealth.answeredAtUs < request.sentAtUs[attempt]) {
+        if (classHealth.lastResponseAtUs < request.sentAtUs[attempt]) {
             request.countedAsFailure[attempt] = true;
             onFailure(server, classHealth, true, nowUs);
         }
@@ -112,11 +112,11 @@
     void onRestarted(ServerRecord server) {
         rules.slowStart.reset(server);
         rules.outlierDetector.onRestarted(server);
-        forgetMeasurements(server);
+        resetMeasurements(server);
     }
 
     /** Also used when an ejection ends: the server may be a new process that the endpoint list does not show yet. */
-    private void forgetMeasurements(ServerRecord server) {
+    private void resetMeasurements(ServerRecord server) {
         rules.errorCounter.reset(server);
         rules.limiter.reset(server);
         rules.loadReports.reset(server);
--- a/node/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/node/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -22,7 +22,7 @@
      * Successful trial requests in a row that end an ejection: one success may be random, three are very unlikely to
      * be.
      */
-    private static final int SUCCESSES_TO_RETURN = 3;
+    private static final int SUCCESSES_TO_RESTORE = 3;
     /** Mean time from an ejection to the first trial request. */
     private static final long BASE_TRIAL_INTERVAL_US = 250_000;
     /** Upper bound of the mean time between trial requests, which doubles with each one that fails. */
@@ -60,9 +60,9 @@
      *
      * @param serverFault whether the failure indicates a fault of the server, not load
      */
-    void onFailure(ServerRecord server, ServerHealth classHealth, boolean unhealthy, long nowUs) {
-        server.lastAttemptAnswered = false;
-        if (unhealthy) {
+    void onFailure(ServerRecord server, ServerHealth classHealth, boolean serverFault, long nowUs) {
+        server.lastOutcomeWasResponse = false;
+        if (serverFault) {
             recordFailure(server, server.health, classHealth, nowUs);
             recordFailure(server, classHealth, classHealth, nowUs);
         }
@@ -81,8 +81,8 @@
         if (health.recentFailures() < MIN_FAILURES) {
             return false;
         }
-        boolean concernsOneClass = health == classHealth;
-        return concernsOneClass || !servesOtherClasses(server, classHealth);
+        boolean isClassHealth = health == classHealth;
+        return isClassHealth || !servesOtherClasses(server, classHealth);
     }
 
     /**
@@ -91,7 +91,7 @@
     private static boolean servesOtherClasses(ServerRecord server, ServerHealth classHealth) {
         for (int classIndex = 0; classIndex < server.classHealth.size(); classIndex++) {
             ServerHealth other = server.classHealth.get(classIndex);
-            if (other.succeededAtUs > classHealth.succeededAtUs && other.recentFailures() == 0) {
+            if (other.lastSuccessAtUs > classHealth.lastSuccessAtUs && other.recentFailures() == 0) {
                 return true;
             }
         }
@@ -141,12 +141,12 @@
     Recovery onSuccess(ServerRecord server, ServerHealth classHealth, long nowUs) {
         if (recordSuccess(server.health, nowUs)) {
             actions.restored(server.id, null);
-            returnAll(server);
+            restoreAll(server);
             return Recovery.SERVER;
         }
         if (recordSuccess(classHealth, nowUs)) {
             actions.restored(server.id, className(server.classHealth.indexOf(classHealth)));
-            returnToUse(classHealth);
+            restore(classHealth);
             return Recovery.CLASS;
         }
         return Recovery.NONE;
@@ -155,9 +155,9 @@
     /** Records a success; returns true if it ends the ejection. */
     private static boolean recordSuccess(ServerHealth health, long nowUs) {
         health.history <<= 1;
-        health.succeededAtUs = nowUs;
+        health.lastSuccessAtUs = nowUs;
         health.trialAtUs = nowUs;
-        return health.ejected && ++health.trialsSucceeded >= SUCCESSES_TO_RETURN;
+        return health.ejected && ++health.trialsSucceeded >= SUCCESSES_TO_RESTORE;
     }
 
     /** Clears the history of a server whose process has been replaced and ends its ejections. */
@@ -166,13 +166,13 @@
         for (int classIndex = 0; classIndex < server.classHealth.size(); classIndex++) {
             server.classHealth.get(classIndex).history = 0;
         }
-        returnAll(server);
+        restoreAll(server);
     }
 
-    private static void returnAll(ServerRecord server) {
-        returnToUse(server.health);
+    private static void restoreAll(ServerRecord server) {
+        restore(server.health);
         for (int classIndex = 0; classIndex < server.classHealth.size(); classIndex++) {
-            returnToUse(server.classHealth.get(classIndex));
+            restore(server.classHealth.get(classIndex));
         }
     }
 
@@ -180,7 +180,7 @@
      * Ends an ejection. The history is kept: the server is ejected again by the next failure, while enough older
      * failures remain among its last outcomes.
      */
-    private static void returnToUse(ServerHealth health) {
+    private static void restore(ServerHealth health) {
         health.ejected = false;
         health.trialsSucceeded = 0;
     }
@@ -190,7 +190,7 @@
      * in use.
      */
     void refresh() {
-        state.recount();
+        state.recomputeSums();
         ejected.clear();
         for (ServerRecord server : state.servers) {
             if (server.health.ejected || isEjectedForAnyClass(server)) {
--- a/node/src/main/java/loadbalancer/policy/PendingQueue.java
+++ b/node/src/main/java/loadbalancer/policy/PendingQueue.java
@@ -36,10 +36,10 @@
     /**
      * Requests with a key that may fail to find a server per event before no further ones are tried; bounds the work.
      */
-    static final int KEYS_PER_EVENT = 4;
+    static final int MAX_KEYED_TRIES_PER_EVENT = 4;
 
     /** The same number per sweep. */
-    static final int KEYS_PER_SWEEP = 64;
+    static final int MAX_KEYED_TRIES_PER_SWEEP = 64;
 
     /** Sends a request if a server may take it now; false if none may. */
     @FunctionalInterface
@@ -49,14 +49,14 @@
 
     /** Gives a request the final response that ends it, as no server has served it. */
     @FunctionalInterface
-    interface Answerer {
-        void answerUnserved(PendingRequest request);
+    interface Responder {
+        void respondUnserved(PendingRequest request);
     }
 
     private final BalancerState state;
     private final PerClass<ClassLatency> latencies;
     private final Sender sender;
-    private final Answerer answerer;
+    private final Responder responder;
     /** May still contain requests that were sent or have ended; the next pass removes them. */
     private final List<PendingRequest> queue = new ArrayList<>();
 
@@ -65,13 +65,13 @@
     // State of the current pass.
     private boolean fullForAll;
     private boolean fullForNonIdempotent;
-    private int keysToTry;
+    private int keyedTriesLeft;
 
-    PendingQueue(BalancerState state, PerClass<ClassLatency> latencies, Sender sender, Answerer answerer) {
+    PendingQueue(BalancerState state, PerClass<ClassLatency> latencies, Sender sender, Responder responder) {
         this.state = state;
         this.latencies = latencies;
         this.sender = sender;
-        this.answerer = answerer;
+        this.responder = responder;
     }
 
     void applySettings(BalancerSettings settings) {
@@ -117,10 +117,10 @@
      *
      * @param maxKeyedTries number of requests with a key that may fail to find a server
      */
-    void serve(int maxKeys, long nowUs) {
+    void serve(int maxKeyedTries, long nowUs) {
         fullForAll = false;
         fullForNonIdempotent = false;
-        keysToTry = maxKeys;
+        keyedTriesLeft = maxKeyedTries;
         int remaining = 0;
         boolean unsorted = false;
         for (int i = 0; i < queue.size(); i++) {
@@ -129,8 +129,8 @@
                 continue;
             }
             boolean late = isLate(request, nowUs);
-            if (hasNoUse(request, late, nowUs)) {
-                answerer.answerUnserved(request);
+            if (shouldGiveUp(request, late, nowUs)) {
+                responder.respondUnserved(request);
             } else if (late && !request.valuedAsLate) {
                 request.valuedAsLate = true;
                 request.value *= request.requestClass.lateWeight();
@@ -146,23 +146,27 @@
         }
     }
 
-    private boolean hasNoUse(PendingRequest request, boolean late, long nowUs) {
-        boolean outOfTime = request.deadlineAtUs - nowUs <= sweepIntervalUs + state.settings.tickUs;
-        boolean earnsNothing = late && request.requestClass.lateWeight() == 0;
-        return outOfTime || earnsNothing || !RetryPolicy.mayRetry(request, nowUs);
+    private boolean shouldGiveUp(PendingRequest request, boolean late, long nowUs) {
+        boolean deadlineIsNear = request.deadlineAtUs - nowUs <= sweepIntervalUs + state.settings.tickUs;
+        boolean hasNoLateValue = late && request.requestClass.lateWeight() == 0;
+        return deadlineIsNear || hasNoLateValue || !RetryPolicy.mayRetry(request, nowUs);
     }
 
-    /** Tries to send one request, unless an earlier one of this pass has shown that no server accepts its kind. */
+    /**
+     * Tries to send one request, unless an earlier one of this pass has failed to find a server and stands for its
+     * kind.
+     */
     private boolean trySend(PendingRequest request, long nowUs) {
         boolean nonIdempotent = request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT;
         boolean isFull = fullForAll || nonIdempotent && fullForNonIdempotent;
         if (!isFull && sender.trySend(request, nowUs)) {
             return true;
         }
-        // A request without a key that was never sent may go to any server, so if it finds none, the next one would not
-        // either. Only non-idempotent requests are excluded from some ejected servers, so their failure proves nothing
-        // for others. A request with a key may go to few servers only.
-        if (request.attempts == 0 && (!request.hasKey() || --keysToTry <= 0)) {
+        // A request without a key that was never sent may go to almost any server, so once one finds none, no further
+        // ones are tried in this pass. A non-idempotent one stops only others of its kind, because ejected servers may
+        // accept idempotent requests. A request with a key may go to few servers, so these stop the pass only after
+        // several have failed.
+        if (request.attempts == 0 && (!request.hasKey() || --keyedTriesLeft <= 0)) {
             fullForNonIdempotent = true;
             fullForAll |= !nonIdempotent || request.hasKey();
         }
--- a/node/src/main/java/loadbalancer/policy/PendingRequest.java
+++ b/node/src/main/java/loadbalancer/policy/PendingRequest.java
@@ -92,7 +92,7 @@
     }
 
     /** Whether the request has ended and none of its attempts is in flight. */
-    boolean isOver() {
+    boolean isFinished() {
         return isEnded() && outstanding == 0;
     }
 
--- a/node/src/main/java/loadbalancer/policy/PendingRequestFactory.java
+++ b/node/src/main/java/loadbalancer/policy/PendingRequestFactory.java
@@ -24,17 +24,17 @@
         double us;
     }
 
-    private final PerClass<RemainingTime> firstRemaining = new PerClass<>(RemainingTime::new);
+    private final PerClass<RemainingTime> firstRemainingTimes = new PerClass<>(RemainingTime::new);
 
     /**
      * Adds new classes. A class that is listed again has new rules and may have other client deadlines, so its
      * remaining time is learned again.
      */
     void addClasses(List<RequestClass> classes) {
-        int before = firstRemaining.size();
-        firstRemaining.extendTo(classes);
-        for (int index = before; index < firstRemaining.size(); index++) {
-            firstRemaining.get(index).us = 0;
+        int before = firstRemainingTimes.size();
+        firstRemainingTimes.extendTo(classes);
+        for (int index = before; index < firstRemainingTimes.size(); index++) {
+            firstRemainingTimes.get(index).us = 0;
         }
     }
 
@@ -59,12 +59,12 @@
 
     /** Time since the client's first attempt, as far as this request reveals it; else 0. */
     private long sinceFirstAttemptUs(BalancerRequest request, RequestClass requestClass) {
-        RemainingTime first = firstRemaining.get(request.classIndex());
+        RemainingTime first = firstRemainingTimes.get(request.classIndex());
         if (!request.retry() || first.us <= 0) {
             first.us = Math.max(request.remainingUs(), first.us / REMAINING_TIME_DRIFT);
         }
-        boolean showsElapsedTime = request.retry()
+        boolean revealsElapsedTime = request.retry()
                 && Math.abs(request.remainingUs() - first.us) > REMAINING_TIME_SLACK * requestClass.deadlineUs();
-        return showsElapsedTime ? Math.max(0, requestClass.deadlineUs() - request.remainingUs()) : 0;
+        return revealsElapsedTime ? Math.max(0, requestClass.deadlineUs() - request.remainingUs()) : 0;
     }
 }
--- a/node/src/main/java/loadbalancer/policy/RequestPriority.java
+++ b/node/src/main/java/loadbalancer/policy/RequestPriority.java
@@ -31,7 +31,7 @@
     }
 
     /** Value of a request relative to the most valuable class, from 0 to 1. */
-    double rank(PendingRequest request) {
+    double relativeValue(PendingRequest request) {
         if (highestStale) {
             highestClassValue = highestClassValue();
             highestStale = false;
@@ -44,7 +44,7 @@
         double highest = 0;
         for (int classIndex = 0; classIndex < latencies.size(); classIndex++) {
             // Without a response the work of a class is unknown, and it must not outrank all others.
-            if (latencies.get(classIndex).hasAnswers()) {
+            if (latencies.get(classIndex).hasSamples()) {
                 double weight = state.settings.classes.get(classIndex).priorityWeight();
                 highest = Math.max(highest, valueOf(weight, classIndex));
             }
--- a/node/src/main/java/loadbalancer/policy/RetryPolicy.java
+++ b/node/src/main/java/loadbalancer/policy/RetryPolicy.java
@@ -17,10 +17,10 @@
         if (request.attempts >= request.maxAttempts() || nowUs >= request.deadlineAtUs || request.isBound()) {
             return false;
         }
-        int binding = request.earliestThatMayHaveRun();
-        return binding < 0
+        int firstThatMayHaveRun = request.earliestThatMayHaveRun();
+        return firstThatMayHaveRun < 0
                 || request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT
-                        && nowUs <= beginByUs(request, binding);
+                        && nowUs <= beginByUs(request, firstThatMayHaveRun);
     }
 
     /** The latest time at which the next attempt may begin; Long.MAX_VALUE if there is no limit. */
@@ -28,9 +28,9 @@
         return beginByUs(request, request.earliestThatMayHaveRun());
     }
 
-    private static long beginByUs(PendingRequest request, int binding) {
-        return request.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && binding >= 0
-                ? request.sentAtUs[binding] + request.requestClass.deduplicationWindowUs()
+    private static long beginByUs(PendingRequest request, int firstThatMayHaveRun) {
+        return request.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && firstThatMayHaveRun >= 0
+                ? request.sentAtUs[firstThatMayHaveRun] + request.requestClass.deduplicationWindowUs()
                 : Long.MAX_VALUE;
     }
 
@@ -39,19 +39,19 @@
         if (request.requestClass.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY) {
             return true;
         }
-        int binding = request.earliestThatMayHaveRun();
-        if (binding < 0) {
+        int firstThatMayHaveRun = request.earliestThatMayHaveRun();
+        if (firstThatMayHaveRun < 0) {
             return true;
         }
         return switch (request.requestClass.deduplicationScope()) {
             case ALL -> true;
-            case ZONE -> server.zone == request.servers[binding].zone;
-            case CELL -> server.cell == request.servers[binding].cell;
+            case ZONE -> server.zone == request.servers[firstThatMayHaveRun].zone;
+            case CELL -> server.cell == request.servers[firstThatMayHaveRun].cell;
         };
     }
 
     /** Whether a retry by the client can do no harm. */
-    static boolean isRetryByClientHarmless(PendingRequest request) {
+    static boolean isClientRetrySafe(PendingRequest request) {
         if (request.earliestThatMayHaveRun() < 0) {
             return true;
         }
--- a/node/src/main/java/loadbalancer/policy/ServerHealth.java
+++ b/node/src/main/java/loadbalancer/policy/ServerHealth.java
@@ -19,8 +19,8 @@
     /** Successes in a row since the ejection or the last failure; enough of them end the ejection. */
     int trialsSucceeded;
 
-    long answeredAtUs;
-    long succeededAtUs;
+    long lastResponseAtUs;
+    long lastSuccessAtUs;
 
     /** Failures among the last {@link #HISTORY_LENGTH} outcomes. */
     int recentFailures() {
--- a/node/src/main/java/loadbalancer/policy/ServerRecord.java
+++ b/node/src/main/java/loadbalancer/policy/ServerRecord.java
@@ -36,7 +36,7 @@
     /** Health per class: a server may fail one class and serve the others. */
     final PerClass<ServerHealth> classHealth = new PerClass<>(ServerHealth::new);
     /** Whether its last outcome was a response, which may be an error. A rejection as full is none. */
-    boolean lastAttemptAnswered;
+    boolean lastOutcomeWasResponse;
 
     // Written by ConcurrencyLimiter.
     /** Maximum of this node's attempts in flight at the server; may be below one, and is 0 until first assigned. */
@@ -45,7 +45,7 @@
     long limitReachedAtUs;
 
     /** When its limit was last cut. */
-    long limitCutAtUs;
+    long limitDecreasedAtUs;
     /** With a limit below one: the length of the pause after the last attempt. */
     long pauseUs;
 
--- a/node/src/main/java/loadbalancer/policy/ServerWeights.java
+++ b/node/src/main/java/loadbalancer/policy/ServerWeights.java
@@ -30,11 +30,11 @@
         }
     }
 
-    private void accumulate(WeightedServers from) {
+    private void accumulate(WeightedServers candidates) {
         long sum = 0;
-        for (int i = 0; i < from.servers.length; i++) {
-            sum += weight(from.servers[i]);
-            from.cumulativeWeights[i] = sum;
+        for (int i = 0; i < candidates.servers.length; i++) {
+            sum += weight(candidates.servers[i]);
+            candidates.cumulativeWeights[i] = sum;
         }
     }
 
--- a/node/src/main/java/loadbalancer/policy/ServersInUse.java
+++ b/node/src/main/java/loadbalancer/policy/ServersInUse.java
@@ -42,7 +42,8 @@
         ServerRecord[] before = state.servers;
         slowStart.onServersChosen(nowUs);
         state.servers = subsetSelector.select(available);
-        shareAmong(Math.max(1, (double) state.settings.nodes * state.servers.length / Math.max(1, available.length)));
+        setNodesPerServer(
+                Math.max(1, (double) state.settings.nodes * state.servers.length / Math.max(1, available.length)));
         for (ServerRecord server : before) {
             server.inUse = false;
         }
@@ -61,7 +62,7 @@
     }
 
     /** Sets the number of nodes that send to each server, and the values derived from it. */
-    void shareAmong(double nodesPerServer) {
+    void setNodesPerServer(double nodesPerServer) {
         state.nodesPerServer = nodesPerServer;
         state.manyNodesPerServer = nodesPerServer > MANY_NODES_PER_SERVER;
         limiter.onNodesPerServer(nodesPerServer);
@@ -75,7 +76,7 @@
 
     private WeightedServers weighted(ServerRecord[] servers) {
         return new WeightedServers(
-                servers, state.settings.keyAffinity ? KeyAffinityPicker.placesOf(servers) : new ServerRecord[0]);
+                servers, state.settings.keyAffinity ? KeyAffinityPicker.buildTable(servers) : new ServerRecord[0]);
     }
 
     /** Counts an attempt that is sent to a server. */
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -37,10 +37,10 @@
         rules = new BalancerRules(settings, new SplittableRandom(seed), actions);
         state = rules.state;
         outcomeRecorder = new OutcomeRecorder(rules);
-        queue = new PendingQueue(state, rules.latencies, this::trySend, this::answerUnserved);
+        queue = new PendingQueue(state, rules.latencies, this::trySend, this::respondUnserved);
         wakeUpTimer = new WakeUpTimer(actions);
         applySettings(settings);
-        rules.serversInUse.shareAmong(settings.nodes);
+        rules.serversInUse.setNodesPerServer(settings.nodes);
     }
 
     private void applySettings(BalancerSettings settings) {
@@ -58,11 +58,11 @@
         PendingRequest request = rules.requestFactory.create(arrival, state.settings, nowUs);
         requests.put(request.id, request);
         request.value = rules.priority.valueOf(request.requestClass.priorityWeight(), request.classIndex);
-        if (rules.admissionController.sheds(request)) {
-            answerUnserved(request);
-        } else if (!mayPassQueue(request, nowUs) || !trySend(request, nowUs)) {
+        if (rules.admissionController.shouldShed(request)) {
+            respondUnserved(request);
+        } else if (!maySkipQueue(request, nowUs) || !trySend(request, nowUs)) {
             enqueue(request);
-            queue.serve(PendingQueue.KEYS_PER_EVENT, nowUs);
+            queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_EVENT, nowUs);
         }
         scheduleWakeUp(nowUs);
     }
@@ -72,7 +72,7 @@
      * is not late. Each request with a key waits for a few servers only, and the queue retries the waiting ones after
      * each outcome.
      */
-    private boolean mayPassQueue(PendingRequest request, long nowUs) {
+    private boolean maySkipQueue(PendingRequest request, long nowUs) {
         boolean isFirst = queue.isEmpty() || request.hasKey() && !queue.isLate(request, nowUs);
         return isFirst && nowUs < request.deadlineAtUs;
     }
@@ -114,16 +114,16 @@
         if (outcome.requestEnded()) {
             end(request);
         } else if (!request.isEnded() && request.outstanding == 0) {
-            retryOrAnswer(request, server, nowUs);
+            retryOrRespond(request, server, nowUs);
         }
-        forgetIfOver(request);
+        removeIfFinished(request);
         serveQueue(nowUs);
     }
 
     /** Sends a failed request to another server, or queues it, or gives it its final response. */
-    private void retryOrAnswer(PendingRequest request, ServerRecord failed, long nowUs) {
+    private void retryOrRespond(PendingRequest request, ServerRecord failed, long nowUs) {
         if (!RetryPolicy.mayRetry(request, nowUs)) {
-            answerUnserved(request);
+            respondUnserved(request);
             return;
         }
         ServerRecord next = rules.retryPicker.pick(request, failed, nowUs);
@@ -137,15 +137,15 @@
     private void enqueue(PendingRequest request) {
         PendingRequest displaced = queue.add(request);
         if (displaced != null) {
-            answerUnserved(displaced);
+            respondUnserved(displaced);
         }
     }
 
     /**
      * Gives the final response to a request that no server has served: "rejected" only if the client may safely retry.
      */
-    private void answerUnserved(PendingRequest request) {
-        if (RetryPolicy.isRetryByClientHarmless(request)) {
+    private void respondUnserved(PendingRequest request) {
+        if (RetryPolicy.isClientRetrySafe(request)) {
             actions.reject(request.id, state.settings.maxRetryAfterUs);
         } else {
             actions.fail(request.id);
@@ -156,23 +156,23 @@
     private void end(PendingRequest request) {
         request.end();
         cancelAttemptsExcept(PendingRequest.UNBOUND, request);
-        forgetIfOver(request);
+        removeIfFinished(request);
     }
 
     /** Cancels all attempts in flight except this one; {@link PendingRequest#UNBOUND} cancels all. */
-    private void cancelAttemptsExcept(int needed, PendingRequest request) {
+    private void cancelAttemptsExcept(int kept, PendingRequest request) {
         if (!state.settings.cancellation) {
             return;
         }
         for (int attempt = 0; attempt < request.attempts && request.outstanding > 0; attempt++) {
-            if (request.isInFlight(attempt) && attempt != needed) {
+            if (request.isInFlight(attempt) && attempt != kept) {
                 actions.cancel(request.id, attempt);
             }
         }
     }
 
-    private void forgetIfOver(PendingRequest request) {
-        if (request.isOver()) {
+    private void removeIfFinished(PendingRequest request) {
+        if (request.isFinished()) {
             requests.remove(request.id);
         }
     }
@@ -207,7 +207,7 @@
         if (!paused) {
             hedgeUnresponsiveAttempts(nowUs);
         }
-        queue.serve(PendingQueue.KEYS_PER_SWEEP, nowUs);
+        queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_SWEEP, nowUs);
         scheduleWakeUp(nowUs);
     }
 
@@ -281,7 +281,7 @@
     // ---------------------------------------------------------------- time
 
     private void serveQueue(long nowUs) {
-        queue.serve(PendingQueue.KEYS_PER_EVENT, nowUs);
+        queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_EVENT, nowUs);
         scheduleWakeUp(nowUs);
     }
 
@@ -295,7 +295,8 @@
         BalancerSettings settings = state.settings;
         boolean hasClass = request.classIndex() >= 0 && request.classIndex() < settings.classes.size();
         if (!hasClass || request.tenant() >= settings.tenants.size() || requests.containsKey(request.id())) {
-            throw new IllegalArgumentException("unknown class or tenant, or an id that is in use: " + request);
+            throw new IllegalArgumentException(
+                    "request has an unknown class or tenant, or an id that is already in use: " + request);
         }
     }
 }
--- a/node/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/node/src/main/java/loadbalancer/policy/SlowStart.java
@@ -18,7 +18,7 @@
      * Interval between responses that is assumed before the first response: long, so that little is sent to warming
      * servers.
      */
-    private static final double INITIAL_ANSWER_GAP_US = 50_000;
+    private static final double INITIAL_RESPONSE_INTERVAL_US = 50_000;
     /** Cost of a request whose key the server has not cached, as a multiple of the mean cost; a cautious estimate. */
     private static final double UNKNOWN_KEY_COST = 3;
     /** Factor by which a server's reported load must be below the mean for it to receive all that is allowed. */
@@ -27,8 +27,8 @@
     private static final double NORMAL_BUDGET_SHARE = 0.5;
 
     private final BalancerState state;
-    private long lastAnswerAtUs;
-    private double answerGapUs = INITIAL_ANSWER_GAP_US;
+    private long lastResponseAtUs;
+    private double responseIntervalUs = INITIAL_RESPONSE_INTERVAL_US;
 
     SlowStart(BalancerState state) {
         this.state = state;
@@ -36,15 +36,15 @@
 
     /** Makes intervals between responses count from the first endpoint list instead of from the origin of the clock. */
     void onServersChosen(long nowUs) {
-        if (lastAnswerAtUs == 0) {
-            lastAnswerAtUs = nowUs;
+        if (lastResponseAtUs == 0) {
+            lastResponseAtUs = nowUs;
         }
     }
 
     /** Records a successful response of any server. */
     void onSuccess(long nowUs) {
-        answerGapUs += RunningMean.GAIN * (nowUs - lastAnswerAtUs - answerGapUs);
-        lastAnswerAtUs = nowUs;
+        responseIntervalUs += RunningMean.GAIN * (nowUs - lastResponseAtUs - responseIntervalUs);
+        lastResponseAtUs = nowUs;
     }
 
     boolean isWarmingUp(ServerRecord server, long nowUs) {
@@ -53,7 +53,7 @@
 
     /** Whether the server is warm, or the interval since its last slot has passed. */
     boolean maySend(ServerRecord server, long nowUs) {
-        return !isWarmingUp(server, nowUs) || nowUs >= server.warmUpSlotAtUs + gapUs(server, nowUs);
+        return !isWarmingUp(server, nowUs) || nowUs >= server.warmUpSlotAtUs + requestIntervalUs(server, nowUs);
     }
 
     /**
@@ -62,7 +62,7 @@
      */
     void assignFirstSlot(ServerRecord server, SplittableRandom random, long nowUs) {
         if (isWarmingUp(server, nowUs) && server.warmUpSlotAtUs == 0) {
-            server.warmUpSlotAtUs = nowUs - (long) (random.nextDouble() * gapUs(server, nowUs));
+            server.warmUpSlotAtUs = nowUs - (long) (random.nextDouble() * requestIntervalUs(server, nowUs));
         }
     }
 
@@ -73,8 +73,9 @@
      */
     void onSent(ServerRecord server, long nowUs) {
         if (isWarmingUp(server, nowUs)) {
-            server.warmUpSlotAtUs =
-                    Math.max((long) (nowUs - evenGapUs(nowUs)), server.warmUpSlotAtUs + gapUs(server, nowUs));
+            server.warmUpSlotAtUs = Math.max(
+                    (long) (nowUs - evenShareIntervalUs(nowUs)),
+                    server.warmUpSlotAtUs + requestIntervalUs(server, nowUs));
         }
     }
 
@@ -86,17 +87,17 @@
         server.warmUpSlotAtUs = 0;
     }
 
-    private long gapUs(ServerRecord server, long nowUs) {
+    private long requestIntervalUs(ServerRecord server, long nowUs) {
         BalancerSettings settings = state.settings;
         double age = Math.max(0, nowUs - server.startedAtUs) / (double) settings.warmUpUs;
         double capacityShare = settings.warmUpInitialShare + (1 - settings.warmUpInitialShare) * Math.min(1, age);
-        double room = meanLoadRatio(server);
-        double budgetShare = room < IDLE_FACTOR ? NORMAL_BUDGET_SHARE : 1;
+        double loadRatio = meanLoadRatio(server);
+        double budgetShare = loadRatio < IDLE_FACTOR ? NORMAL_BUDGET_SHARE : 1;
         double multiple = Math.max(1, settings.overloadMultiple * budgetShare);
         // A server that has reported a load above the mean, or none yet, is charged the cost of keys that it has not
         // cached.
-        double requestCost = settings.keyAffinity && room < 1 ? UNKNOWN_KEY_COST : 1;
-        return (long) (evenGapUs(nowUs) * requestCost / (capacityShare * multiple));
+        double requestCost = settings.keyAffinity && loadRatio < 1 ? UNKNOWN_KEY_COST : 1;
+        return (long) (evenShareIntervalUs(nowUs) * requestCost / (capacityShare * multiple));
     }
 
     /**
@@ -110,7 +111,8 @@
     }
 
     /** Time between two requests to a server that receives an even share of this node's responses. */
-    private double evenGapUs(long nowUs) {
-        return Math.max(answerGapUs, RunningMean.GAIN * (nowUs - lastAnswerAtUs)) * Math.max(1, state.servers.length);
+    private double evenShareIntervalUs(long nowUs) {
+        return Math.max(responseIntervalUs, RunningMean.GAIN * (nowUs - lastResponseAtUs))
+                * Math.max(1, state.servers.length);
     }
 }
--- a/node/src/main/java/loadbalancer/policy/SubsetSelector.java
+++ b/node/src/main/java/loadbalancer/policy/SubsetSelector.java
@@ -30,7 +30,7 @@
      */
     private static final int MIN_SUBSET_SIZE = 4;
     /** Minimum number of table entries per server, so that all servers have about equally many. */
-    private static final int MIN_PLACES_PER_SERVER = 4;
+    private static final int MIN_ENTRIES_PER_SERVER = 4;
     /** Minimum number of servers with one zone, even above {@link #MAX_NODES_PER_SERVER}: one may fail. */
     private static final int MIN_SERVERS_OF_ONE_ZONE = 2;
     /** Minimum number of servers of the node's own zone, and of all other zones together, with several zones. */
@@ -64,8 +64,8 @@
         ServerRecord[] remote = Arrays.stream(candidates)
                 .filter(server -> zones > 1 && server.zone != settings.localZone)
                 .toArray(ServerRecord[]::new);
-        int leastLocal = zones == 1 ? MIN_SERVERS_OF_ONE_ZONE : MIN_SERVERS_OF_EACH_SIDE;
-        int localSize = subsetSize(local.length, (double) settings.nodes / zones, leastLocal);
+        int minLocal = zones == 1 ? MIN_SERVERS_OF_ONE_ZONE : MIN_SERVERS_OF_EACH_SIDE;
+        int localSize = subsetSize(local.length, (double) settings.nodes / zones, minLocal);
         int remoteSize = subsetSize(remote.length, settings.nodes, MIN_SERVERS_OF_EACH_SIDE);
         if (localSize == local.length && remoteSize == remote.length) {
             return Arrays.asList(candidates);
@@ -79,28 +79,28 @@
 
     /** Keeps the size unless it is doubled or halved, because a change of the table's length moves all entries. */
     private void keepSizeUnlessDoubledOrHalved(int newSize) {
-        boolean near = 2 * newSize > localSubsetSize && newSize < 2 * localSubsetSize;
-        localSubsetSize = near ? localSubsetSize : newSize;
+        boolean withinFactorOfTwo = 2 * newSize > localSubsetSize && newSize < 2 * localSubsetSize;
+        localSubsetSize = withinFactorOfTwo ? localSubsetSize : newSize;
     }
 
     private static int subsetSize(int servers, double nodes, int atLeast) {
-        int least = (int) Math.max(atLeast, Math.min(MIN_SUBSET_SIZE, MAX_NODES_PER_SERVER * servers / nodes));
-        return Math.min(servers, Math.max(least, (int) Math.ceil(NODES_PER_SERVER * servers / nodes)));
+        int minSize = (int) Math.max(atLeast, Math.min(MIN_SUBSET_SIZE, MAX_NODES_PER_SERVER * servers / nodes));
+        return Math.min(servers, Math.max(minSize, (int) Math.ceil(NODES_PER_SERVER * servers / nodes)));
     }
 
     /**
      * Returns the servers of this node's row of the table. There are at most as many rows as nodes; one row for every
      * node would make the table expensive.
      */
-    private List<ServerRecord> subset(ServerRecord[] from, int size) {
-        if (size == from.length) {
-            return Arrays.asList(from);
+    private List<ServerRecord> subset(ServerRecord[] candidates, int size) {
+        if (size == candidates.length) {
+            return Arrays.asList(candidates);
         }
         int rows = 1;
-        while (2 * rows <= state.settings.nodes && rows * size < MIN_PLACES_PER_SERVER * from.length) {
+        while (2 * rows <= state.settings.nodes && rows * size < MIN_ENTRIES_PER_SERVER * candidates.length) {
             rows *= 2;
         }
-        ServerRecord[] table = MaglevTable.build(from, rows * size, size);
+        ServerRecord[] table = MaglevTable.build(candidates, rows * size, size);
         int first = state.settings.nodeIndex % rows * size;
         return Arrays.stream(table, first, first + size)
                 .filter(Objects::nonNull)
--- a/node/src/main/java/loadbalancer/policy/TrialRequests.java
+++ b/node/src/main/java/loadbalancer/policy/TrialRequests.java
@@ -66,7 +66,7 @@
         }
         for (int i = 0; i < ejected.size(); i++) {
             ServerRecord server = ejected.get(i);
-            if (isDue(request, server, nowUs) && isFree(request, server, nowUs)) {
+            if (isDue(request, server, nowUs) && isIdleAndEligible(request, server, nowUs)) {
                 budget--;
                 return server;
             }
@@ -83,14 +83,14 @@
         }
         for (int i = 0; i < ejected.size(); i++) {
             ServerRecord server = ejected.get(i);
-            if (mayServeAsFallback(request, server, nowUs) && isFree(request, server, nowUs)) {
+            if (mayServeAsFallback(request, server, nowUs) && isIdleAndEligible(request, server, nowUs)) {
                 return server;
             }
         }
         return null;
     }
 
-    private boolean isFree(PendingRequest request, ServerRecord server, long nowUs) {
+    private boolean isIdleAndEligible(PendingRequest request, ServerRecord server, long nowUs) {
         return server.inFlight == 0 && eligibility.maySendTrial(request, server, nowUs);
     }
 
@@ -108,8 +108,8 @@
     private boolean mayServeAsFallback(PendingRequest request, ServerRecord server, long nowUs) {
         int failures = Math.max(0, server.health.consecutiveFailures() - FALLBACK_FAILURES);
         double waitUs = failures * latencies.get(request.classIndex).meanUs() / ServerHealth.HISTORY_LENGTH;
-        return server.lastAttemptAnswered
+        return server.lastOutcomeWasResponse
                 && nowUs >= server.pausedUntilUs
-                && nowUs >= server.health.answeredAtUs + waitUs;
+                && nowUs >= server.health.lastResponseAtUs + waitUs;
     }
 }
--- a/node/src/main/java/loadbalancer/policy/WeightedServerPicker.java
+++ b/node/src/main/java/loadbalancer/policy/WeightedServerPicker.java
@@ -32,13 +32,13 @@
     }
 
     /** Returns a server for the request, or null if it may not be sent to any of those drawn. */
-    ServerRecord pick(PendingRequest request, WeightedServers from, long nowUs) {
+    ServerRecord pick(PendingRequest request, WeightedServers candidates, long nowUs) {
         weights.refreshIfStale();
-        ServerRecord first = draw(request, from, null, nowUs);
+        ServerRecord first = draw(request, candidates, null, nowUs);
         if (first == null) {
             return null;
         }
-        ServerRecord second = draw(request, from, first, nowUs);
+        ServerRecord second = draw(request, candidates, first, nowUs);
         if (second == null) {
             return first;
         }
@@ -50,12 +50,12 @@
         return request.hasKey() || random.nextInt(2) == 0 ? first : second;
     }
 
-    private ServerRecord draw(PendingRequest request, WeightedServers from, ServerRecord excluded, long nowUs) {
+    private ServerRecord draw(PendingRequest request, WeightedServers candidates, ServerRecord excluded, long nowUs) {
         if (request.hasKey()) {
-            return keyAffinityPicker.pick(request, from, excluded, nowUs);
+            return keyAffinityPicker.pick(request, candidates, excluded, nowUs);
         }
-        for (int i = 0; i <= MAX_REDRAWS && from.servers.length > 0; i++) {
-            ServerRecord server = from.servers[drawPosition(from)];
+        for (int i = 0; i <= MAX_REDRAWS && candidates.servers.length > 0; i++) {
+            ServerRecord server = candidates.servers[drawPosition(candidates)];
             if (server != excluded && eligibility.maySend(request, server, nowUs)) {
                 return server;
             }
@@ -63,12 +63,13 @@
         return null;
     }
 
-    private int drawPosition(WeightedServers from) {
-        int last = from.servers.length - 1;
+    private int drawPosition(WeightedServers candidates) {
+        int last = candidates.servers.length - 1;
         if (weights.areAllEqual()) {
             return random.nextInt(last + 1);
         }
-        int found = Arrays.binarySearch(from.cumulativeWeights, random.nextLong(from.cumulativeWeights[last]));
+        int found =
+                Arrays.binarySearch(candidates.cumulativeWeights, random.nextLong(candidates.cumulativeWeights[last]));
         return found < 0 ? -1 - found : found + 1;
     }
 }
--- a/node/src/main/java/loadbalancer/policy/WeightedServers.java
+++ b/node/src/main/java/loadbalancer/policy/WeightedServers.java
@@ -5,11 +5,11 @@
     final ServerRecord[] servers;
     final long[] cumulativeWeights;
     /** Empty if no draws are made by key. */
-    final ServerRecord[] keyPlaces;
+    final ServerRecord[] keyTable;
 
-    WeightedServers(ServerRecord[] servers, ServerRecord[] keyPlaces) {
+    WeightedServers(ServerRecord[] servers, ServerRecord[] keyTable) {
         this.servers = servers;
-        this.keyPlaces = keyPlaces;
+        this.keyTable = keyTable;
         cumulativeWeights = new long[servers.length];
     }
 }
--- a/node/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/node/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -15,7 +15,7 @@
         request.value = value;
         int shed = 0;
         for (int i = 0; i < 2_000; i++) {
-            shed += fixture.rules.admissionController.sheds(request) ? 1 : 0;
+            shed += fixture.rules.admissionController.shouldShed(request) ? 1 : 0;
         }
         return shed / 2_000.0;
     }
@@ -54,10 +54,10 @@
     void rankComparesWithTheHighestValueOfClassesWithAnswers() {
         PendingRequest request = fixture.request(FakeNode.IDEMPOTENT);
         request.value = fixture.rules.priority.valueOf(1, FakeNode.IDEMPOTENT);
-        assertEquals(1, fixture.rules.priority.rank(request));
+        assertEquals(1, fixture.rules.priority.relativeValue(request));
         fixture.learnLatency(FakeNode.IDEMPOTENT, 40_000);
         fixture.learnLatency(FakeNode.KEYED_ALL, 10_000);
         request.value = fixture.rules.priority.valueOf(1, FakeNode.IDEMPOTENT);
-        assertEquals(0.25, fixture.rules.priority.rank(request), 1e-9);
+        assertEquals(0.25, fixture.rules.priority.relativeValue(request), 1e-9);
     }
 }
--- a/node/src/test/java/loadbalancer/policy/ConcurrencyLimiterTest.java
+++ b/node/src/test/java/loadbalancer/policy/ConcurrencyLimiterTest.java
@@ -61,7 +61,7 @@
 
     @Test
     void limitUnderOneMakesAPauseAfterEachAttempt() {
-        fixture.rules.serversInUse.shareAmong(10);
+        fixture.rules.serversInUse.setNodesPerServer(10);
         server.limit = 0.5;
         PendingRequest request = fixture.sent(FakeNode.IDEMPOTENT, server, now);
         end(request, 20_000, LoadSignal.NONE);
--- a/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
@@ -39,7 +39,7 @@
     private int drawn;
 
     /** Arrivals at even times for so long; server s0 fails this share of what it is sent. */
-    private void play(long forUs, long gapUs, double failing) {
+    private void play(long forUs, long requestIntervalUs, double failing) {
         long until = node.now + forUs;
         long nextAt = node.now;
         while (nextAt < until) {
@@ -50,7 +50,7 @@
                 end(due.poll());
             } else if (nextAt <= node.now) {
                 node.request(asked++ % 5 < 3 ? FakeNode.IDEMPOTENT : FakeNode.NON_IDEMPOTENT);
-                nextAt += gapUs;
+                nextAt += requestIntervalUs;
             }
             take(failing);
         }
--- a/node/src/test/java/loadbalancer/policy/LoadReportsTest.java
+++ b/node/src/test/java/loadbalancer/policy/LoadReportsTest.java
@@ -39,9 +39,9 @@
     @Test
     void predictsALateAnswerOnlyByAReportOfThisMoment() {
         report(servers[0], 40, 410_000, 7);
-        assertTrue(reports.predictsLateAnswer(servers[0], 7));
-        assertFalse(reports.predictsLateAnswer(servers[0], 8));
+        assertTrue(reports.predictsLateResponse(servers[0], 7));
+        assertFalse(reports.predictsLateResponse(servers[0], 8));
         report(servers[1], 20, 210_000, 9);
-        assertFalse(reports.predictsLateAnswer(servers[1], 9));
+        assertFalse(reports.predictsLateResponse(servers[1], 9));
     }
 }
--- a/node/src/test/java/loadbalancer/policy/PendingQueueTest.java
+++ b/node/src/test/java/loadbalancer/policy/PendingQueueTest.java
@@ -17,7 +17,7 @@
     private final List<PendingRequest> unserved = new ArrayList<>();
     private boolean full;
     private final PendingQueue queue =
-            new PendingQueue(fixture.state, fixture.rules.latencies, this::trySend, this::answerUnserved);
+            new PendingQueue(fixture.state, fixture.rules.latencies, this::trySend, this::respondUnserved);
 
     private boolean trySend(PendingRequest request, long nowUs) {
         tried.add(request);
@@ -27,7 +27,7 @@
         return !full;
     }
 
-    private void answerUnserved(PendingRequest request) {
+    private void respondUnserved(PendingRequest request) {
         unserved.add(request);
         request.end();
     }
@@ -45,7 +45,7 @@
         PendingRequest low = waiting(FakeNode.IDEMPOTENT, 1);
         PendingRequest first = waiting(FakeNode.IDEMPOTENT, 2);
         PendingRequest second = waiting(FakeNode.IDEMPOTENT, 2);
-        queue.serve(PendingQueue.KEYS_PER_EVENT, NOW_US);
+        queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_EVENT, NOW_US);
         assertEquals(List.of(first, second, low), tried);
         assertTrue(queue.isEmpty());
     }
@@ -66,9 +66,9 @@
         fixture.settings.classes.replaceAll(each -> new RequestClass(
                 each.name(), 900_000, 0, 1_000_000, 1, 0.5, each.idempotency(), each.deduplicationScope(), 0, false));
         PendingRequest request = waiting(FakeNode.IDEMPOTENT, 1);
-        queue.serve(PendingQueue.KEYS_PER_SWEEP, request.deadlineAtUs - 6_001);
+        queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_SWEEP, request.deadlineAtUs - 6_001);
         assertEquals(List.of(), unserved);
-        queue.serve(PendingQueue.KEYS_PER_SWEEP, request.deadlineAtUs - 6_000);
+        queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_SWEEP, request.deadlineAtUs - 6_000);
         assertEquals(List.of(request), unserved);
     }
 
@@ -77,9 +77,9 @@
         fixture.learnLatency(FakeNode.IDEMPOTENT, 10_000);
         full = true;
         PendingRequest request = waiting(FakeNode.IDEMPOTENT, 1);
-        queue.serve(PendingQueue.KEYS_PER_SWEEP, request.objectiveAtUs - 20_000);
+        queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_SWEEP, request.objectiveAtUs - 20_000);
         assertEquals(List.of(), unserved);
-        queue.serve(PendingQueue.KEYS_PER_SWEEP, request.objectiveAtUs - 19_999);
+        queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_SWEEP, request.objectiveAtUs - 19_999);
         assertEquals(List.of(request), unserved);
     }
 
@@ -90,7 +90,7 @@
         waiting(FakeNode.NON_IDEMPOTENT, 3);
         PendingRequest idempotent = waiting(FakeNode.IDEMPOTENT, 2);
         waiting(FakeNode.IDEMPOTENT, 1);
-        queue.serve(PendingQueue.KEYS_PER_EVENT, NOW_US);
+        queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_EVENT, NOW_US);
         assertEquals(List.of(nonIdempotent, idempotent), tried);
     }
 }
--- a/node/src/test/java/loadbalancer/policy/RetryPolicyTest.java
+++ b/node/src/test/java/loadbalancer/policy/RetryPolicyTest.java
@@ -36,7 +36,7 @@
             int classIndex, AttemptResult result, boolean mayRetry, boolean harmless) {
         PendingRequest request = afterAttempt(classIndex, result);
         assertEquals(mayRetry, RetryPolicy.mayRetry(request, SENT_US + 1));
-        assertEquals(harmless, RetryPolicy.isRetryByClientHarmless(request));
+        assertEquals(harmless, RetryPolicy.isClientRetrySafe(request));
     }
 
     @Test
--- a/node/src/test/java/loadbalancer/policy/TrialRequestsTest.java
+++ b/node/src/test/java/loadbalancer/policy/TrialRequestsTest.java
@@ -53,7 +53,7 @@
     @Test
     void fallbackTakesWhatIsIdempotentAndHasAFurtherAttempt() {
         assertNull(trials.pickFallback(request, now));
-        server.lastAttemptAnswered = true;
+        server.lastOutcomeWasResponse = true;
         assertSame(server, trials.pickFallback(request, now));
         assertNull(trials.pickFallback(fixture.request(FakeNode.KEYED_ALL), now));
         for (int attempt = 0; attempt < 3; attempt++) {
@@ -65,9 +65,9 @@
     @Test
     void fallbackThatOnlyFailsPausesUpToAMeanLatency() {
         fixture.learnLatency(FakeNode.IDEMPOTENT, 16_000);
-        server.lastAttemptAnswered = true;
+        server.lastOutcomeWasResponse = true;
         server.health.history = 0xFFF;
-        server.health.answeredAtUs = now;
+        server.health.lastResponseAtUs = now;
         assertEquals(12, server.health.consecutiveFailures());
         assertNull(trials.pickFallback(request, now + 3_999));
         assertSame(server, trials.pickFallback(request, now + 4_000));
