--- a/node/src/main/java/loadbalancer/policy/SubsetSelector.java
+++ b/node/src/main/java/loadbalancer/policy/SubsetSelector.java
@@ -10,7 +10,8 @@
 /**
  * Selects the servers that this node uses. Takes effect when more than {@link #NODES_PER_SERVER} nodes would share each
  * server: connections are limited and cost work at both ends, and the more servers a node uses, the fewer responses it
- * gets from each. Where crossing zones has a cost, a node uses more servers of the local zone than of others.
+ * gets from each. Where crossing zones has a cost, the servers of the local zone are selected first, and half as many
+ * of other zones but up to {@link #MIN_SUBSET_SIZE}.
  *
  * <p>Servers claim entries in a {@link MaglevTable}, and node i uses the servers of row i modulo the number of rows.
  * All servers get about equally many nodes, all nodes compute the same table, and a change of the list moves few
@@ -29,16 +30,23 @@
      * while another hangs.
      */
     private static final int MIN_SUBSET_SIZE = 4;
-    /** Minimum number of table entries per server, so that all servers have about equally many. */
+    /**
+     * Table entries per server at which the number of rows stops growing: enough for all servers to have about equally
+     * many.
+     */
     private static final int MIN_ENTRIES_PER_SERVER = 4;
     /** Minimum number of servers with one zone, even above {@link #MAX_NODES_PER_SERVER}: one may fail. */
     private static final int MIN_SERVERS_OF_ONE_ZONE = 2;
     /** Minimum number of servers of the node's own zone, and of all other zones together, with several zones. */
     private static final int MIN_SERVERS_OF_EACH_SIDE = 1;
-    /** Maximum number of nodes that share a server; more would exceed the limit of connections. */
+    /**
+     * Nodes that may share a server when subsets are enlarged to {@link #MIN_SUBSET_SIZE}; more would exceed the limit
+     * of connections.
+     */
     private static final int MAX_NODES_PER_SERVER = 2 * NODES_PER_SERVER;
     /**
-     * Servers of the own zone per server of another zone; the latter are used only if the own zone's do not suffice.
+     * Servers of the own zone per server of another zone, where that allows {@link #MIN_SUBSET_SIZE} of the latter:
+     * these are used only if the own zone's servers do not suffice.
      */
     private static final int LOCAL_PER_REMOTE = 2;
 
--- a/node/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/node/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -5,11 +5,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Load shedding, with the ratio and the ranks that it goes by. */
+/** Load shedding, the on-time ratio and the relative values of requests that it depends on. */
 class AdmissionControllerTest {
     private final RuleFixture fixture = new RuleFixture(2);
 
-    /** Share of arrivals that are shed, of 2,000. */
+    /** Share of 2,000 arrivals that is shed. */
     private double shedShare(double value) {
         PendingRequest request = fixture.request(FakeNode.IDEMPOTENT);
         request.value = value;
--- a/node/src/test/java/loadbalancer/policy/BalancerPathTest.java
+++ b/node/src/test/java/loadbalancer/policy/BalancerPathTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The ordinary path: weighted draws, requests in flight, error counts, retries, the queue, and limits. */
+/** The common path of requests: weighted draws, requests in flight, error counts, retries, the queue and limits. */
 class BalancerPathTest {
 
     @Test
@@ -47,7 +47,7 @@
         node.endAttempt(id, AttemptResult.ERROR, 1_000);
         long held = node.request(FakeNode.IDEMPOTENT);
         String other = node.lastAttempt(held).server();
-        // With one error the draw of two still sees both; the emptier one takes it.
+        // Despite the error both servers may be drawn; the one with fewer requests in flight is picked.
         String emptier = other.equals("s0") ? "s1" : "s0";
         assertEquals(
                 emptier, node.lastAttempt(node.request(FakeNode.IDEMPOTENT)).server());
@@ -113,7 +113,7 @@
             ids.add(node.request(FakeNode.IDEMPOTENT));
         }
         long dear = node.request(5);
-        // Two nodes start with room for two each at two servers: the fifth request and the dear one wait.
+        // The limit is two per server for each of two nodes: the fifth request and the one of high weight wait.
         assertEquals(4, node.sent.size());
         node.endAttempt(ids.get(0), AttemptResult.OK, 10_000);
         assertEquals(dear, node.sent.get(4).request());
@@ -152,7 +152,8 @@
 
     @Test
     void nodeAmongManyHasNoMoreInFlightThanTheSumOfItsLimits() {
-        // One request from each node of a large fleet at every server at once would overload all servers.
+        // Guards against overload of all servers when each node of a large fleet has one request in flight at every
+        // server.
         BalancerSettings settings = FakeNode.settings();
         settings.nodes = 8;
         FakeNode node = new FakeNode(settings, 3).withServers(8);
@@ -179,8 +180,9 @@
     }
 
     /**
-     * With the mark at half a usual latency, an overloaded fleet answered mostly late. Where
-     * servers take longer than the aim, something may still wait a while.
+     * Guards against responses after the objective in an overload. When waiting requests were rejected only half a mean
+     * latency before their objective, most responses of an overloaded fleet were late. Where servers take longer than
+     * the objective, requests may still wait for a while.
      */
     @ParameterizedTest
     @CsvSource({"50000, 80000", "250000, 30000"})
@@ -198,7 +200,8 @@
     }
 
     /**
-     * While half of the answers came late, those on time raised the limits again and prolonged the overload.
+     * Guards against a prolonged overload: while half of the responses were late, those on time raised the limits
+     * again.
      */
     @Test
     void quickAnswersRaiseLimitsLessWhileOthersComeLate() {
--- a/node/src/test/java/loadbalancer/policy/ChangedSettingsTest.java
+++ b/node/src/test/java/loadbalancer/policy/ChangedSettingsTest.java
@@ -11,7 +11,7 @@
 class ChangedSettingsTest {
     private static final int NEW = 5;
 
-    /** The usual settings, with one class more at their end. */
+    /** The default test settings with one more class at the end. */
     private static BalancerSettings withNew(Idempotency repeat) {
         BalancerSettings settings = FakeNode.settings();
         settings.classes.add(FakeNode.requestClass("safe", repeat, DeduplicationScope.ALL));
--- a/node/src/test/java/loadbalancer/policy/ClientRetryTest.java
+++ b/node/src/test/java/loadbalancer/policy/ClientRetryTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Retries by clients: their latency objective, 200 ms here, runs from the client's first attempt. */
+/** Retries by clients: their latency objective of 200 ms counts from the client's first attempt. */
 class ClientRetryTest {
     private static final long DEADLINE = 1_000_000;
 
-    /** A node with one server that is full. */
+    /** A node whose only server is at its limit. */
     private static FakeNode full() {
         FakeNode node = new FakeNode().withServers(1);
         while (node.lastAttempt(node.requestWithKey(null, FakeNode.NON_IDEMPOTENT, DEADLINE, false)) != null) {
@@ -39,14 +39,15 @@
     @Test
     void retryWithAFirstAttemptsRemainingTimeWaits() {
         FakeNode node = full();
-        // Clients give up a try of this class after six tenths of their time.
+        // Clients time out an attempt of this class after six tenths of its deadline.
         node.requestWithKey(null, FakeNode.IDEMPOTENT, 600_000, false);
         long middle = node.requestWithKey(null, FakeNode.IDEMPOTENT, 600_500, true);
         long last = node.requestWithKey(null, FakeNode.IDEMPOTENT, 750_000, true);
         assertEquals(List.of(last), node.rejected, "the rest of the time: 250 ms are over");
         node.advance(100_000);
         assertTrue(!node.rejected.contains(middle));
-        // One client in haste does not hide what a try has, nor make repeats look late.
+        // A single first attempt with little remaining time must not change the learned remaining time, or retries
+        // would be considered late.
         node.requestWithKey(null, FakeNode.IDEMPOTENT, 100_000, false);
         long next = node.requestWithKey(null, FakeNode.IDEMPOTENT, 600_000, true);
         assertTrue(!node.rejected.contains(next));
--- a/node/src/test/java/loadbalancer/policy/CordonTest.java
+++ b/node/src/test/java/loadbalancer/policy/CordonTest.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Servers that operators keep out by hand. */
+/** Servers that operators have cordoned. */
 class CordonTest {
 
     private static void cordon(FakeNode node, String... servers) {
@@ -68,8 +68,8 @@
             node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         long since = node.sentTo("s1") - before;
-        // In five seconds 500 answers from three servers: an even part is 167, of which a cold one can do a
-        // fifth at first; half of three times that is a node's budget.
+        // Three servers give 500 responses in five seconds: an even share is 167, of which a warming server can handle
+        // a fifth at first; half of three times that is the budget of a node.
         assertTrue(since >= 1 && since <= 100, "sent since: " + since);
     }
 
@@ -87,7 +87,7 @@
         for (int i = 0; i < 400; i++) {
             node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
-        // Warm by now: it gets about a quarter.
+        // The server is warm, so it gets about a quarter.
         assertTrue(node.sentTo("s1") - before > 70, "sent since: " + (node.sentTo("s1") - before));
     }
 
--- a/node/src/test/java/loadbalancer/policy/DecisionDigestTest.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionDigestTest.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Holds the decisions to what they were: the same events and seed give the same actions, to the last draw.
- * A digest changes only with a change of behaviour that is meant, and its commit says which.
+ * Guards against unintended changes of behaviour: the same events and seed must give exactly the same actions,
+ * including every random draw. A digest may change only with an intended change of behaviour, which its commit must
+ * describe.
  */
 class DecisionDigestTest {
 
--- a/node/src/test/java/loadbalancer/policy/DecisionStream.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionStream.java
@@ -16,14 +16,14 @@
 import java.util.TreeSet;
 
 /**
- * A seeded stream of events for one balancer, as a node with servers that restart, fail, hang, drain and fill up
- * would cause them. Every action is written out as a line of text; {@link #digest} is the SHA-256 of all lines.
+ * A seeded stream of events for one balancer, as caused by a node whose servers restart, fail, hang, drain and become
+ * overloaded. Every action is written as a line of text; {@link #digest} is the SHA-256 of all lines.
  *
- * <p>The lines use words of this class only, so that renaming the balancer's own types does not change a digest.
+ * <p>The lines contain only words of this class, so that renaming the balancer's types does not change a digest.
  */
 final class DecisionStream implements BalancerActions {
 
-    /** What a stream has shown of the balancer; each stream asserts the ones that it is made for. */
+    /** Behaviour of the balancer that a stream has triggered; each stream asserts the kinds it is meant to trigger. */
     enum Covered {
         RETRY,
         HEDGE,
@@ -61,7 +61,7 @@
         OVERLOADED
     }
 
-    /** What differs between streams. */
+    /** The parameters that differ between streams. */
     record Shape(
             int nodes,
             int servers,
@@ -233,7 +233,7 @@
         return settings;
     }
 
-    /** Plays all phases and returns the digest of what the balancer did. */
+    /** Runs all phases and returns the digest of the balancer's actions. */
     String digest() {
         for (int i = 0; i < shape.servers; i++) {
             servers.put("s" + i, new SimulatedServer("s" + i, i % shape.zones, i % (2 * shape.zones)));
@@ -255,7 +255,7 @@
         return covered;
     }
 
-    // ---------------------------------------------------------------- the story of a stream
+    // ---------------------------------------------------------------- phases of a stream
 
     private void schedulePhases() {
         List<Runnable> phases = List.of(
@@ -371,7 +371,7 @@
                         0, server.background + (random.nextDouble() - 0.5) * 3 + (2 * load - server.background) / 8));
     }
 
-    // ---------------------------------------------------------------- requests and answers
+    // ---------------------------------------------------------------- requests and responses
 
     private void scheduleArrival() {
         long gap = (long) (1 + random.nextInt(12_000) / load);
--- a/node/src/test/java/loadbalancer/policy/DeployFileTest.java
+++ b/node/src/test/java/loadbalancer/policy/DeployFileTest.java
@@ -11,13 +11,16 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file names each file of the decisions, as the bench takes no folder there, and each package of a node. */
+/**
+ * The deploy file must list each file of package policy, because its reader accepts no folder there, and each package
+ * that a node loads.
+ */
 class DeployFileTest {
     private static final Path PACKAGES = Path.of("node/src/main/java/loadbalancer");
     private static final Path DECISIONS = PACKAGES.resolve("policy");
     private static final Pattern FILE = Pattern.compile("\"(" + DECISIONS + "/[^\"]+)\"");
     private static final Pattern PACKAGE = Pattern.compile("\"" + PACKAGES + "/([a-z]+)\"");
-    /** The decisions have a list of their own; a node without a fleet loads nothing of the other two. */
+    /** Package policy has a list of its own; a node without a fleet does not load the other two. */
     private static final Set<String> NOT_OF_A_NODE = Set.of("policy", "simulator", "membership");
 
     @Test
--- a/node/src/test/java/loadbalancer/policy/EjectionTest.java
+++ b/node/src/test/java/loadbalancer/policy/EjectionTest.java
@@ -8,10 +8,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Ejection, trial requests, servers without answers, and zones. */
+/** Ejection, trial requests, unresponsive servers, and zones. */
 class EjectionTest {
 
-    /** Serves one request; {@code s0} fails, all others succeed. */
+    /**
+     * Sends one request and ends its attempts; {@code s0} fails, all others succeed. Returns whether it was sent to
+     * {@code s0} first.
+     */
     private static boolean hitsFailingServer(FakeNode node, int classIndex) {
         long id = node.request(classIndex);
         boolean bad = node.lastAttempt(id).server().equals("s0");
@@ -22,7 +25,7 @@
         return bad;
     }
 
-    /** Four servers, of which {@code s0} has failed all it was sent among 400 requests. */
+    /** A node with four servers, after 400 requests of which {@code s0} has failed all that it received. */
     private static FakeNode withFailingServer() {
         FakeNode node = new FakeNode().withServers(4);
         for (int i = 0; i < 400; i++) {
@@ -49,7 +52,7 @@
         assertTrue(hits >= 2 && hits <= 14, "trials in 20 s: " + hits);
     }
 
-    /** Asks for so many at once that the good servers are full; how many went to {@code s0}. */
+    /** Sends enough requests at once to fill the healthy servers; returns how many attempts went to {@code s0}. */
     private static long overflow(FakeNode node, int classIndex, AttemptResult result) {
         List<Long> crowd = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -110,7 +113,10 @@
         assertTrue(node.ejectionLog.stream().anyMatch(l -> l.equals("restored server s0")));
     }
 
-    /** Asks for something safe and ends each attempt; counts those at the first {@code lost} servers. */
+    /**
+     * Sends an idempotent request and ends its attempts; returns how many went to the first {@code lost} servers, which
+     * fail.
+     */
     private static int attemptsAtLostServers(FakeNode node, int lost) {
         long id = node.request(FakeNode.IDEMPOTENT);
         int hits = 0;
@@ -122,7 +128,10 @@
         return hits;
     }
 
-    /** Trials of a lost zone, from every node of a large fleet, took up most of the safe requests. */
+    /**
+     * Guards against trial requests to a failed zone that, from every node of a large fleet, took most of the
+     * idempotent requests.
+     */
     @Test
     void trialRequestsOfManyEjectedServersAreASmallShareOfRequests() {
         FakeNode node = new FakeNode().withServers(40);
@@ -137,7 +146,10 @@
         assertTrue(trials >= 4 && trials <= 25, "trials among 250 requests: " + trials);
     }
 
-    /** It may have come back as a new process, of which the list tells only later. */
+    /**
+     * Guards against overload of a server whose ejection ends: it may be a new process without cached keys, which the
+     * endpoint list shows only later.
+     */
     @Test
     void returnedServerIsNotFilledAtOnceWithKeyAffinity() {
         BalancerSettings settings = FakeNode.settings();
@@ -154,7 +166,7 @@
             }
             if (!back && node.ejectionLog.stream().anyMatch(l -> l.startsWith("ejected server s0"))) {
                 back = true;
-                // Until the log takes another line.
+                // No trial request is due before this time has passed.
                 node.advance(2_000_000);
             }
         }
@@ -171,7 +183,8 @@
         for (int i = 0; i < 300; i++) {
             node.completeRequest(FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR, 5_000);
         }
-        // All fail: two may be out, and requests must still be tried on the others, not held.
+        // All servers fail: at most two may be ejected, and requests must still be sent to the others instead of
+        // waiting.
         long id = node.request(FakeNode.NON_IDEMPOTENT);
         assertNotEquals(null, node.lastAttempt(id));
     }
@@ -198,7 +211,7 @@
     void overloadedServerThatStillAnswersIsNotEjectedForTimeOuts() {
         FakeNode node = new FakeNode().withServers(2);
         for (int round = 0; round < 80; round++) {
-            // Ever one more than fits, so that the limits are met and grow.
+            // Always sends one request more than the limits allow, so that the limits are reached and grow.
             List<Long> burst = new ArrayList<>();
             do {
                 burst.add(node.request(FakeNode.IDEMPOTENT));
@@ -246,7 +259,7 @@
 
     @Test
     void attemptsStuckAtARemovedServerDoNotLimitTheOthers() {
-        // Guards against a node whose whole allowance in flight hangs at servers no longer in use.
+        // Guards against a node whose total limit is used up by attempts at servers that are no longer in use.
         FakeNode node = new FakeNode().withServers(1);
         for (int i = 0; i < 4; i++) {
             assertNotEquals(null, node.lastAttempt(node.request(FakeNode.NON_IDEMPOTENT)));
--- a/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A server that fails at once is always free, so that a node whose other servers are at their limits is drawn
- * to it, with what is lost there too. Servers of one core take what they are sent in turn; the first
- * fails.
+ * Guards against a server that fails requests immediately and thereby attracts more of them: it never has requests in
+ * flight, so a node whose other servers are at their limits would send it most requests. Each server has one core and
+ * serves its requests one after the other; the first server fails.
  */
 class FailFastServerTest {
     private static final int SERVERS = 6;
@@ -23,7 +23,7 @@
     private static final long FAILURE_US = 1_000;
     private static final long SECOND = 1_000_000;
 
-    /** An attempt that a server will have dealt with, or that its node gives up before. */
+    /** The outcome of an attempt, and when it is due: once the server has finished, or when the node times out. */
     private record Due(long atUs, Sent sent, AttemptResult result) {}
 
     private final FakeNode node = new FakeNode().withServers(SERVERS);
@@ -33,12 +33,12 @@
     private int seen;
     private int asked;
     private int servedInTime;
-    /** Unsafe requests that failed, which nothing makes good. */
+    /** Non-idempotent requests that failed, which may not be retried. */
     private int lost;
     /** Attempts that failed at the first server. */
     private int drawn;
 
-    /** Arrivals at even times for so long; server s0 fails this share of what it is sent. */
+    /** Sends requests at regular intervals for this time; server s0 fails this share of its requests. */
     private void play(long forUs, long requestIntervalUs, double failing) {
         long until = node.now + forUs;
         long nextAt = node.now;
@@ -75,7 +75,7 @@
 
     private void end(Due ended) {
         long latency = node.now - ended.sent.atUs();
-        // Requests are numbered from 1 in the order in which they are asked; see play.
+        // Requests are numbered from 1 in the order sent; see {@link #run}.
         boolean unsafe = (ended.sent.request() - 1) % 5 >= 3;
         drawn += ended.result == AttemptResult.ERROR ? 1 : 0;
         lost += ended.result == AttemptResult.ERROR && unsafe ? 1 : 0;
@@ -92,9 +92,9 @@
     }
 
     /**
-     * The others hold all that they may, as is asked for half as much again as they can do. What is safe may
-     * go to the server that fails, as a last resort; what is unsafe is lost there, and goes to it only until
-     * it is found out again: one in forty of them at the most.
+     * The load is one and a half times the capacity, so all other servers are at their limits. Idempotent requests may
+     * be sent to the failing server as a fallback. Non-idempotent ones are lost there, and may be sent to it only until
+     * it is ejected again: at most one in forty.
      */
     @ParameterizedTest
     @CsvSource({"1, 11", "1, 12", "0.9, 11", "0.7, 11", "0.7, 12", "0.5, 11", "0.5, 12", "0.5, 13"})
@@ -108,9 +108,9 @@
     }
 
     /**
-     * What is safe goes there as a last resort, at most as often as trials may fail: a twentieth of first
-     * tries and the few that come before it is found out. Where it serves a part, what it fails is the price
-     * of that.
+     * Idempotent requests are sent to the failing server at most as often as trial requests may fail: one in twenty
+     * first attempts, plus the few before it is ejected. Only servers that fail everything are tested, because a server
+     * that serves a part may receive more as a fallback.
      */
     @ParameterizedTest
     @CsvSource({"1, 11", "1, 12", "1, 13"})
@@ -122,7 +122,7 @@
         assertTrue(drawn <= 0.05 * (asked - before), "drawn: " + drawn + " of " + (asked - before));
     }
 
-    /** Once the overload is over, requests come to two thirds of what the servers can do. */
+    /** After the overload the load is two thirds of the capacity. */
     @Test
     void allIsServedOnTimeOneSecondAfterAnOverload() {
         play(10 * SECOND, 5_000, 0);
--- a/node/src/test/java/loadbalancer/policy/FakeNode.java
+++ b/node/src/test/java/loadbalancer/policy/FakeNode.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A node for tests: a clock, a balancer and a record of its actions. */
+/** A node for tests: a clock, a balancer and a record of the balancer's actions. */
 final class FakeNode implements BalancerActions {
     static final int IDEMPOTENT = 0;
     static final int KEYED_ALL = 1;
@@ -11,7 +11,7 @@
     static final int KEYED_CELL = 3;
     static final int NON_IDEMPOTENT = 4;
 
-    /** An attempt as it was sent. */
+    /** An attempt that the balancer has sent. */
     record Sent(long atUs, long request, int attempt, String server, long untilUs) {}
 
     final BalancerSettings settings;
@@ -61,7 +61,7 @@
         return new ServerEntry(id, 0, 0, ServerState.READY, 1, 0);
     }
 
-    /** Gives the first list: servers s0, s1, ... all warm, in one zone and cell. */
+    /** Delivers the first list: servers s0, s1, ... all warm, in one zone and cell. */
     FakeNode withServers(int servers) {
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
@@ -95,7 +95,7 @@
         return id;
     }
 
-    /** The newest attempt of a request, or null. */
+    /** The last attempt of a request, or null. */
     Sent lastAttempt(long request) {
         for (int i = sent.size() - 1; i >= 0; i--) {
             if (sent.get(i).request == request) {
@@ -113,7 +113,7 @@
         return sent.stream().filter(s -> s.server.equals(server)).count();
     }
 
-    /** Ends a request's newest attempt after some time. */
+    /** Ends the last attempt of a request after this time. */
     void endAttempt(long request, AttemptResult result, long afterUs) {
         advance(afterUs);
         Sent attempt = lastAttempt(request);
@@ -123,7 +123,7 @@
                         request, attempt.attempt, result, now - attempt.atUs, result == AttemptResult.OK, null));
     }
 
-    /** Sends one request and ends its attempt; returns its server. */
+    /** Sends one request and ends its attempt; returns the server that received it. */
     String completeRequest(int classIndex, AttemptResult result, long afterUs) {
         long id = request(classIndex);
         String server = lastAttempt(id).server;
@@ -131,7 +131,7 @@
         return server;
     }
 
-    /** Serves requests, of which this server fails all that it gets, until it is ejected. */
+    /** Sends requests, all of which this server fails, until it is ejected. */
     void failUntilEjected(String server) {
         while (balancer.excludedServers() == 0) {
             long id = request(IDEMPOTENT);
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Moves the clock on, firing the wake-ups that come due. */
+    /** Advances the clock and fires the wake-ups that are due. */
     void advance(long us) {
         long until = now + us;
         while (true) {
@@ -208,13 +208,13 @@
         ejectionLog.add(restoration(serverId, className));
     }
 
-    /** What tests write down of an ejection. */
+    /** The log line of an ejection. */
     static String ejection(String serverId, int failures, String className) {
         return "ejected server " + serverId + " after " + failures + " failures"
                 + (className == null ? "" : " of class " + className);
     }
 
-    /** What tests write down of the end of an ejection. */
+    /** The log line of the end of an ejection. */
     static String restoration(String serverId, String className) {
         return "restored server " + serverId + (className == null ? "" : " for a class");
     }
--- a/node/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
+++ b/node/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
@@ -9,7 +9,7 @@
 
 class HedgingPolicyTest {
     private static final long SENT_US = RuleFixture.START_US;
-    /** Four times the mean latency, and two ticks. */
+    /** Four times the mean latency plus two ticks. */
     private static final long UNRESPONSIVE_AT_US = SENT_US + 4 * 10_000 + 2 * 1_000;
 
     private final RuleFixture fixture = new RuleFixture(2);
--- a/node/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/node/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Draws that are fixed by the request's key, where servers remember keys. */
+/** Draws by the request's key, where servers cache keys. */
 class KeyAffinityTest {
     private static final int SERVERS = 20;
     private static final int KEYS = 400;
@@ -123,7 +123,7 @@
                 .filter(k -> before.get(k).equals("s3"))
                 .findFirst()
                 .get();
-        // Two failures: two in three of its keys are now drawn elsewhere.
+        // With two failures the server loses two of three of its keys to other servers.
         assertEquals("s3", serve(node, key, AttemptResult.ERROR));
         for (int i = 0; i < KEYS && !serve(node, "x" + i, AttemptResult.ERROR).equals("s3"); i++) {
             node.deliverList(ListKind.FULL, List.of());
@@ -157,7 +157,7 @@
         }
         assertTrue(used.size() >= 2 && used.size() <= 8, used.toString());
         assertNull(node.lastAttempt(id));
-        // Others are not held back by it for long: it waits in the queue, and they have room.
+        // The waiting request must not block requests for other keys, whose servers have spare capacity.
         long other = node.requestWithKey("cool", FakeNode.NON_IDEMPOTENT);
         node.advance(10_000);
         assertTrue(node.lastAttempt(other) != null || used.size() == SERVERS);
@@ -181,7 +181,7 @@
         assertTrue(more <= 1, "sent to the full server: " + more);
     }
 
-    /** Requests that were rejected in a burst were retried at servers that did not know their key. */
+    /** Guards against retries at servers that have not cached the key, after a burst of rejections. */
     @Test
     void rejectedRequestIsRetriedAtItsKeysServers() {
         List<List<String>> paths = new ArrayList<>();
@@ -193,7 +193,7 @@
             paths.add(node.sent.stream().map(FakeNode.Sent::server).toList());
         }
         assertEquals(3, new HashSet<>(paths.get(0)).size());
-        // All nodes hop alike.
+        // All nodes retry at the same servers.
         assertEquals(1, new HashSet<>(paths).size());
     }
 }
--- a/node/src/test/java/loadbalancer/policy/LargeFleetTest.java
+++ b/node/src/test/java/loadbalancer/policy/LargeFleetTest.java
@@ -13,7 +13,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Large fleets: subsets of the servers, slow answers as errors, load shedding. */
+/** Large fleets: subsets of the servers, slow responses counted as errors, load shedding. */
 class LargeFleetTest {
     private static final int NODES = 240;
     private static final int SERVERS = 40;
@@ -25,7 +25,7 @@
         return new FakeNode(settings, 100 + me);
     }
 
-    /** The servers that a node sends to when all answer quickly and requests come one at a time. */
+    /** The servers that a node sends to when all respond quickly and requests come one at a time. */
     private static Set<String> inUse(FakeNode node) {
         return inUse(node, 100);
     }
@@ -48,7 +48,8 @@
     }
 
     /**
-     * Nodes of two versions run side by side while a fleet is upgraded: both have to find the same subsets.
+     * Guards against subsets that differ between versions: nodes of two versions run side by side during an upgrade of
+     * a fleet, and both must select the same subsets.
      */
     @Test
     void subsetsStayTheSameFromVersionToVersion() {
@@ -119,7 +120,7 @@
             node.endAttempt(id, AttemptResult.OK, hit ? 12_000 : 4_000);
             node.advance(200_000);
         }
-        // An even part would be 100, and two draws leave it no less while nothing is in flight.
+        // An even share would be 100, and two draws would not lower it while nothing is in flight.
         assertTrue(hits < 70, "slow server was sent " + hits + " of 400");
     }
 
@@ -138,7 +139,7 @@
             node.advance(4_000_000);
         }
         assertTrue(refusedAtOnce > 100 && refusedAtOnce < 200, "rejected at once: " + refusedAtOnce);
-        // Some are still taken up, so the node learns that answers are timely again.
+        // Some requests are still admitted, so the node detects that responses are on time again.
         for (int i = 0; i < 400; i++) {
             long id = node.request(FakeNode.NON_IDEMPOTENT);
             if (node.attempts(id) > 0) {
--- a/node/src/test/java/loadbalancer/policy/LawfulAttemptTest.java
+++ b/node/src/test/java/loadbalancer/policy/LawfulAttemptTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which attempts and final answers are lawful, in named cases; polling of the list; invalid input. */
+/** Which attempts and final responses are allowed, in single cases; polling of the endpoint list; invalid input. */
 class LawfulAttemptTest {
 
     private static ServerEntry in(String id, int zone, int cell, ServerState state) {
         return new ServerEntry(id, zone, cell, state, 1, 0);
     }
 
-    /** After a first attempt that ends so: does another follow, and else which final answer? */
+    /** Whether a first attempt with this result is retried, and otherwise which final response is given. */
     @ParameterizedTest
     @CsvSource({
         "0, ERROR, again",
--- a/node/src/test/java/loadbalancer/policy/OpenRequestLimitTest.java
+++ b/node/src/test/java/loadbalancer/policy/OpenRequestLimitTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Open requests are bounded by the connections that clients have. */
+/** The number of open requests is bounded, as clients have no connections for more. */
 class OpenRequestLimitTest {
 
     @Test
--- a/node/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
+++ b/node/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the end of an attempt is taken to show. */
+/** What the rules learn from the outcome of an attempt. */
 class OutcomeRecorderTest {
     private final RuleFixture fixture = new RuleFixture(4);
     private final OutcomeRecorder recorder = new OutcomeRecorder(fixture.rules);
--- a/node/src/test/java/loadbalancer/policy/OverloadedServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/OverloadedServerTest.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Load reports: a server that is loaded well beyond the others is passed over for a time. */
+/** Load reports: a server whose load is well above the mean is skipped for a time. */
 class OverloadedServerTest {
     private static final int SERVERS = 20;
     private static final long LATENCY_US = 20_000;
-    /** A class with time enough to wait behind many. */
+    /** Index of a class whose latency objective allows long waits. */
     private static final int LEISURELY = 5;
 
     private static FakeNode node() {
@@ -34,7 +34,7 @@
         return new FakeNode(settings, 5).withServers(SERVERS);
     }
 
-    /** One request served; its server says that it holds so many. */
+    /** Serves one request; its server reports this many requests in flight. */
     private static String serve(FakeNode node, String key, int classIndex, long latencyUs, double held) {
         long id = node.requestWithKey(key, classIndex);
         node.advance(latencyUs);
@@ -77,7 +77,10 @@
         assertEquals(home, serve(node, "key", 2));
     }
 
-    /** The class with the shortest aim waits behind all others, of which their own aims say nothing. */
+    /**
+     * Guards against overload for the class with the shortest objective: its requests wait behind those of all other
+     * classes, whose own objectives do not reveal the overload.
+     */
     @Test
     void serverLoadedBeyondTheShortestObjectiveGetsFewer() {
         FakeNode node = amongServersWithLoad(1);
@@ -92,7 +95,7 @@
     void firstAnswersShowThatServersAreOverloaded() {
         FakeNode node = node();
         for (int k = 0; k < 2 * SERVERS; k++) {
-            // Forty held requests take 400 ms; the shortest aim is 200 ms.
+            // A server with 40 requests in flight takes 400 ms; the shortest objective is 200 ms.
             serve(node, "k" + k, LEISURELY, 400_000, 40);
         }
         int taken = takenAtOnce(node);
@@ -107,7 +110,7 @@
         return node.sent.size() - before;
     }
 
-    /** How many of 4,000 requests go to a cold server that says it holds so many, where others hold four. */
+    /** How many of 4,000 requests are sent to a warming server that reports this load, while the others report 4. */
     private static long toColdThatHolds(double held) {
         FakeNode node = amongServersWithLoad(4);
         node.deliverList(ListKind.CHANGES, List.of(new ServerEntry("cold", 0, 0, ServerState.READY, 1, node.now)));
--- a/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -14,17 +14,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long odd sequences of events with fixed seeds; what the balancer does is checked against all four rules. */
+/** Checks that the balancer follows all four rules over long random sequences of events with fixed seeds. */
 class RandomEventsTest {
 
-    /** An attempt as the judge knows it. */
+    /** The check's own record of an attempt. */
     private static final class Attempt {
         ServerEntry server;
         long sentAt;
         AttemptResult result;
     }
 
-    /** A request as the judge knows it. */
+    /** The check's own record of a request. */
     private static final class OpenRequest {
         RequestClass cls;
         long deadlineAt;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Plays a node's part and fails the test on the first broken rule. */
+    /** Takes the place of the node and fails the test at the first violation of a rule. */
     private static final class Judge implements BalancerActions {
         final SplittableRandom random;
         final BalancerSettings settings = FakeNode.settings();
@@ -336,9 +336,10 @@
         judge.run(1_500);
         assertEquals(judge.requests.size(), judge.finals, "rule 1: every request has its one final answer");
         assertTrue(judge.served > 100, "the run must do real work: " + judge.served);
-        // Rule 4: in any span this node stays under its part of the multiple of what a cold server can
-        // do, taking its answers over the servers then ready (three at most: many are always gone) as its
-        // part of what a warm one does; two requests more are chance.
+        // Rule 4: in any span of this length, this node sends a warming server at most its share of the allowed
+        // multiple of the server's current capacity. The node's share of a warm server's capacity is taken to be its
+        // rate of responses divided by the number of servers that were ready, three at most because many are always
+        // gone. Two more requests are allowed for random variation.
         double rate = judge.served / ((judge.now - 5_000_000) / 1e6);
         BalancerSettings settings = judge.settings;
         judge.coldSends.forEach((start, sends) -> {
--- a/node/src/test/java/loadbalancer/policy/RecordedActions.java
+++ b/node/src/test/java/loadbalancer/policy/RecordedActions.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Writes down what a rule asks of the node. */
+/** Records the actions that a rule requests from its node. */
 final class RecordedActions implements BalancerActions {
     final List<String> calls = new ArrayList<>();
 
--- a/node/src/test/java/loadbalancer/policy/RetryPolicyTest.java
+++ b/node/src/test/java/loadbalancer/policy/RetryPolicyTest.java
@@ -22,7 +22,7 @@
 
     @ParameterizedTest
     @CsvSource({
-        // class, result, may be retried, a retry by the client is harmless
+        // class, result, whether it may be retried, whether the client may safely retry
         "0, ERROR, true, true",
         "1, ERROR, true, true",
         "3, ERROR, true, false",
--- a/node/src/test/java/loadbalancer/policy/RuleFixture.java
+++ b/node/src/test/java/loadbalancer/policy/RuleFixture.java
@@ -4,7 +4,10 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 
-/** The rules of a balancer with servers in use, for tests of single rules; there is no balancer, and time is given. */
+/**
+ * The rules of a balancer with servers in use, for tests of single rules. There is no balancer, and tests pass in the
+ * time.
+ */
 final class RuleFixture {
     static final long START_US = 1_000_000;
 
@@ -18,7 +21,7 @@
         this(servers, unchanged -> {});
     }
 
-    /** Servers s0, s1, ... in use, warm, in one zone and cell, under settings changed as given. */
+    /** Creates servers s0, s1, ... in use, warm, in one zone and cell, with settings changed by {@code change}. */
     RuleFixture(int servers, Consumer<BalancerSettings> change) {
         change.accept(settings);
         rules = new BalancerRules(settings, new SplittableRandom(1), actions);
@@ -48,7 +51,7 @@
                 new BalancerRequest(nextId++, classIndex, 0, 1_000_000, 0, false, key), settings, START_US);
     }
 
-    /** A request with one attempt in flight. */
+    /** Creates a request with one attempt in flight. */
     PendingRequest sent(int classIndex, ServerRecord server, long nowUs) {
         PendingRequest request = request(classIndex);
         request.addAttempt(server, nowUs);
@@ -56,7 +59,7 @@
         return request;
     }
 
-    /** Answers of one class, so that its latency is known. */
+    /** Records responses of one class, so that its latency is known. */
     void learnLatency(int classIndex, long latencyUs) {
         for (int i = 0; i < 50; i++) {
             rules.latencies.get(classIndex).record(latencyUs);
--- a/node/src/test/java/loadbalancer/policy/ServerPickersTest.java
+++ b/node/src/test/java/loadbalancer/policy/ServerPickersTest.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The pickers for first attempts, by weight and by key, and for retries. */
+/** The pickers for first attempts, by weight and by key, and the picker for retries. */
 class ServerPickersTest {
     private static final long NOW_US = RuleFixture.START_US;
 
@@ -36,7 +36,7 @@
         for (int i = 0; i < 6_000; i++) {
             hits += first(fixture, fixture.request(FakeNode.IDEMPOTENT)) == failing ? 1 : 0;
         }
-        // Weights 2, 8 and 8: drawn first with 2/18, or second with 2/10, and half of the tosses.
+        // Weights are 2, 8 and 8: drawn first with 2/18, or second with 2/10, and then picked with probability 1/2.
         assertEquals(6_000 * (1.0 / 9 + 8.0 / 9 / 5) / 2, hits, 100);
     }
 
--- a/node/src/test/java/loadbalancer/policy/ServerWeightsTest.java
+++ b/node/src/test/java/loadbalancer/policy/ServerWeightsTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Weights and the error counts that they follow. */
+/** Weights, and the error counts that they depend on. */
 class ServerWeightsTest {
     private final RuleFixture fixture = new RuleFixture(3);
     private final ServerWeights weights = new ServerWeights(fixture.state);
--- a/node/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/node/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -15,7 +15,7 @@
     private final ServerRecord server = fixture.state.servers[0];
     private long now = RuleFixture.START_US;
 
-    /** Answers at an even pace, up to the time when the server starts. */
+    /** Records responses at a constant rate, up to the time when the server starts. */
     @BeforeEach
     void learnPace() {
         for (int i = 0; i < 1_000; i++) {
@@ -25,7 +25,7 @@
         server.startedAtUs = now;
     }
 
-    /** How often the server may be sent to in a time, with answers at the same pace. */
+    /** Number of requests that may be sent to the server within this time, with responses at the same rate. */
     private int sendsWithin(long us) {
         int sends = 0;
         for (long end = now + us; now < end; now += GAP_US / 10) {
@@ -49,7 +49,7 @@
 
     @Test
     void serverThatWarmsUpGetsHalfOfTheMultipleOfItsShare() {
-        // An even part is one request each 20 ms; a fifth of the capacity, 1.5 times: one each 66 ms.
+        // An even share is one request per 20 ms; at a fifth of the capacity and 1.5 times that, one per 66 ms.
         int sends = sendsWithin(1_000_000);
         assertTrue(sends >= 14 && sends <= 18, sends + " sends");
     }
--- a/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
+++ b/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Attempts without an answer, hedged requests, and ejection by class. */
+/** Unresponsive attempts, hedged requests, and ejection for one class. */
 class UnresponsiveAttemptTest {
     private static final long MEAN_LATENCY_US = 10_000;
 
@@ -24,7 +24,7 @@
         return node.ejectionLog.stream().anyMatch(l -> l.startsWith(start));
     }
 
-    /** Lets a request of this class go unanswered at {@code s0}, and answers all others. */
+    /** Sends a request of this class that gets no response if it is sent to {@code s0}; all other servers respond. */
     private static boolean goesUnanswered(FakeNode node, int classIndex) {
         long id = node.request(classIndex);
         if (!node.lastAttempt(id).server().equals("s0")) {
@@ -32,7 +32,7 @@
             return false;
         }
         node.advance(30 * MEAN_LATENCY_US);
-        // The client leaves long before its deadline: no time-out ever tells.
+        // The client leaves long before its deadline, so no timeout ever reveals the fault.
         node.balancer.onClientGone(node.now, id);
         node.balancer.onOutcome(
                 node.now, new AttemptOutcome(id, 0, AttemptResult.CANCELLED, 30 * MEAN_LATENCY_US, true, null));
@@ -125,7 +125,7 @@
             ids.add(node.request(FakeNode.IDEMPOTENT));
         }
         int sent = node.sent.size();
-        // The node stands still for a second; the late wake-up is handled first, then the answers.
+        // The node is paused for a second: the late wake-up is handled first, then the responses.
         node.now += 1_000_000 - 1;
         node.balancer.onWake(node.now);
         ids.forEach(id -> node.balancer.onOutcome(
@@ -170,7 +170,10 @@
         assertTrue(said(node, "restored server s0"), node.ejectionLog.toString());
     }
 
-    /** Clients left before slow answers came. Only quick answers were seen, so limits rose into an overload. */
+    /**
+     * Guards against limits that grow into an overload: clients left before slow responses came, so that only quick
+     * responses were counted.
+     */
     @Test
     void longWaitsOfClientsThatLeaveLowerLimits() {
         int[] held = new int[2];
--- a/node/src/test/java/loadbalancer/policy/WarmingServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/WarmingServerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What one node may send of the budget of a server that warms up. */
+/** How much one node may send to a warming server. */
 class WarmingServerTest {
 
     private static final int WARM = 19;
@@ -28,15 +28,15 @@
             node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         node.deliverList(ListKind.CHANGES, List.of(started("cold", node.now)));
-        // 100 answers a second from five servers: an even part is 20 a second, a fifth of which a cold
-        // one can do.
+        // Five servers give 100 responses a second: an even share is 20 a second, of which a warming server can handle
+        // a fifth.
         for (int round = 0; round < 200; round++) {
             List<Long> burst = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 burst.add(node.request(FakeNode.IDEMPOTENT));
             }
             node.advance(10_000);
-            // Only one of ten is answered, so that arrivals are ten times what the fleet gets done.
+            // Only one of ten requests gets a response, so arrivals are ten times the responses.
             burst.stream()
                     .map(node::lastAttempt)
                     .filter(s -> s != null && !s.server().equals("cold"))
@@ -47,7 +47,7 @@
         assertTrue(toCold >= 1 && toCold <= 16, "sent to the cold server in two seconds: " + toCold);
     }
 
-    /** Nodes that know nothing of each other, some of which start together with the cold server. */
+    /** The nodes do not communicate; some of them start together with the warming server. */
     @ParameterizedTest
     @CsvSource({"20, 0", "30, 0", "30, 30"})
     void allNodesTogetherStayWithinAWarmingServersBudget(int count, int fresh) {
@@ -82,7 +82,7 @@
                 .map(FakeNode.Sent::atUs)
                 .sorted()
                 .toList();
-        // Every server can do just what it is asked on average: an even part of what all nodes ask.
+        // On average the load equals the capacity of the servers: each can serve an even share of all requests.
         double capacity = REQUESTS_PER_SECOND / 1e6 / (WARM + 1);
         for (int first = 0; first < sentAt.size(); first++) {
             long from = sentAt.get(first);
@@ -99,7 +99,7 @@
         assertTrue(sentAt.size() > 20, "sent to the cold server: " + sentAt.size());
     }
 
-    /** Asks the nodes at random times; each answer comes 20 ms later. */
+    /** Sends requests to random nodes at random times; each response comes 20 ms later. */
     private static void serve(List<FakeNode> nodes, int rounds, SplittableRandom chance) {
         ArrayDeque<Runnable> due = new ArrayDeque<>();
         for (int round = 0; round < rounds; round++) {
@@ -145,7 +145,7 @@
 
     @Test
     void slowStartDoesNotDependOnWhereTheClockBegins() {
-        // Guards against a first gap between answers that was counted from the start of the clock.
+        // Guards against a first response interval that counts from the origin of the clock.
         List<Long> sentToCold = new ArrayList<>();
         for (long epoch : new long[] {1_000_000, 900_000_000_000L}) {
             FakeNode node = new FakeNode();
@@ -166,7 +166,8 @@
 
     @Test
     void warmingServersLimitDoesNotPassTheMean() {
-        // Quick answers to single requests raised limits that overloaded servers once they were warm.
+        // Guards against overload after a warm-up: quick responses to its few requests raised the server's limit too
+        // far.
         BalancerSettings settings = FakeNode.settings();
         settings.nodes = 8;
         FakeNode node = new FakeNode(settings, 5);
@@ -196,7 +197,10 @@
         assertTrue(toOneJustWarm <= 3, "sent in a second to the server that is now warm: " + toOneJustWarm);
     }
 
-    /** All nodes learn of a start at once. Their first sends together overloaded the server. */
+    /**
+     * Guards against an overload at the start of a server: all nodes learn of the start at once and sent their first
+     * requests together.
+     */
     @Test
     void firstSendsOfManyNodesToAWarmingServerAreSpread() {
         int within = 0;
@@ -214,7 +218,7 @@
             }
             within += node.sentTo("cold") > 0 ? 1 : 0;
         }
-        // A node's gap is about two seconds: in 0.3 s a sixth of the nodes may send.
+        // A node's interval is about two seconds: in 0.3 s about a sixth of the nodes may send.
         assertTrue(within <= 14, "nodes that sent at once: " + within);
     }
 
@@ -235,7 +239,10 @@
         assertTrue(sent[1] > 0 && 2 * sent[1] <= sent[0], "sent: " + sent[1] + " and " + sent[0]);
     }
 
-    /** A limit that slow start kept from being met let all nodes fill a server as soon as it was warm. */
+    /**
+     * Guards against overload at the end of slow start: the limit had not been reached before, so it was still the
+     * initial one, and all nodes filled the server at once.
+     */
     @Test
     void serverThatHasJustWarmedUpIsNotFilledAtOnceWithKeyAffinity() {
         BalancerSettings settings = FakeNode.settings();
@@ -253,7 +260,10 @@
         assertTrue(node.sentTo("cold") <= 1, "sent at once by one of 14 nodes: " + node.sentTo("cold"));
     }
 
-    /** Before its load report was taken into account, a warming server was almost idle until its warm-up time ended. */
+    /**
+     * Guards against a warming server that stays almost idle until its warm-up ends, because its load reports are
+     * ignored.
+     */
     @Test
     void warmingServerThatReportsLittleLoadGetsMore() {
         long[] sent = new long[2];
