--- a/node/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/node/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -20,7 +20,7 @@
         return shed / 2_000.0;
     }
 
-    private void answers(int count, boolean onTime) {
+    private void recordResponses(int count, boolean onTime) {
         for (int i = 0; i < count; i++) {
             fixture.rules.onTimeRatio.record(onTime);
         }
@@ -28,14 +28,14 @@
 
     @Test
     void nothingIsShedWhereFewNodesShareAServer() {
-        answers(100, false);
+        recordResponses(100, false);
         assertEquals(0, shedShare(1));
     }
 
     @Test
-    void allButATwentiethIsShedWhenAllAnswersComeLate() {
+    void allButATwentiethIsShedWhenAllResponsesAreLate() {
         fixture.state.manyNodesPerServer = true;
-        answers(100, false);
+        recordResponses(100, false);
         assertEquals(0.95, shedShare(1), 0.02);
     }
 
@@ -43,15 +43,15 @@
     void lowValueIsShedFirst() {
         fixture.state.manyNodesPerServer = true;
         fixture.learnLatency(FakeNode.KEYED_ALL, 10_000);
-        answers(100, true);
-        answers(3, false);
+        recordResponses(100, true);
+        recordResponses(3, false);
         double highest = fixture.rules.priority.valueOf(1, FakeNode.KEYED_ALL);
         double shedOfHighest = shedShare(highest);
-        assertTrue(shedShare(highest / 10) > shedOfHighest + 0.2, "more than " + shedOfHighest);
+        assertTrue(shedShare(highest / 10) > shedOfHighest + 0.2, "share shed at the highest value: " + shedOfHighest);
     }
 
     @Test
-    void rankComparesWithTheHighestValueOfClassesWithAnswers() {
+    void relativeValueComparesWithTheHighestValueOfClassesWithResponses() {
         PendingRequest request = fixture.request(FakeNode.IDEMPOTENT);
         request.value = fixture.rules.priority.valueOf(1, FakeNode.IDEMPOTENT);
         assertEquals(1, fixture.rules.priority.relativeValue(request));
--- a/node/src/test/java/loadbalancer/policy/LawfulAttemptTest.java
+++ b/node/src/test/java/loadbalancer/policy/AllowedAttemptsTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Which attempts and final responses are allowed, in single cases; polling of the endpoint list; invalid input. */
-class LawfulAttemptTest {
+class AllowedAttemptsTest {
 
-    private static ServerEntry in(String id, int zone, int cell, ServerState state) {
+    private static ServerEntry entry(String id, int zone, int cell, ServerState state) {
         return new ServerEntry(id, zone, cell, state, 1, 0);
     }
 
@@ -42,12 +42,12 @@
         "4, CANCELLED, failed",
         "4, MOOT, again"
     })
-    void retriesFollowTheClass(int classIndex, AttemptResult result, String then) {
+    void retryOrFinalResponseDependsOnClassAndResult(int classIndex, AttemptResult result, String expected) {
         FakeNode node = new FakeNode().withServers(4);
         long id = node.request(classIndex);
         node.endAttempt(id, result, 1_000);
-        assertEquals(then.equals("again") ? 2 : 1, node.attempts(id));
-        assertEquals(then.equals("failed") ? List.of(id) : List.of(), node.failed);
+        assertEquals(expected.equals("again") ? 2 : 1, node.attempts(id));
+        assertEquals(expected.equals("failed") ? List.of(id) : List.of(), node.failed);
         assertEquals(List.of(), node.rejected);
     }
 
@@ -58,10 +58,10 @@
             node.deliverList(
                     ListKind.CACHED,
                     List.of(
-                            in("a", 0, 1, ServerState.READY),
-                            in("x", 1, 2, ServerState.READY),
-                            in("b", 0, 1, ServerState.READY),
-                            in("y", 1, 2, ServerState.READY)));
+                            entry("a", 0, 1, ServerState.READY),
+                            entry("x", 1, 2, ServerState.READY),
+                            entry("b", 0, 1, ServerState.READY),
+                            entry("y", 1, 2, ServerState.READY)));
             long id = node.request(classIndex);
             String first = node.lastAttempt(id).server();
             node.endAttempt(id, AttemptResult.RESET, 1_000);
@@ -72,9 +72,9 @@
     }
 
     @Test
-    void keyedRequestThatNeverRanMayGoAnywhere() {
+    void keyedRequestThatNeverRanMayGoToAnyServer() {
         FakeNode node = new FakeNode();
-        node.deliverList(ListKind.CACHED, List.of(in("a", 0, 1, ServerState.READY), in("x", 1, 2, ServerState.READY)));
+        node.deliverList(ListKind.CACHED, List.of(entry("a", 0, 1, ServerState.READY), entry("x", 1, 2, ServerState.READY)));
         long id = node.request(FakeNode.KEYED_CELL);
         node.endAttempt(id, AttemptResult.FULL, 1_000);
         assertEquals(2, node.attempts(id));
@@ -104,16 +104,16 @@
     }
 
     @Test
-    void timeOutAtTheDeadlineIsAnsweredAtOnceAndNothingFollows() {
+    void requestThatTimesOutAtItsDeadlineGetsItsFinalResponseAtOnce() {
         FakeNode node = new FakeNode().withServers(3);
-        long safe = node.request(FakeNode.IDEMPOTENT, 100_000);
-        long unsafe = node.request(FakeNode.NON_IDEMPOTENT, 100_000);
-        node.endAttempt(safe, AttemptResult.TIMEOUT, 100_000);
-        node.endAttempt(unsafe, AttemptResult.TIMEOUT, 0);
-        assertEquals(List.of(safe), node.rejected);
-        assertEquals(List.of(unsafe), node.failed);
+        long idempotent = node.request(FakeNode.IDEMPOTENT, 100_000);
+        long nonIdempotent = node.request(FakeNode.NON_IDEMPOTENT, 100_000);
+        node.endAttempt(idempotent, AttemptResult.TIMEOUT, 100_000);
+        node.endAttempt(nonIdempotent, AttemptResult.TIMEOUT, 0);
+        assertEquals(List.of(idempotent), node.rejected);
+        assertEquals(List.of(nonIdempotent), node.failed);
         node.advance(1_000_000);
-        assertEquals(1, node.attempts(safe));
+        assertEquals(1, node.attempts(idempotent));
     }
 
     @Test
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void clientThatHasGoneGetsNoFinalAnswer() {
+    void clientThatHasLeftGetsNoFinalResponse() {
         FakeNode node = new FakeNode().withServers(1);
         long id = node.request(FakeNode.IDEMPOTENT);
         node.balancer.onClientGone(node.now, id);
@@ -140,7 +140,7 @@
     void drainingAndRemovedServersGetNoAttempts() {
         for (ServerState state : new ServerState[] {ServerState.DRAINING, ServerState.GONE}) {
             FakeNode node = new FakeNode().withServers(2);
-            node.deliverList(ListKind.CHANGES, List.of(in("s0", 0, 0, state)));
+            node.deliverList(ListKind.CHANGES, List.of(entry("s0", 0, 0, state)));
             for (int i = 0; i < 50; i++) {
                 assertEquals(
                         "s1",
@@ -152,18 +152,18 @@
     }
 
     @Test
-    void removedServersAreForgotten() {
+    void removedServersAreDropped() {
         FakeNode node = new FakeNode().withServers(1);
         for (int i = 0; i < 500; i++) {
             node.deliverList(ListKind.CHANGES, List.of(FakeNode.server("t" + i)));
             node.completeRequest(FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR, 1_000);
-            node.deliverList(ListKind.CHANGES, List.of(in("t" + i, 0, 0, ServerState.GONE)));
+            node.deliverList(ListKind.CHANGES, List.of(entry("t" + i, 0, 0, ServerState.GONE)));
         }
         assertEquals(1, ((ServiceQBalancer) node.balancer).knownServers());
     }
 
     @Test
-    void fullListRemovesServersThatItLacks() {
+    void fullListRemovesMissingServers() {
         FakeNode node = new FakeNode().withServers(2);
         node.deliverList(ListKind.FULL, List.of(FakeNode.server("s1")));
         for (int i = 0; i < 20; i++) {
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void unansweredPollIsRepeatedWithinThePollInterval() {
+    void pollWithoutResponseIsRepeatedWithinThePollInterval() {
         BalancerSettings settings = FakeNode.settings();
         settings.pollsEndpointList = true;
         FakeNode node = new FakeNode(settings, 1).withServers(1);
@@ -199,8 +199,8 @@
 
     @Test
     void settingsAndRequestsOutOfRangeThrow() {
-        BalancerSettings none = new BalancerSettings();
-        assertThrows(IllegalArgumentException.class, () -> new FakeNode(none, 1));
+        BalancerSettings empty = new BalancerSettings();
+        assertThrows(IllegalArgumentException.class, () -> new FakeNode(empty, 1));
         BalancerSettings negative = FakeNode.settings();
         negative.warmUpUs = -1;
         assertThrows(IllegalArgumentException.class, () -> new FakeNode(negative, 1));
--- a/node/src/test/java/loadbalancer/policy/BalancerPathTest.java
+++ b/node/src/test/java/loadbalancer/policy/BalancerPathTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void tiesAreSpreadEvenlyWithoutErrors() {
+    void requestsAreSpreadEvenlyWithoutErrors() {
         FakeNode node = new FakeNode().withServers(4);
         Map<String, Integer> hits = new HashMap<>();
         for (int i = 0; i < 4_000; i++) {
@@ -40,18 +40,18 @@
     }
 
     @Test
-    void failureLowersTheWeightAndSuccessClearsIt() {
+    void lessBusyServerIsPickedDespiteAnError() {
         FakeNode node = new FakeNode().withServers(2);
         long id = node.request(FakeNode.NON_IDEMPOTENT);
-        String bad = node.lastAttempt(id).server();
+        String failing = node.lastAttempt(id).server();
         node.endAttempt(id, AttemptResult.ERROR, 1_000);
-        long held = node.request(FakeNode.IDEMPOTENT);
-        String other = node.lastAttempt(held).server();
+        long next = node.request(FakeNode.IDEMPOTENT);
+        String other = node.lastAttempt(next).server();
         // Despite the error both servers may be drawn; the one with fewer requests in flight is picked.
-        String emptier = other.equals("s0") ? "s1" : "s0";
+        String lessBusy = other.equals("s0") ? "s1" : "s0";
         assertEquals(
-                emptier, node.lastAttempt(node.request(FakeNode.IDEMPOTENT)).server());
-        assertTrue(List.of("s0", "s1").contains(bad));
+                lessBusy, node.lastAttempt(node.request(FakeNode.IDEMPOTENT)).server());
+        assertTrue(List.of("s0", "s1").contains(failing));
     }
 
     @Test
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void requestsWaitForAServerAndAreServedInOrder() {
+    void queuedRequestsAreSentInOrderOnceThereAreServers() {
         FakeNode node = new FakeNode().withServers(0);
         long first = node.request(FakeNode.NON_IDEMPOTENT);
         long second = node.request(FakeNode.IDEMPOTENT);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void serverAtItsLimitIsPassedOverAndTheQueueServesByValue() {
+    void serverAtItsLimitGetsNoRequestAndTheQueueIsServedByValue() {
         BalancerSettings settings = FakeNode.settings();
         settings.classes.add(new RequestClass(
                 "dear", 200_000, 0, 1_000_000, 9, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
@@ -112,15 +112,15 @@
         for (int i = 0; i < 5; i++) {
             ids.add(node.request(FakeNode.IDEMPOTENT));
         }
-        long dear = node.request(5);
+        long valuable = node.request(5);
         // The limit is two per server for each of two nodes: the fifth request and the one of high weight wait.
         assertEquals(4, node.sent.size());
         node.endAttempt(ids.get(0), AttemptResult.OK, 10_000);
-        assertEquals(dear, node.sent.get(4).request());
+        assertEquals(valuable, node.sent.get(4).request());
     }
 
     @Test
-    void slowAnswersLowerALimitAndQuickOnesRaiseIt() {
+    void slowResponsesLowerALimitAndQuickOnesRaiseIt() {
         FakeNode slow = new FakeNode().withServers(1);
         FakeNode fast = new FakeNode().withServers(1);
         for (int i = 0; i < 30; i++) {
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void serverWithALimitUnderOnePausesBetweenRequests() {
+    void serverWithALimitBelowOneIsPausedBetweenRequests() {
         BalancerSettings settings = FakeNode.settings();
         settings.nodes = 8;
         FakeNode node = new FakeNode(settings, 3).withServers(1);
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void nodeAmongManyHasNoMoreInFlightThanTheSumOfItsLimits() {
+    void requestsInFlightDoNotExceedTheSumOfAllLimits() {
         // Guards against overload of all servers when each node of a large fleet has one request in flight at every
         // server.
         BalancerSettings settings = FakeNode.settings();
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void answersFarSlowerThanTheLeastMeanLowerALimitHoweverLongTheObjective() {
+    void responsesFarSlowerThanTheLeastMeanLowerALimitDespiteALongObjective() {
         BalancerSettings settings = FakeNode.settings();
         settings.classes.add(new RequestClass(
                 "patient", 20_000_000, 0, 30_000_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
@@ -204,7 +204,7 @@
      * again.
      */
     @Test
-    void quickAnswersRaiseLimitsLessWhileOthersComeLate() {
+    void quickResponsesRaiseLimitsLessWhileOthersAreLate() {
         long[] sent = new long[2];
         for (int late = 0; late < 2; late++) {
             FakeNode node = new FakeNode().withServers(2);
@@ -214,9 +214,9 @@
                     burst.add(node.request(FakeNode.NON_IDEMPOTENT));
                 }
                 node.advance(4_000);
-                assertTrue(answerOne(node, burst, "s1"));
+                assertTrue(respondToOne(node, burst, "s1"));
                 node.advance(late == 1 ? 210_000 : 0);
-                assertTrue(answerOne(node, burst, "s0"));
+                assertTrue(respondToOne(node, burst, "s0"));
                 for (long id : burst) {
                     node.balancer.onClientGone(node.now, id);
                     if (node.lastAttempt(id) != null) {
@@ -231,10 +231,10 @@
             }
             sent[late] = node.sentTo("s1") - before;
         }
-        assertTrue(sent[1] < sent[0] * 2 / 3, "held by the quick server: " + sent[1] + " and " + sent[0]);
+        assertTrue(sent[1] < sent[0] * 2 / 3, "sent to the quick server: " + sent[1] + " and " + sent[0]);
     }
 
-    private static boolean answerOne(FakeNode node, List<Long> burst, String server) {
+    private static boolean respondToOne(FakeNode node, List<Long> burst, String server) {
         for (long id : burst) {
             if (node.lastAttempt(id) != null && node.lastAttempt(id).server().equals(server)) {
                 node.endAttempt(id, AttemptResult.OK, 0);
--- a/node/src/test/java/loadbalancer/policy/ChangedSettingsTest.java
+++ b/node/src/test/java/loadbalancer/policy/ChangedSettingsTest.java
@@ -9,12 +9,12 @@
 
 /** Settings that change while requests are open. */
 class ChangedSettingsTest {
-    private static final int NEW = 5;
+    private static final int NEW_CLASS = 5;
 
     /** The default test settings with one more class at the end. */
-    private static BalancerSettings withNew(Idempotency repeat) {
+    private static BalancerSettings withNewClass(Idempotency idempotency) {
         BalancerSettings settings = FakeNode.settings();
-        settings.classes.add(FakeNode.requestClass("safe", repeat, DeduplicationScope.ALL));
+        settings.classes.add(FakeNode.requestClass("safe", idempotency, DeduplicationScope.ALL));
         return settings;
     }
 
@@ -22,12 +22,12 @@
     void openRequestsKeepTheRulesOfTheirClassAndNewOnesHaveTheNewRules() {
         FakeNode node = new FakeNode().withServers(3);
         long before = node.request(FakeNode.IDEMPOTENT);
-        node.balancer.onSettings(node.now, withNew(Idempotency.NON_IDEMPOTENT));
-        long after = node.request(NEW);
+        node.balancer.onSettings(node.now, withNewClass(Idempotency.NON_IDEMPOTENT));
+        long after = node.request(NEW_CLASS);
         node.endAttempt(before, AttemptResult.RESET, 1_000);
         node.endAttempt(after, AttemptResult.RESET, 1_000);
-        assertEquals(2, node.attempts(before), "safe when it was asked");
-        assertEquals(1, node.attempts(after), "unsafe by now");
+        assertEquals(2, node.attempts(before), "idempotent when it arrived");
+        assertEquals(1, node.attempts(after), "non-idempotent under the new settings");
         assertEquals(List.of(after), node.failed);
     }
 
@@ -38,10 +38,10 @@
             node.advance(1);
         }
         node.requestWithKey(null, FakeNode.IDEMPOTENT, 600_000, false);
-        node.balancer.onSettings(node.now, withNew(Idempotency.NON_IDEMPOTENT));
-        node.requestWithKey(null, NEW, 300_000, false);
-        long again = node.requestWithKey(null, NEW, 300_000, true);
-        assertTrue(!node.rejected.contains(again), "it has what every try has: it is not late");
+        node.balancer.onSettings(node.now, withNewClass(Idempotency.NON_IDEMPOTENT));
+        node.requestWithKey(null, NEW_CLASS, 300_000, false);
+        long retry = node.requestWithKey(null, NEW_CLASS, 300_000, true);
+        assertTrue(!node.rejected.contains(retry), "has the remaining time of a first attempt, so it is not late");
     }
 
     @Test
@@ -66,21 +66,21 @@
     void serverHealthSurvivesChangedSettings() {
         FakeNode node = new FakeNode().withServers(3);
         node.failUntilEjected("s1");
-        node.balancer.onSettings(node.now, withNew(Idempotency.IDEMPOTENT));
+        node.balancer.onSettings(node.now, withNewClass(Idempotency.IDEMPOTENT));
         assertEquals(1, node.balancer.excludedServers(), "still ejected");
         long before = node.sentTo("s1");
         for (int i = 0; i < 50; i++) {
-            node.completeRequest(NEW, AttemptResult.OK, 1_000);
+            node.completeRequest(NEW_CLASS, AttemptResult.OK, 1_000);
         }
-        assertTrue(node.sentTo("s1") - before <= 2, "trials at most");
+        assertTrue(node.sentTo("s1") - before <= 2, "at most two trial requests");
     }
 
     @Test
     void invalidSettingsChangeNothing() {
         FakeNode node = new FakeNode().withServers(3);
-        BalancerSettings bad = FakeNode.settings();
-        bad.maxAttempts = 0;
-        assertThrows(IllegalArgumentException.class, () -> node.balancer.onSettings(node.now, bad));
+        BalancerSettings invalid = FakeNode.settings();
+        invalid.maxAttempts = 0;
+        assertThrows(IllegalArgumentException.class, () -> node.balancer.onSettings(node.now, invalid));
         long id = node.request(FakeNode.IDEMPOTENT);
         node.endAttempt(id, AttemptResult.RESET, 1_000);
         assertEquals(2, node.attempts(id));
@@ -107,7 +107,7 @@
         FakeNode node = new FakeNode().withServers(2);
         for (int i = 0; i < 200; i++) {
             long id = node.request(FakeNode.NON_IDEMPOTENT);
-            assertEquals(1, node.attempts(id), "request " + i + " waits");
+            assertEquals(1, node.attempts(id), "request " + i + " was not sent");
             node.advance(1_000);
             node.balancer.onFirstByte(node.now, id, 0);
         }
--- a/node/src/test/java/loadbalancer/policy/ConcurrencyLimiterTest.java
+++ b/node/src/test/java/loadbalancer/policy/ConcurrencyLimiterTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void limitGrowsOnlyIfItWasMetWhileTheAttemptWasInFlight() {
+    void limitGrowsOnlyIfItWasReachedWhileTheAttemptWasInFlight() {
         fixture.learnLatency(FakeNode.IDEMPOTENT, 10_000);
         end(fixture.sent(FakeNode.IDEMPOTENT, server, now), 10_000, LoadSignal.ANSWERED);
         assertEquals(4, server.limit);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void slowAnswersCutTheLimitOnceForAllThatWasSentBefore() {
+    void slowResponsesCutTheLimitOnceForAllAttemptsSentBefore() {
         PendingRequest first = fixture.sent(FakeNode.IDEMPOTENT, server, now);
         PendingRequest second = fixture.sent(FakeNode.IDEMPOTENT, server, now);
         end(first, 80_000, LoadSignal.ANSWERED);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void rejectedAttemptsAndTimeOutsCutMore() {
+    void rejectedAndTimedOutAttemptsCutTheLimitMore() {
         end(fixture.sent(FakeNode.IDEMPOTENT, server, now), 1_000, LoadSignal.REJECTED);
         assertEquals(4 * 0.7, server.limit, 1e-9);
         end(fixture.sent(FakeNode.IDEMPOTENT, server, now), 900_000, LoadSignal.TIMED_OUT);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void limitUnderOneMakesAPauseAfterEachAttempt() {
+    void limitBelowOnePausesTheServerAfterEachAttempt() {
         fixture.rules.serversInUse.setNodesPerServer(10);
         server.limit = 0.5;
         PendingRequest request = fixture.sent(FakeNode.IDEMPOTENT, server, now);
--- a/node/src/test/java/loadbalancer/policy/CordonTest.java
+++ b/node/src/test/java/loadbalancer/policy/CordonTest.java
@@ -15,12 +15,12 @@
     }
 
     @Test
-    void cordonedServerGetsNoAttemptsWhateverTheListSays() {
+    void cordonedServerGetsNoAttemptsRegardlessOfTheEndpointList() {
         FakeNode node = new FakeNode().withServers(3);
         cordon(node, "s1");
         assertEquals(1, node.balancer.excludedServers());
         node.deliverList(ListKind.CHANGES, List.of(new ServerEntry("s1", 0, 0, ServerState.GONE, 1, 0)));
-        assertEquals(0, node.balancer.excludedServers(), "not listed");
+        assertEquals(0, node.balancer.excludedServers(), "a server that is not listed is not counted");
         node.deliverList(ListKind.FULL, List.of(FakeNode.server("s0"), FakeNode.server("s1"), FakeNode.server("s2")));
         for (int i = 0; i < 200; i++) {
             long id = node.request(FakeNode.IDEMPOTENT);
@@ -48,13 +48,13 @@
     }
 
     @Test
-    void uncordonedServerWarmsUpWithItsErrorsForgotten() {
+    void uncordonedServerWarmsUpWithClearedErrors() {
         FakeNode node = new FakeNode().withServers(4);
         for (int i = 0; i < 400; i++) {
             long id = node.request(FakeNode.IDEMPOTENT);
-            boolean bad = node.lastAttempt(id).server().equals("s1");
-            node.endAttempt(id, bad ? AttemptResult.ERROR : AttemptResult.OK, 10_000);
-            if (bad) {
+            boolean failing = node.lastAttempt(id).server().equals("s1");
+            node.endAttempt(id, failing ? AttemptResult.ERROR : AttemptResult.OK, 10_000);
+            if (failing) {
                 node.endAttempt(id, AttemptResult.OK, 0);
             }
         }
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void uncordonedServerIsAsWarmAsTheListSays() {
+    void uncordonedServerIsWarmIfTheListReportedItsStart() {
         FakeNode node = new FakeNode().withServers(4);
         for (int i = 0; i < 400; i++) {
             node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
--- a/node/src/test/java/loadbalancer/policy/DecisionDigestTest.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionDigestTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.stream.Stream;
 import loadbalancer.policy.DecisionStream.Covered;
-import loadbalancer.policy.DecisionStream.Shape;
+import loadbalancer.policy.DecisionStream.StreamParameters;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -22,7 +22,7 @@
 
     private static final Set<Covered> COMMON = EnumSet.of(
             Covered.RETRY,
-            Covered.DEFERRED_THEN_SENT,
+            Covered.QUEUED_THEN_SENT,
             Covered.REJECTED,
             Covered.FAILED,
             Covered.EJECTED,
@@ -33,9 +33,9 @@
             Covered.CLIENT_LEFT,
             Covered.CORDONED,
             Covered.SETTINGS_CHANGED,
-            Covered.STALLED,
+            Covered.LATE_WAKE_UP,
             Covered.CLOSED_IDLE,
-            Covered.REJECTED_FOR_ROOM,
+            Covered.REJECTED_AS_LOWEST_VALUE,
             Covered.SHED_ON_ARRIVAL,
             Covered.EJECTED_FOR_CLASS,
             Covered.RESTORED_FOR_CLASS,
@@ -48,13 +48,13 @@
     }
 
     static Stream<Arguments> streams() {
-        Shape one = new Shape(1, 6, 1, 0, false, false, false, false, false, 1 + 1, Integer.MAX_VALUE, true);
-        Shape small = new Shape(3, 9, 2, 0.02, false, true, true, true, true, 4, 200, false);
-        Shape smallKeys = new Shape(3, 9, 2, 0.02, true, true, true, true, true, 4, 200, false);
-        Shape keysOneZone = new Shape(5, 12, 1, 0, true, false, true, true, false, 3, 100, false);
-        Shape hundred = new Shape(100, 60, 3, 0.02, false, true, true, true, true, 3, 100, false);
-        Shape hundredKeys = new Shape(100, 60, 3, 0.02, true, true, true, true, true, 3, 100, false);
-        Shape hundredOneZone = new Shape(100, 60, 1, 0, false, true, true, true, false, 3, 60, true);
+        StreamParameters one = new StreamParameters(1, 6, 1, 0, false, false, false, false, false, 1 + 1, Integer.MAX_VALUE, true);
+        StreamParameters small = new StreamParameters(3, 9, 2, 0.02, false, true, true, true, true, 4, 200, false);
+        StreamParameters smallKeys = new StreamParameters(3, 9, 2, 0.02, true, true, true, true, true, 4, 200, false);
+        StreamParameters keysOneZone = new StreamParameters(5, 12, 1, 0, true, false, true, true, false, 3, 100, false);
+        StreamParameters hundred = new StreamParameters(100, 60, 3, 0.02, false, true, true, true, true, 3, 100, false);
+        StreamParameters hundredKeys = new StreamParameters(100, 60, 3, 0.02, true, true, true, true, true, 3, 100, false);
+        StreamParameters hundredOneZone = new StreamParameters(100, 60, 1, 0, false, true, true, true, false, 3, 60, true);
         return Stream.of(
                 Arguments.of(
                         "one node",
@@ -102,13 +102,13 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("streams")
-    void decisionsAreTheSameToTheLastDraw(String name, Shape shape, long seed, String digest, Set<Covered> expected) {
-        DecisionStream stream = new DecisionStream(shape, seed);
+    void streamGivesTheRecordedDigest(String name, StreamParameters parameters, long seed, String digest, Set<Covered> expected) {
+        DecisionStream stream = new DecisionStream(parameters, seed);
         String found = stream.digest();
         assertAll(
                 () -> assertTrue(
                         stream.covered().keySet().containsAll(expected),
-                        () -> "the stream no longer shows all of " + expected + ": " + stream.covered()),
-                () -> assertEquals(digest, found, "what the balancer did"));
+                        () -> "the stream no longer covers all of " + expected + ": " + stream.covered()),
+                () -> assertEquals(digest, found, "digest of the balancer's actions"));
     }
 }
--- a/node/src/test/java/loadbalancer/policy/DecisionStream.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionStream.java
@@ -27,9 +27,9 @@
     enum Covered {
         RETRY,
         HEDGE,
-        DEFERRED_THEN_SENT,
+        QUEUED_THEN_SENT,
         REJECTED,
-        REJECTED_FOR_ROOM,
+        REJECTED_AS_LOWEST_VALUE,
         FAILED,
         CANCELLED,
         CLOSED_IDLE,
@@ -46,7 +46,7 @@
         CLIENT_LEFT,
         CORDONED,
         SETTINGS_CHANGED,
-        STALLED,
+        LATE_WAKE_UP,
         SHED_ON_ARRIVAL
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** The parameters that differ between streams. */
-    record Shape(
+    record StreamParameters(
             int nodes,
             int servers,
             int zones,
@@ -90,7 +90,7 @@
         long startedAtUs;
         Fault fault = Fault.NONE;
         int inFlight;
-        double background;
+        double backgroundLoad;
 
         SimulatedServer(String id, int zone, int cell) {
             this.id = id;
@@ -106,7 +106,7 @@
     private static final class Attempt {
         final SimulatedServer server;
         final long sentAtUs;
-        boolean over;
+        boolean ended;
 
         Attempt(SimulatedServer server, long sentAtUs) {
             this.server = server;
@@ -117,7 +117,7 @@
     private static final class OpenRequest {
         final int classIndex;
         final List<Attempt> attempts = new ArrayList<>();
-        boolean over;
+        boolean ended;
         boolean streaming;
 
         OpenRequest(int classIndex) {
@@ -127,7 +127,7 @@
 
     private record Event(long atUs, long order, Runnable action) {}
 
-    private final Shape shape;
+    private final StreamParameters parameters;
     private final SplittableRandom random;
     private final BalancerSettings settings;
     private final Balancer balancer;
@@ -144,10 +144,10 @@
     private long nextId = 1;
     private long arriving = -1;
     private double load = 1;
-    private boolean crowdLeaves;
+    private boolean clientsLeaveEarly;
 
-    DecisionStream(Shape shape, long seed) {
-        this.shape = shape;
+    DecisionStream(StreamParameters parameters, long seed) {
+        this.parameters = parameters;
         random = new SplittableRandom(seed);
         settings = settings(false);
         try {
@@ -160,24 +160,24 @@
 
     private BalancerSettings settings(boolean changed) {
         BalancerSettings settings = new BalancerSettings();
-        settings.nodes = shape.nodes;
-        settings.nodeIndex = shape.nodes / 3;
-        for (int zone = 0; zone < shape.zones; zone++) {
+        settings.nodes = parameters.nodes;
+        settings.nodeIndex = parameters.nodes / 3;
+        for (int zone = 0; zone < parameters.zones; zone++) {
             settings.zones.add("zone" + zone);
         }
-        settings.crossZoneCost = shape.crossZoneCost;
-        settings.keyAffinity = shape.keys;
-        settings.cancellation = shape.cancel;
-        settings.hedging = shape.hedges;
-        settings.pollsEndpointList = shape.poll;
-        settings.maxAttempts = shape.maxAttempts;
-        settings.maxOpen = shape.maxOpen;
-        settings.weightByWork = shape.weightByWork;
-        settings.maxRetryAfterUs = shape.poll ? 2_000_000 : 0;
+        settings.crossZoneCost = parameters.crossZoneCost;
+        settings.keyAffinity = parameters.keys;
+        settings.cancellation = parameters.cancel;
+        settings.hedging = parameters.hedges;
+        settings.pollsEndpointList = parameters.poll;
+        settings.maxAttempts = parameters.maxAttempts;
+        settings.maxOpen = parameters.maxOpen;
+        settings.weightByWork = parameters.weightByWork;
+        settings.maxRetryAfterUs = parameters.poll ? 2_000_000 : 0;
         settings.warmUpUs = 6_000_000;
         settings.tickUs = 2_000;
         settings.tenants.add(new Tenant("tenant"));
-        if (shape.reports) {
+        if (parameters.reports) {
             settings.reportFields.addAll(List.of(LoadReportField.UTILISATION, LoadReportField.IN_FLIGHT));
         }
         settings.classes.add(new RequestClass(
@@ -235,8 +235,8 @@
 
     /** Runs all phases and returns the digest of the balancer's actions. */
     String digest() {
-        for (int i = 0; i < shape.servers; i++) {
-            servers.put("s" + i, new SimulatedServer("s" + i, i % shape.zones, i % (2 * shape.zones)));
+        for (int i = 0; i < parameters.servers; i++) {
+            servers.put("s" + i, new SimulatedServer("s" + i, i % parameters.zones, i % (2 * parameters.zones)));
         }
         balancer.onServers(now, ListKind.CACHED, entries());
         schedulePhases();
@@ -275,7 +275,7 @@
                 () -> restart(0.4),
                 this::fullList,
                 () -> faults(Fault.ERRORS, 0.8),
-                () -> crowdLeaves = true,
+                () -> clientsLeaveEarly = true,
                 () -> {
                     load = 0.4;
                     faults(Fault.HANG, 0.15);
@@ -283,21 +283,21 @@
         long at = START_US + PHASE_US;
         for (Runnable phase : phases) {
             at(at, phase);
-            at(at + PHASE_US / 2, this::calm);
+            at(at + PHASE_US / 2, this::endPhase);
             at += PHASE_US;
         }
         long end = at;
         for (long poll = START_US + 700_000; poll < end; poll += 900_000) {
             at(poll, () -> balancer.onListFailed(now));
         }
-        for (long walk = START_US; walk < end; walk += 50_000) {
-            at(walk, this::walkBackground);
+        for (long atUs = START_US; atUs < end; atUs += 50_000) {
+            at(atUs, this::varyBackgroundLoad);
         }
     }
 
-    private void calm() {
+    private void endPhase() {
         load = 1;
-        crowdLeaves = false;
+        clientsLeaveEarly = false;
         servers.values().forEach(server -> server.fault = Fault.NONE);
         balancer.onCordoned(now, Set.of());
         List<ServerEntry> changes = new ArrayList<>();
@@ -338,7 +338,7 @@
     }
 
     private void fullList() {
-        servers.values().stream().limit(shape.servers / 4).forEach(server -> server.state = ServerState.GONE);
+        servers.values().stream().limit(parameters.servers / 4).forEach(server -> server.state = ServerState.GONE);
         balancer.onServers(now, ListKind.FULL, entries());
     }
 
@@ -356,19 +356,19 @@
                 cordoned.add(id);
             }
         });
-        cover(Covered.CORDONED);
+        markCovered(Covered.CORDONED);
         balancer.onCordoned(now, cordoned);
     }
 
     private void changeSettings() {
-        cover(Covered.SETTINGS_CHANGED);
+        markCovered(Covered.SETTINGS_CHANGED);
         balancer.onSettings(now, settings(true));
     }
 
-    private void walkBackground() {
+    private void varyBackgroundLoad() {
         servers.values()
-                .forEach(server -> server.background = Math.max(
-                        0, server.background + (random.nextDouble() - 0.5) * 3 + (2 * load - server.background) / 8));
+                .forEach(server -> server.backgroundLoad = Math.max(
+                        0, server.backgroundLoad + (random.nextDouble() - 0.5) * 3 + (2 * load - server.backgroundLoad) / 8));
     }
 
     // ---------------------------------------------------------------- requests and responses
@@ -387,9 +387,9 @@
         long id = nextId++;
         int draw = random.nextInt(20);
         int classIndex = draw < 10 ? 0 : draw < 13 ? 1 : draw < 15 ? 2 : draw < 17 ? 3 : 4;
-        boolean second = random.nextInt(10) == 0;
+        boolean retry = random.nextInt(10) == 0;
         long deadlineUs = settings.classes.get(classIndex).deadlineUs();
-        long remainingUs = second ? deadlineUs / 2 : deadlineUs * 2 / 3;
+        long remainingUs = retry ? deadlineUs / 2 : deadlineUs * 2 / 3;
         String key = random.nextInt(5) == 0 ? null : "key" + random.nextInt(80);
         long waitedUs = random.nextInt(50) == 0 ? random.nextInt(300_000) : 0;
         requests.put(id, new OpenRequest(classIndex));
@@ -402,20 +402,20 @@
                         random.nextInt(2) - 1,
                         remainingUs,
                         random.nextInt(20_000),
-                        second,
+                        retry,
                         key,
                         waitedUs));
         arriving = -1;
-        if (random.nextInt(crowdLeaves ? 2 : 25) == 0) {
-            at(now + random.nextInt(crowdLeaves ? 120_000 : 400_000), () -> clientLeaves(id));
+        if (random.nextInt(clientsLeaveEarly ? 2 : 25) == 0) {
+            at(now + random.nextInt(clientsLeaveEarly ? 120_000 : 400_000), () -> clientLeaves(id));
         }
     }
 
     private void clientLeaves(long id) {
         OpenRequest request = requests.get(id);
-        if (request != null && !request.over) {
-            request.over = true;
-            cover(Covered.CLIENT_LEFT);
+        if (request != null && !request.ended) {
+            request.ended = true;
+            markCovered(Covered.CLIENT_LEFT);
             balancer.onClientGone(now, id);
         }
     }
@@ -426,54 +426,54 @@
         SimulatedServer server = servers.get(serverId);
         int number = request.attempts.size();
         line("send", requestId + " " + serverId + " " + beginByUs + " " + untilUs);
-        coverSend(requestId, request, server, beginByUs);
+        markSendCovered(requestId, request, server, beginByUs);
         Attempt attempt = new Attempt(server, now);
         request.attempts.add(attempt);
         server.inFlight++;
         AttemptResult result = result(server, request.classIndex);
-        long tookUs = latencyUs(server, result);
-        if (result == AttemptResult.TIMEOUT || now + tookUs >= untilUs) {
+        long durationUs = latencyUs(server, result);
+        if (result == AttemptResult.TIMEOUT || now + durationUs >= untilUs) {
             at(untilUs, () -> finish(requestId, request, number, AttemptResult.TIMEOUT));
             return;
         }
         if (result == AttemptResult.OK && random.nextInt(15) == 0) {
-            at(now + tookUs / 2, () -> firstByte(requestId, request, number));
+            at(now + durationUs / 2, () -> firstByte(requestId, request, number));
         }
-        at(now + tookUs, () -> finish(requestId, request, number, result));
+        at(now + durationUs, () -> finish(requestId, request, number, result));
     }
 
-    private void coverSend(long requestId, OpenRequest request, SimulatedServer server, long beginByUs) {
+    private void markSendCovered(long requestId, OpenRequest request, SimulatedServer server, long beginByUs) {
         if (!request.attempts.isEmpty()) {
-            cover(request.attempts.stream().allMatch(attempt -> attempt.over) ? Covered.RETRY : Covered.HEDGE);
+            markCovered(request.attempts.stream().allMatch(attempt -> attempt.ended) ? Covered.RETRY : Covered.HEDGE);
         } else if (arriving != requestId) {
-            cover(Covered.DEFERRED_THEN_SENT);
+            markCovered(Covered.QUEUED_THEN_SENT);
         }
         if (ejected.contains(server.id)) {
-            cover(Covered.TRIAL_REQUEST);
+            markCovered(Covered.TRIAL_REQUEST);
         }
         if (server.startedAtUs > 0 && now < server.startedAtUs + settings.warmUpUs) {
-            cover(Covered.SENT_TO_WARMING);
+            markCovered(Covered.SENT_TO_WARMING);
         }
         if (server.zone != settings.localZone) {
-            cover(Covered.OTHER_ZONE);
+            markCovered(Covered.OTHER_ZONE);
         }
         if (beginByUs != NEVER) {
-            cover(Covered.DEDUPLICATION_BOUND);
+            markCovered(Covered.DEDUPLICATION_BOUND);
         }
     }
 
     private AttemptResult result(SimulatedServer server, int classIndex) {
-        boolean unlucky = random.nextInt(10) < 7;
+        boolean fails = random.nextInt(10) < 7;
         if (random.nextInt(150) == 0) {
             return AttemptResult.MOOT;
         }
         return switch (server.fault) {
-            case ERRORS -> unlucky ? AttemptResult.ERROR : AttemptResult.OK;
-            case CLASS_ERRORS -> unlucky && classIndex == 1 ? AttemptResult.ERROR : AttemptResult.OK;
-            case HANG -> unlucky ? AttemptResult.TIMEOUT : AttemptResult.OK;
+            case ERRORS -> fails ? AttemptResult.ERROR : AttemptResult.OK;
+            case CLASS_ERRORS -> fails && classIndex == 1 ? AttemptResult.ERROR : AttemptResult.OK;
+            case HANG -> fails ? AttemptResult.TIMEOUT : AttemptResult.OK;
             case UNREACHABLE -> AttemptResult.CONNECT_FAILED;
-            case RESETS -> unlucky ? AttemptResult.RESET : AttemptResult.OK;
-            case OVERLOADED -> unlucky ? AttemptResult.FULL : AttemptResult.OK;
+            case RESETS -> fails ? AttemptResult.RESET : AttemptResult.OK;
+            case OVERLOADED -> fails ? AttemptResult.FULL : AttemptResult.OK;
             case NONE -> server.inFlight > 20 ? AttemptResult.FULL : AttemptResult.OK;
         };
     }
@@ -482,39 +482,39 @@
         if (result != AttemptResult.OK) {
             return 500 + random.nextInt(3_000);
         }
-        double held = 1 + server.inFlight + server.background;
-        return (long) (4_000 + 9_000 * held * (0.3 + 1.4 * random.nextDouble()));
+        double concurrent = 1 + server.inFlight + server.backgroundLoad;
+        return (long) (4_000 + 9_000 * concurrent * (0.3 + 1.4 * random.nextDouble()));
     }
 
     private void firstByte(long requestId, OpenRequest request, int number) {
-        if (!request.over && !request.attempts.get(number).over && !request.streaming) {
+        if (!request.ended && !request.attempts.get(number).ended && !request.streaming) {
             request.streaming = true;
-            cover(Covered.FIRST_BYTE);
+            markCovered(Covered.FIRST_BYTE);
             balancer.onFirstByte(now, requestId, number);
         }
     }
 
     private void finish(long requestId, OpenRequest request, int number, AttemptResult result) {
         Attempt attempt = request.attempts.get(number);
-        if (attempt.over) {
+        if (attempt.ended) {
             return;
         }
-        attempt.over = true;
+        attempt.ended = true;
         attempt.server.inFlight--;
         if (result == AttemptResult.OK || request.streaming && result != AttemptResult.CANCELLED) {
-            request.over = true;
+            request.ended = true;
         }
-        LoadReport report = shape.reports && (result == AttemptResult.OK || result == AttemptResult.ERROR)
-                ? LoadReport.of(0.5, attempt.server.inFlight + Math.floor(attempt.server.background * 2))
+        LoadReport report = parameters.reports && (result == AttemptResult.OK || result == AttemptResult.ERROR)
+                ? LoadReport.of(0.5, attempt.server.inFlight + Math.floor(attempt.server.backgroundLoad * 2))
                 : null;
         balancer.onOutcome(
-                now, new AttemptOutcome(requestId, number, result, now - attempt.sentAtUs, request.over, report));
+                now, new AttemptOutcome(requestId, number, result, now - attempt.sentAtUs, request.ended, report));
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
         line("cancel", requestId + " " + attempt);
-        cover(Covered.CANCELLED);
+        markCovered(Covered.CANCELLED);
         OpenRequest request = requests.get(requestId);
         at(now + 1 + random.nextInt(200), () -> finish(requestId, request, attempt, AttemptResult.CANCELLED));
     }
@@ -522,30 +522,30 @@
     @Override
     public void reject(long requestId, long retryAfterUs) {
         line("reject", requestId + " " + retryAfterUs);
-        cover(Covered.REJECTED);
+        markCovered(Covered.REJECTED);
         if (arriving == requestId) {
-            cover(Covered.SHED_ON_ARRIVAL);
+            markCovered(Covered.SHED_ON_ARRIVAL);
         } else if (arriving >= 0) {
-            cover(Covered.REJECTED_FOR_ROOM);
+            markCovered(Covered.REJECTED_AS_LOWEST_VALUE);
         }
-        requests.get(requestId).over = true;
+        requests.get(requestId).ended = true;
     }
 
     @Override
     public void fail(long requestId) {
         line("fail", Long.toString(requestId));
-        cover(Covered.FAILED);
-        requests.get(requestId).over = true;
+        markCovered(Covered.FAILED);
+        requests.get(requestId).ended = true;
     }
 
     @Override
     public void wakeAt(long atUs) {
         line("wake", Long.toString(atUs));
-        boolean stalls = random.nextInt(400) == 0;
-        if (stalls) {
-            cover(Covered.STALLED);
+        boolean late = random.nextInt(400) == 0;
+        if (late) {
+            markCovered(Covered.LATE_WAKE_UP);
         }
-        at(atUs + (stalls ? 80_000 : random.nextInt(300)), () -> balancer.onWake(now));
+        at(atUs + (late ? 80_000 : random.nextInt(300)), () -> balancer.onWake(now));
     }
 
     @Override
@@ -556,26 +556,26 @@
     @Override
     public void closeIdle(String serverId) {
         line("close idle", serverId);
-        cover(Covered.CLOSED_IDLE);
+        markCovered(Covered.CLOSED_IDLE);
     }
 
     @Override
     public void subscribe() {
         line("poll", "");
-        cover(Covered.POLLED);
+        markCovered(Covered.POLLED);
     }
 
     @Override
     public void ejected(String serverId, int failures, String className) {
         line("log", FakeNode.ejection(serverId, failures, className));
-        cover(className == null ? Covered.EJECTED : Covered.EJECTED_FOR_CLASS);
+        markCovered(className == null ? Covered.EJECTED : Covered.EJECTED_FOR_CLASS);
         ejected.add(serverId);
     }
 
     @Override
     public void restored(String serverId, String className) {
         line("log", FakeNode.restoration(serverId, className));
-        cover(className == null ? Covered.RESTORED : Covered.RESTORED_FOR_CLASS);
+        markCovered(className == null ? Covered.RESTORED : Covered.RESTORED_FOR_CLASS);
         ejected.remove(serverId);
     }
 
@@ -585,8 +585,8 @@
         events.add(new Event(atUs, order++, action));
     }
 
-    private void cover(Covered what) {
-        covered.merge(what, 1, Integer::sum);
+    private void markCovered(Covered kind) {
+        covered.merge(kind, 1, Integer::sum);
     }
 
     private void line(String action, String detail) {
--- a/node/src/test/java/loadbalancer/policy/DeployFileTest.java
+++ b/node/src/test/java/loadbalancer/policy/DeployFileTest.java
@@ -17,36 +17,36 @@
  */
 class DeployFileTest {
     private static final Path PACKAGES = Path.of("node/src/main/java/loadbalancer");
-    private static final Path DECISIONS = PACKAGES.resolve("policy");
-    private static final Pattern FILE = Pattern.compile("\"(" + DECISIONS + "/[^\"]+)\"");
+    private static final Path POLICY = PACKAGES.resolve("policy");
+    private static final Pattern FILE = Pattern.compile("\"(" + POLICY + "/[^\"]+)\"");
     private static final Pattern PACKAGE = Pattern.compile("\"" + PACKAGES + "/([a-z]+)\"");
     /** Package policy has a list of its own; a node without a fleet does not load the other two. */
-    private static final Set<String> NOT_OF_A_NODE = Set.of("policy", "simulator", "membership");
+    private static final Set<String> NOT_LOADED_BY_NODE = Set.of("policy", "simulator", "membership");
 
     @Test
-    void policyNamesEveryFileOfTheDecisions() throws IOException {
-        List<String> named = FILE.matcher(Files.readString(Path.of("deploy/balancer.toml")))
+    void policyListsEveryFileOfThePackage() throws IOException {
+        List<String> listed = FILE.matcher(Files.readString(Path.of("deploy/balancer.toml")))
                 .results()
                 .map(match -> match.group(1))
                 .toList();
-        try (Stream<Path> files = Files.list(DECISIONS)) {
-            assertEquals(files.map(Path::toString).sorted().toList(), named);
+        try (Stream<Path> files = Files.list(POLICY)) {
+            assertEquals(files.map(Path::toString).sorted().toList(), listed);
         }
     }
 
     @Test
-    void nodeNamesEveryPackageOfANode() throws IOException {
-        List<String> named = PACKAGE.matcher(Files.readString(Path.of("deploy/balancer.toml")))
+    void nodeListsEveryPackageItLoads() throws IOException {
+        List<String> listed = PACKAGE.matcher(Files.readString(Path.of("deploy/balancer.toml")))
                 .results()
                 .map(match -> match.group(1))
                 .toList();
         try (Stream<Path> files = Files.list(PACKAGES)) {
             List<String> packages = files.filter(Files::isDirectory)
                     .map(folder -> folder.getFileName().toString())
-                    .filter(name -> !NOT_OF_A_NODE.contains(name))
+                    .filter(name -> !NOT_LOADED_BY_NODE.contains(name))
                     .sorted()
                     .toList();
-            assertEquals(packages, named);
+            assertEquals(packages, listed);
         }
     }
 }
--- a/node/src/test/java/loadbalancer/policy/EjectionTest.java
+++ b/node/src/test/java/loadbalancer/policy/EjectionTest.java
@@ -15,21 +15,21 @@
      * Sends one request and ends its attempts; {@code s0} fails, all others succeed. Returns whether it was sent to
      * {@code s0} first.
      */
-    private static boolean hitsFailingServer(FakeNode node, int classIndex) {
+    private static boolean sendsToFailingServer(FakeNode node, int classIndex) {
         long id = node.request(classIndex);
-        boolean bad = node.lastAttempt(id).server().equals("s0");
-        node.endAttempt(id, bad ? AttemptResult.ERROR : AttemptResult.OK, 5_000);
-        if (bad && node.attempts(id) > 1) {
+        boolean toFailing = node.lastAttempt(id).server().equals("s0");
+        node.endAttempt(id, toFailing ? AttemptResult.ERROR : AttemptResult.OK, 5_000);
+        if (toFailing && node.attempts(id) > 1) {
             node.endAttempt(id, AttemptResult.OK, 5_000);
         }
-        return bad;
+        return toFailing;
     }
 
     /** A node with four servers, after 400 requests of which {@code s0} has failed all that it received. */
     private static FakeNode withFailingServer() {
         FakeNode node = new FakeNode().withServers(4);
         for (int i = 0; i < 400; i++) {
-            hitsFailingServer(node, FakeNode.IDEMPOTENT);
+            sendsToFailingServer(node, FakeNode.IDEMPOTENT);
         }
         return node;
     }
@@ -41,27 +41,27 @@
     }
 
     @Test
-    void failingServerIsEjectedAndGetsTrialRequestsEverMoreSparingly() {
+    void failingServerIsEjectedAndGetsTrialRequestsAtGrowingIntervals() {
         FakeNode node = withFailingServer();
         assertEjected(node);
         int hits = 0;
         long from = node.now;
         while (node.now < from + 20_000_000) {
-            hits += hitsFailingServer(node, FakeNode.IDEMPOTENT) ? 1 : 0;
+            hits += sendsToFailingServer(node, FakeNode.IDEMPOTENT) ? 1 : 0;
         }
         assertTrue(hits >= 2 && hits <= 14, "trials in 20 s: " + hits);
     }
 
     /** Sends enough requests at once to fill the healthy servers; returns how many attempts went to {@code s0}. */
-    private static long overflow(FakeNode node, int classIndex, AttemptResult result) {
-        List<Long> crowd = new ArrayList<>();
+    private static long sentInOverload(FakeNode node, int classIndex, AttemptResult result) {
+        List<Long> requests = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            crowd.add(node.request(classIndex));
+            requests.add(node.request(classIndex));
         }
         long before = node.sentTo("s0");
         for (int round = 0; round < 100; round++) {
             node.advance(1_000);
-            for (long id : crowd) {
+            for (long id : requests) {
                 FakeNode.Sent last = node.lastAttempt(id);
                 if (last != null && last.server().equals("s0") && last.atUs() == node.now - 1_000) {
                     node.endAttempt(id, result, 0);
@@ -75,21 +75,21 @@
     void whenOthersAreFullServerWithErrorsGetsIdempotentRequestsButNotTheirLastAttempt() {
         FakeNode node = withFailingServer();
         assertEjected(node);
-        long sent = overflow(node, FakeNode.IDEMPOTENT, AttemptResult.ERROR);
-        assertTrue(sent >= 10, "sent as a last resort: " + sent);
+        long sent = sentInOverload(node, FakeNode.IDEMPOTENT, AttemptResult.ERROR);
+        assertTrue(sent >= 10, "sent as a fallback: " + sent);
         for (long id = 401; id <= 460; id++) {
             long request = id;
-            long toBad = node.sent.stream()
+            long toFailing = node.sent.stream()
                     .filter(s -> s.request() == request && s.server().equals("s0"))
                     .count();
-            assertTrue(toBad < node.settings.maxAttempts, "attempts of one request: " + toBad);
+            assertTrue(toFailing < node.settings.maxAttempts, "attempts of one request: " + toFailing);
         }
-        assertEquals(0, overflow(withFailingServer(), FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR), "unsafe");
+        assertEquals(0, sentInOverload(withFailingServer(), FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR), "non-idempotent requests sent");
     }
 
     @Test
-    void whenOthersAreFullServerWithoutAnswersGetsNothing() {
-        long sent = overflow(withFailingServer(), FakeNode.IDEMPOTENT, AttemptResult.RESET);
+    void whenOthersAreFullServerWithoutResponsesGetsNoRequests() {
+        long sent = sentInOverload(withFailingServer(), FakeNode.IDEMPOTENT, AttemptResult.RESET);
         assertTrue(sent <= 2, "sent: " + sent);
     }
 
@@ -98,7 +98,7 @@
         FakeNode node = withFailingServer();
         node.advance(20_000_000);
         for (int i = 0; i < 200; i++) {
-            assertTrue(!hitsFailingServer(node, FakeNode.NON_IDEMPOTENT));
+            assertTrue(!sendsToFailingServer(node, FakeNode.NON_IDEMPOTENT));
         }
     }
 
@@ -114,14 +114,14 @@
     }
 
     /**
-     * Sends an idempotent request and ends its attempts; returns how many went to the first {@code lost} servers, which
-     * fail.
+     * Sends an idempotent request and ends its attempts; returns how many went to the first {@code failingServers}
+     * servers, which fail.
      */
-    private static int attemptsAtLostServers(FakeNode node, int lost) {
+    private static int attemptsAtFailingServers(FakeNode node, int failingServers) {
         long id = node.request(FakeNode.IDEMPOTENT);
         int hits = 0;
-        for (int tried = 0; tried < node.attempts(id); tried++) {
-            boolean hit = Integer.parseInt(node.lastAttempt(id).server().substring(1)) < lost;
+        for (int attempt = 0; attempt < node.attempts(id); attempt++) {
+            boolean hit = Integer.parseInt(node.lastAttempt(id).server().substring(1)) < failingServers;
             hits += hit ? 1 : 0;
             node.endAttempt(id, hit ? AttemptResult.ERROR : AttemptResult.OK, 100);
         }
@@ -136,11 +136,11 @@
     void trialRequestsOfManyEjectedServersAreASmallShareOfRequests() {
         FakeNode node = new FakeNode().withServers(40);
         for (int i = 0; i < 2_000; i++) {
-            attemptsAtLostServers(node, 15);
+            attemptsAtFailingServers(node, 15);
         }
         int trials = 0;
         for (int i = 0; i < 250; i++) {
-            trials += attemptsAtLostServers(node, 15);
+            trials += attemptsAtFailingServers(node, 15);
             node.advance(20_000);
         }
         assertTrue(trials >= 4 && trials <= 25, "trials among 250 requests: " + trials);
@@ -151,21 +151,21 @@
      * endpoint list shows only later.
      */
     @Test
-    void returnedServerIsNotFilledAtOnceWithKeyAffinity() {
+    void restoredServerIsNotOverloadedAtOnceWithKeyAffinity() {
         BalancerSettings settings = FakeNode.settings();
         settings.nodes = 14;
         settings.keyAffinity = true;
         FakeNode node = new FakeNode(settings, 5).withServers(10);
-        boolean back = false;
+        boolean recovered = false;
         for (int i = 0; node.ejectionLog.stream().noneMatch(l -> l.equals("restored server s0")); i++) {
             assertTrue(i < 3_000, node.ejectionLog.toString());
             long id = node.requestWithKey("k" + i, FakeNode.IDEMPOTENT);
-            for (int tried = 0; tried < node.attempts(id); tried++) {
-                boolean fails = node.lastAttempt(id).server().equals("s0") && !back;
+            for (int attempt = 0; attempt < node.attempts(id); attempt++) {
+                boolean fails = node.lastAttempt(id).server().equals("s0") && !recovered;
                 node.endAttempt(id, fails ? AttemptResult.ERROR : AttemptResult.OK, 5_000);
             }
-            if (!back && node.ejectionLog.stream().anyMatch(l -> l.startsWith("ejected server s0"))) {
-                back = true;
+            if (!recovered && node.ejectionLog.stream().anyMatch(l -> l.startsWith("ejected server s0"))) {
+                recovered = true;
                 // No trial request is due before this time has passed.
                 node.advance(2_000_000);
             }
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void serverWithoutAnswersIsAvoidedBeforeAnyDeadlinePasses() {
+    void unresponsiveServerIsAvoidedBeforeAnyDeadlinePasses() {
         FakeNode node = new FakeNode().withServers(4);
         for (int i = 0; i < 100; i++) {
             node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
@@ -204,11 +204,11 @@
                 node.endAttempt(id, AttemptResult.OK, 10_000);
             }
         }
-        assertTrue(toUnresponsive <= 5, "sent to the silent server: " + toUnresponsive);
+        assertTrue(toUnresponsive <= 5, "sent to the unresponsive server: " + toUnresponsive);
     }
 
     @Test
-    void overloadedServerThatStillAnswersIsNotEjectedForTimeOuts() {
+    void overloadedServerThatStillRespondsIsNotEjectedForTimeouts() {
         FakeNode node = new FakeNode().withServers(2);
         for (int round = 0; round < 80; round++) {
             // Always sends one request more than the limits allow, so that the limits are reached and grow.
@@ -218,25 +218,25 @@
             } while (node.lastAttempt(burst.get(burst.size() - 1)) != null && burst.size() < 40);
             burst.forEach(id -> node.endAttempt(id, AttemptResult.OK, 100));
         }
-        List<Long> crowd = new ArrayList<>();
+        List<Long> requests = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
-            crowd.add(node.request(FakeNode.IDEMPOTENT, 30_000));
+            requests.add(node.request(FakeNode.IDEMPOTENT, 30_000));
         }
         for (String server : List.of("s0", "s1")) {
-            long answered = crowd.stream()
+            long responded = requests.stream()
                     .filter(id -> node.lastAttempt(id).server().equals(server))
                     .findFirst()
                     .get();
-            node.endAttempt(answered, AttemptResult.OK, 1_000);
-            crowd.remove(answered);
+            node.endAttempt(responded, AttemptResult.OK, 1_000);
+            requests.remove(responded);
         }
         node.advance(28_000);
-        crowd.forEach(id -> node.endAttempt(id, AttemptResult.TIMEOUT, 0));
+        requests.forEach(id -> node.endAttempt(id, AttemptResult.TIMEOUT, 0));
         assertTrue(node.ejectionLog.stream().noneMatch(l -> l.startsWith("ejected")), node.ejectionLog.toString());
     }
 
     @Test
-    void localServersComeFirstWhereCrossingZonesCostsAndOthersWhenTheyAreBusy() {
+    void localServersArePreferredWhereCrossingZonesHasACostUntilTheyAreBusy() {
         BalancerSettings settings = FakeNode.settings();
         settings.crossZoneCost = 0.02;
         FakeNode node = new FakeNode(settings, 5);
@@ -254,7 +254,7 @@
             long id = node.request(FakeNode.IDEMPOTENT);
             crossed += List.of("s0", "s1").contains(node.lastAttempt(id).server()) ? 0 : 1;
         }
-        assertTrue(crossed >= 6, "crossed " + crossed);
+        assertTrue(crossed >= 6, "requests that crossed zones: " + crossed);
     }
 
     @Test
--- a/node/src/test/java/loadbalancer/policy/EndpointListRefreshTest.java
+++ b/node/src/test/java/loadbalancer/policy/EndpointListRefreshTest.java
@@ -27,14 +27,14 @@
         long backoffUs = 250_000;
         for (int failures = 0; failures < 8; failures++) {
             refresh.onListFailed(0);
-            long pauseUs = refresh.nextPollAtUs();
-            assertTrue(pauseUs >= backoffUs / 2 && pauseUs < backoffUs * 3 / 2, pauseUs + " of " + backoffUs);
+            long delayUs = refresh.nextPollAtUs();
+            assertTrue(delayUs >= backoffUs / 2 && delayUs < backoffUs * 3 / 2, delayUs + " of " + backoffUs);
             backoffUs = Math.min(2 * backoffUs, 2_500_000);
         }
     }
 
     @Test
-    void listThatArrivesEndsThePolling() {
+    void receivedListEndsThePolling() {
         refresh.onListFailed(0);
         refresh.onList(ListKind.FULL, 1);
         assertEquals(Long.MAX_VALUE, refresh.nextPollAtUs());
--- a/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
@@ -21,51 +21,51 @@
     private static final int SERVERS = 6;
     private static final long WORK_US = 20_000;
     private static final long FAILURE_US = 1_000;
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
 
     /** The outcome of an attempt, and when it is due: once the server has finished, or when the node times out. */
     private record Due(long atUs, Sent sent, AttemptResult result) {}
 
     private final FakeNode node = new FakeNode().withServers(SERVERS);
     private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::atUs));
-    private final Map<String, Long> busyUntil = new HashMap<>();
-    private SplittableRandom chance = new SplittableRandom(11);
-    private int seen;
-    private int asked;
-    private int servedInTime;
+    private final Map<String, Long> busyUntilUs = new HashMap<>();
+    private SplittableRandom random = new SplittableRandom(11);
+    private int scheduledCount;
+    private int requestCount;
+    private int servedOnTime;
     /** Non-idempotent requests that failed, which may not be retried. */
-    private int lost;
+    private int lostNonIdempotent;
     /** Attempts that failed at the first server. */
-    private int drawn;
+    private int failedAtFirstServer;
 
     /** Sends requests at regular intervals for this time; server s0 fails this share of its requests. */
-    private void play(long forUs, long requestIntervalUs, double failing) {
-        long until = node.now + forUs;
+    private void run(long durationUs, long intervalUs, double failureShare) {
+        long until = node.now + durationUs;
         long nextAt = node.now;
         while (nextAt < until) {
             long at = due.isEmpty() ? nextAt : Math.min(nextAt, due.peek().atUs);
             node.advance(Math.max(0, at - node.now));
-            take(failing);
+            scheduleOutcomes(failureShare);
             if (!due.isEmpty() && due.peek().atUs <= node.now) {
-                end(due.poll());
+                endAttempt(due.poll());
             } else if (nextAt <= node.now) {
-                node.request(asked++ % 5 < 3 ? FakeNode.IDEMPOTENT : FakeNode.NON_IDEMPOTENT);
-                nextAt += requestIntervalUs;
+                node.request(requestCount++ % 5 < 3 ? FakeNode.IDEMPOTENT : FakeNode.NON_IDEMPOTENT);
+                nextAt += intervalUs;
             }
-            take(failing);
+            scheduleOutcomes(failureShare);
         }
     }
 
-    private void take(double failing) {
-        for (; seen < node.sent.size(); seen++) {
-            Sent sent = node.sent.get(seen);
-            if (sent.server().equals("s0") && chance.nextDouble() < failing) {
+    private void scheduleOutcomes(double failureShare) {
+        for (; scheduledCount < node.sent.size(); scheduledCount++) {
+            Sent sent = node.sent.get(scheduledCount);
+            if (sent.server().equals("s0") && random.nextDouble() < failureShare) {
                 due.add(new Due(sent.atUs() + FAILURE_US, sent, AttemptResult.ERROR));
                 continue;
             }
-            long from = Math.max(sent.atUs(), busyUntil.getOrDefault(sent.server(), 0L));
-            long done = from + (long) (WORK_US * (0.5 + chance.nextDouble()));
-            busyUntil.put(sent.server(), done);
+            long from = Math.max(sent.atUs(), busyUntilUs.getOrDefault(sent.server(), 0L));
+            long done = from + (long) (WORK_US * (0.5 + random.nextDouble()));
+            busyUntilUs.put(sent.server(), done);
             due.add(
                     done < sent.untilUs()
                             ? new Due(done, sent, AttemptResult.OK)
@@ -73,13 +73,13 @@
         }
     }
 
-    private void end(Due ended) {
+    private void endAttempt(Due ended) {
         long latency = node.now - ended.sent.atUs();
         // Requests are numbered from 1 in the order sent; see {@link #run}.
-        boolean unsafe = (ended.sent.request() - 1) % 5 >= 3;
-        drawn += ended.result == AttemptResult.ERROR ? 1 : 0;
-        lost += ended.result == AttemptResult.ERROR && unsafe ? 1 : 0;
-        servedInTime += ended.result == AttemptResult.OK && latency < 200_000 ? 1 : 0;
+        boolean nonIdempotent = (ended.sent.request() - 1) % 5 >= 3;
+        failedAtFirstServer += ended.result == AttemptResult.ERROR ? 1 : 0;
+        lostNonIdempotent += ended.result == AttemptResult.ERROR && nonIdempotent ? 1 : 0;
+        servedOnTime += ended.result == AttemptResult.OK && latency < 200_000 ? 1 : 0;
         node.balancer.onOutcome(
                 node.now,
                 new AttemptOutcome(
@@ -98,13 +98,13 @@
      */
     @ParameterizedTest
     @CsvSource({"1, 11", "1, 12", "0.9, 11", "0.7, 11", "0.7, 12", "0.5, 11", "0.5, 12", "0.5, 13"})
-    void serverThatFailsAtOnceGetsHardlyAnyNonIdempotentRequests(double failing, long seed) {
-        chance = new SplittableRandom(seed);
-        play(10 * SECOND, 5_000, 0);
-        int before = asked;
-        play(20 * SECOND, 2_000, failing);
-        double unsafe = 0.4 * (asked - before);
-        assertTrue(lost <= 0.025 * unsafe, "lost: " + lost + " of " + unsafe);
+    void serverThatFailsImmediatelyGetsAtMostOneInFortyNonIdempotentRequests(double failureShare, long seed) {
+        random = new SplittableRandom(seed);
+        run(10 * SECOND_US, 5_000, 0);
+        int before = requestCount;
+        run(20 * SECOND_US, 2_000, failureShare);
+        double nonIdempotent = 0.4 * (requestCount - before);
+        assertTrue(lostNonIdempotent <= 0.025 * nonIdempotent, "non-idempotent requests lost: " + lostNonIdempotent + " of " + nonIdempotent);
     }
 
     /**
@@ -114,22 +114,22 @@
      */
     @ParameterizedTest
     @CsvSource({"1, 11", "1, 12", "1, 13"})
-    void serverThatFailsEverythingAtOnceGetsNoMoreThanItsTrialRequests(double failing, long seed) {
-        chance = new SplittableRandom(seed);
-        play(10 * SECOND, 5_000, 0);
-        int before = asked;
-        play(20 * SECOND, 2_000, failing);
-        assertTrue(drawn <= 0.05 * (asked - before), "drawn: " + drawn + " of " + (asked - before));
+    void serverThatFailsEverythingImmediatelyGetsAtMostOneInTwentyRequests(double failureShare, long seed) {
+        random = new SplittableRandom(seed);
+        run(10 * SECOND_US, 5_000, 0);
+        int before = requestCount;
+        run(20 * SECOND_US, 2_000, failureShare);
+        assertTrue(failedAtFirstServer <= 0.05 * (requestCount - before), "failed at the first server: " + failedAtFirstServer + " of " + (requestCount - before));
     }
 
     /** After the overload the load is two thirds of the capacity. */
     @Test
-    void allIsServedOnTimeOneSecondAfterAnOverload() {
-        play(10 * SECOND, 5_000, 0);
-        play(20 * SECOND, 2_000, 0.7);
-        play(SECOND, 5_000, 0);
-        int before = servedInTime;
-        play(5 * SECOND, 5_000, 0);
-        assertTrue(servedInTime - before >= 0.98 * 1_000, "served in time: " + (servedInTime - before));
+    void nearlyAllRequestsAreOnTimeOneSecondAfterAnOverload() {
+        run(10 * SECOND_US, 5_000, 0);
+        run(20 * SECOND_US, 2_000, 0.7);
+        run(SECOND_US, 5_000, 0);
+        int before = servedOnTime;
+        run(5 * SECOND_US, 5_000, 0);
+        assertTrue(servedOnTime - before >= 0.98 * 1_000, "served on time: " + (servedOnTime - before));
     }
 }
--- a/node/src/test/java/loadbalancer/policy/FakeNode.java
+++ b/node/src/test/java/loadbalancer/policy/FakeNode.java
@@ -24,7 +24,7 @@
     final List<String> probed = new ArrayList<>();
     int subscriptions;
     long now = 1_000_000;
-    private final List<Long> wakes = new ArrayList<>();
+    private final List<Long> wakeUps = new ArrayList<>();
     private long nextId = 1;
     Balancer balancer;
 
@@ -53,8 +53,8 @@
         return settings;
     }
 
-    static RequestClass requestClass(String name, Idempotency repeat, DeduplicationScope group) {
-        return new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, repeat, group, 400_000, false);
+    static RequestClass requestClass(String name, Idempotency idempotency, DeduplicationScope scope) {
+        return new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, idempotency, scope, 400_000, false);
     }
 
     static ServerEntry server(String id) {
@@ -89,9 +89,9 @@
         return requestWithKey(key, classIndex, 1_000_000, false);
     }
 
-    long requestWithKey(String key, int classIndex, long remainingUs, boolean repeat) {
+    long requestWithKey(String key, int classIndex, long remainingUs, boolean retry) {
         long id = nextId++;
-        balancer.onRequest(now, new BalancerRequest(id, classIndex, 0, remainingUs, 0, repeat, key));
+        balancer.onRequest(now, new BalancerRequest(id, classIndex, 0, remainingUs, 0, retry, key));
         return id;
     }
 
@@ -135,9 +135,9 @@
     void failUntilEjected(String server) {
         while (balancer.excludedServers() == 0) {
             long id = request(IDEMPOTENT);
-            boolean bad = lastAttempt(id).server.equals(server);
-            endAttempt(id, bad ? AttemptResult.ERROR : AttemptResult.OK, 1_000);
-            if (bad) {
+            boolean toFailing = lastAttempt(id).server.equals(server);
+            endAttempt(id, toFailing ? AttemptResult.ERROR : AttemptResult.OK, 1_000);
+            if (toFailing) {
                 endAttempt(id, AttemptResult.OK, 1_000);
             }
         }
@@ -147,11 +147,11 @@
     void advance(long us) {
         long until = now + us;
         while (true) {
-            long first = wakes.stream().mapToLong(w -> w).min().orElse(Long.MAX_VALUE);
+            long first = wakeUps.stream().mapToLong(w -> w).min().orElse(Long.MAX_VALUE);
             if (first > until) {
                 break;
             }
-            wakes.remove(first);
+            wakeUps.remove(first);
             now = Math.max(now, first);
             balancer.onWake(now);
         }
@@ -180,7 +180,7 @@
 
     @Override
     public void wakeAt(long atUs) {
-        wakes.add(atUs);
+        wakeUps.add(atUs);
     }
 
     @Override
--- a/node/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
+++ b/node/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void attemptIsUnresponsiveAfterFourMeanLatenciesAndFoundOnce() {
+    void attemptIsUnresponsiveAfterFourMeanLatenciesAndReportedOnce() {
         fixture.learnLatency(FakeNode.IDEMPOTENT, 10_000);
         PendingRequest request = sent();
         assertEquals(UNRESPONSIVE_AT_US, hedging.nextCheckAtUs(0));
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void whatHasEndedOrBegunToFlowIsNotUnresponsive() {
+    void endedOrBoundAttemptsAreNotUnresponsive() {
         fixture.learnLatency(FakeNode.IDEMPOTENT, 10_000);
         sent().recordResult(0, AttemptResult.OK);
         sent().boundAttempt = 0;
--- a/node/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/node/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -17,13 +17,13 @@
     private static final int SERVERS = 20;
     private static final int KEYS = 400;
 
-    private static FakeNode node(int me, boolean keyAffinity) {
+    private static FakeNode node(int nodeIndex, boolean keyAffinity) {
         BalancerSettings settings = FakeNode.settings();
         settings.nodes = 4;
-        settings.nodeIndex = me;
+        settings.nodeIndex = nodeIndex;
         settings.keyAffinity = keyAffinity;
         settings.crossZoneCost = 0.01;
-        return new FakeNode(settings, 50 + me).withServers(SERVERS);
+        return new FakeNode(settings, 50 + nodeIndex).withServers(SERVERS);
     }
 
     private static String serve(FakeNode node, String key, AttemptResult result) {
@@ -33,41 +33,41 @@
         return server;
     }
 
-    private static Map<String, String> placesOf(FakeNode node) {
-        Map<String, String> places = new HashMap<>();
+    private static Map<String, String> serversByKey(FakeNode node) {
+        Map<String, String> serverByKey = new HashMap<>();
         for (int k = 0; k < KEYS; k++) {
-            places.put("k" + k, serve(node, "k" + k, AttemptResult.OK));
+            serverByKey.put("k" + k, serve(node, "k" + k, AttemptResult.OK));
         }
-        return places;
+        return serverByKey;
     }
 
     @Test
     void everyNodeSendsAKeyToTheSameServerWhileNothingIsInFlight() {
-        Map<String, String> places = placesOf(node(0, true));
-        assertEquals(places, placesOf(node(1, true)));
-        Map<String, Integer> keysOf = new HashMap<>();
-        places.values().forEach(s -> keysOf.merge(s, 1, Integer::sum));
-        assertEquals(SERVERS, keysOf.size());
-        keysOf.forEach((s, n) -> assertTrue(n >= 6 && n <= 40, s + " has " + n + " of 400 keys"));
+        Map<String, String> serverByKey = serversByKey(node(0, true));
+        assertEquals(serverByKey, serversByKey(node(1, true)));
+        Map<String, Integer> keyCounts = new HashMap<>();
+        serverByKey.values().forEach(s -> keyCounts.merge(s, 1, Integer::sum));
+        assertEquals(SERVERS, keyCounts.size());
+        keyCounts.forEach((s, n) -> assertTrue(n >= 6 && n <= 40, s + " has " + n + " of 400 keys"));
     }
 
     @Test
-    void keyStaysLocalWhereCrossingZonesCostsUntilItsServersAreBusy() {
+    void keyStaysLocalWhereCrossingZonesHasACostUntilItsServersAreBusy() {
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             entries.add(new ServerEntry("s" + i, i % 4 == 0 ? 0 : 1, 0, ServerState.READY, 1, 0));
         }
         FakeNode node = node(0, true).deliverList(ListKind.FULL, entries);
         FakeNode other = node(1, true).deliverList(ListKind.FULL, entries);
-        Map<String, String> places = placesOf(node);
-        assertEquals(places, placesOf(other), "nodes of a zone send a key to the same server");
-        assertEquals(Set.of("s0", "s4", "s8", "s12", "s16"), new HashSet<>(places.values()));
+        Map<String, String> serverByKey = serversByKey(node);
+        assertEquals(serverByKey, serversByKey(other), "nodes of a zone send a key to the same server");
+        assertEquals(Set.of("s0", "s4", "s8", "s12", "s16"), new HashSet<>(serverByKey.values()));
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 16; i++) {
             used.add(node.lastAttempt(node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT))
                     .server());
         }
-        assertTrue(!places.values().containsAll(used), "crowded near servers keep it: " + used);
+        assertTrue(!serverByKey.values().containsAll(used), "busy local servers still receive all requests: " + used);
     }
 
     @Test
@@ -104,9 +104,9 @@
     @Test
     void removedServerMovesItsOwnKeysAndFewOthers() {
         FakeNode node = node(0, true);
-        Map<String, String> before = placesOf(node);
+        Map<String, String> before = serversByKey(node);
         node.deliverList(ListKind.CHANGES, List.of(new ServerEntry("s7", 0, 0, ServerState.GONE, 1, 0)));
-        Map<String, String> after = placesOf(node);
+        Map<String, String> after = serversByKey(node);
         long moved = before.keySet().stream()
                 .filter(k -> !before.get(k).equals("s7") && !before.get(k).equals(after.get(k)))
                 .count();
@@ -117,7 +117,7 @@
     @Test
     void serverWithErrorsLosesKeysAndTheOthersKeepTheirs() {
         FakeNode node = node(0, true);
-        Map<String, String> before = placesOf(node);
+        Map<String, String> before = serversByKey(node);
         String key = before.keySet().stream()
                 .sorted()
                 .filter(k -> before.get(k).equals("s3"))
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void keyWaitsWhenItsServersAreFull() {
+    void requestWaitsWhenTheServersOfItsKeyAreFull() {
         FakeNode node = node(0, true);
         Map<String, Integer> used = new HashMap<>();
         long id = 0;
@@ -184,16 +184,16 @@
     /** Guards against retries at servers that have not cached the key, after a burst of rejections. */
     @Test
     void rejectedRequestIsRetriedAtItsKeysServers() {
-        List<List<String>> paths = new ArrayList<>();
-        for (int me = 0; me < 4; me++) {
-            FakeNode node = node(me, true);
+        List<List<String>> attemptedServers = new ArrayList<>();
+        for (int nodeIndex = 0; nodeIndex < 4; nodeIndex++) {
+            FakeNode node = node(nodeIndex, true);
             long id = node.requestWithKey("hot", FakeNode.NON_IDEMPOTENT);
             node.endAttempt(id, AttemptResult.FULL, 1_000);
             node.endAttempt(id, AttemptResult.FULL, 1_000);
-            paths.add(node.sent.stream().map(FakeNode.Sent::server).toList());
+            attemptedServers.add(node.sent.stream().map(FakeNode.Sent::server).toList());
         }
-        assertEquals(3, new HashSet<>(paths.get(0)).size());
+        assertEquals(3, new HashSet<>(attemptedServers.get(0)).size());
         // All nodes retry at the same servers.
-        assertEquals(1, new HashSet<>(paths).size());
+        assertEquals(1, new HashSet<>(attemptedServers).size());
     }
 }
--- a/node/src/test/java/loadbalancer/policy/LargeFleetTest.java
+++ b/node/src/test/java/loadbalancer/policy/LargeFleetTest.java
@@ -18,19 +18,19 @@
     private static final int NODES = 240;
     private static final int SERVERS = 40;
 
-    private static FakeNode node(int me) {
+    private static FakeNode node(int nodeIndex) {
         BalancerSettings settings = FakeNode.settings();
         settings.nodes = NODES;
-        settings.nodeIndex = me;
-        return new FakeNode(settings, 100 + me);
+        settings.nodeIndex = nodeIndex;
+        return new FakeNode(settings, 100 + nodeIndex);
     }
 
     /** The servers that a node sends to when all respond quickly and requests come one at a time. */
-    private static Set<String> inUse(FakeNode node) {
-        return inUse(node, 100);
+    private static Set<String> serversInUse(FakeNode node) {
+        return serversInUse(node, 100);
     }
 
-    private static Set<String> inUse(FakeNode node, int requests) {
+    private static Set<String> serversInUse(FakeNode node, int requests) {
         Set<String> servers = new HashSet<>();
         for (int i = 0; i < requests; i++) {
             servers.add(node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 5_000));
@@ -52,66 +52,66 @@
      * a fleet, and both must select the same subsets.
      */
     @Test
-    void subsetsStayTheSameFromVersionToVersion() {
+    void subsetsAreTheSameInEveryVersion() {
         BalancerSettings settings = FakeNode.settings();
         settings.nodes = 1_200;
         settings.nodeIndex = 7;
         FakeNode node = new FakeNode(settings, 7);
-        Set<String> used = inUse(node.withServers(2_000), 3_000);
+        Set<String> used = serversInUse(node.withServers(2_000), 3_000);
         assertEquals(40, used.size(), used.toString());
         assertEquals(-1973667710, new TreeSet<>(used).hashCode(), used.toString());
     }
 
     @Test
     void nodesOfALargeFleetUseSubsetsThatShareServersEvenly() {
-        Map<String, Integer> nodesOf = new HashMap<>();
-        for (int me = 0; me < NODES; me++) {
-            Set<String> used = inUse(node(me).withServers(SERVERS));
-            assertTrue(used.size() >= 3 && used.size() <= 5, "node " + me + " uses " + used);
-            used.forEach(s -> nodesOf.merge(s, 1, Integer::sum));
+        Map<String, Integer> nodeCounts = new HashMap<>();
+        for (int nodeIndex = 0; nodeIndex < NODES; nodeIndex++) {
+            Set<String> used = serversInUse(node(nodeIndex).withServers(SERVERS));
+            assertTrue(used.size() >= 3 && used.size() <= 5, "node " + nodeIndex + " uses " + used);
+            used.forEach(s -> nodeCounts.merge(s, 1, Integer::sum));
         }
-        assertEquals(SERVERS, nodesOf.size());
-        nodesOf.forEach((s, n) -> assertTrue(n >= 16 && n <= 36, s + " is shared by " + n));
+        assertEquals(SERVERS, nodeCounts.size());
+        nodeCounts.forEach((s, n) -> assertTrue(n >= 16 && n <= 36, s + " is shared by " + n));
     }
 
     @Test
     void subsetsShrinkWithTheFleet() {
-        Map<String, Integer> nodesOf = new HashMap<>();
-        for (int me = 0; me < NODES; me++) {
-            inUse(node(me).withServers(8)).forEach(s -> nodesOf.merge(s, 1, Integer::sum));
+        Map<String, Integer> nodeCounts = new HashMap<>();
+        for (int nodeIndex = 0; nodeIndex < NODES; nodeIndex++) {
+            serversInUse(node(nodeIndex).withServers(8)).forEach(s -> nodeCounts.merge(s, 1, Integer::sum));
         }
-        nodesOf.forEach((s, n) -> assertTrue(n <= 80, s + " is shared by " + n));
+        nodeCounts.forEach((s, n) -> assertTrue(n <= 80, s + " is shared by " + n));
     }
 
     @Test
     void smallFleetUsesAllServers() {
         BalancerSettings settings = FakeNode.settings();
         settings.nodes = 5;
-        assertEquals(20, inUse(new FakeNode(settings, 3).withServers(20)).size());
+        assertEquals(20, serversInUse(new FakeNode(settings, 3).withServers(20)).size());
     }
 
     @Test
-    void removedServerMovesFewPlacesAndItsConnectionsAreClosed() {
+    void removedServerMovesFewOthersAndConnectionsToUnusedServersAreClosed() {
         int moved = 0;
-        for (int me = 0; me < 60; me++) {
-            FakeNode node = node(me).withServers(SERVERS);
-            Set<String> before = inUse(node);
+        for (int nodeIndex = 0; nodeIndex < 60; nodeIndex++) {
+            FakeNode node = node(nodeIndex).withServers(SERVERS);
+            Set<String> before = serversInUse(node);
             node.closedIdle.clear();
             node.deliverList(ListKind.CHANGES, List.of(new ServerEntry("s7", 0, 0, ServerState.GONE, 1, 0)));
-            Set<String> after = inUse(node);
+            Set<String> after = serversInUse(node);
             assertFalse(after.contains("s7"));
             for (String server : before) {
                 assertEquals(!after.contains(server), node.closedIdle.contains(server), server);
                 moved += after.contains(server) || server.equals("s7") ? 0 : 1;
             }
         }
-        assertTrue(moved < 60, "places moved: " + moved + " of 240");
+        assertTrue(moved < 60, "servers that left subsets: " + moved + " of 240");
     }
 
     @Test
-    void slowServerGetsLessFromANodeThatSharesItWithMany() {
+    void slowServerGetsFewerRequestsWhereManyNodesShareIt() {
         FakeNode node = node(1).withServers(SERVERS);
-        String slow = inUse(node).stream().sorted().findFirst().orElseThrow();
+        String slow = serversInUse(node).stream().sorted().findFirst().orElseThrow();
         int hits = 0;
         for (int i = 0; i < 400; i++) {
             long id = node.request(FakeNode.IDEMPOTENT);
@@ -125,20 +125,20 @@
     }
 
     @Test
-    void lateAnswersMakeANodeOfManyShedLoad() {
+    void lateResponsesMakeANodeOfALargeFleetShedLoad() {
         FakeNode node = node(2).withServers(SERVERS);
-        inUse(node);
-        int refusedAtOnce = 0;
+        serversInUse(node);
+        int rejectedAtOnce = 0;
         for (int i = 0; i < 200; i++) {
             int before = node.rejected.size();
             long id = node.request(FakeNode.NON_IDEMPOTENT);
-            refusedAtOnce += node.rejected.size() - before;
+            rejectedAtOnce += node.rejected.size() - before;
             if (node.attempts(id) > 0) {
                 node.endAttempt(id, AttemptResult.OK, 300_000);
             }
             node.advance(4_000_000);
         }
-        assertTrue(refusedAtOnce > 100 && refusedAtOnce < 200, "rejected at once: " + refusedAtOnce);
+        assertTrue(rejectedAtOnce > 100 && rejectedAtOnce < 200, "rejected at once: " + rejectedAtOnce);
         // Some requests are still admitted, so the node detects that responses are on time again.
         for (int i = 0; i < 400; i++) {
             long id = node.request(FakeNode.NON_IDEMPOTENT);
@@ -148,16 +148,16 @@
             node.advance(4_000_000);
         }
         int rejected = node.rejected.size();
-        inUse(node);
+        serversInUse(node);
         assertEquals(rejected, node.rejected.size());
     }
 
     @Test
-    void nodeOfManySendsABurstAheadWhileItsAnswersAreOnTime() {
+    void nodeOfALargeFleetSendsABurstAheadOfLimitsWhileResponsesAreOnTime() {
         FakeNode node = node(3).withServers(SERVERS);
-        inUse(node);
+        serversInUse(node);
         for (int i = 0; i < 3; i++) {
-            assertEquals(1, node.attempts(node.request(FakeNode.IDEMPOTENT)), "request " + i + " of the bunch");
+            assertEquals(1, node.attempts(node.request(FakeNode.IDEMPOTENT)), "request " + i + " of the burst");
         }
     }
 }
--- a/node/src/test/java/loadbalancer/policy/LoadReportsTest.java
+++ b/node/src/test/java/loadbalancer/policy/LoadReportsTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void serverFarAboveTheMeanIsOverloadedUntilItsReportFades() {
+    void serverFarAboveTheMeanIsOverloadedUntilItsReportDecays() {
         for (ServerRecord server : servers) {
             report(server, 2, 10_000, 0);
         }
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void predictsALateAnswerOnlyByAReportOfThisMoment() {
+    void lateResponseIsPredictedOnlyByAReportReceivedNow() {
         report(servers[0], 40, 410_000, 7);
         assertTrue(reports.predictsLateResponse(servers[0], 7));
         assertFalse(reports.predictsLateResponse(servers[0], 8));
--- a/node/src/test/java/loadbalancer/policy/MaglevTableTest.java
+++ b/node/src/test/java/loadbalancer/policy/MaglevTableTest.java
@@ -17,17 +17,17 @@
     }
 
     @Test
-    void eachServerHasAboutEquallyManyPlaces() {
+    void eachServerHasAboutEquallyManyEntries() {
         ServerRecord[] table = MaglevTable.build(servers(10), 1_000, 1);
         assertEquals(1_009, table.length);
         for (ServerRecord server : new HashSet<>(Arrays.asList(table))) {
-            long places = Arrays.stream(table).filter(each -> each == server).count();
-            assertTrue(places >= 100 && places <= 101, server.id + " has " + places);
+            long entries = Arrays.stream(table).filter(each -> each == server).count();
+            assertTrue(entries >= 100 && entries <= 101, server.id + " has " + entries);
         }
     }
 
     @Test
-    void noServerHasTwoPlacesInOneRow() {
+    void noServerHasTwoEntriesInOneRow() {
         ServerRecord[] table = MaglevTable.build(servers(30), 8 * 10, 10);
         for (int first = 0; first + 10 <= table.length; first += 10) {
             ServerRecord[] row = Arrays.copyOfRange(table, first, first + 10);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void removedServerMovesFewPlacesOfTheOthers() {
+    void removedServerMovesFewEntriesOfTheOthers() {
         ServerRecord[] all = servers(20);
         ServerRecord[] before = MaglevTable.build(all, 2_000, 1);
         ServerRecord[] after = MaglevTable.build(Arrays.copyOf(all, 19), 2_000, 1);
--- a/node/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
+++ b/node/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void cancelledAndUnsentAttemptsShowNothing() {
+    void cancelledAndUnsentAttemptsAreNoErrors() {
         endAtOnce(AttemptResult.CANCELLED, 10);
         endAtOnce(AttemptResult.MOOT, 10);
         assertEquals(0, server.errors);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void timeOutOfAServerThatAnsweredMeanwhileShowsLoad() {
+    void timeoutOfAServerThatRespondedMeanwhileIsNoFault() {
         PendingRequest[] slow = new PendingRequest[6];
         for (int i = 0; i < slow.length; i++) {
             slow[i] = fixture.sent(FakeNode.IDEMPOTENT, server, now);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void unresponsiveAttemptCountsOnceAndNotAgainAtItsEnd() {
+    void unresponsiveAttemptCountsAsOneFailure() {
         PendingRequest request = fixture.sent(FakeNode.IDEMPOTENT, server, now);
         recorder.onUnresponsive(request, 0, now + 50_000);
         assertEquals(1, server.errors);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void returnedServerBeginsWithTheFirstLimitAndNoErrors() {
+    void restoredServerStartsWithTheInitialLimitAndNoErrors() {
         endAtOnce(AttemptResult.ERROR, 4);
         server.limit = 1.5;
         endAtOnce(AttemptResult.OK, 3);
--- a/node/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
+++ b/node/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void fourFailuresAmongTheLastSixteenAnswersEject() {
+    void fourFailuresAmongTheLastSixteenOutcomesEjectAServer() {
         fail(server, 0, 3);
         assertFalse(server.health.ejected);
         for (int i = 0; i < 12; i++) {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void failuresThatShowLoadDoNotEject() {
+    void failuresCausedByLoadDoNotEject() {
         for (int i = 0; i < 20; i++) {
             detector.onFailure(server, server.classHealth.get(0), false, ++now);
         }
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void serverThatFailsOneClassIsEjectedForItAlone() {
+    void serverThatFailsOneClassIsEjectedForThatClassOnly() {
         fail(server, 0, 3);
         for (int i = 0; i < 16; i++) {
             succeed(1);
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void neverMoreThanHalfOfTheServersAreEjected() {
+    void atMostHalfOfTheServersAreEjected() {
         for (ServerRecord failing : fixture.state.servers) {
             fail(failing, 0, 10);
         }
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void ejectionDoublesWithEachFailureUpToFourSeconds() {
+    void trialIntervalDoublesWithEachFailureUpToFourSeconds() {
         fail(server, 0, 4);
         long trialIntervalUs = 250_000;
         for (int i = 0; i < 7; i++) {
@@ -73,7 +73,7 @@
             long untilTrialUs = server.health.trialAtUs - now;
             assertTrue(
                     untilTrialUs >= trialIntervalUs / 2 && untilTrialUs < trialIntervalUs * 3 / 2,
-                    "in " + untilTrialUs);
+                    "time until the trial request in us: " + untilTrialUs);
             fail(server, 0, 1);
             trialIntervalUs = Math.min(2 * trialIntervalUs, 4_000_000);
         }
--- a/node/src/test/java/loadbalancer/policy/OverloadedServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/OverloadedServerTest.java
@@ -12,7 +12,7 @@
     private static final int SERVERS = 20;
     private static final long LATENCY_US = 20_000;
     /** Index of a class whose latency objective allows long waits. */
-    private static final int LEISURELY = 5;
+    private static final int LONG_OBJECTIVE = 5;
 
     private static FakeNode node() {
         BalancerSettings settings = FakeNode.settings();
@@ -35,46 +35,46 @@
     }
 
     /** Serves one request; its server reports this many requests in flight. */
-    private static String serve(FakeNode node, String key, int classIndex, long latencyUs, double held) {
+    private static String serve(FakeNode node, String key, int classIndex, long latencyUs, double reportedLoad) {
         long id = node.requestWithKey(key, classIndex);
         node.advance(latencyUs);
         node.balancer.onOutcome(
-                node.now, new AttemptOutcome(id, 0, AttemptResult.OK, latencyUs, true, LoadReport.of(0, held)));
+                node.now, new AttemptOutcome(id, 0, AttemptResult.OK, latencyUs, true, LoadReport.of(0, reportedLoad)));
         return node.lastAttempt(id).server();
     }
 
-    private static String serve(FakeNode node, String key, double held) {
-        return serve(node, key, FakeNode.NON_IDEMPOTENT, LATENCY_US, held);
+    private static String serve(FakeNode node, String key, double reportedLoad) {
+        return serve(node, key, FakeNode.NON_IDEMPOTENT, LATENCY_US, reportedLoad);
     }
 
-    private static FakeNode amongServersWithLoad(double held) {
+    private static FakeNode nodeWithServersOfLoad(double reportedLoad) {
         FakeNode node = node();
         for (int k = 0; k < 400; k++) {
-            serve(node, "k" + k, held);
+            serve(node, "k" + k, reportedLoad);
         }
         return node;
     }
 
     @Test
     void keyGoesToItsNextServerWhileItsFirstIsOverloaded() {
-        FakeNode node = amongServersWithLoad(2);
-        String home = serve(node, "key", 9);
-        assertNotEquals(home, serve(node, "key", 2));
+        FakeNode node = nodeWithServersOfLoad(2);
+        String first = serve(node, "key", 9);
+        assertNotEquals(first, serve(node, "key", 2));
     }
 
     @Test
     void keyStaysWhereAllServersReportTheSameLoad() {
-        FakeNode node = amongServersWithLoad(9);
-        String home = serve(node, "key", 9);
-        assertEquals(home, serve(node, "key", 9));
+        FakeNode node = nodeWithServersOfLoad(9);
+        String first = serve(node, "key", 9);
+        assertEquals(first, serve(node, "key", 9));
     }
 
     @Test
-    void keyReturnsOnceTheReportHasFaded() {
-        FakeNode node = amongServersWithLoad(2);
-        String home = serve(node, "key", 9);
+    void keyReturnsToItsFirstServerOnceTheReportHasDecayed() {
+        FakeNode node = nodeWithServersOfLoad(2);
+        String first = serve(node, "key", 9);
         node.advance(10 * LATENCY_US);
-        assertEquals(home, serve(node, "key", 2));
+        assertEquals(first, serve(node, "key", 2));
     }
 
     /**
@@ -82,27 +82,27 @@
      * classes, whose own objectives do not reveal the overload.
      */
     @Test
-    void serverLoadedBeyondTheShortestObjectiveGetsFewer() {
-        FakeNode node = amongServersWithLoad(1);
-        assertTrue(takenAtOnce(amongServersWithLoad(1)) > 2 * SERVERS);
+    void serverLoadedBeyondTheShortestObjectiveGetsFewerRequests() {
+        FakeNode node = nodeWithServersOfLoad(1);
+        assertTrue(sentAtOnce(nodeWithServersOfLoad(1)) > 2 * SERVERS);
         for (int k = 0; k < 200; k++) {
-            serve(node, "k" + k, LEISURELY, 400_000, 40);
+            serve(node, "k" + k, LONG_OBJECTIVE, 400_000, 40);
         }
-        assertTrue(takenAtOnce(node) <= SERVERS, "one each at most");
+        assertTrue(sentAtOnce(node) <= SERVERS, "at most one request per server");
     }
 
     @Test
-    void firstAnswersShowThatServersAreOverloaded() {
+    void firstResponsesRevealOverloadedServers() {
         FakeNode node = node();
         for (int k = 0; k < 2 * SERVERS; k++) {
             // A server with 40 requests in flight takes 400 ms; the shortest objective is 200 ms.
-            serve(node, "k" + k, LEISURELY, 400_000, 40);
+            serve(node, "k" + k, LONG_OBJECTIVE, 400_000, 40);
         }
-        int taken = takenAtOnce(node);
-        assertTrue(taken < takenAtOnce(node()) / 2, "taken at once: " + taken);
+        int sent = sentAtOnce(node);
+        assertTrue(sent < sentAtOnce(node()) / 2, "sent at once: " + sent);
     }
 
-    private static int takenAtOnce(FakeNode node) {
+    private static int sentAtOnce(FakeNode node) {
         int before = node.sent.size();
         for (int k = 0; k < 100; k++) {
             node.requestWithKey("more" + k, FakeNode.NON_IDEMPOTENT);
@@ -111,8 +111,8 @@
     }
 
     /** How many of 4,000 requests are sent to a warming server that reports this load, while the others report 4. */
-    private static long toColdThatHolds(double held) {
-        FakeNode node = amongServersWithLoad(4);
+    private static long sentToWarmingServerOfLoad(double reportedLoad) {
+        FakeNode node = nodeWithServersOfLoad(4);
         node.deliverList(ListKind.CHANGES, List.of(new ServerEntry("cold", 0, 0, ServerState.READY, 1, node.now)));
         for (int k = 0; k < 4_000; k++) {
             long id = node.requestWithKey("k" + k % 400, FakeNode.NON_IDEMPOTENT);
@@ -127,7 +127,7 @@
                                 AttemptResult.OK,
                                 2_000,
                                 true,
-                                LoadReport.of(0, sent.server().equals("cold") ? held : 4)));
+                                LoadReport.of(0, sent.server().equals("cold") ? reportedLoad : 4)));
             }
         }
         return node.sentTo("cold");
@@ -135,16 +135,16 @@
 
     @Test
     void warmingServerWithHalfTheMeanLoadGetsMoreOfItsBudget() {
-        long idle = toColdThatHolds(1);
-        long busy = toColdThatHolds(3);
+        long idle = sentToWarmingServerOfLoad(1);
+        long busy = sentToWarmingServerOfLoad(3);
         assertTrue(idle > 1.3 * busy, "idle " + idle + ", busy " + busy);
-        assertTrue(busy > 2 * toColdThatHolds(6), "busy " + busy + ", crowded " + toColdThatHolds(6));
+        assertTrue(busy > 2 * sentToWarmingServerOfLoad(6), "busy " + busy + ", overloaded " + sentToWarmingServerOfLoad(6));
     }
 
     @Test
     void reportWithoutTheFieldIsIgnored() {
-        FakeNode node = amongServersWithLoad(2);
-        String home = serve(node, "key", Double.NaN);
-        assertEquals(home, serve(node, "key", 2));
+        FakeNode node = nodeWithServersOfLoad(2);
+        String first = serve(node, "key", Double.NaN);
+        assertEquals(first, serve(node, "key", 2));
     }
 }
--- a/node/src/test/java/loadbalancer/policy/PendingQueueTest.java
+++ b/node/src/test/java/loadbalancer/policy/PendingQueueTest.java
@@ -32,7 +32,7 @@
         request.end();
     }
 
-    private PendingRequest waiting(int classIndex, double value) {
+    private PendingRequest enqueue(int classIndex, double value) {
         PendingRequest request = fixture.request(classIndex);
         request.value = value;
         queue.applySettings(fixture.settings);
@@ -41,31 +41,31 @@
     }
 
     @Test
-    void servesByValueAndFirstComeFirstServedAmongEquals() {
-        PendingRequest low = waiting(FakeNode.IDEMPOTENT, 1);
-        PendingRequest first = waiting(FakeNode.IDEMPOTENT, 2);
-        PendingRequest second = waiting(FakeNode.IDEMPOTENT, 2);
+    void requestsAreTriedByValueAndThenByArrival() {
+        PendingRequest low = enqueue(FakeNode.IDEMPOTENT, 1);
+        PendingRequest first = enqueue(FakeNode.IDEMPOTENT, 2);
+        PendingRequest second = enqueue(FakeNode.IDEMPOTENT, 2);
         queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_EVENT, NOW_US);
         assertEquals(List.of(first, second, low), tried);
         assertTrue(queue.isEmpty());
     }
 
     @Test
-    void lowestValueMakesRoomWhenTheQueueIsFull() {
+    void fullQueueReturnsTheRequestOfLowestValue() {
         fixture.settings.maxOpen = 2;
-        PendingRequest low = waiting(FakeNode.IDEMPOTENT, 1);
-        waiting(FakeNode.IDEMPOTENT, 3);
+        PendingRequest low = enqueue(FakeNode.IDEMPOTENT, 1);
+        enqueue(FakeNode.IDEMPOTENT, 3);
         PendingRequest added = fixture.request(FakeNode.IDEMPOTENT);
         added.value = 2;
         assertSame(low, queue.add(added));
     }
 
     @Test
-    void requestIsAnsweredOneSweepAndATickBeforeItsDeadline() {
+    void requestGetsFinalResponseOneSweepAndATickBeforeItsDeadline() {
         full = true;
         fixture.settings.classes.replaceAll(each -> new RequestClass(
                 each.name(), 900_000, 0, 1_000_000, 1, 0.5, each.idempotency(), each.deduplicationScope(), 0, false));
-        PendingRequest request = waiting(FakeNode.IDEMPOTENT, 1);
+        PendingRequest request = enqueue(FakeNode.IDEMPOTENT, 1);
         queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_SWEEP, request.deadlineAtUs - 6_001);
         assertEquals(List.of(), unserved);
         queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_SWEEP, request.deadlineAtUs - 6_000);
@@ -73,10 +73,10 @@
     }
 
     @Test
-    void lateRequestThatEarnsNothingIsAnswered() {
+    void lateRequestWithoutLateValueGetsFinalResponse() {
         fixture.learnLatency(FakeNode.IDEMPOTENT, 10_000);
         full = true;
-        PendingRequest request = waiting(FakeNode.IDEMPOTENT, 1);
+        PendingRequest request = enqueue(FakeNode.IDEMPOTENT, 1);
         queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_SWEEP, request.objectiveAtUs - 20_000);
         assertEquals(List.of(), unserved);
         queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_SWEEP, request.objectiveAtUs - 19_999);
@@ -84,12 +84,12 @@
     }
 
     @Test
-    void afterOneRequestInVainThoseOfItsKindAreNotTried() {
+    void afterOneFailedTryFurtherRequestsOfItsKindAreNotTried() {
         full = true;
-        PendingRequest nonIdempotent = waiting(FakeNode.NON_IDEMPOTENT, 4);
-        waiting(FakeNode.NON_IDEMPOTENT, 3);
-        PendingRequest idempotent = waiting(FakeNode.IDEMPOTENT, 2);
-        waiting(FakeNode.IDEMPOTENT, 1);
+        PendingRequest nonIdempotent = enqueue(FakeNode.NON_IDEMPOTENT, 4);
+        enqueue(FakeNode.NON_IDEMPOTENT, 3);
+        PendingRequest idempotent = enqueue(FakeNode.IDEMPOTENT, 2);
+        enqueue(FakeNode.IDEMPOTENT, 1);
         queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_EVENT, NOW_US);
         assertEquals(List.of(nonIdempotent, idempotent), tried);
     }
--- a/node/src/test/java/loadbalancer/policy/PendingRequestFactoryTest.java
+++ b/node/src/test/java/loadbalancer/policy/PendingRequestFactoryTest.java
@@ -27,13 +27,13 @@
     }
 
     @Test
-    void retryWithTheRestOfTheDeadlineShowsWhenTheFirstAttemptWas() {
+    void retryWithTheRestOfTheDeadlineRevealsTheTimeOfTheFirstAttempt() {
         create(600_000, false, 0);
         assertEquals(NOW_US + OBJECTIVE_US - 150_000, create(850_000, true, 0).objectiveAtUs);
     }
 
     @Test
-    void retryWithAFirstAttemptsTimeIsTakenForNew() {
+    void retryWithAFirstAttemptsRemainingTimeIsTreatedAsNew() {
         create(600_000, false, 0);
         assertEquals(NOW_US + OBJECTIVE_US, create(599_000, true, 0).objectiveAtUs);
     }
--- a/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -20,18 +20,18 @@
     /** The check's own record of an attempt. */
     private static final class Attempt {
         ServerEntry server;
-        long sentAt;
+        long sentAtUs;
         AttemptResult result;
     }
 
     /** The check's own record of a request. */
     private static final class OpenRequest {
-        RequestClass cls;
-        long deadlineAt;
-        boolean over;
+        RequestClass requestClass;
+        long deadlineAtUs;
+        boolean ended;
         final List<Attempt> attempts = new ArrayList<>();
 
-        Attempt binding() {
+        Attempt firstThatMayHaveRun() {
             return attempts.stream()
                     .filter(a -> a.result == null || !a.result.neverRan)
                     .findFirst()
@@ -40,32 +40,32 @@
     }
 
     /** Takes the place of the node and fails the test at the first violation of a rule. */
-    private static final class Judge implements BalancerActions {
+    private static final class CheckingNode implements BalancerActions {
         final SplittableRandom random;
         final BalancerSettings settings = FakeNode.settings();
         final Balancer balancer;
         final Map<Long, OpenRequest> requests = new LinkedHashMap<>();
         final Map<String, ServerEntry> servers = new LinkedHashMap<>();
-        final Map<ServerEntry, List<long[]>> coldSends = new LinkedHashMap<>();
-        final PriorityQueue<long[]> answers = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
+        final Map<ServerEntry, List<long[]>> warmingSends = new LinkedHashMap<>();
+        final PriorityQueue<long[]> dueOutcomes = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
         final PriorityQueue<Long> wakes = new PriorityQueue<>();
         final StringBuilder trace = new StringBuilder();
         long now = 5_000_000;
         long nextId = 1;
         long served;
-        int finals;
+        int finalResponses;
 
-        Judge(long seed) {
+        CheckingNode(long seed) {
             random = new SplittableRandom(seed);
-            settings.classes.replaceAll(c -> new RequestClass(
-                    c.name(),
-                    c.latencyObjectiveUs(),
+            settings.classes.replaceAll(each -> new RequestClass(
+                    each.name(),
+                    each.latencyObjectiveUs(),
                     0,
-                    c.deadlineUs(),
-                    c.priorityWeight(),
+                    each.deadlineUs(),
+                    each.priorityWeight(),
                     random.nextInt(2) * 0.5,
-                    c.idempotency(),
-                    c.deduplicationScope(),
+                    each.idempotency(),
+                    each.deduplicationScope(),
                     80_000,
                     false));
             settings.nodes = 1 + random.nextInt(5);
@@ -91,96 +91,96 @@
                     .append('\n');
             OpenRequest request = requests.get(requestId);
             ServerEntry server = servers.get(serverId);
-            assertNotNull(request, "a request that is held");
-            assertFalse(request.over, "rule 1: nothing is sent after the end");
-            assertTrue(untilUs <= request.deadlineAt, "rule 1: inside the client's time");
-            assertTrue(now < request.deadlineAt, "rule 1: time is left");
+            assertNotNull(request, "the request is open");
+            assertFalse(request.ended, "rule 1: nothing is sent after the final response");
+            assertTrue(untilUs <= request.deadlineAtUs, "rule 1: an attempt ends by the client's deadline");
+            assertTrue(now < request.deadlineAtUs, "rule 1: the deadline has not passed");
             assertTrue(request.attempts.size() < settings.maxAttempts);
-            Attempt binding = request.binding();
-            if (binding != null) {
+            Attempt firstThatMayHaveRun = request.firstThatMayHaveRun();
+            if (firstThatMayHaveRun != null) {
                 assertTrue(
-                        request.cls.idempotency() != Idempotency.NON_IDEMPOTENT,
-                        "rule 2: an unsafe request may have run");
-                if (request.cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
+                        request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT,
+                        "rule 2: a non-idempotent request that may have run is not sent again");
+                if (request.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
                     assertTrue(
-                            now <= binding.sentAt + request.cls.deduplicationWindowUs(), "rule 2: inside the window");
+                            now <= firstThatMayHaveRun.sentAtUs + request.requestClass.deduplicationWindowUs(), "rule 2: within the deduplication window");
                     assertTrue(
-                            sameDeduplicationScope(request.cls.deduplicationScope(), binding.server, server),
-                            "rule 2: in the group");
+                            sameDeduplicationScope(request.requestClass.deduplicationScope(), firstThatMayHaveRun.server, server),
+                            "rule 2: within the deduplication scope");
                 }
                 assertTrue(settings.hedging || request.attempts.stream().allMatch(a -> a.result != null));
             }
-            assertTrue(server.state() == ServerState.READY, "rule 3: nothing to a draining or gone server");
+            assertTrue(server.state() == ServerState.READY, "rule 3: nothing is sent to a draining or removed server");
             if (server.startedAtUs() > 0 && now < server.startedAtUs() + settings.warmUpUs) {
-                coldSends.computeIfAbsent(server, k -> new ArrayList<>()).add(new long[] {now, ready()});
+                warmingSends.computeIfAbsent(server, k -> new ArrayList<>()).add(new long[] {now, readyCount()});
             }
             Attempt attempt = new Attempt();
             attempt.server = server;
-            attempt.sentAt = now;
+            attempt.sentAtUs = now;
             request.attempts.add(attempt);
             boolean timesOut = random.nextInt(30) == 0;
             long at = timesOut ? untilUs : Math.min(untilUs, now + 1_000 + random.nextInt(120_000));
-            answers.add(new long[] {
+            dueOutcomes.add(new long[] {
                 at,
                 requestId,
                 request.attempts.size() - 1,
-                timesOut || at == untilUs ? AttemptResult.TIMEOUT.ordinal() : draw()
+                timesOut || at == untilUs ? AttemptResult.TIMEOUT.ordinal() : drawResult()
             });
         }
 
-        private int draw() {
-            AttemptResult[] bad = {
+        private int drawResult() {
+            AttemptResult[] failures = {
                 AttemptResult.ERROR,
                 AttemptResult.FULL,
                 AttemptResult.CONNECT_FAILED,
                 AttemptResult.RESET,
                 AttemptResult.MOOT
             };
-            return (random.nextInt(8) > 0 ? AttemptResult.OK : bad[random.nextInt(bad.length)]).ordinal();
+            return (random.nextInt(8) > 0 ? AttemptResult.OK : failures[random.nextInt(failures.length)]).ordinal();
         }
 
-        private static boolean sameDeduplicationScope(DeduplicationScope group, ServerEntry a, ServerEntry b) {
-            return group == DeduplicationScope.ALL
-                    || (group == DeduplicationScope.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
+        private static boolean sameDeduplicationScope(DeduplicationScope scope, ServerEntry a, ServerEntry b) {
+            return scope == DeduplicationScope.ALL
+                    || (scope == DeduplicationScope.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
         }
 
-        private void finish(long id, boolean rejection) {
+        private void onFinalResponse(long id, boolean rejection) {
             trace.append(now)
                     .append(rejection ? " refuse " : " fail ")
                     .append(id)
                     .append('\n');
             OpenRequest request = requests.get(id);
             assertNotNull(request);
-            assertFalse(request.over, "rule 1: one final answer only");
-            assertTrue(now <= request.deadlineAt + settings.tickUs, "rule 1: the answer comes in time");
-            if (rejection && request.binding() != null) {
+            assertFalse(request.ended, "rule 1: only one final response");
+            assertTrue(now <= request.deadlineAtUs + settings.tickUs, "rule 1: the final response is in time");
+            if (rejection && request.firstThatMayHaveRun() != null) {
                 assertTrue(
-                        request.cls.idempotency() == Idempotency.IDEMPOTENT
-                                || request.cls.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                                        && request.cls.deduplicationScope() == DeduplicationScope.ALL,
-                        "rule 2: a rejection promises that trying again is harmless");
+                        request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                                || request.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL,
+                        "rule 2: a request is only rejected if the client may safely retry");
             }
-            request.over = true;
-            finals++;
+            request.ended = true;
+            finalResponses++;
         }
 
         @Override
         public void reject(long requestId, long retryAfterUs) {
-            finish(requestId, true);
+            onFinalResponse(requestId, true);
         }
 
         @Override
         public void fail(long requestId) {
-            finish(requestId, false);
+            onFinalResponse(requestId, false);
         }
 
         @Override
         public void cancel(long requestId, int attempt) {
             assertTrue(settings.cancellation);
-            Attempt out = requests.get(requestId).attempts.get(attempt);
-            if (out.result == null) {
-                answers.removeIf(a -> a[1] == requestId && a[2] == attempt);
-                answers.add(new long[] {now, requestId, attempt, AttemptResult.CANCELLED.ordinal()});
+            Attempt cancelled = requests.get(requestId).attempts.get(attempt);
+            if (cancelled.result == null) {
+                dueOutcomes.removeIf(a -> a[1] == requestId && a[2] == attempt);
+                dueOutcomes.add(new long[] {now, requestId, attempt, AttemptResult.CANCELLED.ordinal()});
             }
         }
 
@@ -216,9 +216,9 @@
         void request() {
             OpenRequest request = new OpenRequest();
             int classIndex = random.nextInt(settings.classes.size());
-            request.cls = settings.classes.get(classIndex);
-            long left = random.nextInt(10) == 0 ? random.nextInt(3_000) : 20_000 + random.nextInt(900_000);
-            request.deadlineAt = now + left;
+            request.requestClass = settings.classes.get(classIndex);
+            long remainingUs = random.nextInt(10) == 0 ? random.nextInt(3_000) : 20_000 + random.nextInt(900_000);
+            request.deadlineAtUs = now + remainingUs;
             long id = nextId++;
             requests.put(id, request);
             balancer.onRequest(
@@ -227,7 +227,7 @@
                             id,
                             classIndex,
                             random.nextInt(2) - 1,
-                            left,
+                            remainingUs,
                             0,
                             false,
                             random.nextInt(4) == 0 ? null : "k" + random.nextInt(40)));
@@ -261,18 +261,18 @@
             }
         }
 
-        void answer(long[] due) {
+        void endAttempt(long[] due) {
             OpenRequest request = requests.get(due[1]);
             Attempt attempt = request.attempts.get((int) due[2]);
             attempt.result = AttemptResult.values()[(int) due[3]];
-            if (attempt.result == AttemptResult.OK && !request.over) {
-                request.over = true;
-                finals++;
+            if (attempt.result == AttemptResult.OK && !request.ended) {
+                request.ended = true;
+                finalResponses++;
                 served++;
             }
             balancer.onOutcome(
                     now,
-                    new AttemptOutcome(due[1], (int) due[2], attempt.result, now - attempt.sentAt, request.over, null));
+                    new AttemptOutcome(due[1], (int) due[2], attempt.result, now - attempt.sentAtUs, request.ended, null));
         }
 
         void run(int events) {
@@ -281,27 +281,27 @@
                 changeList();
             }
             long nextEvent = now;
-            for (int done = 0; done < events || !answers.isEmpty() || open() > 0; ) {
+            for (int done = 0; done < events || !dueOutcomes.isEmpty() || openCount() > 0; ) {
                 long at = done < events ? nextEvent : Long.MAX_VALUE;
-                at = Math.min(at, answers.isEmpty() ? Long.MAX_VALUE : answers.peek()[0]);
+                at = Math.min(at, dueOutcomes.isEmpty() ? Long.MAX_VALUE : dueOutcomes.peek()[0]);
                 at = Math.min(at, wakes.isEmpty() ? Long.MAX_VALUE : wakes.peek());
-                assertTrue(at < Long.MAX_VALUE, "rule 1: requests held and nothing to wake the module");
+                assertTrue(at < Long.MAX_VALUE, "rule 1: requests are open but no event or wake-up is pending");
                 now = Math.max(now, at);
-                if (!answers.isEmpty() && answers.peek()[0] <= now) {
-                    answer(answers.poll());
+                if (!dueOutcomes.isEmpty() && dueOutcomes.peek()[0] <= now) {
+                    endAttempt(dueOutcomes.poll());
                 } else if (!wakes.isEmpty() && wakes.peek() <= now) {
                     wakes.poll();
                     balancer.onWake(now);
                 } else {
                     done++;
                     nextEvent = now + random.nextInt(30_000);
-                    int what = random.nextInt(100);
-                    if (what < 2) {
+                    int kind = random.nextInt(100);
+                    if (kind < 2) {
                         changeList();
-                    } else if (what < 3) {
+                    } else if (kind < 3) {
                         balancer.onListFailed(now);
-                    } else if (what < 5 && nextId > 1) {
-                        leave(1 + random.nextLong(nextId - 1));
+                    } else if (kind < 5 && nextId > 1) {
+                        clientLeaves(1 + random.nextLong(nextId - 1));
                     } else {
                         request();
                     }
@@ -309,21 +309,21 @@
             }
         }
 
-        private long ready() {
+        private long readyCount() {
             return servers.values().stream()
                     .filter(e -> e.state() == ServerState.READY)
                     .count();
         }
 
-        private long open() {
-            return requests.values().stream().filter(h -> !h.over).count();
+        private long openCount() {
+            return requests.values().stream().filter(request -> !request.ended).count();
         }
 
-        private void leave(long id) {
+        private void clientLeaves(long id) {
             OpenRequest request = requests.get(id);
-            if (!request.over) {
-                request.over = true;
-                finals++;
+            if (!request.ended) {
+                request.ended = true;
+                finalResponses++;
             }
             balancer.onClientGone(now, id);
         }
@@ -332,28 +332,28 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
     void allRulesHoldOverRandomSequences(long seed) {
-        Judge judge = new Judge(seed);
-        judge.run(1_500);
-        assertEquals(judge.requests.size(), judge.finals, "rule 1: every request has its one final answer");
-        assertTrue(judge.served > 100, "the run must do real work: " + judge.served);
+        CheckingNode node = new CheckingNode(seed);
+        node.run(1_500);
+        assertEquals(node.requests.size(), node.finalResponses, "rule 1: every request has exactly one final response");
+        assertTrue(node.served > 100, "too few requests served: " + node.served);
         // Rule 4: in any span of this length, this node sends a warming server at most its share of the allowed
         // multiple of the server's current capacity. The node's share of a warm server's capacity is taken to be its
         // rate of responses divided by the number of servers that were ready, three at most because many are always
         // gone. Two more requests are allowed for random variation.
-        double rate = judge.served / ((judge.now - 5_000_000) / 1e6);
-        BalancerSettings settings = judge.settings;
-        judge.coldSends.forEach((start, sends) -> {
+        double rate = node.served / ((node.now - 5_000_000) / 1e6);
+        BalancerSettings settings = node.settings;
+        node.warmingSends.forEach((start, sends) -> {
             for (long[] first : sends) {
                 List<long[]> span = sends.stream()
                         .filter(s -> s[0] >= first[0] && s[0] < first[0] + settings.overloadUs)
                         .toList();
-                double ready =
+                double readyCount =
                         Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
                 double age = Math.min(
                         1, (first[0] + settings.overloadUs - start.startedAtUs()) / (double) settings.warmUpUs);
                 double share = settings.warmUpInitialShare + (1 - settings.warmUpInitialShare) * age;
                 assertTrue(
-                        span.size() - 2 <= settings.overloadMultiple * share * rate / ready * settings.overloadUs / 1e6,
+                        span.size() - 2 <= settings.overloadMultiple * share * rate / readyCount * settings.overloadUs / 1e6,
                         "rule 4: " + span.size() + " sends in one span");
             }
         });
@@ -362,8 +362,8 @@
     @ParameterizedTest
     @ValueSource(longs = {21, 22})
     void sameEventsAndSeedGiveTheSameActions(long seed) {
-        Judge one = new Judge(seed);
-        Judge two = new Judge(seed);
+        CheckingNode one = new CheckingNode(seed);
+        CheckingNode two = new CheckingNode(seed);
         one.run(800);
         two.run(800);
         assertEquals(one.trace.toString(), two.trace.toString());
--- a/node/src/test/java/loadbalancer/policy/RetryPolicyTest.java
+++ b/node/src/test/java/loadbalancer/policy/RetryPolicyTest.java
@@ -32,11 +32,11 @@
         "4, FULL, true, true",
         "4, CONNECT_FAILED, true, true",
     })
-    void retryIsLawfulByClassAndByWhetherTheRequestMayHaveRun(
-            int classIndex, AttemptResult result, boolean mayRetry, boolean harmless) {
+    void retryIsAllowedByClassAndByWhetherTheRequestMayHaveRun(
+            int classIndex, AttemptResult result, boolean mayRetry, boolean clientRetrySafe) {
         PendingRequest request = afterAttempt(classIndex, result);
         assertEquals(mayRetry, RetryPolicy.mayRetry(request, SENT_US + 1));
-        assertEquals(harmless, RetryPolicy.isClientRetrySafe(request));
+        assertEquals(clientRetrySafe, RetryPolicy.isClientRetrySafe(request));
     }
 
     @Test
--- a/node/src/test/java/loadbalancer/policy/ServerPickersTest.java
+++ b/node/src/test/java/loadbalancer/policy/ServerPickersTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void fewerInFlightWins() {
+    void serverWithFewerRequestsInFlightIsPicked() {
         RuleFixture fixture = new RuleFixture(2);
         fixture.sent(FakeNode.IDEMPOTENT, fixture.state.servers[0], NOW_US);
         for (int i = 0; i < 50; i++) {
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void serversAreDrawnByWeightAndTiesFallAtRandom() {
+    void serversAreDrawnByWeightAndTiesAreBrokenAtRandom() {
         RuleFixture fixture = new RuleFixture(3);
         ServerRecord failing = fixture.state.servers[0];
         for (int i = 0; i < 3; i++) {
--- a/node/src/test/java/loadbalancer/policy/ServerRegistryTest.java
+++ b/node/src/test/java/loadbalancer/policy/ServerRegistryTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void fullListRemovesWhatItLacksAndChangesDoNot() {
+    void fullListRemovesMissingServersAndChangesDoNot() {
         apply(ListKind.FULL, FakeNode.server("a"), FakeNode.server("b"));
         apply(ListKind.CHANGES, FakeNode.server("c"), entry("a", ServerState.DRAINING, 0));
         assertEquals(List.of("b", "c"), available());
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void uncordonedServerIsTakenForRestartedUnlessTheListSaysWhen() {
+    void uncordonedServerCountsAsRestartedUnlessTheListReportedItsStart() {
         apply(ListKind.FULL, FakeNode.server("a"), FakeNode.server("b"));
         registry.setCordoned(Set.of("a", "b"), 100);
         assertEquals(List.of(), available());
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void removedServerIsForgottenOnceNothingIsInFlightThere() {
+    void removedServerIsDroppedOnceNothingIsInFlight() {
         apply(ListKind.FULL, FakeNode.server("a"));
         ServerRecord server = registry.available()[0];
         server.inFlight = 1;
--- a/node/src/test/java/loadbalancer/policy/ServerWeightsTest.java
+++ b/node/src/test/java/loadbalancer/policy/ServerWeightsTest.java
@@ -14,7 +14,7 @@
     private final ServerRecord server = fixture.state.servers[0];
 
     @Test
-    void allWeighTheSameWithoutErrors() {
+    void allWeightsAreEqualWithoutErrors() {
         weights.refreshIfStale();
         assertTrue(weights.areAllEqual());
         assertArrayEquals(new long[] {1, 2, 3}, fixture.state.allServers.cumulativeWeights);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void ejectedServerWeighsOne() {
+    void ejectedServerHasWeightOne() {
         errors.onFailure(server);
         fixture.state.servers[2].health.ejected = true;
         weights.refreshIfStale();
--- a/node/src/test/java/loadbalancer/policy/SubsetSelectorTest.java
+++ b/node/src/test/java/loadbalancer/policy/SubsetSelectorTest.java
@@ -24,19 +24,19 @@
     }
 
     @Test
-    void ofManyNodesTwentyFourShareEachServer() {
+    void twentyFourNodesShareEachServerInALargeFleet() {
         fixture.settings.nodes = 240;
         assertEquals(20, selector.select(servers(200)).length);
     }
 
     @Test
-    void subsetNeverFallsUnderFourServers() {
+    void subsetHasAtLeastFourServers() {
         fixture.settings.nodes = 1_000;
         assertEquals(4, selector.select(servers(100)).length);
     }
 
     @Test
-    void localServersComeFirstWhereCrossingZonesCosts() {
+    void subsetHasMoreLocalServersWhereCrossingZonesHasACost() {
         fixture.settings.nodes = 240;
         fixture.settings.crossZoneCost = 0.02;
         ServerRecord[] candidates = servers(200);
--- a/node/src/test/java/loadbalancer/policy/TrialRequestsTest.java
+++ b/node/src/test/java/loadbalancer/policy/TrialRequestsTest.java
@@ -46,12 +46,12 @@
     }
 
     @Test
-    void requestsThatAreNotIdempotentAreNoTrialsOfAServerThatIsEjectedForAll() {
+    void nonIdempotentRequestsAreNoTrialsOfAServerEjectedForAllClasses() {
         assertNull(trials.pickDue(fixture.request(FakeNode.NON_IDEMPOTENT), now + 60_000_000));
     }
 
     @Test
-    void fallbackTakesWhatIsIdempotentAndHasAFurtherAttempt() {
+    void fallbackTakesIdempotentRequestsWithAFurtherAttempt() {
         assertNull(trials.pickFallback(request, now));
         server.lastOutcomeWasResponse = true;
         assertSame(server, trials.pickFallback(request, now));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void fallbackThatOnlyFailsPausesUpToAMeanLatency() {
+    void fallbackServerThatOnlyFailsIsPausedAfterItsLastResponse() {
         fixture.learnLatency(FakeNode.IDEMPOTENT, 16_000);
         server.lastOutcomeWasResponse = true;
         server.health.history = 0xFFF;
--- a/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
+++ b/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
@@ -12,7 +12,7 @@
 class UnresponsiveAttemptTest {
     private static final long MEAN_LATENCY_US = 10_000;
 
-    private static FakeNode used(BalancerSettings settings, int servers) {
+    private static FakeNode nodeWithKnownLatency(BalancerSettings settings, int servers) {
         FakeNode node = new FakeNode(settings, 11).withServers(servers);
         for (int i = 0; i < 200; i++) {
             node.completeRequest(i % 5, AttemptResult.OK, MEAN_LATENCY_US);
@@ -20,12 +20,12 @@
         return node;
     }
 
-    private static boolean said(FakeNode node, String start) {
+    private static boolean logged(FakeNode node, String start) {
         return node.ejectionLog.stream().anyMatch(l -> l.startsWith(start));
     }
 
     /** Sends a request of this class that gets no response if it is sent to {@code s0}; all other servers respond. */
-    private static boolean goesUnanswered(FakeNode node, int classIndex) {
+    private static boolean getsNoResponse(FakeNode node, int classIndex) {
         long id = node.request(classIndex);
         if (!node.lastAttempt(id).server().equals("s0")) {
             node.endAttempt(id, AttemptResult.OK, MEAN_LATENCY_US);
@@ -40,19 +40,19 @@
     }
 
     @Test
-    void serverThatSwallowsRequestsIsEjectedThoughClientsLeaveBeforeTheTimeOut() {
-        FakeNode node = used(FakeNode.settings(), 4);
-        int met = 0;
+    void serverThatDropsRequestsIsEjectedThoughClientsLeaveBeforeTheTimeout() {
+        FakeNode node = nodeWithKnownLatency(FakeNode.settings(), 4);
+        int lost = 0;
         for (int i = 0; i < 200; i++) {
-            met += goesUnanswered(node, FakeNode.NON_IDEMPOTENT) ? 1 : 0;
+            lost += getsNoResponse(node, FakeNode.NON_IDEMPOTENT) ? 1 : 0;
         }
-        assertTrue(said(node, "ejected server s0"), node.ejectionLog.toString());
-        assertTrue(met <= 8, "lost at the silent server: " + met);
+        assertTrue(logged(node, "ejected server s0"), node.ejectionLog.toString());
+        assertTrue(lost <= 8, "lost at the unresponsive server: " + lost);
     }
 
     @Test
     void clientsThatLeaveAfterAShortWaitDoNotCountAgainstTheServer() {
-        FakeNode node = used(FakeNode.settings(), 4);
+        FakeNode node = nodeWithKnownLatency(FakeNode.settings(), 4);
         for (int i = 0; i < 200; i++) {
             long id = node.request(FakeNode.NON_IDEMPOTENT);
             node.advance(MEAN_LATENCY_US / 2);
@@ -65,7 +65,7 @@
 
     @Test
     void clientThatLeavesCancelsBothAttemptsOfItsRequest() {
-        FakeNode node = used(FakeNode.settings(), 4);
+        FakeNode node = nodeWithKnownLatency(FakeNode.settings(), 4);
         long id = node.request(FakeNode.IDEMPOTENT);
         node.advance(10 * MEAN_LATENCY_US);
         assertEquals(2, node.attempts(id));
@@ -74,27 +74,27 @@
         node.balancer.onOutcome(
                 node.now, new AttemptOutcome(id, 0, AttemptResult.RESET, 10 * MEAN_LATENCY_US, true, null));
         node.advance(10 * MEAN_LATENCY_US);
-        assertEquals(2, node.attempts(id), "nothing more is sent");
+        assertEquals(2, node.attempts(id), "no further attempt is sent");
     }
 
     @Test
     void idempotentRequestIsHedgedAtASecondServerWhenTheFirstIsUnresponsive() {
-        FakeNode node = used(FakeNode.settings(), 4);
+        FakeNode node = nodeWithKnownLatency(FakeNode.settings(), 4);
         long id = node.request(FakeNode.IDEMPOTENT);
-        String silent = node.lastAttempt(id).server();
+        String unresponsive = node.lastAttempt(id).server();
         node.advance(10 * MEAN_LATENCY_US);
         assertEquals(2, node.attempts(id));
-        assertNotEquals(silent, node.lastAttempt(id).server());
-        long unsafe = node.request(FakeNode.NON_IDEMPOTENT);
+        assertNotEquals(unresponsive, node.lastAttempt(id).server());
+        long nonIdempotent = node.request(FakeNode.NON_IDEMPOTENT);
         node.advance(10 * MEAN_LATENCY_US);
-        assertEquals(1, node.attempts(unsafe));
+        assertEquals(1, node.attempts(nonIdempotent));
     }
 
     @Test
     void nothingIsHedgedWhereSettingsForbidIt() {
         BalancerSettings settings = FakeNode.settings();
         settings.hedging = false;
-        FakeNode node = used(settings, 4);
+        FakeNode node = nodeWithKnownLatency(settings, 4);
         long id = node.request(FakeNode.IDEMPOTENT);
         node.advance(10 * MEAN_LATENCY_US);
         assertEquals(1, node.attempts(id));
@@ -102,24 +102,24 @@
 
     @Test
     void hedgedRequestsAreABudgetedShareOfFirstAttempts() {
-        FakeNode node = used(FakeNode.settings(), 40);
+        FakeNode node = nodeWithKnownLatency(FakeNode.settings(), 40);
         int before = node.sent.size();
         for (int i = 0; i < 300; i++) {
             long id = node.request(FakeNode.IDEMPOTENT);
             node.advance(10 * MEAN_LATENCY_US);
-            int tries = node.attempts(id);
-            for (int attempt = 0; attempt < tries; attempt++) {
+            int attempts = node.attempts(id);
+            for (int attempt = 0; attempt < attempts; attempt++) {
                 node.balancer.onOutcome(
                         node.now, new AttemptOutcome(id, attempt, AttemptResult.OK, 10_000, true, null));
             }
         }
         int hedges = node.sent.size() - before - 300;
-        assertTrue(hedges >= 20 && hedges <= 85, "hedges for 300 requests: " + hedges);
+        assertTrue(hedges >= 20 && hedges <= 85, "hedged requests of 300: " + hedges);
     }
 
     @Test
-    void pauseOfTheNodeItselfIsNotTakenForUnresponsiveServers() {
-        FakeNode node = used(FakeNode.settings(), 4);
+    void pauseOfTheNodeDoesNotMakeServersUnresponsive() {
+        FakeNode node = nodeWithKnownLatency(FakeNode.settings(), 4);
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             ids.add(node.request(FakeNode.IDEMPOTENT));
@@ -136,25 +136,25 @@
 
     @Test
     void serverThatFailsOneClassIsEjectedForItAndServesTheOthers() {
-        FakeNode node = used(FakeNode.settings(), 4);
+        FakeNode node = nodeWithKnownLatency(FakeNode.settings(), 4);
         int failed = 0;
         int served = 0;
         for (int i = 0; i < 600; i++) {
             int classIndex = i % 2 == 0 ? FakeNode.NON_IDEMPOTENT : FakeNode.IDEMPOTENT;
             long id = node.request(classIndex);
-            boolean bad = node.lastAttempt(id).server().equals("s0") && classIndex == FakeNode.NON_IDEMPOTENT;
-            failed += bad ? 1 : 0;
-            served += node.lastAttempt(id).server().equals("s0") && !bad ? 1 : 0;
-            node.endAttempt(id, bad ? AttemptResult.ERROR : AttemptResult.OK, MEAN_LATENCY_US);
+            boolean fails = node.lastAttempt(id).server().equals("s0") && classIndex == FakeNode.NON_IDEMPOTENT;
+            failed += fails ? 1 : 0;
+            served += node.lastAttempt(id).server().equals("s0") && !fails ? 1 : 0;
+            node.endAttempt(id, fails ? AttemptResult.ERROR : AttemptResult.OK, MEAN_LATENCY_US);
         }
-        assertTrue(said(node, "ejected server s0 after 4 failures of class unsafe"), node.ejectionLog.toString());
-        assertTrue(failed <= 8, "failed at the server: " + failed);
-        assertTrue(served >= 40, "served by it in the other class: " + served);
+        assertTrue(logged(node, "ejected server s0 after 4 failures of class unsafe"), node.ejectionLog.toString());
+        assertTrue(failed <= 8, "failed at s0: " + failed);
+        assertTrue(served >= 40, "served by s0 in the other class: " + served);
     }
 
     @Test
-    void nonIdempotentClassReturnsAfterRareTrialRequests() {
-        FakeNode node = used(FakeNode.settings(), 4);
+    void ejectionForNonIdempotentClassEndsAfterTrialRequests() {
+        FakeNode node = nodeWithKnownLatency(FakeNode.settings(), 4);
         for (int i = 0; i < 200 && node.ejectionLog.isEmpty(); i++) {
             long id = node.request(FakeNode.NON_IDEMPOTENT);
             node.endAttempt(
@@ -163,11 +163,11 @@
                     MEAN_LATENCY_US);
             node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, MEAN_LATENCY_US);
         }
-        assertTrue(said(node, "ejected server s0"), node.ejectionLog.toString());
+        assertTrue(logged(node, "ejected server s0"), node.ejectionLog.toString());
         for (int i = 0; i < 400; i++) {
             node.completeRequest(FakeNode.NON_IDEMPOTENT, AttemptResult.OK, MEAN_LATENCY_US);
         }
-        assertTrue(said(node, "restored server s0"), node.ejectionLog.toString());
+        assertTrue(logged(node, "restored server s0"), node.ejectionLog.toString());
     }
 
     /**
@@ -176,9 +176,9 @@
      */
     @Test
     void longWaitsOfClientsThatLeaveLowerLimits() {
-        int[] held = new int[2];
+        int[] sentAtOnce = new int[2];
         for (int leave = 0; leave < 2; leave++) {
-            FakeNode node = used(FakeNode.settings(), 1);
+            FakeNode node = nodeWithKnownLatency(FakeNode.settings(), 1);
             for (int i = 0; i < 30; i++) {
                 long id = node.request(FakeNode.NON_IDEMPOTENT);
                 if (leave == 1) {
@@ -193,8 +193,8 @@
             for (int i = 0; i < 20; i++) {
                 node.request(FakeNode.NON_IDEMPOTENT);
             }
-            held[leave] = node.sent.size() - before;
+            sentAtOnce[leave] = node.sent.size() - before;
         }
-        assertTrue(held[1] < held[0] && held[1] <= 2, "held at once: " + held[1] + " and " + held[0]);
+        assertTrue(sentAtOnce[1] < sentAtOnce[0] && sentAtOnce[1] <= 2, "sent at once: " + sentAtOnce[1] + " and " + sentAtOnce[0]);
     }
 }
--- a/node/src/test/java/loadbalancer/policy/WakeUpTimerTest.java
+++ b/node/src/test/java/loadbalancer/policy/WakeUpTimerTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void wakeUpThatComesFarTooLateShowsAPauseOfTheNode() {
+    void veryLateWakeUpIndicatesAPauseOfTheNode() {
         timer.schedule(100, 0);
         assertFalse(timer.onWake(50_100));
         timer.schedule(100_000, 50_100);
--- a/node/src/test/java/loadbalancer/policy/WarmingServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/WarmingServerTest.java
@@ -14,7 +14,7 @@
 /** How much one node may send to a warming server. */
 class WarmingServerTest {
 
-    private static final int WARM = 19;
+    private static final int WARM_SERVERS = 19;
     private static final int REQUESTS_PER_SECOND = 300;
 
     private static ServerEntry started(String id, long atUs) {
@@ -43,14 +43,14 @@
                     .findFirst()
                     .ifPresent(s -> node.endAttempt(s.request(), AttemptResult.OK, 0));
         }
-        long toCold = node.sentTo("cold");
-        assertTrue(toCold >= 1 && toCold <= 16, "sent to the cold server in two seconds: " + toCold);
+        long sentToWarming = node.sentTo("cold");
+        assertTrue(sentToWarming >= 1 && sentToWarming <= 16, "sent to the warming server in two seconds: " + sentToWarming);
     }
 
     /** The nodes do not communicate; some of them start together with the warming server. */
     @ParameterizedTest
     @CsvSource({"20, 0", "30, 0", "30, 30"})
-    void allNodesTogetherStayWithinAWarmingServersBudget(int count, int fresh) {
+    void allNodesTogetherStayWithinAWarmingServersBudget(int count, int newNodes) {
         BalancerSettings settings = FakeNode.settings();
         settings.nodes = count;
         List<FakeNode> nodes = new ArrayList<>();
@@ -58,24 +58,24 @@
             BalancerSettings own = FakeNode.settings();
             own.nodes = count;
             own.nodeIndex = i;
-            nodes.add(new FakeNode(own, i).withServers(WARM));
+            nodes.add(new FakeNode(own, i).withServers(WARM_SERVERS));
         }
-        SplittableRandom chance = new SplittableRandom(5);
-        serve(nodes, 4_000, chance);
+        SplittableRandom random = new SplittableRandom(5);
+        serve(nodes, 4_000, random);
         long startedAt = nodes.get(0).now;
         List<ServerEntry> all = new ArrayList<>(List.of(started("cold", startedAt)));
-        for (int i = 0; i < WARM; i++) {
+        for (int i = 0; i < WARM_SERVERS; i++) {
             all.add(FakeNode.server("s" + i));
         }
         for (int i = 0; i < count; i++) {
-            if (i < fresh) {
+            if (i < newNodes) {
                 FakeNode restarted = new FakeNode(nodes.get(i).settings, 100 + i);
                 restarted.now = startedAt;
                 nodes.set(i, restarted);
             }
-            nodes.get(i).deliverList(i < fresh ? ListKind.CACHED : ListKind.FULL, all);
+            nodes.get(i).deliverList(i < newNodes ? ListKind.CACHED : ListKind.FULL, all);
         }
-        serve(nodes, 8_000, chance);
+        serve(nodes, 8_000, random);
         List<Long> sentAt = nodes.stream()
                 .flatMap(n -> n.sent.stream())
                 .filter(s -> s.server().equals("cold"))
@@ -83,7 +83,7 @@
                 .sorted()
                 .toList();
         // On average the load equals the capacity of the servers: each can serve an even share of all requests.
-        double capacity = REQUESTS_PER_SECOND / 1e6 / (WARM + 1);
+        double capacity = REQUESTS_PER_SECOND / 1e6 / (WARM_SERVERS + 1);
         for (int first = 0; first < sentAt.size(); first++) {
             long from = sentAt.get(first);
             double age = (double) (from - startedAt) / settings.warmUpUs;
@@ -94,21 +94,21 @@
                     .count();
             assertTrue(
                     sent <= budget + 2 * Math.sqrt(budget) + 2,
-                    sent + " from " + (from - startedAt) + " us on, the budget is " + budget);
+                    sent + " from " + (from - startedAt) + " us after the start, the budget is " + budget);
         }
-        assertTrue(sentAt.size() > 20, "sent to the cold server: " + sentAt.size());
+        assertTrue(sentAt.size() > 20, "sent to the warming server: " + sentAt.size());
     }
 
     /** Sends requests to random nodes at random times; each response comes 20 ms later. */
-    private static void serve(List<FakeNode> nodes, int rounds, SplittableRandom chance) {
+    private static void serve(List<FakeNode> nodes, int rounds, SplittableRandom random) {
         ArrayDeque<Runnable> due = new ArrayDeque<>();
         for (int round = 0; round < rounds; round++) {
             nodes.forEach(node -> node.advance(1_000));
             while (due.size() > 20 * REQUESTS_PER_SECOND / 1_000) {
                 due.poll().run();
             }
-            if (chance.nextInt(1_000) < REQUESTS_PER_SECOND) {
-                FakeNode node = nodes.get(chance.nextInt(nodes.size()));
+            if (random.nextInt(1_000) < REQUESTS_PER_SECOND) {
+                FakeNode node = nodes.get(random.nextInt(nodes.size()));
                 long id = node.request(FakeNode.IDEMPOTENT);
                 due.add(() -> {
                     if (node.lastAttempt(id) != null && !node.rejected.contains(id)) {
@@ -120,15 +120,15 @@
     }
 
     @Test
-    void nodeThatHasJustStartedDoesNotFloodAWarmingServer() {
+    void newNodeDoesNotOverloadAWarmingServer() {
         FakeNode node = new FakeNode();
         node.deliverList(ListKind.CACHED, List.of(started("cold", node.now - 100_000), FakeNode.server("warm")));
         for (int i = 0; i < 200; i++) {
             node.request(FakeNode.IDEMPOTENT);
             node.advance(1_000);
         }
-        long toCold = node.sentTo("cold");
-        assertTrue(toCold <= 2, "sent to the cold server in 0.2 s: " + toCold);
+        long sentToWarming = node.sentTo("cold");
+        assertTrue(sentToWarming <= 2, "sent to the warming server in 0.2 s: " + sentToWarming);
     }
 
     @Test
@@ -144,9 +144,9 @@
     }
 
     @Test
-    void slowStartDoesNotDependOnWhereTheClockBegins() {
+    void slowStartDoesNotDependOnTheOriginOfTheClock() {
         // Guards against a first response interval that counts from the origin of the clock.
-        List<Long> sentToCold = new ArrayList<>();
+        List<Long> sentToWarming = new ArrayList<>();
         for (long epoch : new long[] {1_000_000, 900_000_000_000L}) {
             FakeNode node = new FakeNode();
             node.now = epoch;
@@ -158,14 +158,14 @@
             for (int i = 0; i < 300; i++) {
                 node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
             }
-            sentToCold.add(node.sentTo("cold"));
+            sentToWarming.add(node.sentTo("cold"));
         }
-        assertEquals(sentToCold.get(0), sentToCold.get(1));
-        assertTrue(sentToCold.get(0) > 1, "sent to the cold server in three seconds: " + sentToCold.get(0));
+        assertEquals(sentToWarming.get(0), sentToWarming.get(1));
+        assertTrue(sentToWarming.get(0) > 1, "sent to the warming server in three seconds: " + sentToWarming.get(0));
     }
 
     @Test
-    void warmingServersLimitDoesNotPassTheMean() {
+    void limitOfAWarmingServerDoesNotExceedTheMean() {
         // Guards against overload after a warm-up: quick responses to its few requests raised the server's limit too
         // far.
         BalancerSettings settings = FakeNode.settings();
@@ -173,13 +173,13 @@
         FakeNode node = new FakeNode(settings, 5);
         node.deliverList(ListKind.CACHED, List.of(started("cold", node.now), FakeNode.server("warm")));
         long warmAt = node.now + settings.warmUpUs;
-        int answered = 0;
+        int responded = 0;
         while (node.now < warmAt) {
             for (int i = 0; i < 3; i++) {
                 node.request(FakeNode.IDEMPOTENT);
             }
-            for (; answered < node.sent.size(); answered++) {
-                FakeNode.Sent sent = node.sent.get(answered);
+            for (; responded < node.sent.size(); responded++) {
+                FakeNode.Sent sent = node.sent.get(responded);
                 node.endAttempt(sent.request(), AttemptResult.OK, sent.server().equals("cold") ? 10_000 : 150_000);
             }
             node.advance(50_000);
@@ -189,12 +189,12 @@
         for (int step = 0; step < 20; step++) {
             node.request(FakeNode.IDEMPOTENT);
             node.advance(50_000);
-            while (answered < node.sent.size() && node.sent.get(answered).atUs() <= node.now - 150_000) {
-                node.endAttempt(node.sent.get(answered++).request(), AttemptResult.OK, 0);
+            while (responded < node.sent.size() && node.sent.get(responded).atUs() <= node.now - 150_000) {
+                node.endAttempt(node.sent.get(responded++).request(), AttemptResult.OK, 0);
             }
         }
-        long toOneJustWarm = node.sentTo("cold") - before;
-        assertTrue(toOneJustWarm <= 3, "sent in a second to the server that is now warm: " + toOneJustWarm);
+        long sentToNewlyWarm = node.sentTo("cold") - before;
+        assertTrue(sentToNewlyWarm <= 3, "sent in a second to the server that is now warm: " + sentToNewlyWarm);
     }
 
     /**
@@ -203,12 +203,12 @@
      */
     @Test
     void firstSendsOfManyNodesToAWarmingServerAreSpread() {
-        int within = 0;
-        for (int me = 0; me < 40; me++) {
+        int nodesThatSent = 0;
+        for (int nodeIndex = 0; nodeIndex < 40; nodeIndex++) {
             BalancerSettings settings = FakeNode.settings();
             settings.nodes = 24;
-            settings.nodeIndex = me % 24;
-            FakeNode node = new FakeNode(settings, 300 + me).withServers(10);
+            settings.nodeIndex = nodeIndex % 24;
+            FakeNode node = new FakeNode(settings, 300 + nodeIndex).withServers(10);
             for (int i = 0; i < 200; i++) {
                 node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 20_000);
             }
@@ -216,25 +216,25 @@
             for (int i = 0; i < 15; i++) {
                 node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 20_000);
             }
-            within += node.sentTo("cold") > 0 ? 1 : 0;
+            nodesThatSent += node.sentTo("cold") > 0 ? 1 : 0;
         }
         // A node's interval is about two seconds: in 0.3 s about a sixth of the nodes may send.
-        assertTrue(within <= 14, "nodes that sent at once: " + within);
+        assertTrue(nodesThatSent <= 14, "nodes that sent at once: " + nodesThatSent);
     }
 
     @Test
     void warmingServerGetsLessWithKeyAffinity() {
         long[] sent = new long[2];
-        for (int warm = 0; warm < 2; warm++) {
+        for (int keyAffinity = 0; keyAffinity < 2; keyAffinity++) {
             BalancerSettings settings = FakeNode.settings();
-            settings.keyAffinity = warm == 1;
+            settings.keyAffinity = keyAffinity == 1;
             FakeNode node = new FakeNode(settings, 9).withServers(4);
             node.deliverList(ListKind.CHANGES, List.of(started("cold", node.now)));
             for (int i = 0; i < 1_000; i++) {
                 long id = node.requestWithKey("k" + i % 300, FakeNode.NON_IDEMPOTENT);
                 node.endAttempt(id, AttemptResult.OK, 10_000);
             }
-            sent[warm] = node.sentTo("cold");
+            sent[keyAffinity] = node.sentTo("cold");
         }
         assertTrue(sent[1] > 0 && 2 * sent[1] <= sent[0], "sent: " + sent[1] + " and " + sent[0]);
     }
@@ -244,7 +244,7 @@
      * initial one, and all nodes filled the server at once.
      */
     @Test
-    void serverThatHasJustWarmedUpIsNotFilledAtOnceWithKeyAffinity() {
+    void newlyWarmServerIsNotOverloadedAtOnceWithKeyAffinity() {
         BalancerSettings settings = FakeNode.settings();
         settings.nodes = 14;
         settings.keyAffinity = true;
