--- a/node/src/main/java/loadbalancer/policy/ConcurrencyLimiter.java
+++ b/node/src/main/java/loadbalancer/policy/ConcurrencyLimiter.java
@@ -3,11 +3,11 @@
 /**
  * Adaptive limits on the attempts in flight, per server and in total.
  *
- * <p>A server's limit grows (additive increase) with each response that is not slow and that predicts no late response
- * by its load report, provided that an attempt was held back by a limit since the request was sent. The limit of a
- * warming server grows only while it is below the mean. A limit is cut (multiplicative decrease) when a response is
- * slow or its load report predicts late responses, when a client leaves after a long wait, and when an attempt is
- * rejected or times out.
+ * <p>A server's limit grows (additive increase) with each response that is not slow and whose load report predicts no
+ * late response, provided that an attempt at the server was held back since the request was sent. The increase is
+ * smaller while many attempts are late, and the limit of a warming server grows only while it is below the mean. A
+ * limit is cut (multiplicative decrease) when a response is slow or its load report predicts late responses, when a
+ * client leaves after waiting as long as a slow response takes, and when an attempt is rejected or times out.
  *
  * <p>An attempt is held back if it would exceed the server's limit or the sum of all limits. The sum matters where many
  * nodes share a server: each limit may then be below one, and an idle server still takes one attempt. Without the sum,
@@ -37,7 +37,7 @@
      * Exponent of the number of nodes per server that scales the steps: with 0 nodes adapt slowly, with 0.5 limits
      * oscillate.
      */
-    private static final double PACE_EXPONENT = 0.25;
+    private static final double STEP_SCALE_EXPONENT = 0.25;
     /**
      * Share of the increase that remains when half or more of the attempts are late, so that limits can grow back at
      * all.
@@ -97,9 +97,9 @@
      * cut.
      */
     void onNodesPerServer(double nodesPerServer) {
-        double pace = Math.pow(nodesPerServer, PACE_EXPONENT);
-        increase = INCREASE / pace;
-        decrease = 1 - Math.pow(1 - DECREASE, pace);
+        double stepScale = Math.pow(nodesPerServer, STEP_SCALE_EXPONENT);
+        increase = INCREASE / stepScale;
+        decrease = 1 - Math.pow(1 - DECREASE, stepScale);
     }
 
     /** Sets the initial limit of a server, once the number of nodes that share it is known. */
@@ -117,7 +117,10 @@
         server.limit = INITIAL_LIMIT / state.nodesPerServer;
     }
 
-    /** Whether a further attempt would exceed the server's limit or the sum of all limits. Records the time if so. */
+    /**
+     * Whether a further attempt must be held back because of the server's limit or the sum of all limits. Records the
+     * time if so.
+     */
     boolean isAtLimit(PendingRequest request, ServerRecord server, long nowUs) {
         boolean exceedsServer = server.inFlight + 1 > server.limit;
         boolean exceedsTotal = state.totalInFlight + 1 > state.totalLimit;
@@ -183,9 +186,9 @@
     }
 
     /**
-     * Whether a response may increase the limit: only if the limit has held back an attempt since the request was sent.
-     * The limit of a warming server must not exceed the mean limit: its few requests are served quickly, and when slow
-     * start ends all nodes together would overload it.
+     * Whether a response may increase the limit: only if an attempt at the server has been held back since the request
+     * was sent. The limit of a warming server must not exceed the mean limit: its few requests are served quickly, and
+     * when slow start ends all nodes together would overload it.
      */
     private boolean mayGrow(ServerRecord server, long sentAtUs, long nowUs) {
         boolean wasReached = server.limitReachedAtUs >= sentAtUs;
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -14,7 +14,8 @@
  * to the better of two servers, drawn with weights that fall with their errors ({@link FirstAttemptPicker}). A failed
  * attempt is retried at the next server in list order ({@link RetryPolicy}, {@link RetryPicker}). If the request may
  * not be sent to any server, it waits within its client's deadline ({@link PendingQueue}); if it may not be sent again,
- * it gets a final response.
+ * it gets a final response. This node adds load shedding on arrival ({@link AdmissionController}) and hedged requests
+ * ({@link HedgingPolicy}).
  */
 public final class ServiceQBalancer implements Balancer {
     private final BalancerActions actions;
@@ -68,9 +69,9 @@
     }
 
     /**
-     * Whether a request may be tried before those in the queue: if the queue is empty, or if the request has a key and
-     * is not late. Each request with a key waits for a few servers only, and the queue retries the waiting ones after
-     * each outcome.
+     * Whether a request may be tried before those in the queue: before its deadline, if the queue is empty or if the
+     * request has a key and is not late. Each request with a key waits for a few servers only, and the queue retries
+     * the waiting ones after each outcome.
      */
     private boolean maySkipQueue(PendingRequest request, long nowUs) {
         boolean isFirst = queue.isEmpty() || request.hasKey() && !queue.isLate(request, nowUs);
