--- a/node/src/main/java/loadbalancer/config/NodeConfigReader.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfigReader.java
@@ -53,7 +53,7 @@
         long serverIdleTimeoutUs = readServerIdleTimeoutUs();
         OperationsConfig operations = readOperations();
         if (operations.inheritsListener()) {
-            settings.maxOpen = maxSockets / SOCKETS_PER_CLIENT;
+            settings.maxOpenRequests = maxSockets / SOCKETS_PER_CLIENT;
         }
         return new NodeConfig(
                 parseAddress(ConfigNames.LISTEN, overridable(ConfigNames.ENV_LISTEN, ConfigNames.LISTEN)),
--- a/node/src/main/java/loadbalancer/policy/BalancerSettings.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerSettings.java
@@ -25,7 +25,7 @@
     /** Maximum number of attempts per request. */
     public int maxAttempts = 3;
     /** Maximum number of open requests: clients have no connections left for more. */
-    public int maxOpen = Integer.MAX_VALUE;
+    public int maxOpenRequests = Integer.MAX_VALUE;
     /** Whether a request may have two attempts in flight at once. */
     public boolean hedging;
     /** Whether attempts may be cancelled. */
@@ -68,7 +68,7 @@
         require(nodes >= 1, "balancers must be at least 1");
         require(nodeIndex >= 0 && nodeIndex < nodes, "me must be at least 0 and below balancers");
         require(maxAttempts >= 1, "limits.attemptsCap must be at least 1");
-        require(maxOpen >= 1, "the maximum of open requests must be at least 1");
+        require(maxOpenRequests >= 1, "the maximum of open requests must be at least 1");
         require(localZone >= 0 && localZone < Math.max(1, zones.size()), "myZone must be one of zones");
         require(
                 tickUs >= 0
--- a/node/src/main/java/loadbalancer/policy/PendingQueue.java
+++ b/node/src/main/java/loadbalancer/policy/PendingQueue.java
@@ -99,7 +99,7 @@
         }
         queue.add(position, request);
         PendingRequest lowest = queue.get(queue.size() - 1);
-        boolean hasRoom = queue.size() + state.totalInFlight <= state.settings.maxOpen;
+        boolean hasRoom = queue.size() + state.totalInFlight <= state.settings.maxOpenRequests;
         return hasRoom || !lowest.isQueued() ? null : lowest;
     }
 
--- a/node/src/test/java/loadbalancer/policy/DecisionStream.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionStream.java
@@ -73,7 +73,7 @@
             boolean hedges,
             boolean poll,
             int maxAttempts,
-            int maxOpen,
+            int maxOpenRequests,
             boolean weightByWork) {}
 
     private static final long START_US = 5_000_000;
@@ -171,7 +171,7 @@
         settings.hedging = parameters.hedges;
         settings.pollsEndpointList = parameters.poll;
         settings.maxAttempts = parameters.maxAttempts;
-        settings.maxOpen = parameters.maxOpen;
+        settings.maxOpenRequests = parameters.maxOpenRequests;
         settings.weightByWork = parameters.weightByWork;
         settings.maxRetryAfterUs = parameters.poll ? 2_000_000 : 0;
         settings.warmUpUs = 6_000_000;
