--- a/node/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/node/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -10,7 +10,7 @@
  * <p>Trade-off: while the on-time ratio lags behind a recovery, requests are rejected that could have been served.
  */
 final class AdmissionController {
-    /** On-time ratio below which requests of half the highest value are shed. */
+    /** On-time ratio below which some requests of half the highest value are shed. */
     private static final double SHEDDING_THRESHOLD = 0.7;
     /** Smallest share of requests that is admitted. */
     private static final double MIN_ADMITTED_SHARE = 0.05;
--- a/node/src/main/java/loadbalancer/policy/BalancerActions.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerActions.java
@@ -34,8 +34,8 @@
     void subscribe();
 
     /**
-     * Reports that a server is ejected: it receives only trial requests, and fallback requests while other servers are
-     * full.
+     * Reports that a server is ejected: it receives only trial requests, and fallback requests if no other server is
+     * found.
      *
      * @param failures number of failures among its last outcomes
      * @param className the class of requests that it is ejected for, or null for all
--- a/node/src/main/java/loadbalancer/policy/KeyAffinityPicker.java
+++ b/node/src/main/java/loadbalancer/policy/KeyAffinityPicker.java
@@ -8,8 +8,9 @@
  * <p>If none of the drawn servers may be sent to, the request waits. On any other server it would cost the work that
  * caching saves, and an overload would reinforce itself.
  *
- * <p>Trade-off: requests for a few hot keys may wait while other servers have spare capacity. Allocates nothing per
- * draw.
+ * <p>Trade-off: requests for a few hot keys may wait while other servers have spare capacity.
+ *
+ * <p>Allocates nothing per draw.
  */
 final class KeyAffinityPicker {
     /** Seed of a request without a key. */
@@ -80,8 +81,8 @@
     private ServerRecord draw(PendingRequest request, WeightedServers candidates, int number) {
         long hash = mix(request.keySeed + number * DRAW_INCREMENT);
         ServerRecord server = candidates.keyTable[(int) ((hash >>> 32) % candidates.keyTable.length)];
-        boolean drawn = (hash & LOW_32_BITS) * weights.highest() < weights.weight(server) * TWO_TO_32;
-        return drawn ? server : null;
+        boolean accepted = (hash & LOW_32_BITS) * weights.highest() < weights.weight(server) * TWO_TO_32;
+        return accepted ? server : null;
     }
 
     /** The finalizer of SplitMix64: each bit of the result depends on each bit of the input. */
--- a/node/src/main/java/loadbalancer/policy/LoadReports.java
+++ b/node/src/main/java/loadbalancer/policy/LoadReports.java
@@ -24,7 +24,7 @@
     private final BalancerState state;
     /** Index of the field with the requests in flight, or -1 if there is none. */
     private final int inFlightField;
-    /** Latency of a response divided by the number of requests that the server had in flight. */
+    /** Latency of a response divided by the reported number of requests in flight plus one. */
     private final RunningMean latencyPerRequestUs = new RunningMean();
 
     private long shortestObjectiveUs;
--- a/node/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/node/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -8,7 +8,7 @@
  * Ejects servers that fail. A server with {@link #MIN_FAILURES} failures among its last {@link
  * ServerHealth#HISTORY_LENGTH} outcomes, of all classes or of one, is ejected for all classes or for that one. Of these
  * classes it then receives only single trial requests, at longer intervals after each one that fails, until several in
- * a row succeed, and fallback requests while other servers are full (see {@link TrialRequests}). Each class is also
+ * a row succeed, and fallback requests if no other server is found (see {@link TrialRequests}). Each class is also
  * judged on its own, because successes of one class would hide failures of another.
  *
  * <p>Never more than half of the servers are ejected: when most servers fail, the cause is elsewhere.
--- a/node/src/main/java/loadbalancer/policy/SubsetSelector.java
+++ b/node/src/main/java/loadbalancer/policy/SubsetSelector.java
@@ -10,8 +10,8 @@
 /**
  * Selects the servers that this node uses. Takes effect when more than {@link #NODES_PER_SERVER} nodes would share each
  * server: connections are limited and cost work at both ends, and the more servers a node uses, the fewer responses it
- * gets from each. Where crossing zones has a cost, the servers of the local zone are selected first, and half as many
- * of other zones but up to {@link #MIN_SUBSET_SIZE}.
+ * gets from each. Where crossing zones has a cost, the subset consists of servers of the local zone, and of other zones
+ * at most half as many or {@link #MIN_SUBSET_SIZE}, whichever is more.
  *
  * <p>Servers claim entries in a {@link MaglevTable}, and node i uses the servers of row i modulo the number of rows.
  * All servers get about equally many nodes, all nodes compute the same table, and a change of the list moves few
@@ -45,8 +45,8 @@
      */
     private static final int MAX_NODES_PER_SERVER = 2 * NODES_PER_SERVER;
     /**
-     * Servers of the own zone per server of another zone, where that allows {@link #MIN_SUBSET_SIZE} of the latter:
-     * these are used only if the own zone's servers do not suffice.
+     * Servers of the own zone per server of other zones, unless that allows fewer than {@link #MIN_SUBSET_SIZE} of the
+     * latter, which are used only if the own zone's servers do not suffice.
      */
     private static final int LOCAL_PER_REMOTE = 2;
 
--- a/node/src/main/java/loadbalancer/policy/TrialRequests.java
+++ b/node/src/main/java/loadbalancer/policy/TrialRequests.java
@@ -10,7 +10,7 @@
  * otherwise take most idempotent requests. Non-idempotent requests are used as trials only where no others could show a
  * recovery: if the server is ejected only for their class.
  *
- * <p>As a fallback, while all other servers are full, an ejected server that still responds, even with errors, receives
+ * <p>As a fallback, if no other server is found, an ejected server that still responds, even with errors, receives
  * idempotent requests that have a further attempt left. Error responses cost no work, so each request that it serves is
  * a gain. The longer it only fails, the longer it gets none, because a server that fails immediately would otherwise
  * attract most requests.
