--- a/node/src/main/java/loadbalancer/policy/ClassLatency.java
+++ b/node/src/main/java/loadbalancer/policy/ClassLatency.java
@@ -8,7 +8,7 @@
     private static final double LEAST_MEAN_DRIFT = 1.0001;
     /** Share of the window of {@link RunningMean} that must be filled before the mean is considered reliable. */
     private static final double KNOWN_SHARE = 0.5;
-    /** A response of this share of the mean is slower than half of all, as the median lies below the mean. */
+    /** A response of this share of the mean is slower than half of all, because the median is below the mean. */
     private static final double SLOW_SHARE = 0.8;
 
     private final RunningMean mean = new RunningMean();
--- a/node/src/main/java/loadbalancer/policy/PendingQueue.java
+++ b/node/src/main/java/loadbalancer/policy/PendingQueue.java
@@ -152,10 +152,7 @@
         return deadlineIsNear || hasNoLateValue || !RetryPolicy.mayRetry(request, nowUs);
     }
 
-    /**
-     * Tries to send one request, unless an earlier one of this pass has failed to find a server and stands for its
-     * kind.
-     */
+    /** Tries to send one request, unless an earlier one of its kind has failed to find a server in this pass. */
     private boolean trySend(PendingRequest request, long nowUs) {
         boolean nonIdempotent = request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT;
         boolean isFull = fullForAll || nonIdempotent && fullForNonIdempotent;
