--- a/node/src/test/java/loadbalancer/policy/AllowedAttemptsTest.java
+++ b/node/src/test/java/loadbalancer/policy/AllowedAttemptsTest.java
@@ -74,7 +74,8 @@
     @Test
     void keyedRequestThatNeverRanMayGoToAnyServer() {
         FakeNode node = new FakeNode();
-        node.deliverList(ListKind.CACHED, List.of(entry("a", 0, 1, ServerState.READY), entry("x", 1, 2, ServerState.READY)));
+        node.deliverList(
+                ListKind.CACHED, List.of(entry("a", 0, 1, ServerState.READY), entry("x", 1, 2, ServerState.READY)));
         long id = node.request(FakeNode.KEYED_CELL);
         node.endAttempt(id, AttemptResult.FULL, 1_000);
         assertEquals(2, node.attempts(id));
--- a/node/src/test/java/loadbalancer/policy/ClientRetryTest.java
+++ b/node/src/test/java/loadbalancer/policy/ClientRetryTest.java
@@ -74,6 +74,7 @@
         long late = node.requestWithKey("cool", FakeNode.NON_IDEMPOTENT, DEADLINE_US - 300_000, true);
         assertNull(node.lastAttempt(late));
         assertEquals(List.of(late), node.rejected);
-        assertNotNull(node.lastAttempt(node.requestWithKey("cool", FakeNode.NON_IDEMPOTENT)), "a request in time is sent");
+        assertNotNull(
+                node.lastAttempt(node.requestWithKey("cool", FakeNode.NON_IDEMPOTENT)), "a request in time is sent");
     }
 }
--- a/node/src/test/java/loadbalancer/policy/DecisionDigestTest.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionDigestTest.java
@@ -48,13 +48,16 @@
     }
 
     static Stream<Arguments> streams() {
-        StreamParameters one = new StreamParameters(1, 6, 1, 0, false, false, false, false, false, 1 + 1, Integer.MAX_VALUE, true);
+        StreamParameters one =
+                new StreamParameters(1, 6, 1, 0, false, false, false, false, false, 1 + 1, Integer.MAX_VALUE, true);
         StreamParameters small = new StreamParameters(3, 9, 2, 0.02, false, true, true, true, true, 4, 200, false);
         StreamParameters smallKeys = new StreamParameters(3, 9, 2, 0.02, true, true, true, true, true, 4, 200, false);
         StreamParameters keysOneZone = new StreamParameters(5, 12, 1, 0, true, false, true, true, false, 3, 100, false);
         StreamParameters hundred = new StreamParameters(100, 60, 3, 0.02, false, true, true, true, true, 3, 100, false);
-        StreamParameters hundredKeys = new StreamParameters(100, 60, 3, 0.02, true, true, true, true, true, 3, 100, false);
-        StreamParameters hundredOneZone = new StreamParameters(100, 60, 1, 0, false, true, true, true, false, 3, 60, true);
+        StreamParameters hundredKeys =
+                new StreamParameters(100, 60, 3, 0.02, true, true, true, true, true, 3, 100, false);
+        StreamParameters hundredOneZone =
+                new StreamParameters(100, 60, 1, 0, false, true, true, true, false, 3, 60, true);
         return Stream.of(
                 Arguments.of(
                         "one node",
@@ -102,7 +105,8 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("streams")
-    void streamGivesTheRecordedDigest(String name, StreamParameters parameters, long seed, String digest, Set<Covered> expected) {
+    void streamGivesTheRecordedDigest(
+            String name, StreamParameters parameters, long seed, String digest, Set<Covered> expected) {
         DecisionStream stream = new DecisionStream(parameters, seed);
         String found = stream.digest();
         assertAll(
--- a/node/src/test/java/loadbalancer/policy/DecisionStream.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionStream.java
@@ -368,7 +368,10 @@
     private void varyBackgroundLoad() {
         servers.values()
                 .forEach(server -> server.backgroundLoad = Math.max(
-                        0, server.backgroundLoad + (random.nextDouble() - 0.5) * 3 + (2 * load - server.backgroundLoad) / 8));
+                        0,
+                        server.backgroundLoad
+                                + (random.nextDouble() - 0.5) * 3
+                                + (2 * load - server.backgroundLoad) / 8));
     }
 
     // ---------------------------------------------------------------- requests and responses
--- a/node/src/test/java/loadbalancer/policy/EjectionTest.java
+++ b/node/src/test/java/loadbalancer/policy/EjectionTest.java
@@ -84,7 +84,10 @@
                     .count();
             assertTrue(toFailing < node.settings.maxAttempts, "attempts of one request: " + toFailing);
         }
-        assertEquals(0, sentInOverload(withFailingServer(), FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR), "non-idempotent requests sent");
+        assertEquals(
+                0,
+                sentInOverload(withFailingServer(), FakeNode.NON_IDEMPOTENT, AttemptResult.ERROR),
+                "non-idempotent requests sent");
     }
 
     @Test
--- a/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
@@ -104,7 +104,9 @@
         int before = requestCount;
         run(20 * SECOND_US, 2_000, failureShare);
         double nonIdempotent = 0.4 * (requestCount - before);
-        assertTrue(lostNonIdempotent <= 0.025 * nonIdempotent, "non-idempotent requests lost: " + lostNonIdempotent + " of " + nonIdempotent);
+        assertTrue(
+                lostNonIdempotent <= 0.025 * nonIdempotent,
+                "non-idempotent requests lost: " + lostNonIdempotent + " of " + nonIdempotent);
     }
 
     /**
@@ -119,7 +121,9 @@
         run(10 * SECOND_US, 5_000, 0);
         int before = requestCount;
         run(20 * SECOND_US, 2_000, failureShare);
-        assertTrue(failedAtFirstServer <= 0.05 * (requestCount - before), "failed at the first server: " + failedAtFirstServer + " of " + (requestCount - before));
+        assertTrue(
+                failedAtFirstServer <= 0.05 * (requestCount - before),
+                "failed at the first server: " + failedAtFirstServer + " of " + (requestCount - before));
     }
 
     /** After the overload the load is two thirds of the capacity. */
--- a/node/src/test/java/loadbalancer/policy/OverloadedServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/OverloadedServerTest.java
@@ -138,7 +138,9 @@
         long idle = sentToWarmingServerOfLoad(1);
         long busy = sentToWarmingServerOfLoad(3);
         assertTrue(idle > 1.3 * busy, "idle " + idle + ", busy " + busy);
-        assertTrue(busy > 2 * sentToWarmingServerOfLoad(6), "busy " + busy + ", overloaded " + sentToWarmingServerOfLoad(6));
+        assertTrue(
+                busy > 2 * sentToWarmingServerOfLoad(6),
+                "busy " + busy + ", overloaded " + sentToWarmingServerOfLoad(6));
     }
 
     @Test
--- a/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -103,9 +103,11 @@
                         "rule 2: a non-idempotent request that may have run is not sent again");
                 if (request.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
                     assertTrue(
-                            now <= firstThatMayHaveRun.sentAtUs + request.requestClass.deduplicationWindowUs(), "rule 2: within the deduplication window");
+                            now <= firstThatMayHaveRun.sentAtUs + request.requestClass.deduplicationWindowUs(),
+                            "rule 2: within the deduplication window");
                     assertTrue(
-                            sameDeduplicationScope(request.requestClass.deduplicationScope(), firstThatMayHaveRun.server, server),
+                            sameDeduplicationScope(
+                                    request.requestClass.deduplicationScope(), firstThatMayHaveRun.server, server),
                             "rule 2: within the deduplication scope");
                 }
                 assertTrue(settings.hedging || request.attempts.stream().allMatch(a -> a.result != null));
@@ -272,7 +274,8 @@
             }
             balancer.onOutcome(
                     now,
-                    new AttemptOutcome(due[1], (int) due[2], attempt.result, now - attempt.sentAtUs, request.ended, null));
+                    new AttemptOutcome(
+                            due[1], (int) due[2], attempt.result, now - attempt.sentAtUs, request.ended, null));
         }
 
         void run(int events) {
@@ -283,7 +286,8 @@
             long nextEvent = now;
             for (int done = 0; done < events || !dueOutcomes.isEmpty() || openCount() > 0; ) {
                 long at = done < events ? nextEvent : Long.MAX_VALUE;
-                at = Math.min(at, dueOutcomes.isEmpty() ? Long.MAX_VALUE : dueOutcomes.peek()[0]);
+                at = Math.min(
+                        at, dueOutcomes.isEmpty() ? Long.MAX_VALUE : dueOutcomes.peek()[0]);
                 at = Math.min(at, wakes.isEmpty() ? Long.MAX_VALUE : wakes.peek());
                 assertTrue(at < Long.MAX_VALUE, "rule 1: requests are open but no event or wake-up is pending");
                 now = Math.max(now, at);
@@ -353,7 +357,8 @@
                         1, (first[0] + settings.overloadUs - start.startedAtUs()) / (double) settings.warmUpUs);
                 double share = settings.warmUpInitialShare + (1 - settings.warmUpInitialShare) * age;
                 assertTrue(
-                        span.size() - 2 <= settings.overloadMultiple * share * rate / readyCount * settings.overloadUs / 1e6,
+                        span.size() - 2
+                                <= settings.overloadMultiple * share * rate / readyCount * settings.overloadUs / 1e6,
                         "rule 4: " + span.size() + " sends in one span");
             }
         });
--- a/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
+++ b/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
@@ -195,6 +195,8 @@
             }
             sentAtOnce[leave] = node.sent.size() - before;
         }
-        assertTrue(sentAtOnce[1] < sentAtOnce[0] && sentAtOnce[1] <= 2, "sent at once: " + sentAtOnce[1] + " and " + sentAtOnce[0]);
+        assertTrue(
+                sentAtOnce[1] < sentAtOnce[0] && sentAtOnce[1] <= 2,
+                "sent at once: " + sentAtOnce[1] + " and " + sentAtOnce[0]);
     }
 }
--- a/node/src/test/java/loadbalancer/policy/WarmingServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/WarmingServerTest.java
@@ -44,7 +44,9 @@
                     .ifPresent(s -> node.endAttempt(s.request(), AttemptResult.OK, 0));
         }
         long sentToWarming = node.sentTo("cold");
-        assertTrue(sentToWarming >= 1 && sentToWarming <= 16, "sent to the warming server in two seconds: " + sentToWarming);
+        assertTrue(
+                sentToWarming >= 1 && sentToWarming <= 16,
+                "sent to the warming server in two seconds: " + sentToWarming);
     }
 
     /** The nodes do not communicate; some of them start together with the warming server. */
