--- a/node/src/main/java/loadbalancer/policy/BalancerSettings.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerSettings.java
@@ -4,69 +4,72 @@
 import java.util.List;
 
 /**
- * The settings of one node's balancer. Fields that are not set keep the defaults given here. Mutable until it is given
- * to a balancer, which does not change it.
+ * The settings of one node's balancer. Fields that are not set keep the defaults given here. Mutable until passed to a
+ * balancer, which does not change it.
  */
 public final class BalancerSettings {
     /** Number of nodes in the fleet, this one included. */
     public int nodes = 1;
-    /** This node's index among them, from 0. */
+    /** Index of this node among the nodes of the fleet, from 0. */
     public int nodeIndex;
-    /** This node's zone, an index into {@link #zones}. */
+    /** Zone of this node, as an index into {@link #zones}. */
     public int localZone;
-    /** Zones by name. */
+    /** Names of the zones. */
     public List<String> zones = new ArrayList<>();
     /** Request classes; at least one. */
     public List<RequestClass> classes = new ArrayList<>();
     /** Tenants; may be empty. */
     public List<Tenant> tenants = new ArrayList<>();
-    /** Whether weight counts for each unit of work and not for each request. */
+    /** Whether a class's weight applies per unit of work instead of per request. */
     public boolean weightByWork;
-    /** Maximum number of attempts for a request. */
+    /** Maximum number of attempts per request. */
     public int maxAttempts = 3;
     /** Maximum number of open requests: clients have no connections left for more. */
-    public int maxOpen = Integer.MAX_VALUE;
+    public int maxOpenRequests = Integer.MAX_VALUE;
     /** Whether a request may have two attempts in flight at once. */
     public boolean hedging;
     /** Whether attempts may be cancelled. */
     public boolean cancellation;
-    /** Whether servers may be probed. Part of the protocol; no rule probes. */
+    /** Whether servers may be probed. Part of the protocol; no rule sends probes. */
     public boolean probes;
-    /** Longest advice to a client on when to retry; 0 means none may be given. */
+    /** Longest retry-after advice to a client; 0 if none may be given. */
     public long maxRetryAfterUs;
-    /** Events come at most this often. */
+    /** Shortest time between two events. */
     public long tickUs = 1_000;
-    /** Time allowed to open a connection. */
+    /** Time limit for opening a connection. */
     public long connectTimeoutUs = 250_000;
     /** Whether the endpoint list must be polled. */
     public boolean pollsEndpointList;
-    /** Where it must be polled: without a subscription, at least this often. */
+    /** Where the endpoint list must be polled: longest time without a subscription until the next poll. */
     public long pollIntervalUs = 10_000_000;
-    /** Sends to a server must end this long after the notification that it drains or is gone; they end at once. */
+    /**
+     * Time after the notification that a server drains or is gone until sends to it must stop. Part of the protocol; no
+     * rule reads it, because sends stop at once.
+     */
     public long drainGraceUs = 1_000_000;
-    /** A server starts with this share of its capacity or more. */
+    /** Minimum share of its capacity that a server has when it starts. */
     public double warmUpInitialShare = 0.2;
-    /** A server is warm this long after its start at most. */
+    /** Longest time from the start of a server until it is warm. */
     public long warmUpUs = 20_000_000;
-    /** A server that warms up is overloaded when all nodes send it more than this many times what it can do. */
+    /** Multiple of a warming server's current capacity above which the load from all nodes together overloads it. */
     public double overloadMultiple = 3;
-    /** How long an overloaded server that warms up fails. Part of the protocol; no rule reads it. */
+    /** How long a warming server fails after an overload. Part of the protocol; no rule reads it. */
     public long overloadUs = 2_000_000;
     /** Cost of an attempt that crosses zones; 0 if crossing is free. */
     public double crossZoneCost;
-    /** Whether a server that served a key lately needs less work to serve it again. */
+    /** Whether servers serve a key with less work if they have served it recently. */
     public boolean keyAffinity;
     /** The fields of load reports, in order; empty if there are none. */
     public List<LoadReportField> reportFields = new ArrayList<>();
 
-    /** Throws IllegalArgumentException, naming the field, if a setting is missing or out of range. */
+    /** Throws IllegalArgumentException, naming the configuration keys concerned, if one is missing or out of range. */
     public void validate() {
         require(!classes.isEmpty(), "classes is empty");
-        require(nodes >= 1, "nodes is under 1");
-        require(nodeIndex >= 0 && nodeIndex < nodes, "me is not among nodes");
-        require(maxAttempts >= 1, "maxAttempts is under 1");
-        require(maxOpen >= 1, "maxOpen is under 1");
-        require(localZone >= 0 && localZone < Math.max(1, zones.size()), "myZone is not among zones");
+        require(nodes >= 1, "balancers must be at least 1");
+        require(nodeIndex >= 0 && nodeIndex < nodes, "me must be at least 0 and below balancers");
+        require(maxAttempts >= 1, "limits.attemptsCap must be at least 1");
+        require(maxOpenRequests >= 1, "the maximum of open requests must be at least 1");
+        require(localZone >= 0 && localZone < Math.max(1, zones.size()), "myZone must be one of zones");
         require(
                 tickUs >= 0
                         && warmUpUs >= 0
@@ -75,28 +78,33 @@
                         && connectTimeoutUs >= 0
                         && pollIntervalUs >= 0
                         && maxRetryAfterUs >= 0,
-                "a length of time is negative");
-        require(warmUpInitialShare > 0 && warmUpInitialShare <= 1, "coldFrom is not in (0, 1]");
-        require(overloadMultiple > 0, "fallMultiple is not above 0");
+                "quantumUs, limits.dialTimeoutUs, limits.maxRetryAfterUs, rules.askWithinUs, rules.coldUs,"
+                        + " rules.drainGraceUs and rules.fallUs must not be negative");
+        require(warmUpInitialShare > 0 && warmUpInitialShare <= 1, "rules.coldFrom must be above 0 and at most 1");
+        require(overloadMultiple > 0, "rules.overloadFactor must be above 0");
         classes.forEach(BalancerSettings::validate);
     }
 
-    private static void validate(RequestClass c) {
+    private static void validate(RequestClass requestClass) {
         require(
-                c.latencyObjectiveUs() >= 0
-                        && c.deadlineUs() > 0
-                        && c.deduplicationWindowUs() >= 0
-                        && c.objectiveStretch() >= 0,
-                "class " + c.name() + " has a length of time out of range");
-        require(c.priorityWeight() >= 0 && c.lateWeight() >= 0, "class " + c.name() + " has a negative worth");
+                requestClass.latencyObjectiveUs() >= 0
+                        && requestClass.deadlineUs() > 0
+                        && requestClass.deduplicationWindowUs() >= 0
+                        && requestClass.objectiveStretch() >= 0,
+                "class " + requestClass.name()
+                        + ": onTimeUs, windowUs and aimStretch must not be negative, giveUpUs must be above 0");
         require(
-                c.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY || c.deduplicationScope() != null,
-                "class " + c.name() + " has no group");
+                requestClass.priorityWeight() >= 0 && requestClass.lateWeight() >= 0,
+                "class " + requestClass.name() + ": importance and lateWorth must not be negative");
+        require(
+                requestClass.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY
+                        || requestClass.deduplicationScope() != null,
+                "class " + requestClass.name() + ": group is required where repeat is keyed");
     }
 
-    private static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new IllegalArgumentException(otherwise);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/node/src/main/java/loadbalancer/policy/MaglevTable.java
+++ b/node/src/main/java/loadbalancer/policy/MaglevTable.java
@@ -5,71 +5,77 @@
 import java.util.Comparator;
 
 /**
- * Builds tables of places that servers claim in turn, as in Maglev hashing: each server has about equally many places,
- * every node builds the same table from the same list, and a change of the list moves few places.
+ * Builds lookup tables as in Maglev hashing: servers take turns to claim entries. Each server has about equally many
+ * entries, every node builds the same table from the same list, and a change of the list moves few entries.
  *
- * <p>The number of places is a prime, so that a server's steps through the table reach every place. A table may be cut
- * into rows; no server then has two places in one row. Stateless.
+ * <p>The length is a prime, so that a server's permutation reaches every entry. A table may be divided into rows; no
+ * server has two entries in one row. Stateless.
  */
 final class MaglevTable {
 
     private MaglevTable() {}
 
     /**
-     * Builds a table of at least {@code minPlaces} places in rows of {@code rowLength}. A place that no server can
+     * Builds a table of at least {@code minEntries} entries in rows of {@code rowLength}. An entry that no server can
      * claim is null.
      */
-    static ServerRecord[] build(ServerRecord[] servers, int minPlaces, int rowLength) {
-        ServerRecord[] table = new ServerRecord[nextPrime(minPlaces)];
-        ServerRecord[] inTurn = servers.clone();
-        Arrays.sort(inTurn, Comparator.comparingLong(server -> server.hash));
-        Claimant[] claimants = Arrays.stream(inTurn)
-                .map(server -> new Claimant(server, table.length))
-                .toArray(Claimant[]::new);
+    static ServerRecord[] build(ServerRecord[] servers, int minEntries, int rowLength) {
+        ServerRecord[] table = new ServerRecord[nextPrime(minEntries)];
+        ServerRecord[] sorted = servers.clone();
+        Arrays.sort(sorted, Comparator.comparingLong(server -> server.hash));
+        Permutation[] permutations = Arrays.stream(sorted)
+                .map(server -> new Permutation(server, table.length))
+                .toArray(Permutation[]::new);
         int unclaimed = table.length;
-        int failuresInTurn = 0;
-        for (int i = 0; unclaimed > 0 && failuresInTurn < claimants.length; i = (i + 1) % claimants.length) {
-            if (claimants[i].claim(table, rowLength)) {
+        int failuresInARow = 0;
+        for (int i = 0; unclaimed > 0 && failuresInARow < permutations.length; i = (i + 1) % permutations.length) {
+            if (permutations[i].claim(table, rowLength)) {
                 unclaimed--;
-                failuresInTurn = 0;
+                failuresInARow = 0;
             } else {
-                failuresInTurn++;
+                failuresInARow++;
             }
         }
         return table;
     }
 
-    private static int nextPrime(int from) {
-        return BigInteger.valueOf(from - 1L).nextProbablePrime().intValueExact();
+    private static int nextPrime(int min) {
+        return BigInteger.valueOf(min - 1L).nextProbablePrime().intValueExact();
     }
 
-    /** A server on its walk through the table, in an order of its own. */
-    private static final class Claimant {
+    /** The order in which one server visits the entries of the table: from an offset, in steps of constant length. */
+    private static final class Permutation {
         private final ServerRecord server;
-        private final int step;
-        private int place;
+        private final int skip;
+        private int entry;
         private int visited;
-        /** The rows that it has places in. Kept here: a search of the row in the table would cost the row's length. */
+        /**
+         * The rows in which the server has entries. Stored because searching the row in the table would cost time
+         * proportional to its length.
+         */
         private int[] rows = new int[0];
 
-        Claimant(ServerRecord server, int places) {
+        Permutation(ServerRecord server, int tableLength) {
             this.server = server;
-            place = (int) Math.floorMod(server.hash, (long) places);
-            step = 1 + (int) Math.floorMod(server.hash >> 32, places - 1L);
+            entry = (int) Math.floorMod(server.hash, (long) tableLength);
+            skip = 1 + (int) Math.floorMod(server.hash >> 32, tableLength - 1L);
         }
 
-        /** Claims the next free place in a row where this server has none; false if the walk is at its end. */
+        /**
+         * Claims the next free entry in a row where this server has none; returns false if all entries have been
+         * visited.
+         */
         boolean claim(ServerRecord[] table, int rowLength) {
-            while (visited < table.length && (table[place] != null || hasRow(place / rowLength))) {
-                place = (place + step) % table.length;
+            while (visited < table.length && (table[entry] != null || hasRow(entry / rowLength))) {
+                entry = (entry + skip) % table.length;
                 visited++;
             }
             if (visited == table.length) {
                 return false;
             }
-            table[place] = server;
+            table[entry] = server;
             rows = Arrays.copyOf(rows, rows.length + 1);
-            rows[rows.length - 1] = place / rowLength;
+            rows[rows.length - 1] = entry / rowLength;
             return true;
         }
 
--- a/node/src/main/java/loadbalancer/policy/PendingQueue.java
+++ b/node/src/main/java/loadbalancer/policy/PendingQueue.java
@@ -5,31 +5,41 @@
 import java.util.List;
 
 /**
- * The requests that wait for a server, ordered by value, first come first served among those of equal value. They are
- * tried anew with each event and at each sweep. A request leaves the queue when a server takes it, when its client's
- * time is up, or when it is too late for an answer that earns anything.
+ * Requests that wait for a server, ordered by value, and by arrival among those of equal value. A pass over the queue
+ * tries to send them: after each outcome, after each change of servers, cordons or settings, after an arrival that had
+ * to wait, and at each wake-up.
  *
- * <p>The queue is bounded by the settings' maximum of open requests: beyond that clients would find no connection, so
- * the request of the lowest value makes room.
+ * <p>A request leaves the queue when it is sent to a server, or when its client leaves. It gets a final response when
+ * its deadline is near, when it is late and a late response to its class has no value, or when it may no longer be sent
+ * (see {@link RetryPolicy}). That response is a rejection if the client may safely retry, else a failure. A late
+ * request whose class gives late responses some value stays, with its value reduced once.
  *
- * <p>Single-threaded; sends and final answers are the owner's.
+ * <p>Queued requests and attempts in flight together are bounded by the maximum of open requests, because clients have
+ * no connections for more. Beyond that the queued request with the lowest value gets its final response.
  */
 final class PendingQueue {
-    /** Shortest time between sweeps: long against the cost of one, short against any latency objective. */
+    /**
+     * Shortest interval between sweeps: long compared to the cost of a sweep, short compared to any latency objective.
+     */
     private static final long MIN_SWEEP_INTERVAL_US = 5_000;
 
+    /** Ticks of the node between sweeps, if that is longer. */
     private static final int SWEEP_INTERVAL_TICKS = 2;
     /**
-     * A request is late with less than so many mean latencies left until its objective, or with less than a share of
-     * the objective if that is shorter.
+     * A request is late if the time until its objective is less than this many mean latencies of its class and less
+     * than {@link #LATE_OBJECTIVE_SHARE} of the objective.
      */
     private static final double LATE_MEAN_LATENCIES = 2;
 
+    /** Share of the latency objective; see {@link #LATE_MEAN_LATENCIES}. */
     private static final double LATE_OBJECTIVE_SHARE = 0.8;
-    /** Requests with a key that are tried in vain at each event and at each sweep; a bound on the work. */
-    static final int KEYS_PER_EVENT = 4;
+    /**
+     * Requests with a key that may fail to find a server per event before no further ones are tried; bounds the work.
+     */
+    static final int MAX_KEYED_TRIES_PER_EVENT = 4;
 
-    static final int KEYS_PER_SWEEP = 64;
+    /** The same number per sweep. */
+    static final int MAX_KEYED_TRIES_PER_SWEEP = 64;
 
     /** Sends a request if a server may take it now; false if none may. */
     @FunctionalInterface
@@ -37,38 +47,38 @@
         boolean trySend(PendingRequest request, long nowUs);
     }
 
-    /** Gives a request its final answer, which ends it. */
+    /** Gives a request the final response that ends it, as no server has served it. */
     @FunctionalInterface
-    interface Answerer {
-        void answerUnserved(PendingRequest request);
+    interface Responder {
+        void respondUnserved(PendingRequest request);
     }
 
     private final BalancerState state;
     private final PerClass<ClassLatency> latencies;
     private final Sender sender;
-    private final Answerer answerer;
-    /** Holds requests that have ended or were sent until the next pass removes them. */
+    private final Responder responder;
+    /** May still contain requests that were sent or have ended; the next pass removes them. */
     private final List<PendingRequest> queue = new ArrayList<>();
 
     private long sweepIntervalUs;
 
-    // The state of one pass.
+    // State of the current pass.
     private boolean fullForAll;
     private boolean fullForNonIdempotent;
-    private int keysToTry;
+    private int keyedTriesLeft;
 
-    PendingQueue(BalancerState state, PerClass<ClassLatency> latencies, Sender sender, Answerer answerer) {
+    PendingQueue(BalancerState state, PerClass<ClassLatency> latencies, Sender sender, Responder responder) {
         this.state = state;
         this.latencies = latencies;
         this.sender = sender;
-        this.answerer = answerer;
+        this.responder = responder;
     }
 
     void applySettings(BalancerSettings settings) {
         sweepIntervalUs = Math.max(MIN_SWEEP_INTERVAL_US, SWEEP_INTERVAL_TICKS * settings.tickUs);
     }
 
-    /** Time until a queue that is not empty has to be swept again. */
+    /** Longest time until a non-empty queue must be swept again. */
     long sweepIntervalUs() {
         return sweepIntervalUs;
     }
@@ -77,7 +87,10 @@
         return queue.isEmpty();
     }
 
-    /** Adds a request; returns the one that has to make room for it, which may be the same, or null. */
+    /**
+     * Adds a request. Returns the request with the lowest value if there is no room for it, which may be the one added,
+     * else null.
+     */
     PendingRequest add(PendingRequest request) {
         request.enqueue();
         int position = queue.size();
@@ -86,11 +99,11 @@
         }
         queue.add(position, request);
         PendingRequest lowest = queue.get(queue.size() - 1);
-        boolean hasRoom = queue.size() + state.totalInFlight <= state.settings.maxOpen;
+        boolean hasRoom = queue.size() + state.totalInFlight <= state.settings.maxOpenRequests;
         return hasRoom || !lowest.isQueued() ? null : lowest;
     }
 
-    /** Whether the request would most likely be answered after its latency objective. */
+    /** Whether the response to the request would probably come after its latency objective. */
     boolean isLate(PendingRequest request, long nowUs) {
         return request.objectiveAtUs - nowUs
                 < Math.min(
@@ -99,14 +112,15 @@
     }
 
     /**
-     * Sends what waits as far as servers allow, and answers what has run out of time.
+     * Makes a pass over the queue: sends requests as far as servers accept them, and ends those that may wait no
+     * longer.
      *
-     * @param maxKeys how many requests with a key may be tried in vain
+     * @param maxKeyedTries number of requests with a key that may fail to find a server
      */
-    void serve(int maxKeys, long nowUs) {
+    void serve(int maxKeyedTries, long nowUs) {
         fullForAll = false;
         fullForNonIdempotent = false;
-        keysToTry = maxKeys;
+        keyedTriesLeft = maxKeyedTries;
         int remaining = 0;
         boolean unsorted = false;
         for (int i = 0; i < queue.size(); i++) {
@@ -115,8 +129,8 @@
                 continue;
             }
             boolean late = isLate(request, nowUs);
-            if (hasNoUse(request, late, nowUs)) {
-                answerer.answerUnserved(request);
+            if (shouldGiveUp(request, late, nowUs)) {
+                responder.respondUnserved(request);
             } else if (late && !request.valuedAsLate) {
                 request.valuedAsLate = true;
                 request.value *= request.requestClass.lateWeight();
@@ -132,22 +146,24 @@
         }
     }
 
-    private boolean hasNoUse(PendingRequest request, boolean late, long nowUs) {
-        boolean outOfTime = request.deadlineAtUs - nowUs <= sweepIntervalUs + state.settings.tickUs;
-        boolean earnsNothing = late && request.requestClass.lateWeight() == 0;
-        return outOfTime || earnsNothing || !RetryPolicy.mayRetry(request, nowUs);
+    private boolean shouldGiveUp(PendingRequest request, boolean late, long nowUs) {
+        boolean deadlineIsNear = request.deadlineAtUs - nowUs <= sweepIntervalUs + state.settings.tickUs;
+        boolean hasNoLateValue = late && request.requestClass.lateWeight() == 0;
+        return deadlineIsNear || hasNoLateValue || !RetryPolicy.mayRetry(request, nowUs);
     }
 
-    /** Tries one request, unless one before it has shown in this pass that no server takes any of its kind. */
+    /** Tries to send one request, unless an earlier one of its kind has failed to find a server in this pass. */
     private boolean trySend(PendingRequest request, long nowUs) {
         boolean nonIdempotent = request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT;
         boolean isFull = fullForAll || nonIdempotent && fullForNonIdempotent;
         if (!isFull && sender.trySend(request, nowUs)) {
             return true;
         }
-        // A request that was not sent yet may go anywhere, but for those which are not idempotent and ejected servers:
-        // if it finds no server, nor does the next one. One with a key may go to few servers.
-        if (request.attempts == 0 && (!request.hasKey() || --keysToTry <= 0)) {
+        // A request without a key that was never sent may go to almost any server, so once one finds none, no further
+        // ones are tried in this pass. A non-idempotent one stops only others of its kind, because ejected servers may
+        // accept idempotent requests. A request with a key may go to few servers, so these stop the pass only after
+        // several have failed.
+        if (request.attempts == 0 && (!request.hasKey() || --keyedTriesLeft <= 0)) {
             fullForNonIdempotent = true;
             fullForAll |= !nonIdempotent || request.hasKey();
         }
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -7,14 +7,15 @@
 import java.util.SplittableRandom;
 
 /**
- * The path of a request through the balancer; each rule on it stands in a class of its own (see
- * {@link BalancerRules}).
+ * Implements the path of a request through the balancer; each rule on that path is a separate class (see {@link
+ * BalancerRules}).
  *
- * <p>The path is that of ServiceQ, a published load balancer that weighs servers by their errors. A first attempt goes
- * to the better of two servers drawn by weights that fall with their
- * errors ({@link FirstAttemptPicker}); a failed one is retried at the next server in list order ({@link RetryPolicy},
- * {@link RetryPicker}); when no server may be sent to, the request waits within its client's time
- * ({@link PendingQueue}), or gets a final answer.
+ * <p>The path is that of ServiceQ, a published load balancer that weights servers by their errors. A first attempt goes
+ * to the better of two servers, drawn with weights that fall with their errors ({@link FirstAttemptPicker}). A failed
+ * attempt is retried at the next server in list order ({@link RetryPolicy}, {@link RetryPicker}). If the request may
+ * not be sent to any server, it waits within its client's deadline ({@link PendingQueue}); if it may not be sent again,
+ * it gets a final response. This node adds load shedding on arrival ({@link AdmissionController}) and hedged requests
+ * ({@link HedgingPolicy}).
  */
 public final class ServiceQBalancer implements Balancer {
     private final BalancerActions actions;
@@ -24,11 +25,11 @@
     private final PendingQueue queue;
     private final WakeUpTimer wakeUpTimer;
     private final ServerRegistry registry = new ServerRegistry();
-    /** The requests that are not over, by id. */
+    /** The requests that have no final response yet or have attempts in flight, by id. */
     private final Map<Long, PendingRequest> requests = new HashMap<>();
 
     /**
-     * A balancer that knows no servers yet.
+     * Creates a balancer without servers.
      *
      * @throws IllegalArgumentException if a setting is missing or out of range
      */
@@ -37,10 +38,10 @@
         rules = new BalancerRules(settings, new SplittableRandom(seed), actions);
         state = rules.state;
         outcomeRecorder = new OutcomeRecorder(rules);
-        queue = new PendingQueue(state, rules.latencies, this::trySend, this::answerUnserved);
+        queue = new PendingQueue(state, rules.latencies, this::trySend, this::respondUnserved);
         wakeUpTimer = new WakeUpTimer(actions);
         applySettings(settings);
-        rules.serversInUse.shareAmong(settings.nodes);
+        rules.serversInUse.setNodesPerServer(settings.nodes);
     }
 
     private void applySettings(BalancerSettings settings) {
@@ -58,20 +59,21 @@
         PendingRequest request = rules.requestFactory.create(arrival, state.settings, nowUs);
         requests.put(request.id, request);
         request.value = rules.priority.valueOf(request.requestClass.priorityWeight(), request.classIndex);
-        if (rules.admissionController.sheds(request)) {
-            answerUnserved(request);
-        } else if (!mayPassQueue(request, nowUs) || !trySend(request, nowUs)) {
+        if (rules.admissionController.shouldShed(request)) {
+            respondUnserved(request);
+        } else if (!maySkipQueue(request, nowUs) || !trySend(request, nowUs)) {
             enqueue(request);
-            queue.serve(PendingQueue.KEYS_PER_EVENT, nowUs);
+            queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_EVENT, nowUs);
         }
         scheduleWakeUp(nowUs);
     }
 
     /**
-     * Whether a request may be tried before those that wait: none does, or it has a key. Requests with keys wait for
-     * few servers each, and those that wait for the same ones are tried with each answer.
+     * Whether a request may be tried before those in the queue: before its deadline, if the queue is empty or if the
+     * request has a key and is not late. Each request with a key waits for a few servers only, and the queue retries
+     * the waiting ones after each outcome.
      */
-    private boolean mayPassQueue(PendingRequest request, long nowUs) {
+    private boolean maySkipQueue(PendingRequest request, long nowUs) {
         boolean isFirst = queue.isEmpty() || request.hasKey() && !queue.isLate(request, nowUs);
         return isFirst && nowUs < request.deadlineAtUs;
     }
@@ -113,16 +115,16 @@
         if (outcome.requestEnded()) {
             end(request);
         } else if (!request.isEnded() && request.outstanding == 0) {
-            retryOrAnswer(request, server, nowUs);
+            retryOrRespond(request, server, nowUs);
         }
-        forgetIfOver(request);
+        removeIfFinished(request);
         serveQueue(nowUs);
     }
 
-    /** A failed request goes to another server, or waits, or gets its final answer. */
-    private void retryOrAnswer(PendingRequest request, ServerRecord failed, long nowUs) {
+    /** Sends a failed request to another server, or queues it, or gives it its final response. */
+    private void retryOrRespond(PendingRequest request, ServerRecord failed, long nowUs) {
         if (!RetryPolicy.mayRetry(request, nowUs)) {
-            answerUnserved(request);
+            respondUnserved(request);
             return;
         }
         ServerRecord next = rules.retryPicker.pick(request, failed, nowUs);
@@ -136,13 +138,15 @@
     private void enqueue(PendingRequest request) {
         PendingRequest displaced = queue.add(request);
         if (displaced != null) {
-            answerUnserved(displaced);
+            respondUnserved(displaced);
         }
     }
 
-    /** The final answer to a request that no server served: rejected only where a retry by the client is harmless. */
-    private void answerUnserved(PendingRequest request) {
-        if (RetryPolicy.isRetryByClientHarmless(request)) {
+    /**
+     * Gives the final response to a request that no server has served: "rejected" only if the client may safely retry.
+     */
+    private void respondUnserved(PendingRequest request) {
+        if (RetryPolicy.isClientRetrySafe(request)) {
             actions.reject(request.id, state.settings.maxRetryAfterUs);
         } else {
             actions.fail(request.id);
@@ -153,23 +157,23 @@
     private void end(PendingRequest request) {
         request.end();
         cancelAttemptsExcept(PendingRequest.UNBOUND, request);
-        forgetIfOver(request);
+        removeIfFinished(request);
     }
 
-    /** Cancels the attempts in flight but for this one; with {@link PendingRequest#UNBOUND}, all. */
-    private void cancelAttemptsExcept(int needed, PendingRequest request) {
+    /** Cancels all attempts in flight except this one; {@link PendingRequest#UNBOUND} cancels all. */
+    private void cancelAttemptsExcept(int kept, PendingRequest request) {
         if (!state.settings.cancellation) {
             return;
         }
         for (int attempt = 0; attempt < request.attempts && request.outstanding > 0; attempt++) {
-            if (request.isInFlight(attempt) && attempt != needed) {
+            if (request.isInFlight(attempt) && attempt != kept) {
                 actions.cancel(request.id, attempt);
             }
         }
     }
 
-    private void forgetIfOver(PendingRequest request) {
-        if (request.isOver()) {
+    private void removeIfFinished(PendingRequest request) {
+        if (request.isFinished()) {
             requests.remove(request.id);
         }
     }
@@ -180,7 +184,8 @@
     public void onFirstByte(long nowUs, long requestId, int attempt) {
         PendingRequest request = requests.get(requestId);
         if (request != null && !request.isBound() && request.isInFlight(attempt)) {
-            // From here on the answer flows at the client's pace, which says nothing of the server's load.
+            // From here on the response is transferred at the client's pace, which does not depend on the server's
+            // load.
             rules.serversInUse.release(request.servers[attempt]);
             request.boundAttempt = attempt;
             cancelAttemptsExcept(attempt, request);
@@ -203,7 +208,7 @@
         if (!paused) {
             hedgeUnresponsiveAttempts(nowUs);
         }
-        queue.serve(PendingQueue.KEYS_PER_SWEEP, nowUs);
+        queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_SWEEP, nowUs);
         scheduleWakeUp(nowUs);
     }
 
@@ -264,7 +269,7 @@
         return rules.outlierDetector.ejectedServers().size() + registry.cordonedCount();
     }
 
-    /** How many servers are remembered, those removed from the list included. */
+    /** Number of servers in the registry, including removed ones with attempts in flight. */
     int knownServers() {
         return registry.size();
     }
@@ -277,7 +282,7 @@
     // ---------------------------------------------------------------- time
 
     private void serveQueue(long nowUs) {
-        queue.serve(PendingQueue.KEYS_PER_EVENT, nowUs);
+        queue.serve(PendingQueue.MAX_KEYED_TRIES_PER_EVENT, nowUs);
         scheduleWakeUp(nowUs);
     }
 
@@ -291,7 +296,8 @@
         BalancerSettings settings = state.settings;
         boolean hasClass = request.classIndex() >= 0 && request.classIndex() < settings.classes.size();
         if (!hasClass || request.tenant() >= settings.tenants.size() || requests.containsKey(request.id())) {
-            throw new IllegalArgumentException("unknown class or tenant, or an id that is in use: " + request);
+            throw new IllegalArgumentException(
+                    "request has an unknown class or tenant, or an id that is already in use: " + request);
         }
     }
 }
--- a/node/src/test/java/loadbalancer/policy/CordonTest.java
+++ b/node/src/test/java/loadbalancer/policy/CordonTest.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Servers that operators keep out by hand. */
+/** Servers that operators have cordoned. */
 class CordonTest {
 
     private static void cordon(FakeNode node, String... servers) {
@@ -15,12 +15,12 @@
     }
 
     @Test
-    void cordonedServerGetsNoAttemptsWhateverTheListSays() {
+    void cordonedServerGetsNoAttemptsRegardlessOfTheEndpointList() {
         FakeNode node = new FakeNode().withServers(3);
         cordon(node, "s1");
         assertEquals(1, node.balancer.excludedServers());
         node.deliverList(ListKind.CHANGES, List.of(new ServerEntry("s1", 0, 0, ServerState.GONE, 1, 0)));
-        assertEquals(0, node.balancer.excludedServers(), "not listed");
+        assertEquals(0, node.balancer.excludedServers(), "a server that is not listed is not counted");
         node.deliverList(ListKind.FULL, List.of(FakeNode.server("s0"), FakeNode.server("s1"), FakeNode.server("s2")));
         for (int i = 0; i < 200; i++) {
             long id = node.request(FakeNode.IDEMPOTENT);
@@ -48,13 +48,13 @@
     }
 
     @Test
-    void uncordonedServerWarmsUpWithItsErrorsForgotten() {
+    void uncordonedServerWarmsUpWithClearedErrors() {
         FakeNode node = new FakeNode().withServers(4);
         for (int i = 0; i < 400; i++) {
             long id = node.request(FakeNode.IDEMPOTENT);
-            boolean bad = node.lastAttempt(id).server().equals("s1");
-            node.endAttempt(id, bad ? AttemptResult.ERROR : AttemptResult.OK, 10_000);
-            if (bad) {
+            boolean failing = node.lastAttempt(id).server().equals("s1");
+            node.endAttempt(id, failing ? AttemptResult.ERROR : AttemptResult.OK, 10_000);
+            if (failing) {
                 node.endAttempt(id, AttemptResult.OK, 0);
             }
         }
@@ -68,13 +68,13 @@
             node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         long since = node.sentTo("s1") - before;
-        // In five seconds 500 answers from three servers: an even part is 167, of which a cold one can do a
-        // fifth at first; half of three times that is a node's budget.
+        // Three servers give 500 responses in five seconds: an even share is 167, of which a warming server can handle
+        // a fifth at first; half of three times that is the budget of a node.
         assertTrue(since >= 1 && since <= 100, "sent since: " + since);
     }
 
     @Test
-    void uncordonedServerIsAsWarmAsTheListSays() {
+    void uncordonedServerIsWarmIfTheListReportedItsStart() {
         FakeNode node = new FakeNode().withServers(4);
         for (int i = 0; i < 400; i++) {
             node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
@@ -87,7 +87,7 @@
         for (int i = 0; i < 400; i++) {
             node.completeRequest(FakeNode.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
-        // Warm by now: it gets about a quarter.
+        // The server is warm, so it gets about a quarter.
         assertTrue(node.sentTo("s1") - before > 70, "sent since: " + (node.sentTo("s1") - before));
     }
 
--- a/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
@@ -13,59 +13,59 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A server that fails at once is always free, so that a node whose other servers are at their limits is drawn
- * to it, with what is lost there too. Servers of one core take what they are sent in turn; the first
- * fails.
+ * Guards against a server that fails requests immediately and thereby attracts more of them: it never has requests in
+ * flight, so a node whose other servers are at their limits would send it most requests. Each server has one core and
+ * serves its requests one after the other; the first server fails.
  */
 class FailFastServerTest {
     private static final int SERVERS = 6;
     private static final long WORK_US = 20_000;
     private static final long FAILURE_US = 1_000;
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
 
-    /** An attempt that a server will have dealt with, or that its node gives up before. */
+    /** The outcome of an attempt, and when it is due: once the server has finished, or when the node times out. */
     private record Due(long atUs, Sent sent, AttemptResult result) {}
 
     private final FakeNode node = new FakeNode().withServers(SERVERS);
     private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::atUs));
-    private final Map<String, Long> busyUntil = new HashMap<>();
-    private SplittableRandom chance = new SplittableRandom(11);
-    private int seen;
-    private int asked;
-    private int servedInTime;
-    /** Unsafe requests that failed, which nothing makes good. */
-    private int lost;
+    private final Map<String, Long> busyUntilUs = new HashMap<>();
+    private SplittableRandom random = new SplittableRandom(11);
+    private int scheduledCount;
+    private int requestCount;
+    private int servedOnTime;
+    /** Non-idempotent requests that failed, which may not be retried. */
+    private int lostNonIdempotent;
     /** Attempts that failed at the first server. */
-    private int drawn;
+    private int failedAtFirstServer;
 
-    /** Arrivals at even times for so long; server s0 fails this share of what it is sent. */
-    private void play(long forUs, long gapUs, double failing) {
-        long until = node.now + forUs;
+    /** Sends requests at regular intervals for this time; server s0 fails this share of its requests. */
+    private void run(long durationUs, long intervalUs, double failureShare) {
+        long until = node.now + durationUs;
         long nextAt = node.now;
         while (nextAt < until) {
             long at = due.isEmpty() ? nextAt : Math.min(nextAt, due.peek().atUs);
             node.advance(Math.max(0, at - node.now));
-            take(failing);
+            scheduleOutcomes(failureShare);
             if (!due.isEmpty() && due.peek().atUs <= node.now) {
-                end(due.poll());
+                endAttempt(due.poll());
             } else if (nextAt <= node.now) {
-                node.request(asked++ % 5 < 3 ? FakeNode.IDEMPOTENT : FakeNode.NON_IDEMPOTENT);
-                nextAt += gapUs;
+                node.request(requestCount++ % 5 < 3 ? FakeNode.IDEMPOTENT : FakeNode.NON_IDEMPOTENT);
+                nextAt += intervalUs;
             }
-            take(failing);
+            scheduleOutcomes(failureShare);
         }
     }
 
-    private void take(double failing) {
-        for (; seen < node.sent.size(); seen++) {
-            Sent sent = node.sent.get(seen);
-            if (sent.server().equals("s0") && chance.nextDouble() < failing) {
+    private void scheduleOutcomes(double failureShare) {
+        for (; scheduledCount < node.sent.size(); scheduledCount++) {
+            Sent sent = node.sent.get(scheduledCount);
+            if (sent.server().equals("s0") && random.nextDouble() < failureShare) {
                 due.add(new Due(sent.atUs() + FAILURE_US, sent, AttemptResult.ERROR));
                 continue;
             }
-            long from = Math.max(sent.atUs(), busyUntil.getOrDefault(sent.server(), 0L));
-            long done = from + (long) (WORK_US * (0.5 + chance.nextDouble()));
-            busyUntil.put(sent.server(), done);
+            long from = Math.max(sent.atUs(), busyUntilUs.getOrDefault(sent.server(), 0L));
+            long done = from + (long) (WORK_US * (0.5 + random.nextDouble()));
+            busyUntilUs.put(sent.server(), done);
             due.add(
                     done < sent.untilUs()
                             ? new Due(done, sent, AttemptResult.OK)
@@ -73,13 +73,13 @@
         }
     }
 
-    private void end(Due ended) {
+    private void endAttempt(Due ended) {
         long latency = node.now - ended.sent.atUs();
-        // Requests are numbered from 1 in the order in which they are asked; see play.
-        boolean unsafe = (ended.sent.request() - 1) % 5 >= 3;
-        drawn += ended.result == AttemptResult.ERROR ? 1 : 0;
-        lost += ended.result == AttemptResult.ERROR && unsafe ? 1 : 0;
-        servedInTime += ended.result == AttemptResult.OK && latency < 200_000 ? 1 : 0;
+        // Requests are numbered from 1 in the order sent; see {@link #run}.
+        boolean nonIdempotent = (ended.sent.request() - 1) % 5 >= 3;
+        failedAtFirstServer += ended.result == AttemptResult.ERROR ? 1 : 0;
+        lostNonIdempotent += ended.result == AttemptResult.ERROR && nonIdempotent ? 1 : 0;
+        servedOnTime += ended.result == AttemptResult.OK && latency < 200_000 ? 1 : 0;
         node.balancer.onOutcome(
                 node.now,
                 new AttemptOutcome(
@@ -92,44 +92,48 @@
     }
 
     /**
-     * The others hold all that they may, as is asked for half as much again as they can do. What is safe may
-     * go to the server that fails, as a last resort; what is unsafe is lost there, and goes to it only until
-     * it is found out again: one in forty of them at the most.
+     * The load is one and a half times the capacity, so all other servers are at their limits. Idempotent requests may
+     * be sent to the failing server as a fallback. Non-idempotent ones are lost there, and may be sent to it only until
+     * it is ejected again: at most one in forty.
      */
     @ParameterizedTest
     @CsvSource({"1, 11", "1, 12", "0.9, 11", "0.7, 11", "0.7, 12", "0.5, 11", "0.5, 12", "0.5, 13"})
-    void serverThatFailsAtOnceGetsHardlyAnyNonIdempotentRequests(double failing, long seed) {
-        chance = new SplittableRandom(seed);
-        play(10 * SECOND, 5_000, 0);
-        int before = asked;
-        play(20 * SECOND, 2_000, failing);
-        double unsafe = 0.4 * (asked - before);
-        assertTrue(lost <= 0.025 * unsafe, "lost: " + lost + " of " + unsafe);
+    void serverThatFailsImmediatelyGetsAtMostOneInFortyNonIdempotentRequests(double failureShare, long seed) {
+        random = new SplittableRandom(seed);
+        run(10 * SECOND_US, 5_000, 0);
+        int before = requestCount;
+        run(20 * SECOND_US, 2_000, failureShare);
+        double nonIdempotent = 0.4 * (requestCount - before);
+        assertTrue(
+                lostNonIdempotent <= 0.025 * nonIdempotent,
+                "non-idempotent requests lost: " + lostNonIdempotent + " of " + nonIdempotent);
     }
 
     /**
-     * What is safe goes there as a last resort, at most as often as trials may fail: a twentieth of first
-     * tries and the few that come before it is found out. Where it serves a part, what it fails is the price
-     * of that.
+     * Idempotent requests are sent to the failing server at most as often as trial requests may fail: one in twenty
+     * first attempts, plus the few before it is ejected. Only servers that fail everything are tested, because a server
+     * that serves a part may receive more as a fallback.
      */
     @ParameterizedTest
     @CsvSource({"1, 11", "1, 12", "1, 13"})
-    void serverThatFailsEverythingAtOnceGetsNoMoreThanItsTrialRequests(double failing, long seed) {
-        chance = new SplittableRandom(seed);
-        play(10 * SECOND, 5_000, 0);
-        int before = asked;
-        play(20 * SECOND, 2_000, failing);
-        assertTrue(drawn <= 0.05 * (asked - before), "drawn: " + drawn + " of " + (asked - before));
+    void serverThatFailsEverythingImmediatelyGetsAtMostOneInTwentyRequests(double failureShare, long seed) {
+        random = new SplittableRandom(seed);
+        run(10 * SECOND_US, 5_000, 0);
+        int before = requestCount;
+        run(20 * SECOND_US, 2_000, failureShare);
+        assertTrue(
+                failedAtFirstServer <= 0.05 * (requestCount - before),
+                "failed at the first server: " + failedAtFirstServer + " of " + (requestCount - before));
     }
 
-    /** Once the overload is over, requests come to two thirds of what the servers can do. */
+    /** After the overload the load is two thirds of the capacity. */
     @Test
-    void allIsServedOnTimeOneSecondAfterAnOverload() {
-        play(10 * SECOND, 5_000, 0);
-        play(20 * SECOND, 2_000, 0.7);
-        play(SECOND, 5_000, 0);
-        int before = servedInTime;
-        play(5 * SECOND, 5_000, 0);
-        assertTrue(servedInTime - before >= 0.98 * 1_000, "served in time: " + (servedInTime - before));
+    void nearlyAllRequestsAreOnTimeOneSecondAfterAnOverload() {
+        run(10 * SECOND_US, 5_000, 0);
+        run(20 * SECOND_US, 2_000, 0.7);
+        run(SECOND_US, 5_000, 0);
+        int before = servedOnTime;
+        run(5 * SECOND_US, 5_000, 0);
+        assertTrue(servedOnTime - before >= 0.98 * 1_000, "served on time: " + (servedOnTime - before));
     }
 }
--- a/node/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
+++ b/node/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
@@ -9,7 +9,7 @@
 
 class HedgingPolicyTest {
     private static final long SENT_US = RuleFixture.START_US;
-    /** Four times the mean latency, and two ticks. */
+    /** Four times the mean latency plus two ticks. */
     private static final long UNRESPONSIVE_AT_US = SENT_US + 4 * 10_000 + 2 * 1_000;
 
     private final RuleFixture fixture = new RuleFixture(2);
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void attemptIsUnresponsiveAfterFourMeanLatenciesAndFoundOnce() {
+    void attemptIsUnresponsiveAfterFourMeanLatenciesAndReportedOnce() {
         fixture.learnLatency(FakeNode.IDEMPOTENT, 10_000);
         PendingRequest request = sent();
         assertEquals(UNRESPONSIVE_AT_US, hedging.nextCheckAtUs(0));
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void whatHasEndedOrBegunToFlowIsNotUnresponsive() {
+    void endedOrBoundAttemptsAreNotUnresponsive() {
         fixture.learnLatency(FakeNode.IDEMPOTENT, 10_000);
         sent().recordResult(0, AttemptResult.OK);
         sent().boundAttempt = 0;
--- a/node/src/test/java/loadbalancer/policy/LoadReportsTest.java
+++ b/node/src/test/java/loadbalancer/policy/LoadReportsTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void serverFarAboveTheMeanIsOverloadedUntilItsReportFades() {
+    void serverFarAboveTheMeanIsOverloadedUntilItsReportDecays() {
         for (ServerRecord server : servers) {
             report(server, 2, 10_000, 0);
         }
@@ -37,11 +37,11 @@
     }
 
     @Test
-    void predictsALateAnswerOnlyByAReportOfThisMoment() {
+    void lateResponseIsPredictedOnlyByAReportReceivedNow() {
         report(servers[0], 40, 410_000, 7);
-        assertTrue(reports.predictsLateAnswer(servers[0], 7));
-        assertFalse(reports.predictsLateAnswer(servers[0], 8));
+        assertTrue(reports.predictsLateResponse(servers[0], 7));
+        assertFalse(reports.predictsLateResponse(servers[0], 8));
         report(servers[1], 20, 210_000, 9);
-        assertFalse(reports.predictsLateAnswer(servers[1], 9));
+        assertFalse(reports.predictsLateResponse(servers[1], 9));
     }
 }
--- a/node/src/test/java/loadbalancer/policy/RetryPolicyTest.java
+++ b/node/src/test/java/loadbalancer/policy/RetryPolicyTest.java
@@ -22,7 +22,7 @@
 
     @ParameterizedTest
     @CsvSource({
-        // class, result, may be retried, a retry by the client is harmless
+        // class, result, whether it may be retried, whether the client may safely retry
         "0, ERROR, true, true",
         "1, ERROR, true, true",
         "3, ERROR, true, false",
@@ -32,11 +32,11 @@
         "4, FULL, true, true",
         "4, CONNECT_FAILED, true, true",
     })
-    void retryIsLawfulByClassAndByWhetherTheRequestMayHaveRun(
-            int classIndex, AttemptResult result, boolean mayRetry, boolean harmless) {
+    void retryIsAllowedByClassAndByWhetherTheRequestMayHaveRun(
+            int classIndex, AttemptResult result, boolean mayRetry, boolean clientRetrySafe) {
         PendingRequest request = afterAttempt(classIndex, result);
         assertEquals(mayRetry, RetryPolicy.mayRetry(request, SENT_US + 1));
-        assertEquals(harmless, RetryPolicy.isRetryByClientHarmless(request));
+        assertEquals(clientRetrySafe, RetryPolicy.isClientRetrySafe(request));
     }
 
     @Test
--- a/node/src/test/java/loadbalancer/policy/ServerWeightsTest.java
+++ b/node/src/test/java/loadbalancer/policy/ServerWeightsTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Weights and the error counts that they follow. */
+/** Weights, and the error counts that they depend on. */
 class ServerWeightsTest {
     private final RuleFixture fixture = new RuleFixture(3);
     private final ServerWeights weights = new ServerWeights(fixture.state);
@@ -14,7 +14,7 @@
     private final ServerRecord server = fixture.state.servers[0];
 
     @Test
-    void allWeighTheSameWithoutErrors() {
+    void allWeightsAreEqualWithoutErrors() {
         weights.refreshIfStale();
         assertTrue(weights.areAllEqual());
         assertArrayEquals(new long[] {1, 2, 3}, fixture.state.allServers.cumulativeWeights);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void ejectedServerWeighsOne() {
+    void ejectedServerHasWeightOne() {
         errors.onFailure(server);
         fixture.state.servers[2].health.ejected = true;
         weights.refreshIfStale();
--- a/node/src/test/java/loadbalancer/policy/TrialRequestsTest.java
+++ b/node/src/test/java/loadbalancer/policy/TrialRequestsTest.java
@@ -46,14 +46,14 @@
     }
 
     @Test
-    void requestsThatAreNotIdempotentAreNoTrialsOfAServerThatIsEjectedForAll() {
+    void nonIdempotentRequestsAreNoTrialsOfAServerEjectedForAllClasses() {
         assertNull(trials.pickDue(fixture.request(FakeNode.NON_IDEMPOTENT), now + 60_000_000));
     }
 
     @Test
-    void fallbackTakesWhatIsIdempotentAndHasAFurtherAttempt() {
+    void fallbackTakesIdempotentRequestsWithAFurtherAttempt() {
         assertNull(trials.pickFallback(request, now));
-        server.lastAttemptAnswered = true;
+        server.lastOutcomeWasResponse = true;
         assertSame(server, trials.pickFallback(request, now));
         assertNull(trials.pickFallback(fixture.request(FakeNode.KEYED_ALL), now));
         for (int attempt = 0; attempt < 3; attempt++) {
@@ -63,11 +63,11 @@
     }
 
     @Test
-    void fallbackThatOnlyFailsPausesUpToAMeanLatency() {
+    void fallbackServerThatOnlyFailsIsPausedAfterItsLastResponse() {
         fixture.learnLatency(FakeNode.IDEMPOTENT, 16_000);
-        server.lastAttemptAnswered = true;
+        server.lastOutcomeWasResponse = true;
         server.health.history = 0xFFF;
-        server.health.answeredAtUs = now;
+        server.health.lastResponseAtUs = now;
         assertEquals(12, server.health.consecutiveFailures());
         assertNull(trials.pickFallback(request, now + 3_999));
         assertSame(server, trials.pickFallback(request, now + 4_000));
