--- a/node/src/main/java/loadbalancer/membership/core/BroadcastQueue.java
+++ b/node/src/main/java/loadbalancer/membership/core/BroadcastQueue.java
@@ -8,12 +8,12 @@
 import java.util.TreeSet;
 
 /**
- * Gossip updates that are still to be disseminated: of each name the newest only, each a bounded number of times, the
- * least often sent first.
+ * Queue of gossip updates to disseminate. Keeps only the newest update of each name, sends each a bounded number of
+ * times, and sends the least often sent updates first.
  */
 final class BroadcastQueue {
     private final Map<String, Broadcast> byName = new HashMap<>();
-    /** The least often sent first, of these the newest. */
+    /** By number of transmissions, fewest first, then newest first. */
     private final TreeSet<Broadcast> bySendOrder =
             new TreeSet<>(Comparator.comparingInt((Broadcast broadcast) -> broadcast.transmissions)
                     .thenComparing(broadcast -> broadcast.number, Comparator.reverseOrder()));
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Disseminates this from now on, and no older update of the same name. */
+    /** Adds an update, which replaces a queued update of the same name. */
     void add(GossipUpdate update) {
         String name = update.member().name();
         remove(name);
@@ -55,11 +55,14 @@
         return byName.isEmpty();
     }
 
-    /** Takes the updates that fit into so many bytes, and drops those that have been taken so often. */
+    /**
+     * Returns the next updates that fit into a budget, and drops those that reach the given number of transmissions.
+     * Stops at the first update that does not fit.
+     */
     List<GossipUpdate> take(int budgetBytes, int maxTransmissions) {
         List<Broadcast> taken = new ArrayList<>();
         int remainingBytes = budgetBytes;
-        // Out of the order first: an update must not be taken twice for one message.
+        // Removes the updates first and adds them back below, so that no update is taken twice for one message.
         while (!bySendOrder.isEmpty() && bySendOrder.first().update.maxEncodedBytes() <= remainingBytes) {
             Broadcast broadcast = bySendOrder.pollFirst();
             remainingBytes -= broadcast.update.maxEncodedBytes();
--- a/node/src/main/java/loadbalancer/membership/core/ChangeNotifier.java
+++ b/node/src/main/java/loadbalancer/membership/core/ChangeNotifier.java
@@ -1,6 +1,6 @@
 package loadbalancer.membership.core;
 
-/** Notifies the listener of changes, and counts the version of this process's view. */
+/** Notifies the listener of changes, and increments the version of this process's view. */
 final class ChangeNotifier {
     private final MembershipActions actions;
     private long version;
@@ -14,7 +14,7 @@
         actions.onChange(new MembershipChange(type, member, version));
     }
 
-    /** What this process announces of itself has changed, of which its own listener is not notified. */
+    /** Counts a new incarnation of this process, of which the listener is not notified. */
     void onSelfChanged() {
         version++;
     }
--- a/node/src/main/java/loadbalancer/membership/core/FailureDetector.java
+++ b/node/src/main/java/loadbalancer/membership/core/FailureDetector.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * Probes one member in each period: a ping, and after the probe timeout indirect pings by other members. A member
- * without an ack at the end of the period is suspected. Missing acks and nacks degrade the local health, which makes
- * period and timeout longer.
+ * Probes one member per period: a ping, then, if no ack arrives within the probe timeout, indirect pings through other
+ * members. A member without an ack at the end of the period is suspected. Missing acks and nacks degrade the local
+ * health, which lengthens the period and the timeout.
  */
 final class FailureDetector {
-    /** The probe of the current period. */
+    /** Probe of the current period. */
     private static final class Probe {
         private final String targetName;
         private final long sequence;
         private final long sentAtUs;
         private boolean acked;
         private boolean indirect;
-        /** Indirect pings whose relay has sent neither ack nor nack. */
+        /** Ping requests without a nack. Counts only if no ack arrives either. */
         private int missingNacks;
 
         Probe(String targetName, long sequence, long sentAtUs) {
@@ -35,7 +35,7 @@
     private final PingSender pings;
     private final ProbeOrder order;
     private final UpdateMerger merger;
-    /** Null before the first probe, while nobody else is live, and after a pause of this process. */
+    /** Null before the first probe, in a period without a live target, and after a cancelled probe. */
     private Probe probe;
 
     private long indirectAtUs = Long.MAX_VALUE;
@@ -62,7 +62,7 @@
         this.merger = merger;
     }
 
-    /** The first period ends at a random time: members that start together must not probe together. */
+    /** Ends the first period at a random time, so that members that start together do not probe together. */
     void start(long nowUs) {
         periodEndsAtUs = nowUs + random.nextLong(settings.probePeriodUs());
     }
@@ -72,7 +72,7 @@
         indirectAtUs = Long.MAX_VALUE;
     }
 
-    /** Forgets the probe under way: its ack may have come while this process was paused, and is not read yet. */
+    /** Discards the current probe: its ack may have arrived during a pause of this process and not been read yet. */
     void cancelProbe() {
         probe = null;
     }
@@ -126,7 +126,7 @@
             health.improve();
             return;
         }
-        // A relay that sends no nack either: it is this process that is slow or cut off, not the target.
+        // A relay that has not even sent a nack suggests that this process is slow or cut off, not the target.
         health.degrade(ended.indirect ? ended.missingNacks : 1);
         Member target = table.live(ended.targetName);
         if (target != null) {
@@ -136,9 +136,9 @@
         }
     }
 
-    /** Whether the ack answers the probe under way. */
+    /** Records the ack if it belongs to the current probe. Returns whether it does. */
     boolean onAck(long nowUs, MembershipMessage.Ack ack) {
-        if (!isOfProbe(ack.sequence())) {
+        if (!matchesProbe(ack.sequence())) {
             return false;
         }
         if (!probe.acked && !probe.indirect) {
@@ -149,12 +149,12 @@
     }
 
     void onNack(MembershipMessage.Nack nack) {
-        if (isOfProbe(nack.sequence())) {
+        if (matchesProbe(nack.sequence())) {
             probe.missingNacks = Math.max(0, probe.missingNacks - 1);
         }
     }
 
-    private boolean isOfProbe(long sequence) {
+    private boolean matchesProbe(long sequence) {
         return probe != null && probe.sequence == sequence;
     }
 }
--- a/node/src/main/java/loadbalancer/membership/core/GossipUpdate.java
+++ b/node/src/main/java/loadbalancer/membership/core/GossipUpdate.java
@@ -1,15 +1,15 @@
 package loadbalancer.membership.core;
 
 /**
- * What is disseminated of a member.
+ * Record of a member as it is disseminated.
  *
- * @param reporter name of the member that says so: a suspicion counts by its independent reporters
+ * @param reporter name of the member that reports the record; a suspicion is confirmed by each distinct reporter
  */
 public record GossipUpdate(Member member, String reporter) {
-    /** What an update takes in a datagram beside its texts: numbers, lengths and the state. */
+    /** Encoded size of an update without the characters of its strings: numbers, string lengths and the state. */
     private static final int FIXED_BYTES = 48;
 
-    /** At least as many bytes as a codec needs for this. */
+    /** Upper bound of the encoded size in bytes. */
     int maxEncodedBytes() {
         return FIXED_BYTES
                 + member.name().length()
--- a/node/src/main/java/loadbalancer/membership/core/Gossiper.java
+++ b/node/src/main/java/loadbalancer/membership/core/Gossiper.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * Disseminates gossip updates: piggybacked on every message that is sent, and in gossip messages to random members for
- * as long as there are new ones.
+ * Disseminates gossip updates: piggybacked on every message that is sent, and in rounds of gossip messages to random
+ * live members while the broadcast queue holds updates.
  */
 final class Gossiper {
-    /** A leave is announced to this times log2 of the members at once. */
+    /** A leave is announced at once to this many members per binary digit of the number of other live members. */
     private static final int LEAVE_FACTOR = 3;
     /**
-     * Gossip messages go out so often in a probe period, beside what is piggybacked: members whose local health is bad
-     * ping slowly, which would hold up all updates while many fail.
+     * Rounds of gossip messages per configured probe period. Piggybacking alone is not enough: members with degraded
+     * local health ping less often, which would delay all updates while many members fail.
      */
     private static final int ROUNDS_PER_PERIOD = 4;
 
@@ -39,22 +39,23 @@
         this.local = local;
     }
 
-    /** Sends a message with as many updates as fit. */
+    /** Sends a message with as many updates as fit. A ping of a non-alive target has that claim first. */
     void send(String address, MembershipMessage message) {
         send(address, message, claimAboutTarget(message));
     }
 
-    /** The same, with these updates before all others. */
-    void send(String address, MembershipMessage message, List<GossipUpdate> first) {
-        int firstBytes = first.stream().mapToInt(GossipUpdate::maxEncodedBytes).sum();
-        List<GossipUpdate> updates = new ArrayList<>(first);
-        updates.addAll(broadcasts.take(settings.gossipBudgetBytes() - firstBytes, maxTransmissions()));
+    /** Sends a message with the given updates first, followed by as many others as fit. */
+    void send(String address, MembershipMessage message, List<GossipUpdate> priorityUpdates) {
+        int priorityBytes = priorityUpdates.stream().mapToInt(GossipUpdate::maxEncodedBytes).sum();
+        List<GossipUpdate> updates = new ArrayList<>(priorityUpdates);
+        updates.addAll(broadcasts.take(settings.gossipBudgetBytes() - priorityBytes, maxTransmissions()));
         actions.send(address, message.withUpdates(updates));
     }
 
     /**
-     * A member that is pinged while it is suspected, dead or left has to learn that first of all, so that it can
-     * refute. Otherwise it fails although its acks get through.
+     * Returns the record of a ping's target if it is suspected, dead or left, so that the target learns of it and
+     * refutes. Without this, a suspected member fails although its acks arrive: an ack in the same incarnation does not
+     * supersede the suspicion.
      */
     private List<GossipUpdate> claimAboutTarget(MembershipMessage message) {
         if (message instanceof MembershipMessage.Ping ping) {
@@ -70,12 +71,12 @@
         return settings.retransmitFactor() * log2(table.liveCount() + 1);
     }
 
-    /** The number of binary digits, 1 at least: the logarithm rounded down, and one. */
+    /** Number of binary digits, at least 1: the logarithm rounded down, plus 1. */
     private static int log2(int members) {
         return Math.max(1, Integer.SIZE - Integer.numberOfLeadingZeros(members));
     }
 
-    /** Schedules the next round where there is something to disseminate. */
+    /** Schedules the next round if there are updates to disseminate and no round is scheduled. */
     void scheduleRound(long nowUs) {
         if (!broadcasts.isEmpty() && nextRoundAtUs == Long.MAX_VALUE) {
             nextRoundAtUs = nowUs + settings.probePeriodUs() / ROUNDS_PER_PERIOD;
@@ -97,7 +98,10 @@
         }
     }
 
-    /** Announces the local member's leave to several others, in messages of its own: there is no later round. */
+    /**
+     * Announces the leave of the local member to several members at once. The sender record of each message carries
+     * it: no later round follows in which a queued update could be sent.
+     */
     void announceLeave() {
         List<Member> targets = new ArrayList<>(table.liveMembers());
         int messages = Math.min(targets.size(), LEAVE_FACTOR * log2(targets.size()));
--- a/node/src/main/java/loadbalancer/membership/core/Incarnation.java
+++ b/node/src/main/java/loadbalancer/membership/core/Incarnation.java
@@ -1,11 +1,13 @@
 package loadbalancer.membership.core;
 
 /**
- * The version of what is known of a member. Later ones supersede earlier ones. It grows over restarts even where the
- * disk is lost, as the start's time comes first.
+ * Version of a member's record: a higher incarnation supersedes a lower one. It increases across restarts without
+ * stored state, because the start time is compared first.
  *
- * @param generation when the process started, in microseconds of Unix time; raised where others know a later one
- * @param refutations how often the member has refuted a suspicion or its death in this generation
+ * @param generation start time of the process in microseconds of Unix time, or a later value if other members hold a
+ *     record of a later generation
+ * @param refutations counter that the member raises above the claimed value whenever it refutes a claim that it is
+ *     suspected, dead or left in this generation
  */
 public record Incarnation(long generation, long refutations) implements Comparable<Incarnation> {
 
@@ -15,12 +17,12 @@
         return byGeneration != 0 ? byGeneration : Long.compare(refutations, other.refutations);
     }
 
-    /** The one by which a claim about this one is refuted. */
+    /** Returns the incarnation that refutes a claim about this one. */
     Incarnation nextRefutation() {
         return new Incarnation(generation, refutations + 1);
     }
 
-    /** The first one of a later generation than this. */
+    /** Returns the first incarnation of the next generation. */
     Incarnation nextGeneration() {
         return new Incarnation(generation + 1, 0);
     }
--- a/node/src/main/java/loadbalancer/membership/core/IndirectProbeRelay.java
+++ b/node/src/main/java/loadbalancer/membership/core/IndirectProbeRelay.java
@@ -4,19 +4,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Pings members on behalf of others that had no ack from them, and passes the ack on or sends a nack. */
+/** Pings members on behalf of members that received no ack from them, and forwards the ack or sends a nack. */
 final class IndirectProbeRelay {
-    /** Bounds memory; beyond it the oldest request is forgotten, as if no ack had come. */
+    /** Bounds memory. At the limit a new request evicts the oldest one, which then gets neither ack nor nack. */
     private static final int MAX_PENDING = 1_000;
 
-    /** @param sequence the requester's */
+    /** @param sequence sequence number of the ping request, chosen by the requester */
     private record Relay(String requesterAddress, long sequence, long expiresAtUs) {}
 
     private final MembershipSettings settings;
     private final LocalMember local;
     private final Gossiper gossiper;
     private final PingSender pings;
-    /** By the sequence number of this process's ping; the oldest first, which is also the first to expire. */
+    /** By the sequence number of this process's ping. The oldest comes first and is the first to expire. */
     private final Map<Long, Relay> pending = new LinkedHashMap<>();
 
     IndirectProbeRelay(MembershipSettings settings, LocalMember local, Gossiper gossiper, PingSender pings) {
@@ -30,14 +30,14 @@
         if (pending.size() >= MAX_PENDING) {
             pending.remove(oldestSequence());
         }
-        // A nack has to be back before the requester's probe ends, or it counts against the requester's health.
+        // The nack must arrive before the requester's probe ends, or the requester's local health is degraded.
         long timeoutUs =
                 Math.min(settings.probeTimeoutUs(), (settings.probePeriodUs() - settings.probeTimeoutUs()) / 2);
         long pingSequence = pings.ping(request.targetName(), request.targetAddress());
         pending.put(pingSequence, new Relay(request.sender().address(), request.sequence(), nowUs + timeoutUs));
     }
 
-    /** Passes the ack on where it belongs to a relayed ping. */
+    /** Forwards the ack to the requester if it belongs to a relayed ping. */
     void onAck(MembershipMessage.Ack ack) {
         Relay relay = pending.remove(ack.sequence());
         if (relay != null) {
--- a/node/src/main/java/loadbalancer/membership/core/InvalidSettingException.java
+++ b/node/src/main/java/loadbalancer/membership/core/InvalidSettingException.java
@@ -1,6 +1,6 @@
 package loadbalancer.membership.core;
 
-/** A setting that is out of its bounds. The message names the setting, its value and what is allowed. */
+/** Thrown for a setting that is out of bounds. The message names the setting, its value and the allowed values. */
 public final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
@@ -15,7 +15,7 @@
         this.allowed = allowed;
     }
 
-    /** The component of {@link MembershipSettings}. */
+    /** Name of the component of {@link MembershipSettings}. */
     public String setting() {
         return setting;
     }
@@ -24,7 +24,7 @@
         return value;
     }
 
-    /** The bounds in words; other settings are named by their components. */
+    /** Text that describes the allowed values. Refers to other settings by the names of their components. */
     public String allowed() {
         return allowed;
     }
--- a/node/src/main/java/loadbalancer/membership/core/LocalHealth.java
+++ b/node/src/main/java/loadbalancer/membership/core/LocalHealth.java
@@ -1,9 +1,8 @@
 package loadbalancer.membership.core;
 
 /**
- * Lifeguard's local health: a score from 0 (healthy) up by which this process doubts itself before others. A higher
- * score makes its probe period and timeout longer. Guards against a slow or cut-off process that takes its own missing
- * acks for failures of others.
+ * Lifeguard's local health: a score from 0 (healthy) up to a maximum. A higher score lengthens the probe period and
+ * timeout. Guards against a slow or cut-off process that misses acks and declares other members failed.
  */
 final class LocalHealth {
     private final int max;
@@ -17,7 +16,7 @@
         return score;
     }
 
-    /** By how much probe period and timeout are longer. */
+    /** Factor by which the probe period and the probe timeout are multiplied. */
     int timeFactor() {
         return 1 + score;
     }
--- a/node/src/main/java/loadbalancer/membership/core/LocalMember.java
+++ b/node/src/main/java/loadbalancer/membership/core/LocalMember.java
@@ -1,6 +1,6 @@
 package loadbalancer.membership.core;
 
-/** This process as a member. Each new incarnation is disseminated. */
+/** Record of this process as a member. Disseminates each new incarnation. */
 final class LocalMember {
     private final BroadcastQueue broadcasts;
     private final ChangeNotifier notifier;
@@ -22,17 +22,17 @@
         return self;
     }
 
-    /** An update about this process, reported by itself. */
+    /** Returns an update about this process, reported by itself. */
     GossipUpdate asUpdate() {
         return new GossipUpdate(self, self.name());
     }
 
-    /** Disseminates that this process takes part. */
+    /** Disseminates the current record of this process. */
     void announce() {
         broadcasts.add(asUpdate());
     }
 
-    /** Alive in this incarnation from now on, which supersedes what others hold. */
+    /** Becomes alive in the given incarnation and disseminates it, so that it supersedes the records of others. */
     void continueIn(Incarnation next) {
         self = self.aliveIn(next);
         announce();
--- a/node/src/main/java/loadbalancer/membership/core/Member.java
+++ b/node/src/main/java/loadbalancer/membership/core/Member.java
@@ -1,21 +1,21 @@
 package loadbalancer.membership.core;
 
 /**
- * A member as some process holds it.
+ * Record of a member in some process's view.
  *
- * @param name the same after a restart
- * @param address where others reach it, in the form that the driver of the protocol uses
- * @param zone where it runs
- * @param role what it does
+ * @param name stable across restarts
+ * @param address address at which other members reach the member, in the format of the protocol's driver
+ * @param zone zone in which the member runs
+ * @param role function of the member in the fleet
  */
 public record Member(
         String name, String address, String zone, String role, Incarnation incarnation, MemberState state) {
-    /** Longest name, address, zone or role: a datagram has to hold several members. */
+    /** Limit for name, address, zone and role, because a datagram has to hold several members. */
     private static final int MAX_NAME_LENGTH = 64;
-    /** What {@link #isValidName} allows, in words. */
+    /** Describes what {@link #isValidName} accepts, for error messages. */
     public static final String NAME_RULE = "1 to " + MAX_NAME_LENGTH + " characters of ASCII without spaces";
 
-    /** Whether this may be a name, address, zone or role. */
+    /** Whether the text is valid as a name, address, zone or role. */
     public static boolean isValidName(String text) {
         return text != null
                 && !text.isEmpty()
@@ -27,17 +27,20 @@
         return new Member(name, address, zone, role, incarnation, other);
     }
 
-    /** The same, alive in another incarnation. */
+    /** Returns this record as alive in the given incarnation. */
     Member aliveIn(Incarnation other) {
         return new Member(name, address, zone, role, other, MemberState.ALIVE);
     }
 
-    /** Whether address, zone and role are the same. */
+    /** Whether both records have the same address, zone and role. */
     boolean hasSameAttributes(Member other) {
         return address.equals(other.address) && zone.equals(other.zone) && role.equals(other.role);
     }
 
-    /** Whether this is to be held in place of the other record of the same name. */
+    /**
+     * Whether this record replaces another record of the same name: the higher incarnation wins, then the later state
+     * in {@link MemberState}, then the greater address.
+     */
     boolean supersedes(Member other) {
         int byIncarnation = incarnation.compareTo(other.incarnation);
         if (byIncarnation != 0) {
@@ -46,7 +49,8 @@
         if (state != other.state) {
             return state.compareTo(other.state) > 0;
         }
-        // Two processes may take one name within the same microsecond. All have to choose alike, or views never agree.
+        // Two processes may start with the same name within one microsecond. All members must choose the same one, or
+        // views never converge.
         return address.compareTo(other.address) > 0;
     }
 }
--- a/node/src/main/java/loadbalancer/membership/core/MemberEntry.java
+++ b/node/src/main/java/loadbalancer/membership/core/MemberEntry.java
@@ -1,6 +1,6 @@
 package loadbalancer.membership.core;
 
-/** What a process holds of one other member. Only {@link MemberTable} changes it. */
+/** Entry of the member table for one other member. Modified only by {@link MemberTable}. */
 final class MemberEntry {
     private Member member;
     private Suspicion suspicion;
@@ -10,7 +10,7 @@
         update(member, nowUs);
     }
 
-    /** Holds this from now on. A suspicion of what was held before ends. */
+    /** Replaces the record, and ends a suspicion of the previous record. */
     void update(Member newer, long nowUs) {
         member = newer;
         suspicion = null;
@@ -29,12 +29,12 @@
         return member.state().isLive();
     }
 
-    /** Null while it is not suspected. */
+    /** Null while the member is not suspected. */
     Suspicion suspicion() {
         return suspicion;
     }
 
-    /** For a dead or left member: since when it is held for that. */
+    /** Time at which the record was last replaced. The retention of a tombstone starts here. */
     long updatedAtUs() {
         return updatedAtUs;
     }
--- a/node/src/main/java/loadbalancer/membership/core/MemberState.java
+++ b/node/src/main/java/loadbalancer/membership/core/MemberState.java
@@ -1,20 +1,20 @@
 package loadbalancer.membership.core;
 
 /**
- * What a process holds of a member. At the same incarnation a later constant supersedes an earlier one, and the
- * ordinal is the number on the wire. {@link MemberTransition} says what follows from a change.
+ * State of a member in some process's view. In the same incarnation a later constant supersedes an earlier one. The
+ * ordinal is the number on the wire. {@link MemberTransition} lists the transitions.
  */
 public enum MemberState {
-    /** It has acknowledged a ping, or another member says so. */
+    /** Reported as alive by itself or by another member. */
     ALIVE,
-    /** It has not acknowledged a ping, and has until the suspicion timeout to refute that. */
+    /** Has not acknowledged a probe, or is dead at a state sync peer. Can refute until the suspicion timeout ends. */
     SUSPECT,
-    /** It has not refuted the suspicion in time. */
+    /** Has not refuted the suspicion before its timeout ended. */
     DEAD,
-    /** It has announced that it leaves. */
+    /** Has announced its leave. */
     LEFT;
 
-    /** Whether it still takes part. */
+    /** Whether the member participates: it is alive or suspected. */
     public boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/node/src/main/java/loadbalancer/membership/core/MemberTable.java
+++ b/node/src/main/java/loadbalancer/membership/core/MemberTable.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** The other members, as this process holds them: live ones, suspected ones, and the tombstones of dead and left. */
+/** Records of all other members: live members, including suspected ones, and tombstones of dead and left members. */
 final class MemberTable {
-    /** In the order in which they were first seen, on which random choices rest. */
+    /** In insertion order: random choices index into it and must be the same for the same seed. */
     private final Map<String, MemberEntry> byName = new LinkedHashMap<>();
 
     private final Set<MemberEntry> suspected = new LinkedHashSet<>();
@@ -19,7 +19,7 @@
     /** The sum of the hashes of live members. */
     private long digest;
 
-    /** What a live member adds to a digest: its name and generation. */
+    /** Contribution of a live member to a digest: a hash of its name and generation. */
     static long hash(Member member) {
         long hash = member.name().hashCode() * 0x9E3779B97F4A7C15L
                 + member.incarnation().generation();
@@ -38,7 +38,7 @@
         return byName.get(name);
     }
 
-    /** The live member of this name, or null. */
+    /** Returns the live member of this name, or null. */
     Member live(String name) {
         MemberEntry entry = byName.get(name);
         return entry == null || !entry.isLive() ? null : entry.member();
@@ -51,7 +51,7 @@
         return added;
     }
 
-    /** Holds this from now on; a suspicion of what was held before ends. */
+    /** Replaces the record of a member and ends a suspicion of the previous record. */
     void update(MemberEntry entry, Member member, long nowUs) {
         count(entry.member(), -1);
         entry.update(member, nowUs);
@@ -70,7 +70,7 @@
         suspected.remove(entry);
     }
 
-    /** Live members and tombstones. */
+    /** Number of records, live members and tombstones. */
     int size() {
         return byName.size();
     }
@@ -83,12 +83,12 @@
         return digest;
     }
 
-    /** Those under suspicion, in the order in which they came under it. */
+    /** Copy of the suspected entries, in the order in which their suspicions started. */
     List<MemberEntry> suspected() {
         return List.copyOf(suspected);
     }
 
-    /** The end of the next suspicion timeout. */
+    /** Earliest end of a suspicion timeout, or Long.MAX_VALUE without suspicions. */
     long nextSuspicionEndUs() {
         long next = Long.MAX_VALUE;
         for (MemberEntry entry : suspected) {
@@ -105,12 +105,12 @@
         return byName.values().stream().map(MemberEntry::member);
     }
 
-    /** In the order in which they were first seen. */
+    /** Live members in insertion order. */
     List<Member> liveMembers() {
         return members().filter(member -> member.state().isLive()).toList();
     }
 
-    /** Of the dead and left members the one that has been so for longest, or null. */
+    /** The tombstone whose record changed least recently, or null if there are no tombstones. */
     MemberEntry oldestTombstone() {
         return byName.values().stream()
                 .filter(entry -> !entry.isLive())
--- a/node/src/main/java/loadbalancer/membership/core/MemberTransition.java
+++ b/node/src/main/java/loadbalancer/membership/core/MemberTransition.java
@@ -5,7 +5,7 @@
 import loadbalancer.membership.core.MembershipChange.Type;
 
 /**
- * One change of what is held of a member, and what follows from it. All transitions in one place:
+ * Change of a member's record, and the notifications that follow from it. All transitions:
  *
  * <pre>
  * from            to              notifications
@@ -19,8 +19,8 @@
  * none, DEAD, LEFT  DEAD, LEFT    none
  * </pre>
  *
- * @param before what was held, or null for a new name
- * @param after what is held from now on
+ * @param before previous record, or null for a new name
+ * @param after new record
  */
 record MemberTransition(Member before, Member after) {
 
@@ -28,12 +28,12 @@
         return before != null && before.state().isLive();
     }
 
-    /** Whether the member takes part from now on and did not before. */
+    /** Whether the member becomes live. */
     boolean isJoin() {
         return !wasLive() && after.state().isLive();
     }
 
-    /** Whether the member is dead or has left now. */
+    /** Whether the new record is dead or left. */
     boolean isTombstone() {
         return !after.state().isLive();
     }
@@ -42,7 +42,7 @@
         return after.state() == MemberState.SUSPECT;
     }
 
-    /** What the listener is notified of, in this order. */
+    /** Types of change to notify the listener of, in this order. */
     List<Type> notifications() {
         List<Type> types = new ArrayList<>(2);
         if (isTombstone()) {
--- a/node/src/main/java/loadbalancer/membership/core/MembershipActions.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipActions.java
@@ -1,21 +1,21 @@
 package loadbalancer.membership.core;
 
-/** What the protocol does to the outside. It calls these only from within an event that it is given. */
+/** Effects of the protocol, implemented by its driver. Called only while the protocol handles an event. */
 public interface MembershipActions {
-    /** Sends one datagram, which may get lost. */
+    /** Sends a message as one datagram, which may be lost. */
     void send(String address, MembershipMessage message);
 
     /**
-     * Starts a push-pull state sync with whoever listens there: {@link MembershipProtocol#stateSnapshot} is pushed,
-     * and what comes back goes to {@link MembershipProtocol#onStateSync}.
+     * Starts a push-pull state sync with the process that listens at the address: pushes
+     * {@link MembershipProtocol#stateSnapshot} and passes the response to {@link MembershipProtocol#onStateSync}.
      */
     void startStateSync(String address);
 
     void onChange(MembershipChange change);
 
-    /** A direct ping was acknowledged after so long. */
+    /** Called when the current probe is acknowledged before any indirect ping is requested. */
     void onRoundTrip(long roundTripUs);
 
-    /** Calls {@link MembershipProtocol#onWake} at this time or soon after; the last call counts. */
+    /** Calls {@link MembershipProtocol#onWake} at this time or soon after. Replaces the previously scheduled wake. */
     void scheduleWake(long atUs);
 }
--- a/node/src/main/java/loadbalancer/membership/core/MembershipChange.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipChange.java
@@ -1,32 +1,33 @@
 package loadbalancer.membership.core;
 
 /**
- * A notification of the listener; they come in order.
+ * Notification of a change. Notifications are delivered in order.
  *
- * @param member as it is held from now on
- * @param version of this process's view, which grows with each change
+ * @param member new record of the member; the dropped record for FORGOTTEN, the rejected record for REJECTED, and the
+ *     record of the other process for NAME_YIELDED and NAME_TAKEN_OVER
+ * @param version version of this process's view, which increases with each notification
  */
 public record MembershipChange(Type type, Member member, long version) {
 
-    /** What has happened. */
+    /** Type of a change. */
     public enum Type {
-        /** Seen for the first time, or again after it was dead or had left. */
+        /** The member is live, and was unknown, dead or left before. */
         JOINED,
-        /** Still live, with another address, zone, role or generation. */
+        /** The member remains live, with a different address, zone, role or generation. */
         UPDATED,
         SUSPECTED,
         /** The member has refuted a suspicion. */
         REFUTED,
-        /** The suspicion timeout of the member is over: it is dead. */
+        /** The member is dead: its suspicion timeout ended, here or at another member. */
         FAILED,
         LEFT,
         /** The tombstone of a dead or left member has been dropped. */
         FORGOTTEN,
-        /** Another process has this one's name and keeps it: this one takes part no more. */
+        /** Another process has the name of this process and keeps it. This process no longer participates. */
         NAME_YIELDED,
-        /** Another process has this one's name and has to yield it. */
+        /** Another process has the name of this process and has to yield it. */
         NAME_TAKEN_OVER,
-        /** Not admitted, as all places are taken. */
+        /** The member was not added, because the member table is full. */
         REJECTED
     }
 }
--- a/node/src/main/java/loadbalancer/membership/core/MembershipMessage.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipMessage.java
@@ -2,22 +2,22 @@
 
 import java.util.List;
 
-/** What a member sends to another in one datagram; gossip updates are piggybacked on all of them. */
+/** Message from one member to another in one datagram. Every message carries piggybacked gossip updates. */
 public sealed interface MembershipMessage {
 
-    /** Who sends it, with its present state. */
+    /** Current record of the sender; in a forwarded ack, of the member that was pinged. */
     Member sender();
 
     List<GossipUpdate> updates();
 
-    /** The same with other updates. */
+    /** Returns this message with other updates. */
     MembershipMessage withUpdates(List<GossipUpdate> others);
 
     /**
      * Asks a member for an ack.
      *
-     * @param sequence comes back with the ack; the sender's own
-     * @param targetName who is meant: another process that has taken the address does not answer
+     * @param sequence chosen by the sender and returned in the ack
+     * @param targetName name of the pinged member; a process of another name at the same address does not send an ack
      */
     record Ping(long sequence, String targetName, Member sender, List<GossipUpdate> updates)
             implements MembershipMessage {
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Answers a ping.
+     * Acknowledges a ping.
      *
-     * @param sequence of the ping
+     * @param sequence sequence number of the ping, or of the ping request if the ack is forwarded
      */
     record Ack(long sequence, Member sender, List<GossipUpdate> updates) implements MembershipMessage {
         @Override
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Asks a member for an indirect ping: it pings the target, and passes the target's ack on or sends a nack.
+     * Asks a member for an indirect ping: it pings the target, and forwards the target's ack or sends a nack.
      *
-     * @param sequence comes back with the ack or nack
+     * @param sequence chosen by the requester and returned in the ack or nack
      */
     record PingRequest(
             long sequence, String targetName, String targetAddress, Member sender, List<GossipUpdate> updates)
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Carries nothing but updates, and shows that the sender is alive. */
+    /** Carries only updates and the record of the sender: alive, or left when it announces its leave. */
     record Gossip(Member sender, List<GossipUpdate> updates) implements MembershipMessage {
         @Override
         public Gossip withUpdates(List<GossipUpdate> others) {
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Answers a ping request whose target has not acknowledged in time; the sender itself is alive.
+     * Response to a ping request whose target has not sent an ack in time. Shows that the sender itself is alive.
      *
-     * @param sequence of the ping request
+     * @param sequence sequence number of the ping request
      */
     record Nack(long sequence, Member sender, List<GossipUpdate> updates) implements MembershipMessage {
         @Override
--- a/node/src/main/java/loadbalancer/membership/core/MembershipProtocol.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipProtocol.java
@@ -6,14 +6,13 @@
 import loadbalancer.membership.core.UpdateMerger.Source;
 
 /**
- * One process's part in the membership of its fleet: a SWIM-family protocol with Lifeguard's extensions, as a state
- * machine. Events come with the time, and what is to be done goes to {@link MembershipActions}.
+ * Runs the membership protocol for one process of a fleet: a SWIM-family protocol with Lifeguard's extensions, as a
+ * state machine. Each event carries its time, and all effects go to {@link MembershipActions}.
  *
- * <p>Views are eventually consistent: two processes may hold different ones, changes may come in another order
- * elsewhere, and two halves of a partitioned network both go on. Whoever needs more than that must not rest on
- * membership.
+ * <p>Views are eventually consistent: two processes may have different views, may see changes in a different order, and
+ * both halves of a partitioned network continue. Code that needs stronger guarantees must not rely on membership.
  *
- * <p>Not thread-safe. The same events and seed give the same actions.
+ * <p>Not thread-safe. The same events and seed produce the same actions.
  */
 public final class MembershipProtocol {
     private final MembershipSettings settings;
@@ -32,16 +31,16 @@
     private final FailureDetector failureDetector;
     private final StateSyncScheduler stateSync;
     private final PartitionRepair partitionRepair;
-    /** When this process asked to be woken. */
+    /** Time of the scheduled wake. */
     private long wakeAtUs = Long.MAX_VALUE;
 
     private boolean ended;
 
     /**
-     * Throws InvalidSettingException for settings out of their bounds.
+     * Creates the protocol without starting it. Throws InvalidSettingException if a setting is out of bounds.
      *
-     * @param seed of all random choices
-     * @param startedAtUs when this process started, in microseconds of Unix time
+     * @param seed seed of all random choices
+     * @param startedAtUs start time of this process, in microseconds of Unix time
      */
     public MembershipProtocol(MembershipSettings settings, long seed, long startedAtUs, MembershipActions actions) {
         settings.validate();
@@ -78,7 +77,7 @@
 
     // ---------------------------------------------------------------- the view
 
-    /** All live members by name, this process included. */
+    /** Live members in the order of their names, including this process until it has ended. */
     public List<Member> liveMembers() {
         TreeMap<String, Member> byName = new TreeMap<>();
         table.liveMembers().forEach(member -> byName.put(member.name(), member));
@@ -88,17 +87,17 @@
         return List.copyOf(byName.values());
     }
 
-    /** How many members are live, this process included. */
+    /** Number of live members, including this process until it has ended. */
     public int liveCount() {
         return table.liveCount() + (ended ? 0 : 1);
     }
 
-    /** Grows with each change. */
+    /** Version of this process's view: increases with each notified change and each new incarnation of this process. */
     public long version() {
         return notifier.version();
     }
 
-    /** Equal for two processes that hold the same live members in the same generations. */
+    /** Equal for two processes whose views have the same live members in the same generations. */
     public long digest() {
         return table.digest() + (ended ? 0 : MemberTable.hash(self()));
     }
@@ -107,12 +106,12 @@
         return local.self();
     }
 
-    /** The local health score: 0 is healthy. */
+    /** Local health score; 0 is healthy. */
     public int localHealth() {
         return health.score();
     }
 
-    /** All that is held, this process first, tombstones included: what a state sync pushes. */
+    /** Full state for a state sync: this process first, then all other members, including tombstones. */
     public List<GossipUpdate> stateSnapshot() {
         List<GossipUpdate> snapshot = new ArrayList<>(table.size() + 1);
         snapshot.add(local.asUpdate());
@@ -122,7 +121,7 @@
 
     // ---------------------------------------------------------------- lifecycle
 
-    /** Begins to take part. */
+    /** Starts probing, announces this process and schedules the first state sync. */
     public void start(long nowUs) {
         failureDetector.start(nowUs);
         local.announce();
@@ -131,7 +130,7 @@
         scheduleWake(nowUs);
     }
 
-    /** Announces that this process leaves, and takes part no more. */
+    /** Announces that this process leaves, then ends participation. Does nothing if already ended. */
     public void leave() {
         if (ended) {
             return;
@@ -148,14 +147,14 @@
         broadcasts.remove(self().name());
     }
 
-    /** Whether this process takes part no more: it has left, or yielded its name. */
+    /** Whether this process no longer participates: it has left, or has yielded its name to another process. */
     public boolean isEnded() {
         return ended;
     }
 
     // ---------------------------------------------------------------- events
 
-    /** Handles the wake that was scheduled. */
+    /** Handles the scheduled wake: runs everything that is due. */
     public void onWake(long nowUs) {
         detectPause(nowUs);
         if (ended) {
@@ -175,7 +174,7 @@
         scheduleWake(nowUs);
     }
 
-    /** Handles what a peer has pushed in a state sync. */
+    /** Merges the state received from a peer in a state sync. */
     public void onStateSync(long nowUs, List<GossipUpdate> snapshot) {
         detectPause(nowUs);
         if (ended) {
@@ -185,7 +184,7 @@
         scheduleWake(nowUs);
     }
 
-    /** Handles a message of another member. */
+    /** Handles a message from another member. */
     public void onMessage(long nowUs, MembershipMessage message) {
         detectPause(nowUs);
         if (ended) {
@@ -210,7 +209,7 @@
         }
     }
 
-    /** A message is also an update about its sender, reported by the sender. */
+    /** Merges the sender's record of itself, which every message carries, as an update reported by the sender. */
     private void mergeSender(long nowUs, MembershipMessage message) {
         Member sender = message.sender();
         merger.merge(nowUs, new GossipUpdate(sender, sender.name()), Source.MESSAGE);
@@ -221,16 +220,21 @@
         boolean wasDead = isDead(sender);
         mergeSender(nowUs, ping);
         if (!ping.targetName().equals(self().name())) {
-            // Meant for an earlier process at this address. An ack would keep that one alive for the sender.
+            // Addressed to a process that had this address before. An ack would make the sender consider that process
+            // alive.
             return;
         }
-        List<GossipUpdate> first = new ArrayList<>();
+        List<GossipUpdate> priorityUpdates = new ArrayList<>();
         if (wasDead && isDead(sender)) {
-            // It does not know that it is held for dead: it has to refute, and to learn what else it missed.
-            first.add(new GossipUpdate(sender.member(), self().name()));
+            // The sender does not know that it is considered dead. The ack carries that update first, so that the
+            // sender refutes it; the state sync delivers the other updates that the sender has missed.
+            priorityUpdates.add(new GossipUpdate(sender.member(), self().name()));
             actions.startStateSync(ping.sender().address());
         }
-        gossiper.send(ping.sender().address(), new MembershipMessage.Ack(ping.sequence(), self(), List.of()), first);
+        gossiper.send(
+                ping.sender().address(),
+                new MembershipMessage.Ack(ping.sequence(), self(), List.of()),
+                priorityUpdates);
     }
 
     private static boolean isDead(MemberEntry entry) {
@@ -252,9 +256,10 @@
     // ---------------------------------------------------------------- time
 
     /**
-     * Guards against a process that was paused, as by a full machine, and then takes all others for dead: it has heard
-     * no acks and refutations for that long. An event over a period after the scheduled wake shows the pause. The probe
-     * under way is void, and suspicion timeouts move by the length of the pause.
+     * Detects a pause of this process, such as on an overloaded machine, by an event that arrives more than one probe
+     * period after the scheduled wake. Guards against a resumed process that declares all others dead because it
+     * received no acks and refutations during the pause. Degrades the local health by 1, cancels the current probe, and
+     * postpones all suspicion timeouts by the delay.
      */
     private void detectPause(long nowUs) {
         long lateUs = nowUs - wakeAtUs;
--- a/node/src/main/java/loadbalancer/membership/core/MembershipSettings.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipSettings.java
@@ -3,26 +3,31 @@
 import java.util.List;
 
 /**
- * How a process takes part in membership. {@code docs/membership.md} says how each default follows from the probe
+ * Settings of the membership protocol for one process. {@code docs/membership.md} derives each default from the probe
  * period and the number of members.
  *
- * @param name this member's name, the same after a restart
- * @param address where others reach this member
- * @param zone where this member runs
- * @param role what this member does
- * @param probePeriodUs one member is probed in each period
- * @param probeTimeoutUs a ping without an ack for so long is followed by indirect pings
- * @param indirectProbes how many other members are asked for an indirect ping; also how many receive a gossip message
- * @param suspicionPeriods shortest suspicion timeout, in probe periods times log10 of the members (1 at least)
- * @param maxSuspicionFactor longest suspicion timeout, in shortest ones: while no other member confirms the suspicion
- * @param suspicionConfirmations so many confirmations shorten the timeout to the shortest one
- * @param maxLocalHealth highest local health score; probe times are up to 1 + this times longer; 0 turns it off
- * @param retransmitFactor how often each gossip update is sent, times log2 of the members
- * @param stateSyncIntervalUs mean time between two state syncs with another member
- * @param tombstoneRetentionUs for how long a dead or left member is remembered
- * @param maxMembers how many names are remembered, this process included; new ones beyond are rejected
- * @param gossipBudgetBytes for gossip updates in one datagram
- * @param seeds addresses that are contacted at the start, and for ever while no live member has them
+ * @param name this member's name, stable across restarts
+ * @param address address at which other members reach this member
+ * @param zone zone in which this member runs
+ * @param role function of this member in the fleet
+ * @param probePeriodUs probe period: one member is probed per period
+ * @param probeTimeoutUs time without an ack after which indirect pings follow a ping
+ * @param indirectProbes number of members that are asked for an indirect ping; also the number of members that receive
+ *     a gossip message in each round
+ * @param suspicionPeriods shortest suspicion timeout, in probe periods times log10 of the live members (at least 1)
+ * @param maxSuspicionFactor longest suspicion timeout, as a multiple of the shortest one; applies while no other member
+ *     has confirmed the suspicion
+ * @param suspicionConfirmations number of confirmations that reduces the suspicion timeout to the shortest one
+ * @param maxLocalHealth highest local health score; probe period and timeout are multiplied by up to 1 + this value; 0
+ *     disables local health
+ * @param retransmitFactor number of times each gossip update is sent, per binary digit of the number of live members
+ * @param stateSyncIntervalUs mean time between state syncs with a random live member
+ * @param tombstoneRetentionUs how long a dead or left member is remembered
+ * @param maxMembers limit of remembered names, including this process and tombstones; at the limit a new live member
+ *     replaces the oldest tombstone, and any other new name is rejected
+ * @param gossipBudgetBytes bytes for gossip updates in one datagram
+ * @param seeds addresses that are all contacted while no other member is live, as at the start; afterwards a seed is
+ *     still contacted, without end, while no record, live or tombstone, has its address
  */
 public record MembershipSettings(
         String name,
@@ -42,23 +47,24 @@
         int maxMembers,
         int gossipBudgetBytes,
         List<String> seeds) {
-    /** A datagram of 1,400 bytes less the longest of everything else in it. */
+    /** A datagram of 1,400 bytes minus the maximum size of all its other content. */
     public static final int MAX_GOSSIP_BUDGET_BYTES = 880;
 
+    /** An update with the longest names takes 368 bytes and has to fit. */
     private static final int MIN_GOSSIP_BUDGET_BYTES = 400;
 
-    /** Settings of this member with the defaults for everything else. */
+    /** Settings of this member with defaults for everything else. */
     public static MembershipSettings of(String name, String address, String zone, String role, List<String> seeds) {
         return builder(name, address, zone, role, seeds).build();
     }
 
-    /** A builder for this member that starts with the defaults. */
+    /** Returns a builder for this member, initialized with the defaults. */
     public static MembershipSettingsBuilder builder(
             String name, String address, String zone, String role, List<String> seeds) {
         return new MembershipSettingsBuilder(name, address, zone, role, seeds);
     }
 
-    /** A builder that starts with these settings. */
+    /** Returns a builder initialized with these settings. */
     public MembershipSettingsBuilder toBuilder() {
         return builder(name, address, zone, role, seeds)
                 .probePeriodUs(probePeriodUs)
@@ -75,7 +81,7 @@
                 .gossipBudgetBytes(gossipBudgetBytes);
     }
 
-    /** Throws InvalidSettingException for the first setting that is out of its bounds. */
+    /** Throws InvalidSettingException for the first setting that is out of bounds. */
     public void validate() {
         requireName("name", name);
         requireName("address", address);
--- a/node/src/main/java/loadbalancer/membership/core/MembershipSettingsBuilder.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipSettingsBuilder.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Builds {@link MembershipSettings}; what is not set has its default. The fields are described there. */
+/** Builder of {@link MembershipSettings}, which describes the settings. An unset setting keeps its default. */
 public final class MembershipSettingsBuilder {
     private final String name;
     private final String address;
@@ -90,7 +90,7 @@
         return this;
     }
 
-    /** The settings, which are not validated. */
+    /** Returns the settings without validating them. */
     public MembershipSettings build() {
         return new MembershipSettings(
                 name,
--- a/node/src/main/java/loadbalancer/membership/core/NameConflictResolver.java
+++ b/node/src/main/java/loadbalancer/membership/core/NameConflictResolver.java
@@ -1,13 +1,13 @@
 package loadbalancer.membership.core;
 
 /**
- * Decides between two processes of one name at different addresses: the one that started later keeps it, the other one
- * yields. Guards against two processes that refute each other for ever, which shows as a member that keeps changing its
- * address. As a record at another address may also be left over from an earlier process whose clock was ahead, this
- * process yields only to a rival that acknowledges a ping.
+ * Resolves a conflict between two processes with the same name at different addresses. The process that started later
+ * keeps the name, the other one yields. Guards against two processes that refute each other for ever, which shows as a
+ * member that keeps changing its address. A record at another address may also be left over from an earlier process
+ * whose clock was ahead, so this process yields only to a rival that acknowledges a ping.
  */
 final class NameConflictResolver {
-    /** A process of the same name that was pinged, and until when it may acknowledge. */
+    /** Pending ping of a later process with the same name, and the end of the time for its ack. */
     private record Challenge(Member rival, long sequence, long endsAtUs) {}
 
     private final MembershipSettings settings;
@@ -24,7 +24,11 @@
         this.pings = pings;
     }
 
-    /** @param claimant what another member holds of this process's name at another address */
+    /**
+     * Handles a record with this process's name and another address. An earlier process that is live is pinged, so that
+     * it yields. A dead or left record of a later process is superseded by a new generation of this process. A live
+     * record of a later process is challenged by a ping, unless a challenge is pending.
+     */
     void onClaim(long nowUs, Member claimant) {
         if (isEarlier(claimant)) {
             takeOver(claimant);
@@ -40,7 +44,10 @@
         return local.self().withState(MemberState.ALIVE).supersedes(claimant.withState(MemberState.ALIVE));
     }
 
-    /** Lets the earlier process learn of this one; once for each address, so that a claim is not answered for ever. */
+    /**
+     * Notifies the listener of an earlier process that is live, and pings it so that it learns of this one. Ignores
+     * further claims with the same address, so that repeated claims do not cause endless pings.
+     */
     private void takeOver(Member claimant) {
         if (claimant.state().isLive() && !claimant.address().equals(takenOverFrom)) {
             takenOverFrom = claimant.address();
@@ -49,7 +56,7 @@
         }
     }
 
-    /** Whether this is the ack of the rival under challenge, to which this process yields its name. */
+    /** Whether this ack comes from the challenged rival. If so, this process yields its name. */
     boolean isAckOfRival(MembershipMessage.Ack ack) {
         return challenge != null
                 && ack.sequence() == challenge.sequence
@@ -57,14 +64,14 @@
                 && ack.sender().name().equals(local.self().name());
     }
 
-    /** The end of a challenge. */
+    /** End of the current challenge, or Long.MAX_VALUE. */
     long nextUs() {
         return challenge == null ? Long.MAX_VALUE : challenge.endsAtUs;
     }
 
     void onTime(long nowUs) {
         if (challenge != null && challenge.endsAtUs <= nowUs) {
-            // No ack: the record is of an earlier process of this member, whose clock was ahead.
+            // No ack: the record belongs to an earlier process of this member, whose clock was ahead.
             local.continueIn(challenge.rival.incarnation().nextGeneration());
             challenge = null;
         }
--- a/node/src/main/java/loadbalancer/membership/core/PartitionRepair.java
+++ b/node/src/main/java/loadbalancer/membership/core/PartitionRepair.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * Contacts one dead member in each period, or a seed whose address no member has. Guards against a network partition
- * that stays after the network is whole again: both halves hold each other for dead, and nobody probes the dead. Dead
- * members are contacted until their tombstones expire, seeds for ever.
+ * Contacts a random dead member, or a seed whose address no record has, about once per probe period. Guards against a
+ * partition that persists after the network has recovered: both halves consider each other dead, and the failure
+ * detector does not probe dead members. Dead members are contacted until their tombstones are dropped, seeds without
+ * end.
  */
 final class PartitionRepair {
     private final MembershipSettings settings;
@@ -53,7 +54,7 @@
         if (choice < dead.size()) {
             pings.ping(dead.get(choice));
         } else if (table.liveCount() > 0) {
-            // While nobody else is live, the state sync scheduler contacts the seeds.
+            // While no other member is live, the state sync scheduler contacts the seeds.
             actions.startStateSync(seeds.get(choice - dead.size()));
         }
     }
--- a/node/src/main/java/loadbalancer/membership/core/PingSender.java
+++ b/node/src/main/java/loadbalancer/membership/core/PingSender.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Sends pings and ping requests, each with a sequence number that no other ping of this process has. */
+/** Sends pings, each with a sequence number that is unique in this process, and ping requests. */
 final class PingSender {
     private final LocalMember local;
     private final Gossiper gossiper;
@@ -13,7 +13,7 @@
         this.gossiper = gossiper;
     }
 
-    /** Pings a member; returns the sequence number that its ack will have. */
+    /** Pings a member and returns the sequence number of the expected ack. */
     long ping(Member target) {
         return ping(target.name(), target.address());
     }
@@ -24,7 +24,7 @@
         return sequence;
     }
 
-    /** Asks another member to ping the target; the ack or nack will have this sequence number. */
+    /** Asks another member to ping the target. The ack or nack will carry the given sequence number. */
     void requestPing(Member via, Member target, long sequence) {
         gossiper.send(
                 via.address(),
--- a/node/src/main/java/loadbalancer/membership/core/ProbeOrder.java
+++ b/node/src/main/java/loadbalancer/membership/core/ProbeOrder.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Which member is probed next: round robin over an order that is shuffled for each round, so that the time until a
- * member is probed has a bound of two rounds.
+ * Selects the next member to probe: round robin in an order that is shuffled for each round, so that each member is
+ * probed within two rounds.
  */
 final class ProbeOrder {
     private final ProtocolRandom random;
@@ -18,12 +18,12 @@
         this.table = table;
     }
 
-    /** At a random place, so that members that joined together are not probed together by all. */
+    /** Inserts the name at a random position, so that members that join together are not probed together by all. */
     void add(String name) {
         random.insert(names, name);
     }
 
-    /** The next live member, or null where there is none. */
+    /** Returns the next live member, or null if there is none. */
     Member next() {
         for (int attempts = names.size(); attempts > 0; attempts--) {
             if (position >= names.size()) {
--- a/node/src/main/java/loadbalancer/membership/core/ProtocolRandom.java
+++ b/node/src/main/java/loadbalancer/membership/core/ProtocolRandom.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The random choices of the protocol, all from one seed: the same events and seed give the same choices. */
+/** Source of all random choices of the protocol. The same events and seed produce the same choices. */
 final class ProtocolRandom {
     private final SplittableRandom random;
 
@@ -19,7 +19,7 @@
         return random.nextLong(bound);
     }
 
-    /** Evenly from half the mean to one and a half. */
+    /** Returns a uniformly distributed value from 0.5 to 1.5 times the mean. */
     long aroundMean(long mean) {
         return mean / 2 + random.nextLong(mean);
     }
--- a/node/src/main/java/loadbalancer/membership/core/Refutation.java
+++ b/node/src/main/java/loadbalancer/membership/core/Refutation.java
@@ -1,6 +1,10 @@
 package loadbalancer.membership.core;
 
-/** Answers what other members claim of this process at its own address: a wrong claim is refuted at once. */
+/**
+ * Refutes wrong claims about this process at its own address. A process that learns that others consider it suspected,
+ * dead or left announces itself alive in a higher incarnation, which supersedes the claim, and degrades its local
+ * health by 1. A claim about an earlier incarnation is ignored, because the current one supersedes it already.
+ */
 final class Refutation {
     private final LocalMember local;
     private final LocalHealth health;
@@ -10,15 +14,15 @@
         this.health = health;
     }
 
-    /** @param claimed what another member holds of this process */
+    /** @param claimed record of this process in an update from another member */
     void onClaim(Member claimed) {
         Incarnation own = local.self().incarnation();
         if (claimed.incarnation().generation() > own.generation()) {
-            // An earlier process at this address had a clock that was ahead. Without this its record would supersede
-            // all that this one announces, for as long as others remember it.
+            // The record is of an earlier process at this address whose clock was ahead. Without a later generation,
+            // that record would supersede everything that this process announces, for as long as others remember it.
             local.continueIn(claimed.incarnation().nextGeneration());
         } else if (claimed.state() != MemberState.ALIVE && claimed.incarnation().compareTo(own) >= 0) {
-            // Others had no ack in time: a sign that this process is slow or cut off.
+            // Another member received no ack in time, which indicates that this process is slow or cut off.
             health.degrade(1);
             local.continueIn(claimed.incarnation().nextRefutation());
         }
--- a/node/src/main/java/loadbalancer/membership/core/StateSyncScheduler.java
+++ b/node/src/main/java/loadbalancer/membership/core/StateSyncScheduler.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * Starts state syncs: at random intervals with a random live member, which repairs what gossip has missed, and with
- * all seeds while nobody else is live.
+ * Starts state syncs at random intervals: with a random live member, to deliver updates that gossip has missed, or with
+ * all seeds while no other member is live.
  */
 final class StateSyncScheduler {
-    /** While nobody else is live, seeds are tried so many probe periods apart, on average. */
-    private static final int ALONE_PERIODS = 2;
+    /** Mean interval between contacts of the seeds, in probe periods, while no other member is live. */
+    private static final int SEED_RETRY_PERIODS = 2;
 
     private final MembershipSettings settings;
     private final MembershipActions actions;
@@ -42,7 +42,7 @@
             settings.seeds().stream()
                     .filter(seed -> !seed.equals(settings.address()))
                     .forEach(actions::startStateSync);
-            meanUs = ALONE_PERIODS * settings.probePeriodUs();
+            meanUs = SEED_RETRY_PERIODS * settings.probePeriodUs();
         } else {
             actions.startStateSync(live.get(random.nextInt(live.size())).address());
             meanUs = settings.stateSyncIntervalUs();
--- a/node/src/main/java/loadbalancer/membership/core/Suspicion.java
+++ b/node/src/main/java/loadbalancer/membership/core/Suspicion.java
@@ -4,8 +4,9 @@
 import java.util.Set;
 
 /**
- * How long a suspected member has to refute: long while a single member suspects it, shorter with each other member
- * that confirms. A slow process that suspects everybody then harms nobody, as no other member confirms.
+ * Timeout within which a suspected member has to refute. It is longest while a single member suspects it, and shrinks
+ * logarithmically with each other member that confirms the suspicion. Guards against a slow process that suspects
+ * everyone: no other member confirms, so each suspected member has the longest time to refute.
  */
 final class Suspicion {
     private long startedAtUs;
@@ -22,17 +23,17 @@
         reporters.add(firstReporter);
     }
 
-    /** Another member suspects it too; true if that is new and still counts. */
+    /** Adds a confirmation. Returns whether the reporter is new and the required confirmations were not yet reached. */
     boolean confirm(String reporter) {
         return reporters.size() <= requiredConfirmations && reporters.add(reporter);
     }
 
-    /** Moves the timeout: a time in which this process was paused is none in which it could hear a refutation. */
+    /** Moves the timeout by the length of a pause of this process, which could not receive a refutation meanwhile. */
     void postpone(long us) {
         startedAtUs += us;
     }
 
-    /** The end of the timeout. */
+    /** End of the timeout, given the confirmations so far. */
     long endsAtUs() {
         if (requiredConfirmations == 0) {
             return startedAtUs + minTimeoutUs;
--- a/node/src/main/java/loadbalancer/membership/core/SuspicionTimers.java
+++ b/node/src/main/java/loadbalancer/membership/core/SuspicionTimers.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Suspicion timeouts: how long each suspected member has to refute, and whose time is over. */
+/** Starts suspicion timeouts and finds the suspected members whose timeouts have expired. */
 final class SuspicionTimers {
     private final MembershipSettings settings;
     private final MemberTable table;
@@ -12,18 +12,18 @@
         this.table = table;
     }
 
-    /** Starts the timeout of a member that has just come under suspicion. */
+    /** Starts the timeout of a member that has just become suspected. */
     void start(long nowUs, MemberEntry entry, String reporter) {
         double sizeFactor = Math.max(1, Math.log10(table.liveCount() + 1));
         long minTimeoutUs = (long) (settings.suspicionPeriods() * sizeFactor * settings.probePeriodUs());
-        // In a small fleet fewer others are there to confirm. Waiting for more would keep a dead member for the
-        // longest timeout each time.
+        // In a small fleet fewer members can confirm. Requiring more confirmations than can arrive would keep every
+        // dead member for the longest timeout.
         int confirmations = Math.max(0, Math.min(settings.suspicionConfirmations(), table.liveCount() - 2));
         long maxTimeoutUs = confirmations == 0 ? minTimeoutUs : settings.maxSuspicionFactor() * minTimeoutUs;
         table.suspect(entry, new Suspicion(nowUs, minTimeoutUs, maxTimeoutUs, confirmations, reporter));
     }
 
-    /** Gives all suspected members more time. */
+    /** Extends all suspicion timeouts. */
     void postpone(long us) {
         table.suspected().forEach(entry -> entry.suspicion().postpone(us));
     }
@@ -32,7 +32,7 @@
         return table.nextSuspicionEndUs();
     }
 
-    /** Members that have not refuted in time, in the order in which they came under suspicion. */
+    /** Members that have not refuted in time, in the order in which their suspicions started. */
     List<Member> expired(long nowUs) {
         if (nextUs() > nowUs) {
             return List.of();
--- a/node/src/main/java/loadbalancer/membership/core/TombstoneRetention.java
+++ b/node/src/main/java/loadbalancer/membership/core/TombstoneRetention.java
@@ -3,8 +3,10 @@
 import java.util.List;
 
 /**
- * Remembers dead and left members for a while. Guards against a late update that brings one back, which shows as a
- * member that joins again after it has left: its tombstone supersedes the update.
+ * Keeps the tombstones of dead and left members for the configured retention, counted from the last change of the
+ * record in this process. Guards against a late update that brings such a member back, which shows as a member that
+ * joins again after it has left: the tombstone supersedes the update. A tombstone is dropped earlier if the member
+ * table is full and a new live member needs its place.
  */
 final class TombstoneRetention {
     private final MembershipSettings settings;
@@ -21,7 +23,7 @@
         this.notifier = notifier;
     }
 
-    /** A member is dead or has left from now on. */
+    /** Schedules the expiry of a tombstone that has just been recorded. */
     void onTombstone(long nowUs) {
         nextExpiryAtUs = Math.min(nextExpiryAtUs, nowUs + settings.tombstoneRetentionUs());
     }
@@ -51,7 +53,7 @@
         }
     }
 
-    /** Makes a place for a new member; false where all places are taken by live ones. */
+    /** Drops the oldest tombstone to admit a new member. Returns false if there are no tombstones. */
     boolean evictOldest() {
         MemberEntry oldest = table.oldestTombstone();
         if (oldest == null) {
--- a/node/src/main/java/loadbalancer/membership/core/UpdateMerger.java
+++ b/node/src/main/java/loadbalancer/membership/core/UpdateMerger.java
@@ -1,15 +1,16 @@
 package loadbalancer.membership.core;
 
 /**
- * Merges updates into the member table: a record that supersedes the one held takes its place, is disseminated and
- * notified of. Claims about this process itself are refuted or resolved.
+ * Merges updates into the member table. An update that supersedes the current record replaces it, is disseminated, and
+ * leads to the notifications of {@link MemberTransition}. Updates about this process's own name go to
+ * {@link Refutation} or, if they have another address, to {@link NameConflictResolver}.
  */
 final class UpdateMerger {
-    /** Where an update comes from. */
+    /** Origin of an update. */
     enum Source {
-        /** A message, or this process's own failure detector: it is recent. */
+        /** A message, or this process's own failure detection: the update is recent. */
         MESSAGE,
-        /** A state sync, which carries all that the peer holds, however old. */
+        /** A state sync, which carries all records of the peer, however old. */
         STATE_SYNC
     }
 
@@ -76,7 +77,10 @@
         }
     }
 
-    /** Guards against a flood of names: beyond the bound a live member takes a tombstone's place or is rejected. */
+    /**
+     * Adds a member with a new name. Guards against a flood of names: when the table is full, a live member replaces
+     * the oldest tombstone. It is rejected if there is none, as is any dead or left member.
+     */
     private void admit(long nowUs, GossipUpdate update) {
         Member claimed = update.member();
         boolean isFull = table.size() + 1 >= settings.maxMembers();
@@ -110,7 +114,7 @@
         }
     }
 
-    /** Another member suspects the same incarnation: that shortens the timeout, and others have to learn of it. */
+    /** Confirms a suspicion of the same incarnation, and disseminates a confirmation that shortens the timeout. */
     private void confirmSuspicion(MemberEntry entry, GossipUpdate update) {
         Member claimed = update.member();
         if (entry.suspicion() != null
@@ -128,9 +132,10 @@
     }
 
     /**
-     * Guards against mass failure after a network partition: the first state sync between the halves brings a death of
-     * each member of the other half, all of them wrong. Each such death becomes a suspicion, and its member is pinged
-     * at once, so that it can refute in time.
+     * Suspects a member that a state sync reports as dead in its current incarnation, and pings it at once so that it
+     * can refute in time. A member that is already suspected stays as it is. Guards against mass failure after a
+     * network partition: the first state sync between the two halves reports every member of the other half as dead,
+     * wrongly.
      */
     private void suspectInsteadOfDead(long nowUs, MemberEntry entry, GossipUpdate death) {
         if (entry.member().state() != MemberState.ALIVE) {
