--- a/node/src/main/java/loadbalancer/membership/codec/AckSerializer.java
+++ b/node/src/main/java/loadbalancer/membership/codec/AckSerializer.java
@@ -7,7 +7,7 @@
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MembershipMessage.Ack;
 
-/** An ack: sequence, sender, updates. */
+/** Serializes an ack: sequence, sender, updates. */
 final class AckSerializer implements ContentSerializer<Ack> {
     @Override
     public FrameType type() {
--- a/node/src/main/java/loadbalancer/membership/codec/BadFrameException.java
+++ b/node/src/main/java/loadbalancer/membership/codec/BadFrameException.java
@@ -1,33 +1,33 @@
 package loadbalancer.membership.codec;
 
-/** Bytes that are no frame of this fleet. They are counted and dropped. */
+/** Thrown for bytes that are not a valid frame of this fleet. Such frames are counted and dropped. */
 public final class BadFrameException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** What is wrong. */
+    /** Reason for which a frame is rejected. */
     public enum Reason {
-        /** It does not begin with the magic bytes: not a frame at all. */
+        /** Shorter than a header, or without the magic bytes at the start: not a frame at all. */
         BAD_MAGIC,
         CHECKSUM_MISMATCH,
-        /** Of a newer format, or of a type that this version does not know. */
+        /** Another version of the format, or a type that this version does not know. */
         UNSUPPORTED_VERSION,
         FOREIGN_FLEET,
-        /** The content is not what its type requires. */
+        /** The content or the length is invalid, or the type is not allowed here. */
         MALFORMED
     }
 
     private final Reason reason;
     private final String field;
 
-    /** @param field where the frame is wrong */
+    /** @param field first field that is invalid */
     BadFrameException(Reason reason, String field) {
-        // Without a stack trace, and with a message only on demand: a flood of garbage must not cost more than that.
+        // No stack trace, and the message is built on demand, so that a flood of invalid frames costs little.
         super(null, null, false, false);
         this.reason = reason;
         this.field = field;
     }
 
-    /** A frame of a connection whose length is not allowed. */
+    /** Returns the exception for a frame on a connection whose length is not allowed. */
     public static BadFrameException badLength() {
         return new BadFrameException(Reason.MALFORMED, "length");
     }
@@ -36,7 +36,7 @@
         return reason;
     }
 
-    /** Where the frame is wrong: the first field that could not be read. */
+    /** First field that could not be read. */
     public String field() {
         return field;
     }
--- a/node/src/main/java/loadbalancer/membership/codec/ContentSerializer.java
+++ b/node/src/main/java/loadbalancer/membership/codec/ContentSerializer.java
@@ -4,14 +4,14 @@
 import java.io.IOException;
 
 /**
- * Writes and reads the content of one type of frame, after the fleet's name. Without state, so that threads may share
- * it.
+ * Writes and reads the content of one type of frame, which follows the name of the fleet. Implementations are stateless
+ * and thread-safe.
  */
 interface ContentSerializer<T> {
     FrameType type();
 
     void write(CBORGenerator out, T content) throws IOException;
 
-    /** Throws BadFrameException where the bytes are not such a content. */
+    /** Reads the content. Throws BadFrameException if the bytes are not valid content of this type. */
     T read(FrameReader in) throws IOException, BadFrameException;
 }
--- a/node/src/main/java/loadbalancer/membership/codec/FrameHeader.java
+++ b/node/src/main/java/loadbalancer/membership/codec/FrameHeader.java
@@ -5,8 +5,7 @@
 import loadbalancer.membership.codec.BadFrameException.Reason;
 
 /**
- * The first bytes of each frame: magic, the version of the format, the type, and a CRC32C over version, type and
- * content.
+ * Header of each frame: magic bytes, version of the format, type, and a CRC32C over version, type and content.
  */
 final class FrameHeader {
     static final int LENGTH = 8;
@@ -19,17 +18,17 @@
 
     private FrameHeader() {}
 
-    /** Writes the header into a frame whose content is already there. */
+    /** Writes the header into a frame that already contains its content. */
     static void write(byte[] frame, FrameType type) {
         ByteBuffer.wrap(frame).put(MAGIC).put(VERSION).put(type.number()).putInt(checksum(frame));
     }
 
-    /** The type of a frame, once it is known to be intact and of a version that is understood. */
+    /** Checks the magic bytes, the checksum and the version of a frame, and returns its type. */
     static FrameType verify(byte[] frame) throws BadFrameException {
         if (frame.length < LENGTH || frame[0] != MAGIC[0] || frame[1] != MAGIC[1]) {
             throw new BadFrameException(Reason.BAD_MAGIC, "magic");
         }
-        // Before the version: a damaged frame must not pass for one of a newer version.
+        // Checked before the version, so that a damaged frame is not rejected as one of a newer version.
         if (ByteBuffer.wrap(frame).getInt(CHECKSUM_OFFSET) != checksum(frame)) {
             throw new BadFrameException(Reason.CHECKSUM_MISMATCH, "checksum");
         }
--- a/node/src/main/java/loadbalancer/membership/codec/FrameReader.java
+++ b/node/src/main/java/loadbalancer/membership/codec/FrameReader.java
@@ -7,11 +7,11 @@
 import loadbalancer.membership.core.Member;
 
 /**
- * Reads the content of a frame field by field. Throws BadFrameException, which names the field, where a value is of
- * another kind or out of its bounds.
+ * Reads the content of a frame field by field. Throws BadFrameException, which names the field, if a value has the
+ * wrong type or is out of bounds.
  */
 final class FrameReader {
-    /** A larger time or count would overflow when a member raises it. */
+    /** A larger generation or refutation count could overflow when a member increments it. */
     private static final long MAX_NUMBER = 1L << 62;
 
     private final JsonParser parser;
@@ -34,7 +34,7 @@
         requireNext(JsonToken.START_ARRAY, field);
     }
 
-    /** Whether another element of an array follows, which begins with a text: {@link #currentText} has it. */
+    /** Whether another array element follows. An element begins with a string: see {@link #currentText}. */
     boolean nextElement() throws IOException {
         return parser.nextToken() == JsonToken.VALUE_STRING;
     }
@@ -43,12 +43,12 @@
         return parser.getText();
     }
 
-    /** After the last {@link #nextElement}. */
+    /** Ends an array, after {@link #nextElement} has returned false. */
     void endArray(String field) throws BadFrameException {
         require(parser.currentToken() == JsonToken.END_ARRAY, field);
     }
 
-    /** The content is over, and nothing follows. */
+    /** Requires that the content ends here and that no bytes follow. */
     void end() throws IOException, BadFrameException {
         requireNext(JsonToken.END_ARRAY, "end");
         require(parser.nextToken() == null, "end");
@@ -59,7 +59,7 @@
         return parser.getLongValue();
     }
 
-    /** A number from 0 to {@value #MAX_NUMBER}. */
+    /** Reads a number from 0 to {@value #MAX_NUMBER}. */
     long number(String field) throws IOException, BadFrameException {
         long number = anyNumber(field);
         require(number >= 0 && number <= MAX_NUMBER, field);
@@ -71,7 +71,7 @@
         return parser.getText();
     }
 
-    /** A text that may be a name, address, zone or role. */
+    /** Reads a string that is valid as a name, address, zone or role. */
     String name(String field) throws IOException, BadFrameException {
         return validName(text(field), field);
     }
--- a/node/src/main/java/loadbalancer/membership/codec/FrameType.java
+++ b/node/src/main/java/loadbalancer/membership/codec/FrameType.java
@@ -1,15 +1,15 @@
 package loadbalancer.membership.codec;
 
-/** What a frame is. The ordinal is the number on the wire: new types go to the end. */
+/** Type of a frame. The ordinal is the number on the wire, so new types must be added at the end. */
 public enum FrameType {
     PING,
     ACK,
     PING_REQUEST,
     GOSSIP,
     NACK,
-    /** All that a member holds, for a state sync. */
+    /** Full state of a member, for a state sync. */
     STATE,
-    /** Asks a member for its view. */
+    /** Requests the view of a member. */
     VIEW_REQUEST,
     VIEW;
 
@@ -19,7 +19,7 @@
         return (byte) ordinal();
     }
 
-    /** The type of this number, or null if this version has none. */
+    /** Returns the type of this number, or null if this version does not know it. */
     static FrameType ofNumber(byte number) {
         return number < 0 || number >= TYPES.length ? null : TYPES[number];
     }
--- a/node/src/main/java/loadbalancer/membership/codec/GossipSerializer.java
+++ b/node/src/main/java/loadbalancer/membership/codec/GossipSerializer.java
@@ -7,7 +7,7 @@
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MembershipMessage.Gossip;
 
-/** A gossip message: sender, updates. */
+/** Serializes a gossip message: sender, updates. */
 final class GossipSerializer implements ContentSerializer<Gossip> {
     @Override
     public FrameType type() {
--- a/node/src/main/java/loadbalancer/membership/codec/GossipUpdatesSerializer.java
+++ b/node/src/main/java/loadbalancer/membership/codec/GossipUpdatesSerializer.java
@@ -7,7 +7,7 @@
 import loadbalancer.membership.core.GossipUpdate;
 import loadbalancer.membership.core.Member;
 
-/** Gossip updates within a frame: an array of members, each followed by the name of its reporter. */
+/** Serializes gossip updates within a frame: an array of members, each followed by the name of its reporter. */
 final class GossipUpdatesSerializer {
     private GossipUpdatesSerializer() {}
 
--- a/node/src/main/java/loadbalancer/membership/codec/MemberSerializer.java
+++ b/node/src/main/java/loadbalancer/membership/codec/MemberSerializer.java
@@ -6,7 +6,7 @@
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MemberState;
 
-/** A member within a frame: name, address, zone, role, generation, refutations, and the number of its state. */
+/** Serializes a member within a frame: name, address, zone, role, generation, refutations, number of the state. */
 final class MemberSerializer {
     private static final MemberState[] STATES = MemberState.values();
 
@@ -26,7 +26,7 @@
         return readAfterName(in, in.name("member.name"));
     }
 
-    /** The rest of a member whose name has been read, as it is the sign that one follows. */
+    /** Reads the rest of a member. Its name has been read already, to detect that another element follows. */
     static Member readAfterName(FrameReader in, String name) throws IOException, BadFrameException {
         String address = in.name("member.address");
         String zone = in.name("member.zone");
--- a/node/src/main/java/loadbalancer/membership/codec/MembershipCodec.java
+++ b/node/src/main/java/loadbalancer/membership/codec/MembershipCodec.java
@@ -12,13 +12,13 @@
 import loadbalancer.membership.core.MembershipMessage;
 
 /**
- * Frames of one fleet: a {@link FrameHeader}, then a CBOR array that begins with the fleet's name and goes on with what
- * a {@link ContentSerializer} writes. {@code docs/membership.md} has the table. Thread-safe.
+ * Encodes and decodes the frames of one fleet: a {@link FrameHeader}, then a CBOR array of the fleet's name and the
+ * content that a {@link ContentSerializer} writes. {@code docs/membership.md} describes the format. Thread-safe.
  */
 public final class MembershipCodec {
-    /** Goes through almost any network in one piece. */
+    /** Small enough to pass almost any network without fragmentation. */
     public static final int MAX_DATAGRAM_BYTES = 1_400;
-    /** Room for 10,000 members with the longest texts. */
+    /** Large enough for 10,000 members with names of the maximum length. */
     public static final int MAX_FRAME_BYTES = 8 << 20;
 
     private static final int TYPICAL_FRAME_BYTES = 256;
@@ -35,24 +35,24 @@
 
     private final String fleet;
 
-    /** @param fleet the one whose frames are understood */
+    /** @param fleet name of the fleet whose frames are accepted */
     public MembershipCodec(String fleet) {
         this.fleet = fleet;
     }
 
-    /** A codec for a client that is no member, and understands the view of any fleet. */
+    /** Returns a codec for a client outside the fleet, which can request and decode the view of any fleet. */
     public static MembershipCodec ofAnyFleet() {
         return new MembershipCodec(ANY_FLEET);
     }
 
-    /** The type of an intact frame. */
+    /** Returns the type of a frame after verifying its header. */
     public static FrameType typeOf(byte[] frame) throws BadFrameException {
         return FrameHeader.verify(frame);
     }
 
     // ---------------------------------------------------------------- writing
 
-    /** A message as one datagram. */
+    /** Encodes a message as one datagram. */
     public byte[] encode(MembershipMessage message) {
         if (message instanceof MembershipMessage.Ping ping) {
             return frame(PING, ping);
@@ -66,12 +66,12 @@
         return frame(GOSSIP, (MembershipMessage.Gossip) message);
     }
 
-    /** All that a member holds, for a state sync. */
+    /** Encodes the full state of a member for a state sync. */
     public byte[] encodeState(List<GossipUpdate> state) {
         return frame(STATE, state);
     }
 
-    /** Asks a member for its view. */
+    /** Encodes a request for the view of a member. */
     public byte[] encodeViewRequest() {
         return frame(FrameType.VIEW_REQUEST, out -> {});
     }
@@ -97,7 +97,7 @@
             content.writeTo(out);
             out.writeEndArray();
         } catch (IOException e) {
-            throw new UncheckedIOException("writing to memory", e);
+            throw new UncheckedIOException("cannot encode a frame in memory", e);
         }
         byte[] frame = bytes.toByteArray();
         FrameHeader.write(frame, type);
@@ -106,7 +106,7 @@
 
     // ---------------------------------------------------------------- reading
 
-    /** The message of a datagram. */
+    /** Decodes the message in a datagram. */
     public MembershipMessage decode(byte[] frame) throws BadFrameException {
         return switch (FrameHeader.verify(frame)) {
             case PING -> read(frame, PING);
@@ -118,13 +118,13 @@
         };
     }
 
-    /** The content of a state sync. */
+    /** Decodes the full state that a peer sends in a state sync. */
     public List<GossipUpdate> decodeState(byte[] frame) throws BadFrameException {
         FrameReader.require(FrameHeader.verify(frame) == FrameType.STATE, "type");
         return read(frame, STATE);
     }
 
-    /** The answer to a view request, of whatever fleet. */
+    /** Decodes the response to a view request, from any fleet. */
     public MembershipView decodeView(byte[] frame) throws BadFrameException {
         FrameReader.require(FrameHeader.verify(frame) == FrameType.VIEW, "type");
         return read(frame, true, VIEW::read);
@@ -134,7 +134,7 @@
         T readFrom(FrameReader in) throws IOException, BadFrameException;
     }
 
-    /** Of another fleet it is counted as that first. */
+    /** Rejects a frame that is not allowed as a datagram. The fleet is checked first: FOREIGN_FLEET has precedence. */
     private MembershipMessage rejectAsDatagram(byte[] frame) throws BadFrameException {
         return read(frame, false, in -> {
             throw new BadFrameException(Reason.MALFORMED, "type");
@@ -150,8 +150,8 @@
         try (JsonParser parser = CBOR.createParser(frame, FrameHeader.LENGTH, length)) {
             FrameReader in = new FrameReader(parser);
             in.beginArray("content");
-            String sentTo = in.text("fleet");
-            if (!anyFleet && !sentTo.equals(fleet)) {
+            String frameFleet = in.text("fleet");
+            if (!anyFleet && !frameFleet.equals(fleet)) {
                 throw new BadFrameException(Reason.FOREIGN_FLEET, "fleet");
             }
             T value = content.readFrom(in);
--- a/node/src/main/java/loadbalancer/membership/codec/MembershipView.java
+++ b/node/src/main/java/loadbalancer/membership/codec/MembershipView.java
@@ -5,13 +5,13 @@
 import loadbalancer.membership.core.Member;
 
 /**
- * How a process sees its fleet, as it answers from outside.
+ * View that a process has of its fleet, as sent to clients outside the fleet.
  *
- * @param version grows with each change
- * @param digest equal for processes that hold the same live members in the same generations
- * @param localHealth score of the process's local health: 0 is healthy
- * @param others all other members that it holds, dead and left ones included
- * @param metrics counted since its start, by name
+ * @param version increases with each change of the view
+ * @param digest equal for processes whose views have the same live members in the same generations
+ * @param localHealth local health score of the process; 0 is healthy
+ * @param others all other members in the view, including dead and left ones
+ * @param metrics metrics by name, since the start of the process
  */
 public record MembershipView(
         long version, long digest, int localHealth, Member self, List<Member> others, Map<String, Long> metrics) {}
--- a/node/src/main/java/loadbalancer/membership/codec/MembershipViewSerializer.java
+++ b/node/src/main/java/loadbalancer/membership/codec/MembershipViewSerializer.java
@@ -9,8 +9,8 @@
 import loadbalancer.membership.core.Member;
 
 /**
- * A view: version, digest, local health, an array of metrics (name, value), the process itself, and the others as
- * updates of which each member is its own reporter.
+ * Serializes a view: version, digest, local health, an array of metrics (name, value), the process itself, and the
+ * other members as updates, each with the member as its own reporter.
  */
 final class MembershipViewSerializer implements ContentSerializer<MembershipView> {
     @Override
--- a/node/src/main/java/loadbalancer/membership/codec/NackSerializer.java
+++ b/node/src/main/java/loadbalancer/membership/codec/NackSerializer.java
@@ -7,7 +7,7 @@
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MembershipMessage.Nack;
 
-/** A nack: sequence, sender, updates. */
+/** Serializes a nack: sequence, sender, updates. */
 final class NackSerializer implements ContentSerializer<Nack> {
     @Override
     public FrameType type() {
--- a/node/src/main/java/loadbalancer/membership/codec/PingRequestSerializer.java
+++ b/node/src/main/java/loadbalancer/membership/codec/PingRequestSerializer.java
@@ -7,7 +7,7 @@
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MembershipMessage.PingRequest;
 
-/** A ping request: sequence, name and address of the target, sender, updates. */
+/** Serializes a ping request: sequence, name and address of the target, sender, updates. */
 final class PingRequestSerializer implements ContentSerializer<PingRequest> {
     @Override
     public FrameType type() {
--- a/node/src/main/java/loadbalancer/membership/codec/PingSerializer.java
+++ b/node/src/main/java/loadbalancer/membership/codec/PingSerializer.java
@@ -7,7 +7,7 @@
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MembershipMessage.Ping;
 
-/** A ping: sequence, name of the target, sender, updates. */
+/** Serializes a ping: sequence, name of the target, sender, updates. */
 final class PingSerializer implements ContentSerializer<Ping> {
     @Override
     public FrameType type() {
--- a/node/src/main/java/loadbalancer/membership/codec/StateSerializer.java
+++ b/node/src/main/java/loadbalancer/membership/codec/StateSerializer.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import loadbalancer.membership.core.GossipUpdate;
 
-/** All that a member holds, as it goes both ways in a state sync: updates. */
+/** Serializes the full state of a member, which either side of a state sync sends: updates. */
 final class StateSerializer implements ContentSerializer<List<GossipUpdate>> {
     @Override
     public FrameType type() {
--- a/node/src/main/java/loadbalancer/membership/codec/package-info.java
+++ b/node/src/main/java/loadbalancer/membership/codec/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The bytes of membership: frames, of which each is one datagram or, behind its length, one message of a connection.
+ * Wire format of membership: each frame is one datagram or, with a length prefix, one message on a connection.
  *
- * <p>Owns the frame format ({@link FrameHeader}, {@link FrameType}) and one serializer for each content. The words and
- * numbers on the wire stay while names in the code change: two versions run side by side.
+ * <p>Owns the frame format ({@link FrameHeader}, {@link FrameType}) and one serializer for each type of content. Texts
+ * and numbers on the wire must not change when identifiers in the code do, because two versions run side by side.
  *
- * <p>Must not know sockets, threads or the protocol's decisions: it turns values of the core into bytes and back. What
- * it cannot read is a {@link BadFrameException}, never another exception.
+ * <p>Must not depend on sockets, threads or decisions of the protocol: it encodes values of the core and decodes them.
+ * Bytes that it cannot decode cause a {@link BadFrameException} and no other exception.
  */
 package loadbalancer.membership.codec;
