--- a/node/src/main/java/loadbalancer/membership/DatagramEndpoint.java
+++ b/node/src/main/java/loadbalancer/membership/DatagramEndpoint.java
@@ -17,12 +17,12 @@
 import loadbalancer.membership.codec.MembershipCodec;
 import loadbalancer.membership.core.MembershipMessage;
 
-/** Sends and receives the messages of the protocol as datagrams. All on the event loop. */
+/** Sends and receives the protocol's messages as datagrams. Used only on the event loop. */
 final class DatagramEndpoint {
-    /** One byte more than any message has: a datagram that is too long is cut, and its checksum shows it. */
+    /** One byte more than the longest message: a longer datagram is truncated, and its checksum does not match. */
     private static final int RECEIVE_BYTES = MembershipCodec.MAX_DATAGRAM_BYTES + 1;
 
-    /** Who takes what comes in. */
+    /** Receives decoded messages and decoding errors. */
     interface Listener {
         void onMessage(MembershipMessage message);
 
@@ -53,7 +53,7 @@
         return opening;
     }
 
-    /** A datagram that cannot be sent counts as lost, which the protocol allows for. */
+    /** Sends a message. A datagram that cannot be sent is treated as lost, which the protocol tolerates. */
     void send(InetSocketAddress to, MembershipMessage message) {
         byte[] frame = codec.encode(message);
         metrics.onDatagramSent(frame.length);
--- a/node/src/main/java/loadbalancer/membership/MembershipClient.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipClient.java
@@ -9,13 +9,13 @@
 import loadbalancer.membership.codec.MembershipCodec;
 import loadbalancer.membership.codec.MembershipView;
 
-/** Fetches the view of a member from outside its fleet. Blocks; for tools and tests. */
+/** Blocking client that fetches a member's view from outside its fleet, for tools and tests. */
 public final class MembershipClient {
     private MembershipClient() {}
 
     /**
-     * How the process at this address sees its fleet. Throws NotAMemberException where something else answers, and
-     * IOException where nobody answers in time.
+     * Returns the view of the process at an address. Throws NotAMemberException if the response is not from a member,
+     * and IOException if there is no response in time.
      */
     public static MembershipView fetchView(InetSocketAddress address, int timeoutMillis) throws IOException {
         MembershipCodec codec = MembershipCodec.ofAnyFleet();
@@ -26,7 +26,7 @@
             return codec.decodeView(readFrame(socket));
         } catch (BadFrameException e) {
             throw new NotAMemberException(
-                    "what answers is no member of a fleet that this version knows: " + e.getMessage(), e);
+                    "the response is not from a member of a fleet that this version supports: " + e.getMessage(), e);
         }
     }
 
@@ -41,7 +41,7 @@
         DataInputStream in = new DataInputStream(socket.getInputStream());
         int length = in.readInt();
         if (length < 0 || length > MembershipCodec.MAX_FRAME_BYTES) {
-            throw new NotAMemberException("what answers is no member of a fleet", null);
+            throw new NotAMemberException("the response is not from a member of a fleet: invalid frame length", null);
         }
         return in.readNBytes(length);
     }
--- a/node/src/main/java/loadbalancer/membership/MembershipConfig.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipConfig.java
@@ -11,18 +11,18 @@
 import loadbalancer.net.SocketAddresses;
 
 /**
- * The object {@code fleet} of a configuration file. {@code docs/membership.md} describes its keys.
+ * Object {@code fleet} of a configuration file. {@code docs/membership.md} describes its keys.
  *
- * @param fleet its name: frames of other fleets are dropped
- * @param bind the address of this process's datagrams and state syncs
+ * @param fleet name of the fleet; frames of other fleets are dropped
+ * @param bind local address for datagrams and state syncs
  */
 public record MembershipConfig(String fleet, InetSocketAddress bind, MembershipSettings settings) {
     private static final String DEFAULT_ZONE = "none";
     private static final String DEFAULT_ROLE = "node";
-    private static final String MICROS = "Us";
+    private static final String MICROS_SUFFIX = "Us";
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** The key in the file for each setting of the protocol. */
+    /** Key in the file for each setting of the protocol. */
     private static final Map<String, String> KEYS = keys();
 
     private static Map<String, String> keys() {
@@ -42,9 +42,10 @@
     }
 
     /**
-     * Reads and validates the object. Throws MembershipConfigException, which names key, value and what is allowed.
+     * Reads and validates the object. Throws MembershipConfigException, which names the key, its value and the allowed
+     * values.
      *
-     * @param defaultMember the member's name where the object has none
+     * @param defaultMember name of the member if the object has none
      */
     public static MembershipConfig read(JsonNode json, String defaultMember) {
         MembershipConfigReader reader = new MembershipConfigReader(json);
@@ -66,7 +67,7 @@
         return new MembershipConfig(fleet, bind, settings);
     }
 
-    /** Guards against a fleet that anybody on the network could join by mistake: there is no sign-in. */
+    /** Guards against a fleet that any host on the network could join by mistake: members are not authenticated. */
     private static void requireLoopback(InetSocketAddress bind, boolean beyondLoopback) {
         if (!beyondLoopback && !bind.getAddress().isLoopbackAddress()) {
             throw MembershipConfigException.invalid(
@@ -106,14 +107,15 @@
         try {
             settings.validate();
         } catch (InvalidSettingException e) {
-            throw inWordsOfTheFile(e);
+            throw toConfigException(e);
         }
     }
 
-    /** The protocol has its own names and counts in microseconds, the file in milliseconds. */
-    private static MembershipConfigException inWordsOfTheFile(InvalidSettingException e) {
-        String value =
-                e.setting().endsWith(MICROS) ? String.valueOf(Long.parseLong(e.value()) / MICROS_PER_MILLI) : e.value();
+    /** Converts the names of settings to keys of the file, and values from microseconds to milliseconds. */
+    private static MembershipConfigException toConfigException(InvalidSettingException e) {
+        String value = e.setting().endsWith(MICROS_SUFFIX)
+                ? String.valueOf(Long.parseLong(e.value()) / MICROS_PER_MILLI)
+                : e.value();
         String allowed = e.allowed();
         for (Map.Entry<String, String> key : KEYS.entrySet()) {
             allowed = allowed.replace(key.getKey(), key.getValue());
--- a/node/src/main/java/loadbalancer/membership/MembershipConfigException.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipConfigException.java
@@ -1,6 +1,6 @@
 package loadbalancer.membership;
 
-/** A bad object {@code fleet}. The message names the key, its value and what is allowed. */
+/** Thrown for an invalid object {@code fleet}. The message names the key, its value and the allowed values. */
 public final class MembershipConfigException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
--- a/node/src/main/java/loadbalancer/membership/MembershipConfigReader.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipConfigReader.java
@@ -10,8 +10,8 @@
 import loadbalancer.net.SocketAddresses;
 
 /**
- * Reads the values of a JSON object key by key, and remembers which keys nobody has read. All methods throw
- * MembershipConfigException where a value is missing or of another kind.
+ * Reads the values of a JSON object by key and tracks the keys that have not been read. All methods throw
+ * MembershipConfigException if a required value is missing or a value is invalid.
  */
 final class MembershipConfigReader {
     private final Map<String, JsonNode> unread = new TreeMap<>();
@@ -29,14 +29,14 @@
         return unread.remove(key);
     }
 
-    /** A text; required where there is no default. */
+    /** Reads a string. The key is required if the default is null. */
     private String text(String key, String defaultValue) {
         JsonNode value = take(key);
         if (value == null && defaultValue == null) {
             throw MembershipConfigException.missing(key);
         }
         if (value != null && !value.isTextual()) {
-            throw MembershipConfigException.invalid(key, value, "a text");
+            throw MembershipConfigException.invalid(key, value, "a string");
         }
         return value == null ? defaultValue : value.asText();
     }
@@ -75,7 +75,7 @@
         return address;
     }
 
-    /** True only where the key is there and true. */
+    /** Reads a boolean; false if the key is absent. */
     boolean flag(String key) {
         JsonNode value = take(key);
         if (value != null && !value.isBoolean()) {
@@ -92,7 +92,7 @@
         return value == null ? defaultValue : value.asInt();
     }
 
-    /** A duration above 0, or null where the key is not there. */
+    /** Reads a duration above 0 in milliseconds; null if the key is absent. */
     Integer positiveMillis(String key) {
         JsonNode value = take(key);
         if (value != null && (!value.isInt() || value.asInt() <= 0)) {
@@ -101,7 +101,7 @@
         return value == null ? null : value.asInt();
     }
 
-    /** Guards against a misspelt key, whose default would apply unnoticed. */
+    /** Rejects keys that have not been read. Guards against a misspelled key whose default would apply unnoticed. */
     void rejectUnknownKeys() {
         if (!unread.isEmpty()) {
             String key = unread.keySet().iterator().next();
--- a/node/src/main/java/loadbalancer/membership/MembershipEventLog.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipEventLog.java
@@ -5,7 +5,7 @@
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MembershipChange;
 
-/** Writes the events of membership to the log. {@code docs/membership.md} lists them. */
+/** Writes membership events to the log. {@code docs/membership.md} lists the events. */
 final class MembershipEventLog {
     private MembershipEventLog() {}
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Only the first of each reason is logged; all are counted. */
+    /** Called for the first bad frame of each reason. Later ones are only counted. */
     static void onFirstBadFrame(BadFrameException e) {
         Log.info("membership_frame_dropped", "reason", MembershipMetrics.metricName(e.reason()), "field", e.field());
     }
@@ -52,7 +52,7 @@
         Log.warn("membership_datagram_error", "cause", cause);
     }
 
-    /** A defect of this process: peers that err or go are only counted. */
+    /** Logs an error of this process. Syncs that fail because of the peer are only counted. */
     static void onStateSyncError(Throwable cause) {
         Log.error("membership_state_sync_error", cause);
     }
--- a/node/src/main/java/loadbalancer/membership/MembershipMetrics.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipMetrics.java
@@ -7,12 +7,12 @@
 import loadbalancer.membership.core.MembershipProtocol;
 
 /**
- * Counts what happens in membership since the start of the process. The names of metrics stay where the code's change:
- * dashboards read them. On the event loop.
+ * Metrics of membership since the start of the process. Used only on the event loop. Names of metrics must not change
+ * when identifiers in the code do, because dashboards read them.
  */
 final class MembershipMetrics {
     private static final String PREFIX = "members_";
-    /** Round trips are counted by powers of two microseconds; the last bucket takes all that took longer. */
+    /** Number of buckets for round trips, by powers of two microseconds. The last one also counts all longer ones. */
     private static final int BUCKETS = 32;
 
     private long datagramsSent;
@@ -43,7 +43,7 @@
         }
     }
 
-    /** @return how many of this reason there have been */
+    /** Counts a bad frame and returns the number of bad frames for this reason so far. */
     long onBadFrame(Reason reason) {
         return ++badFrames[reason.ordinal()];
     }
@@ -56,7 +56,7 @@
         roundTrips[Math.min(BUCKETS - 1, Long.SIZE - Long.numberOfLeadingZeros(roundTripUs))]++;
     }
 
-    /** The least power of two microseconds that this share of round trips did not exceed; 0 without any. */
+    /** Smallest power of two, in microseconds, that the given share of round trips is below; 0 without round trips. */
     private long roundTripUs(double share) {
         long total = 0;
         for (long count : roundTrips) {
@@ -72,7 +72,7 @@
         return 0;
     }
 
-    /** All counters by name, in an order that stays. */
+    /** All counters by name, in a stable order. */
     Map<String, Long> counters() {
         Map<String, Long> counters = new LinkedHashMap<>();
         counters.put("datagrams_sent", datagramsSent);
@@ -92,7 +92,7 @@
         return counters;
     }
 
-    /** State and counters as the control address shows them, a line each. */
+    /** State and counters as reported at the control address, one per line. */
     String report(MembershipProtocol protocol) {
         StringBuilder lines = new StringBuilder();
         append(lines, "live", protocol.liveCount());
--- a/node/src/main/java/loadbalancer/membership/MembershipService.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipService.java
@@ -24,11 +24,12 @@
 import loadbalancer.net.SocketAddresses;
 
 /**
- * Runs the membership protocol of this process over sockets and the system's time. Public methods may be called from
- * any thread; everything else is on an event loop of its own, so that a node under load is not taken for dead, and the
- * node's requests do not wait for membership.
+ * Runs the membership protocol of this process over sockets and with the system clock. Public methods are thread-safe.
+ * Everything else runs on a dedicated event loop, so that a node under load is not considered dead, and the node's
+ * requests do not wait for membership.
  */
 public final class MembershipService {
+    /** Limit of the wait for a leave; also of the shutdown of the event loop. */
     private static final long LEAVE_TIMEOUT_MILLIS = 1_000;
 
     private final MembershipConfig config;
@@ -41,7 +42,7 @@
 
     private Future<?> wake;
     private boolean unavailableLogged;
-    /** Written by the loop, read by any thread. */
+    /** Written by the event loop, read by any thread. */
     private volatile String metricsReport = "";
 
     private MembershipService(MembershipConfig config) {
@@ -52,8 +53,8 @@
     }
 
     /**
-     * Joins the fleet. Where the address is taken, as by the process that this one replaces, it is tried again each
-     * probe period.
+     * Joins the fleet. If the address is in use, such as by the process that this one replaces, retries once per probe
+     * period.
      */
     public static MembershipService join(MembershipConfig config) {
         MembershipService service = new MembershipService(config);
@@ -62,11 +63,11 @@
     }
 
     /**
-     * The same for a process with metrics of its own. Has only types of the JDK beside the configuration, so that a
-     * process without a fleet loads no class of membership.
+     * Joins the fleet for a process that has its own metrics. Apart from the configuration, the signature has only JDK
+     * types, so that a process without a fleet loads no class of membership.
      *
-     * @param registerMetrics is given what reports the metrics of membership
-     * @return leaves the fleet
+     * @param registerMetrics receives the supplier of the membership metrics
+     * @return action that leaves the fleet
      */
     public static Runnable join(MembershipConfig config, Consumer<Supplier<String>> registerMetrics) {
         MembershipService service = join(config);
@@ -74,12 +75,12 @@
         return service::leave;
     }
 
-    /** Metrics, a line each, as of the last wake of the protocol. */
+    /** Metrics, one per line, as of the last wake of the protocol; empty before the first. */
     public String metricsReport() {
         return metricsReport;
     }
 
-    /** Announces the leave, and takes part no more. Waits for a second at most. */
+    /** Announces the leave and ends participation. Waits for at most one second. */
     public void leave() {
         try {
             loop.submit(() -> {
@@ -90,7 +91,7 @@
                     })
                     .awaitUninterruptibly(LEAVE_TIMEOUT_MILLIS);
         } catch (RejectedExecutionException e) {
-            // The loop has ended: this process has yielded its name, and is no member any more.
+            // The event loop has ended: this process has yielded its name and is no longer a member.
         }
     }
 
@@ -143,7 +144,7 @@
         loop.shutdownGracefully(0, LEAVE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Gives the protocol an event, and closes after the one that has ended it. */
+    /** Passes an event to the protocol, and closes the service if the event ended the protocol. */
     private void handle(Consumer<MembershipProtocol> event) {
         if (protocol == null || protocol.isEnded()) {
             return;
@@ -167,7 +168,7 @@
 
     private MembershipView currentView() {
         Member self = protocol.isEnded() ? protocol.self().withState(MemberState.LEFT) : protocol.self();
-        // The snapshot begins with this process.
+        // The first element of the snapshot is this process.
         List<Member> others = protocol.stateSnapshot().stream()
                 .skip(1)
                 .map(GossipUpdate::member)
@@ -177,7 +178,7 @@
     }
 
     private final class Actions implements MembershipActions {
-        /** Null for an address that nobody can listen at: another process's mistake. */
+        /** Parses an address, or returns null if no process can listen at it, which is an error of another process. */
         private InetSocketAddress reachable(String address) {
             InetSocketAddress parsed = SocketAddresses.parseOrNull(address);
             return parsed == null || parsed.getPort() == 0 ? null : parsed;
--- a/node/src/main/java/loadbalancer/membership/NotAMemberException.java
+++ b/node/src/main/java/loadbalancer/membership/NotAMemberException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** What answers at an address is no member of a fleet, or one whose answer this version does not understand. */
+/** Thrown if a response is not from a member of a fleet, or is in a format that this version does not support. */
 public final class NotAMemberException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/node/src/main/java/loadbalancer/membership/StateSync.java
+++ b/node/src/main/java/loadbalancer/membership/StateSync.java
@@ -34,33 +34,38 @@
 import loadbalancer.membership.core.GossipUpdate;
 
 /**
- * Push-pull state syncs over connections: the initiator pushes all that it holds, the responder answers with all that
- * it holds. Each is one frame behind its length in four bytes. Also answers view requests. All on the event loop.
+ * Push-pull state syncs over TCP connections: the initiator sends its full state, and the responder sends its own in
+ * the response. Each state is one frame with a length prefix of four bytes. Also responds to view requests. Used only
+ * on the event loop.
  */
 final class StateSync {
-    /** Both ways; one beyond is closed at once, and the protocol syncs again later. */
+    /**
+     * Limit of open connections, incoming and outgoing together. An incoming connection beyond it is closed at once,
+     * and an outgoing sync beyond it fails. The protocol syncs again later.
+     */
     private static final int MAX_CONNECTIONS = 64;
 
+    /** Limit of the time to connect, and of the lifetime of a connection. */
     private static final int TIMEOUT_MILLIS = 5_000;
     private static final int LENGTH_FIELD_BYTES = Integer.BYTES;
 
-    /** Whose state is synced. */
+    /** Provides the local state and receives the results of syncs. */
     interface Listener {
-        /** All that this process holds now. */
+        /** Returns the full state of this process. */
         List<GossipUpdate> stateSnapshot();
 
-        /** How this process sees its fleet now, for a client. */
+        /** Returns the view of this process, for a client. */
         MembershipView view();
 
-        /** A peer has pushed, or answered with, all that it holds. */
+        /** Called with the full state of a peer, pushed or in a response. */
         void onState(List<GossipUpdate> state);
 
         void onBadFrame(BadFrameException e);
 
-        /** A defect of this process. */
+        /** Called for an error of this process, not of the peer. */
         void onError(Throwable cause);
 
-        /** A sync that began here has ended. */
+        /** Called when a sync initiated by this process has ended. */
         void onEnd(boolean complete);
     }
 
@@ -89,13 +94,13 @@
         return listening;
     }
 
-    /** Starts a sync with whoever listens there. */
+    /** Starts a sync with the process that listens at the address. */
     void start(InetSocketAddress peer) {
         if (connections.size() >= MAX_CONNECTIONS) {
             listener.onEnd(false);
             return;
         }
-        // From the configured address, as datagrams are: a firewall may let nothing else through.
+        // Connects from the configured address, as datagrams do: a firewall may block all other source addresses.
         InetSocketAddress local = new InetSocketAddress(bind.getAddress(), 0);
         new Bootstrap()
                 .group(loop)
@@ -125,7 +130,7 @@
             return;
         }
         connections.add(channel);
-        // A peer that sends nothing must not hold its place for ever.
+        // An idle peer must not occupy a connection for ever.
         Future<?> timeout = loop.schedule(() -> channel.close(), TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         channel.closeFuture().addListener(closed -> {
             timeout.cancel(false);
@@ -154,7 +159,7 @@
         return Unpooled.wrappedBuffer(codec.encodeState(listener.stateSnapshot()));
     }
 
-    /** Either side. A peer that errs or goes is no defect of this process. */
+    /** Handler of either side. Invalid frames and I/O errors are caused by the peer, not errors of this process. */
     private abstract class PeerHandler extends SimpleChannelInboundHandler<ByteBuf> {
         abstract void onFrame(ChannelHandlerContext context, byte[] frame) throws BadFrameException;
 
@@ -187,7 +192,7 @@
                 return;
             }
             List<GossipUpdate> state = codec.decodeState(frame);
-            // The answer first: what the peer has just pushed need not go back.
+            // Responds before merging, so that the response does not repeat the state that the peer has just pushed.
             respond(context, stateFrame());
             listener.onState(state);
         }
