--- a/node/src/test/java/loadbalancer/membership/MembershipConfigTest.java
+++ b/node/src/test/java/loadbalancer/membership/MembershipConfigTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The object {@code fleet} of a configuration file. */
+/** Reading and validating the object {@code fleet} of a configuration file. */
 class MembershipConfigTest {
 
     private static MembershipConfig read(String json) throws Exception {
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void defaultsFollowFromThePeriod() throws Exception {
+    void timeoutAndSyncDefaultsScaleWithPeriod() throws Exception {
         MembershipConfig config =
                 read("{'name':'f','bind':'127.0.0.1:7946','seeds':['127.0.0.2:7946']," + "'periodMs':200}");
         assertEquals("n1", config.settings().name());
@@ -48,15 +48,15 @@
                 "{'name':'f','bind':'127.0.0.1:1','perodMs':5} | fleet.perodMs = 5: is not known; keys here are",
                 "[] | fleet = []: must be an object"
             })
-    void badConfigNamesKeyValueAndBounds(String json, String expectedStart) {
+    void invalidConfigErrorNamesKeyValueAndAllowedValues(String json, String expectedStart) {
         String message =
                 assertThrows(MembershipConfigException.class, () -> read(json)).getMessage();
         assertTrue(message.startsWith(expectedStart), message);
     }
 
-    /** The keys of a deploy file, each of which a field of the code stands for. */
+    /** Pins the keys of the object, which deploy files use. */
     @Test
-    void keysOfTheObject() {
+    void unknownKeyErrorListsAllKeys() {
         String message = assertThrows(
                         MembershipConfigException.class, () -> read("{'name':'f','bind':'127.0.0.1:1','other':5}"))
                 .getMessage();
@@ -83,7 +83,7 @@
                 "'mostMembers':1 | fleet.mostMembers = 1: must be at least 2",
                 "'askers':1.5 | fleet.askers = 1.5: must be a whole number"
             })
-    void boundsAreNamedByTheKeysOfTheFile(String setting, String expected) {
+    void boundsErrorUsesKeysOfTheFile(String setting, String expected) {
         String message = assertThrows(
                         MembershipConfigException.class,
                         () -> read("{'name':'f','bind':'127.0.0.1:1'," + setting + "}"))
@@ -91,9 +91,9 @@
         assertEquals(expected, message);
     }
 
-    /** Each key sets the one field that it stands for. */
+    /** Guards against a key that is read into the wrong setting. */
     @Test
-    void eachKeySetsItsField() throws Exception {
+    void eachKeySetsItsSetting() throws Exception {
         MembershipConfig config = read("{'name':'f','member':'me','bind':'127.0.0.1:1','advertise':'127.0.0.2:2',"
                 + "'zone':'a','role':'r','periodMs':100,'answerMs':11,'askers':12,'suspicionPeriods':13,"
                 + "'suspicionMost':14,'confirmations':15,'healthMost':16,'spread':17,'syncMs':1800,'forgetMs':1900,"
@@ -103,7 +103,7 @@
                 values(config.settings()));
     }
 
-    /** The components in their order, whatever their names. */
+    /** Values of all record components, in order of declaration. */
     private static String values(MembershipSettings settings) throws Exception {
         StringJoiner values = new StringJoiner(" ");
         for (RecordComponent component : MembershipSettings.class.getRecordComponents()) {
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void addressBeyondLoopbackNeedsAFlag() throws Exception {
+    void nonLoopbackAddressIsAcceptedWithFlag() throws Exception {
         assertEquals(
                 "10.0.0.1:7946",
                 read("{'name':'f','bind':'10.0.0.1:7946','beyondLoopback':true}")
--- a/node/src/test/java/loadbalancer/membership/MembershipMetricsTest.java
+++ b/node/src/test/java/loadbalancer/membership/MembershipMetricsTest.java
@@ -6,12 +6,12 @@
 import loadbalancer.membership.core.MembershipChange;
 import org.junit.jupiter.api.Test;
 
-/** Names of metrics as operators' dashboards and {@code fleet members} read them. */
+/** Names of metrics, which dashboards and the command {@code fleet members} read. */
 class MembershipMetricsTest {
 
-    /** Each reason and type is counted as often as its place among the others, so that no two change places. */
+    /** Counts each reason and type a different number of times, to detect two metrics that are swapped. */
     @Test
-    void namesAndWhatTheyCount() {
+    void eachNameReportsItsOwnCount() {
         MembershipMetrics metrics = new MembershipMetrics();
         metrics.onDatagramSent(100);
         metrics.onDatagramSent(20);
--- a/node/src/test/java/loadbalancer/membership/codec/CodecBytesTest.java
+++ b/node/src/test/java/loadbalancer/membership/codec/CodecBytesTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.membership.core.MembershipMessage;
 import org.junit.jupiter.api.Test;
 
-/** Frames as they go between processes, byte for byte: processes of two versions run side by side. */
+/** Pins the bytes of each frame, because processes of two versions run side by side. */
 class CodecBytesTest {
     private final MembershipCodec codec = new MembershipCodec("fleet");
     private final Member self =
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void acknowledgement() {
+    void ack() {
         assertBytes(
                 "4b4d0101797cae169f65666c65657411626e316e3132372e302e302e313a37303031627a3164"
                         + "6e6f64650501009f626e326e3132372e302e302e313a37303032627a32646e6f64650619012c"
@@ -68,14 +68,14 @@
     }
 
     @Test
-    void negativeAcknowledgement() {
+    void nack() {
         assertBytes(
                 "4b4d0104622a604f9f65666c65657412626e316e3132372e302e302e313a37303031627a3164" + "6e6f64650501009fffff",
                 codec.encode(new MembershipMessage.Nack(18, self, List.of())));
     }
 
     @Test
-    void wholeState() {
+    void state() {
         assertBytes(
                 "4b4d0105f2a1e3bc9f65666c6565749f626e326e3132372e302e302e313a37303032627a3264"
                         + "6e6f64650619012c01626e31626e336e3132372e302e302e313a37303033627a31646e6f6465"
@@ -109,7 +109,7 @@
 
     /** The ordinal of a type is its number on the wire. */
     @Test
-    void numbersOfFrameTypes() {
+    void ordinalsOfFrameTypesAreUnchanged() {
         assertEquals(
                 "[PING, ACK, PING_REQUEST, GOSSIP, NACK, STATE, VIEW_REQUEST, VIEW]",
                 List.of(FrameType.values()).toString());
@@ -117,7 +117,7 @@
 
     /** The ordinal of a state is its number on the wire. */
     @Test
-    void numbersOfStates() {
+    void ordinalsOfMemberStatesAreUnchanged() {
         assertEquals(
                 "[ALIVE, SUSPECT, DEAD, LEFT]", List.of(MemberState.values()).toString());
     }
--- a/node/src/test/java/loadbalancer/membership/codec/MembershipCodecTest.java
+++ b/node/src/test/java/loadbalancer/membership/codec/MembershipCodecTest.java
@@ -25,12 +25,12 @@
 import loadbalancer.membership.core.MembershipSettings;
 import org.junit.jupiter.api.Test;
 
-/** Frames: what is encoded decodes to the same, and what is no frame of this fleet is rejected. */
+/** Frames decode to the encoded values, and bytes that are not a valid frame of this fleet are rejected. */
 class MembershipCodecTest {
-    private static final int FUZZED = Integer.getInteger("loadbalancer.fuzzed", 1_000_000);
+    private static final int FUZZED_DATAGRAMS = Integer.getInteger("loadbalancer.fuzzed", 1_000_000);
     private static final int MAX_MEMBERS = 50;
 
-    /** What the protocol counts for an update with the longest names. */
+    /** Size that the protocol assumes for an update with the longest names, in bytes. */
     private static final int MAX_UPDATE_BYTES = 48 + 5 * 64;
 
     private final MembershipCodec codec = new MembershipCodec("here");
@@ -85,8 +85,8 @@
     }
 
     /**
-     * A datagram that is too long for the network gets lost, each time. So the largest message must fit, and an update
-     * must not need more bytes than the protocol counts for it.
+     * Guards against messages that are never delivered because the datagram is too long for the network. The largest
+     * message must fit, and an encoded update must not be larger than the protocol assumes.
      */
     @Test
     void longestNamesFitIntoADatagram() {
@@ -113,9 +113,9 @@
         return assertThrows(BadFrameException.class, () -> codec.decode(frame)).reason();
     }
 
-    /** Frames of another fleet, another protocol, another version, and damaged ones: each is rejected by its reason. */
+    /** Frames of another fleet, protocol or version and damaged frames are each rejected with their own reason. */
     @Test
-    void badFramesAreRejectedByReason() {
+    void badFramesAreRejectedWithTheirReason() {
         byte[] frame = codec.encode(message(new SplittableRandom(2), 10));
         assertEquals(
                 Reason.FOREIGN_FLEET,
@@ -130,7 +130,7 @@
         assertEquals(Reason.MALFORMED, reason(withChecksum(Arrays.copyOf(frame, frame.length + 1))));
     }
 
-    /** A single bit is flipped on the way. Whichever it is, the frame is rejected. */
+    /** Guards against accepting a frame in which one bit was flipped on the network, at any position. */
     @Test
     void everyFlippedBitIsDetected() {
         byte[] frame = codec.encode(message(new SplittableRandom(3), 20));
@@ -141,7 +141,7 @@
         }
     }
 
-    /** The same with a right checksum, so that only what is further in is wrong. */
+    /** Writes a valid checksum into the frame, so that later checks of the decoder are reached. */
     private static byte[] withChecksum(byte[] frame) {
         if (frame.length >= 8) {
             CRC32C sum = new CRC32C();
@@ -170,7 +170,7 @@
         return random.nextInt(8) == 0 ? corrupted : withChecksum(corrupted);
     }
 
-    /** Records the last message, and does nothing. */
+    /** Records the last message sent and ignores all other actions. */
     private static final class RecordingActions implements MembershipActions {
         private MembershipMessage lastSent;
 
@@ -181,31 +181,32 @@
 
         @Override
         public void startStateSync(String address) {
-            // There is no peer.
+            // No peer to sync with.
         }
 
         @Override
         public void onChange(MembershipChange change) {
-            // The table is checked.
+            // The test checks the state of the protocol instead.
         }
 
         @Override
         public void onRoundTrip(long us) {
-            // Not checked here.
+            // Not checked.
         }
 
         @Override
         public void scheduleWake(long atUs) {
-            // The test sets the time.
+            // The test calls onWake itself.
         }
     }
 
     /**
-     * A process receives a million datagrams that are corrupted in all ways, many with a right checksum. It must drop
-     * what it cannot read, hold no more members than allowed, and still answer a ping in the end.
+     * Guards against damage by corrupted input: a process receives a million corrupted datagrams (the default), many of
+     * them with a valid checksum. It must drop frames that it cannot decode, keep no more members than allowed, and
+     * still send an ack for a ping afterwards unless it has yielded its name.
      */
     @Test
-    void corruptedDatagramsDoNoHarm() throws Exception {
+    void protocolSurvivesCorruptedDatagrams() throws Exception {
         SplittableRandom random = new SplittableRandom(4);
         MembershipSettings settings = MembershipSettings.builder("me", "127.0.0.1:1", "z", "node", List.of())
                 .maxMembers(MAX_MEMBERS)
@@ -216,7 +217,7 @@
         Map<Reason, Integer> dropped = new EnumMap<>(Reason.class);
         int accepted = 0;
         byte[] frame = codec.encode(message(random, 12));
-        for (int i = 0; i < FUZZED; i++) {
+        for (int i = 0; i < FUZZED_DATAGRAMS; i++) {
             byte[] other = frame;
             frame = i % 16 == 0 ? codec.encode(message(random, 12)) : frame;
             try {
@@ -231,13 +232,13 @@
             }
         }
         assertTrue(
-                accepted > FUZZED / 100 && dropped.size() == Reason.values().length,
+                accepted > FUZZED_DATAGRAMS / 100 && dropped.size() == Reason.values().length,
                 accepted + " accepted, dropped " + dropped);
         assertTrue(
                 protocol.stateSnapshot().size() <= MAX_MEMBERS,
                 "members: " + protocol.stateSnapshot().size());
         Member sender = new Member("sender", "127.0.0.1:2", "z", "node", new Incarnation(1, 0), MemberState.ALIVE);
-        protocol.onMessage(FUZZED * 1_000L, new MembershipMessage.Ping(77, "me", sender, List.of()));
+        protocol.onMessage(FUZZED_DATAGRAMS * 1_000L, new MembershipMessage.Ping(77, "me", sender, List.of()));
         assertTrue(
                 protocol.isEnded() || actions.lastSent instanceof MembershipMessage.Ack ack && ack.sequence() == 77,
                 "no ack: " + actions.lastSent);
--- a/node/src/test/java/loadbalancer/membership/core/BroadcastQueueTest.java
+++ b/node/src/test/java/loadbalancer/membership/core/BroadcastQueueTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void leastOftenSentGoesFirstAndOfTheseTheNewest() {
+    void leastOftenSentUpdateGoesFirstThenNewest() {
         queue.add(update("a", 0));
         queue.add(update("b", 0));
         int oneUpdate = update("a", 0).maxEncodedBytes();
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void newerUpdateReplacesTheOlderOneOfItsName() {
+    void newerUpdateReplacesOlderUpdateOfSameName() {
         queue.add(update("a", 0));
         queue.add(update("a", 1));
         assertEquals(List.of("a1"), take(NO_LIMIT, 3));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void updateBeyondTheBudgetWaits() {
+    void updateOverBudgetStaysQueued() {
         queue.add(update("a", 0));
         assertEquals(List.of(), take(update("a", 0).maxEncodedBytes() - 1, 2));
         assertEquals(List.of("a0"), take(NO_LIMIT, 2));
--- a/node/src/test/java/loadbalancer/membership/core/MemberTransitionTest.java
+++ b/node/src/test/java/loadbalancer/membership/core/MemberTransitionTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a listener is notified of when the record of a member changes. */
+/** Notifications of the listener when the record of a member changes. */
 class MemberTransitionTest {
     private static Member member(String state, Incarnation incarnation) {
         return state.equals("none")
@@ -39,7 +39,7 @@
         assertEquals(expected, transition.notifications().toString());
     }
 
-    /** A process restarts before anybody notices: it stays live, and is notified of as updated. */
+    /** A restarted process is notified as UPDATED if it was still live, and as JOINED if it was already dead. */
     @ParameterizedTest
     @CsvSource({"ALIVE, [UPDATED]", "SUSPECT, '[REFUTED, UPDATED]'", "DEAD, [JOINED]"})
     void notificationsOfALaterGeneration(String before, String expected) {
--- a/node/src/test/java/loadbalancer/membership/core/SuspicionTest.java
+++ b/node/src/test/java/loadbalancer/membership/core/SuspicionTest.java
@@ -10,7 +10,7 @@
     private static final long MIN_US = 100;
     private static final long MAX_US = 600;
 
-    /** A slow process suspects everybody. As no other member confirms, its suspicions last longest. */
+    /** Guards against a slow process that suspects everyone: unconfirmed suspicions have the longest timeout. */
     @Test
     void unconfirmedSuspicionHasTheLongestTimeout() {
         Suspicion suspicion = new Suspicion(1_000, MIN_US, MAX_US, 3, "n1");
@@ -30,7 +30,7 @@
         assertFalse(suspicion.confirm("n5"), "enough have confirmed");
     }
 
-    /** A process is paused while it suspects a member, and cannot hear the refutation meanwhile. */
+    /** A process that is paused while it suspects a member cannot receive the refutation in that time. */
     @Test
     void pauseMovesTheTimeout() {
         Suspicion suspicion = new Suspicion(1_000, MIN_US, MIN_US, 0, "n1");
