--- a/node/src/main/java/loadbalancer/membership/MembershipService.java
+++ b/node/src/main/java/loadbalancer/membership/MembershipService.java
@@ -40,7 +40,7 @@
     /** Null until both sockets are open. */
     private MembershipProtocol protocol;
 
-    private Future<?> wake;
+    private Future<?> wakeTimer;
     private boolean unavailableLogged;
     /** Written by the event loop, read by any thread. */
     private volatile String metricsReport = "";
@@ -136,8 +136,8 @@
     }
 
     private void close() {
-        if (wake != null) {
-            wake.cancel(false);
+        if (wakeTimer != null) {
+            wakeTimer.cancel(false);
         }
         datagrams.close();
         stateSync.close();
@@ -179,14 +179,14 @@
 
     private final class Actions implements MembershipActions {
         /** Parses an address, or returns null if no process can listen at it, which is an error of another process. */
-        private InetSocketAddress reachable(String address) {
+        private InetSocketAddress parseReachable(String address) {
             InetSocketAddress parsed = SocketAddresses.parseOrNull(address);
             return parsed == null || parsed.getPort() == 0 ? null : parsed;
         }
 
         @Override
         public void send(String address, MembershipMessage message) {
-            InetSocketAddress target = reachable(address);
+            InetSocketAddress target = parseReachable(address);
             if (target != null) {
                 datagrams.send(target, message);
             }
@@ -194,7 +194,7 @@
 
         @Override
         public void startStateSync(String address) {
-            InetSocketAddress peer = reachable(address);
+            InetSocketAddress peer = parseReachable(address);
             if (peer != null) {
                 stateSync.start(peer);
             }
@@ -213,11 +213,11 @@
 
         @Override
         public void scheduleWake(long atUs) {
-            if (wake != null) {
-                wake.cancel(false);
+            if (wakeTimer != null) {
+                wakeTimer.cancel(false);
             }
             long delayUs = Math.max(0, atUs - nowUs());
-            wake = loop.schedule(MembershipService.this::onWake, delayUs, TimeUnit.MICROSECONDS);
+            wakeTimer = loop.schedule(MembershipService.this::onWake, delayUs, TimeUnit.MICROSECONDS);
         }
     }
 
--- a/node/src/main/java/loadbalancer/membership/codec/FrameHeader.java
+++ b/node/src/main/java/loadbalancer/membership/codec/FrameHeader.java
@@ -4,9 +4,7 @@
 import java.util.zip.CRC32C;
 import loadbalancer.membership.codec.BadFrameException.Reason;
 
-/**
- * Header of each frame: magic bytes, version of the format, type, and a CRC32C over version, type and content.
- */
+/** Header of each frame: magic bytes, version of the format, type, and a CRC32C over version, type and content. */
 final class FrameHeader {
     static final int LENGTH = 8;
     static final byte VERSION = 1;
--- a/node/src/main/java/loadbalancer/membership/core/MembershipSettings.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipSettings.java
@@ -14,13 +14,15 @@
  * @param probeTimeoutUs time without an ack after which indirect pings follow a ping
  * @param indirectProbes number of members that are asked for an indirect ping; also the number of members that receive
  *     a gossip message in each round
- * @param suspicionPeriods shortest suspicion timeout, in probe periods times log10 of the live members (at least 1)
+ * @param suspicionPeriods shortest suspicion timeout, in probe periods times the larger of 1 and log10 of the number of
+ *     live members
  * @param maxSuspicionFactor longest suspicion timeout, as a multiple of the shortest one; applies while no other member
  *     has confirmed the suspicion
- * @param suspicionConfirmations number of confirmations that reduces the suspicion timeout to the shortest one
+ * @param suspicionConfirmations number of confirmations that reduces the suspicion timeout to the shortest one; fewer
+ *     are required in a small fleet
  * @param maxLocalHealth highest local health score; probe period and timeout are multiplied by up to 1 + this value; 0
  *     disables local health
- * @param retransmitFactor number of times each gossip update is sent, per binary digit of the number of live members
+ * @param retransmitFactor how often each gossip update is sent at most, per binary digit of the number of live members
  * @param stateSyncIntervalUs mean time between state syncs with a random live member
  * @param tombstoneRetentionUs how long a dead or left member is remembered
  * @param maxMembers limit of remembered names, including this process and tombstones; at the limit a new live member
--- a/node/src/main/java/loadbalancer/membership/core/NameConflictResolver.java
+++ b/node/src/main/java/loadbalancer/membership/core/NameConflictResolver.java
@@ -1,10 +1,11 @@
 package loadbalancer.membership.core;
 
 /**
- * Resolves a conflict between two processes with the same name at different addresses. The process that started later
- * keeps the name, the other one yields. Guards against two processes that refute each other for ever, which shows as a
- * member that keeps changing its address. A record at another address may also be left over from an earlier process
- * whose clock was ahead, so this process yields only to a rival that acknowledges a ping.
+ * Resolves a conflict between two processes with the same name at different addresses. The process with the higher
+ * incarnation, usually the one that started later, keeps the name, and the other one yields. Guards against two
+ * processes that refute each other for ever, which shows as a member that keeps changing its address. A record at
+ * another address may also be left over from an earlier process whose clock was ahead, so this process yields only to a
+ * rival that acknowledges a ping.
  */
 final class NameConflictResolver {
     /** Pending ping of a later process with the same name, and the end of the time for its ack. */
@@ -15,7 +16,7 @@
     private final ChangeNotifier notifier;
     private final PingSender pings;
     private Challenge challenge;
-    private String takenOverFrom;
+    private String lastTakenOverAddress;
 
     NameConflictResolver(MembershipSettings settings, LocalMember local, ChangeNotifier notifier, PingSender pings) {
         this.settings = settings;
@@ -45,12 +46,12 @@
     }
 
     /**
-     * Notifies the listener of an earlier process that is live, and pings it so that it learns of this one. Ignores
-     * further claims with the same address, so that repeated claims do not cause endless pings.
+     * Notifies the listener of an earlier process that is live, and pings it so that it learns of this one. Ignores a
+     * claim with the same address as the last one, so that repeated claims do not cause endless pings.
      */
     private void takeOver(Member claimant) {
-        if (claimant.state().isLive() && !claimant.address().equals(takenOverFrom)) {
-            takenOverFrom = claimant.address();
+        if (claimant.state().isLive() && !claimant.address().equals(lastTakenOverAddress)) {
+            lastTakenOverAddress = claimant.address();
             notifier.notify(MembershipChange.Type.NAME_TAKEN_OVER, claimant);
             pings.ping(claimant);
         }
--- a/node/src/main/java/loadbalancer/membership/core/package-info.java
+++ b/node/src/main/java/loadbalancer/membership/core/package-info.java
@@ -13,11 +13,14 @@
  *       of the period, neither directly nor through other members.
  *   <li>The suspicion is gossiped. Each other member that suspects the same incarnation confirms the suspicion and
  *       shortens its timeout: see {@link Suspicion}.
- *   <li>The suspected member refutes the suspicion by announcing itself alive in a higher incarnation. A member that
- *       learns that it is considered dead does the same, and joins again: see {@link Refutation}.
+ *   <li>The suspected member refutes the suspicion by announcing itself alive in a higher incarnation: see
+ *       {@link Refutation}.
  *   <li>A member that has not refuted the suspicion by the end of the timeout is dead.
- *   <li>A dead or left member is remembered as a tombstone, so that a late update does not bring it back: see
- *       {@link TombstoneRetention}. {@link PartitionRepair} pings dead members meanwhile.
+ *   <li>A dead or left member is remembered as a tombstone for {@link MembershipSettings#tombstoneRetentionUs}, so that
+ *       a late update does not bring it back: see {@link TombstoneRetention}.
+ *   <li>{@link PartitionRepair} pings dead members meanwhile. A ping of a dead member carries the record of its death,
+ *       as does the ack to a ping from one. A member that learns that it is considered dead refutes that like a
+ *       suspicion, and joins again.
  * </ol>
  *
  * <p>Must not depend on sockets, encodings, threads, clocks, files, logs, metrics, or on randomness other than its
