--- a/node/src/main/java/loadbalancer/membership/core/Gossiper.java
+++ b/node/src/main/java/loadbalancer/membership/core/Gossiper.java
@@ -39,7 +39,7 @@
         this.local = local;
     }
 
-    /** Sends a message with as many updates as fit. A ping of a non-alive target has that claim first. */
+    /** Sends a message with as many updates as fit, first the one that {@link #claimAboutTarget} returns. */
     void send(String address, MembershipMessage message) {
         send(address, message, claimAboutTarget(message));
     }
--- a/node/src/main/java/loadbalancer/membership/core/Member.java
+++ b/node/src/main/java/loadbalancer/membership/core/Member.java
@@ -10,7 +10,7 @@
  */
 public record Member(
         String name, String address, String zone, String role, Incarnation incarnation, MemberState state) {
-    /** Limit for name, address, zone and role, because a datagram has to hold several members. */
+    /** Limit for name, address, zone and role, in characters: a datagram has to hold several members. */
     private static final int MAX_NAME_LENGTH = 64;
     /** Describes what {@link #isValidName} accepts, for error messages. */
     public static final String NAME_RULE = "1 to " + MAX_NAME_LENGTH + " characters of ASCII without spaces";
--- a/node/src/main/java/loadbalancer/membership/core/MemberTransition.java
+++ b/node/src/main/java/loadbalancer/membership/core/MemberTransition.java
@@ -8,7 +8,7 @@
  * Change of a member's record, and the notifications that follow from it. All transitions:
  *
  * <pre>
- * from            to              notifications
+ * from              to            notifications
  * none, DEAD, LEFT  ALIVE         JOINED
  * none, DEAD, LEFT  SUSPECT       JOINED, SUSPECTED
  * ALIVE             ALIVE         UPDATED if attributes or generation differ
--- a/node/src/main/java/loadbalancer/membership/core/MembershipActions.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipActions.java
@@ -1,6 +1,6 @@
 package loadbalancer.membership.core;
 
-/** Effects of the protocol, implemented by its driver. Called only while the protocol handles an event. */
+/** Effects of the protocol, implemented by its driver. Called only within calls of {@link MembershipProtocol}. */
 public interface MembershipActions {
     /** Sends a message as one datagram, which may be lost. */
     void send(String address, MembershipMessage message);
--- a/node/src/main/java/loadbalancer/membership/core/MembershipMessage.java
+++ b/node/src/main/java/loadbalancer/membership/core/MembershipMessage.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Message from one member to another in one datagram. Every message carries piggybacked gossip updates. */
+/** Message from one member to another in one datagram. Every message can carry piggybacked gossip updates. */
 public sealed interface MembershipMessage {
 
     /** Current record of the sender; in a forwarded ack, of the member that was pinged. */
