--- a/node/src/main/java/loadbalancer/membership/StateSync.java
+++ b/node/src/main/java/loadbalancer/membership/StateSync.java
@@ -47,6 +47,7 @@
 
     /** Limit of the time to connect, and of the lifetime of a connection. */
     private static final int TIMEOUT_MILLIS = 5_000;
+
     private static final int LENGTH_FIELD_BYTES = Integer.BYTES;
 
     /** Provides the local state and receives the results of syncs. */
--- a/node/src/main/java/loadbalancer/membership/core/Gossiper.java
+++ b/node/src/main/java/loadbalancer/membership/core/Gossiper.java
@@ -46,7 +46,8 @@
 
     /** Sends a message with the given updates first, followed by as many others as fit. */
     void send(String address, MembershipMessage message, List<GossipUpdate> priorityUpdates) {
-        int priorityBytes = priorityUpdates.stream().mapToInt(GossipUpdate::maxEncodedBytes).sum();
+        int priorityBytes =
+                priorityUpdates.stream().mapToInt(GossipUpdate::maxEncodedBytes).sum();
         List<GossipUpdate> updates = new ArrayList<>(priorityUpdates);
         updates.addAll(broadcasts.take(settings.gossipBudgetBytes() - priorityBytes, maxTransmissions()));
         actions.send(address, message.withUpdates(updates));
