--- a/cli/src/main/java/loadbalancer/cli/Outcomes.java
+++ b/cli/src/main/java/loadbalancer/cli/Outcomes.java
@@ -4,10 +4,10 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import loadbalancer.rig.check.Violation;
-import loadbalancer.rig.play.Outcome;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.world.Score;
+import loadbalancer.harness.check.Violation;
+import loadbalancer.harness.run.Outcome;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.Score;
 
 /** Outcomes for other programs. */
 final class Outcomes {
--- a/rig/src/main/java/loadbalancer/rig/baseline/Baseline.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/Baseline.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.baseline;
+package loadbalancer.harness.baseline;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/rig/src/main/java/loadbalancer/rig/baseline/Baselines.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/Baselines.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.baseline;
+package loadbalancer.harness.baseline;
 
 import java.util.Arrays;
 import java.util.Comparator;
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import loadbalancer.harness.simulation.AppServer;
+import loadbalancer.harness.simulation.Policy;
 import loadbalancer.policy.BalancerActions;
 import loadbalancer.policy.BalancerSettings;
-import loadbalancer.rig.world.AppServer;
-import loadbalancer.rig.world.Policy;
 
 /** The policies that a fleet can be compared with, by name. */
 public final class Baselines {
--- a/rig/src/main/java/loadbalancer/rig/baseline/JarPolicy.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/JarPolicy.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.baseline;
+package loadbalancer.harness.baseline;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -10,6 +10,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import java.util.zip.ZipEntry;
+import loadbalancer.harness.simulation.Policy;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.Balancer;
@@ -25,7 +26,6 @@
 import loadbalancer.policy.ServerEntry;
 import loadbalancer.policy.ServerState;
 import loadbalancer.policy.Tenant;
-import loadbalancer.rig.world.Policy;
 
 /**
  * The decision module of another build, which has to know the same {@link Balancer}: its classes come from
--- a/rig/src/main/java/loadbalancer/rig/baseline/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/package-info.java
@@ -1,2 +1,2 @@
 /** Policies that the decision module is compared with. */
-package loadbalancer.rig.baseline;
+package loadbalancer.harness.baseline;
--- a/rig/src/main/java/loadbalancer/rig/check/AckedWrites.java
+++ b/harness/src/main/java/loadbalancer/harness/check/AckedWrites.java
@@ -1,9 +1,9 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /**
  * What was acknowledged as durable is there after every restart. {@code RETURN} of an op append acknowledges
--- a/rig/src/main/java/loadbalancer/rig/check/Ages.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Ages.java
@@ -1,7 +1,7 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.List;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /**
  * No decision used a value that was older than its bound, by the true time at which it was written: {@code
--- a/rig/src/main/java/loadbalancer/rig/check/Checker.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Checker.java
@@ -1,9 +1,9 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.rig.history.Event;
-import loadbalancer.rig.history.History;
+import loadbalancer.harness.history.Event;
+import loadbalancer.harness.history.History;
 
 /** Reads a history once, forwards, and says what in it must not have happened. */
 public abstract class Checker implements History.Reader {
--- a/rig/src/main/java/loadbalancer/rig/check/ColdServers.java
+++ b/harness/src/main/java/loadbalancer/harness/check/ColdServers.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /**
  * No cold server is pushed over by nodes that had been told of its start: they made up two thirds of what
--- a/rig/src/main/java/loadbalancer/rig/check/Converged.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Converged.java
@@ -1,9 +1,9 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.ArrayList;
 import java.util.Map;
 import java.util.TreeMap;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /** Within a time after the last fault all processes that live hold the same view: {@code VIEW} has digest. */
 public final class Converged extends Checker {
--- a/rig/src/main/java/loadbalancer/rig/check/Cordons.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Cordons.java
@@ -1,9 +1,9 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /**
  * Nothing goes to an app server that operators have taken out at that node, from the node's yes to their next
--- a/rig/src/main/java/loadbalancer/rig/check/Linearizable.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Linearizable.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /**
  * Reads, writes and compare-and-sets of registers could have happened one after the other, each at some time
--- a/rig/src/main/java/loadbalancer/rig/check/NoCrash.java
+++ b/harness/src/main/java/loadbalancer/harness/check/NoCrash.java
@@ -1,7 +1,7 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.List;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /** No process ends that was neither killed nor told to end: {@code KILLED} then says crash. */
 public final class NoCrash extends Checker {
--- a/rig/src/main/java/loadbalancer/rig/check/OneAnswer.java
+++ b/harness/src/main/java/loadbalancer/harness/check/OneAnswer.java
@@ -1,7 +1,7 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
-import loadbalancer.rig.history.Event;
-import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.harness.history.Event;
+import loadbalancer.harness.history.Event.Kind;
 
 /**
  * Every request that a node took has one final answer within its time and the grace, unless its client left
--- a/rig/src/main/java/loadbalancer/rig/check/OpenRequests.java
+++ b/harness/src/main/java/loadbalancer/harness/check/OpenRequests.java
@@ -1,11 +1,11 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /**
  * Follows requests from their coming, and for a while beyond their end, as more may be heard of them then.
--- a/rig/src/main/java/loadbalancer/rig/check/Repeats.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Repeats.java
@@ -1,13 +1,13 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.harness.history.Event;
+import loadbalancer.harness.history.Event.Kind;
+import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.Idempotency;
-import loadbalancer.rig.history.Event;
-import loadbalancer.rig.history.Event.Kind;
-import loadbalancer.rig.scenario.Scenario;
 
 /**
  * What may have run is neither sent again nor called harmless to repeat, unless its class is safe; no more
--- a/rig/src/main/java/loadbalancer/rig/check/Rules.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Rules.java
@@ -1,7 +1,7 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.List;
-import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.harness.scenario.Scenario;
 
 /** The checkers that every run of a fleet is held to. */
 public final class Rules {
--- a/rig/src/main/java/loadbalancer/rig/check/SingleLeaseHolder.java
+++ b/harness/src/main/java/loadbalancer/harness/check/SingleLeaseHolder.java
@@ -1,9 +1,9 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /** No two processes hold a lease at once. {@code LEASED} has lease and until, {@code RELEASED} has lease. */
 public final class SingleLeaseHolder extends Checker {
--- a/rig/src/main/java/loadbalancer/rig/check/VersionedList.java
+++ b/harness/src/main/java/loadbalancer/harness/check/VersionedList.java
@@ -1,11 +1,11 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /**
  * A list whose every change has a revision is linearizable: revisions are never used twice, a call that began
--- a/rig/src/main/java/loadbalancer/rig/check/Versions.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Versions.java
@@ -1,9 +1,9 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /**
  * Each watcher sees versions that only grow, and none left out unless what it is given says that it is whole.
--- a/rig/src/main/java/loadbalancer/rig/check/Violation.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Violation.java
@@ -1,8 +1,8 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.List;
-import loadbalancer.rig.history.Event;
-import loadbalancer.rig.history.History;
+import loadbalancer.harness.history.Event;
+import loadbalancer.harness.history.History;
 
 /**
  * Something that must not have happened.
--- a/rig/src/main/java/loadbalancer/rig/check/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/check/package-info.java
@@ -3,4 +3,4 @@
  *
  * <p>A checker knows events only, never the parts of a run: a history that was stored is judged as one that is running.
  */
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
--- a/rig/src/main/java/loadbalancer/rig/fault/ActiveFault.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/ActiveFault.java
@@ -1,8 +1,8 @@
-package loadbalancer.rig.fault;
+package loadbalancer.harness.fault;
 
 import java.util.List;
-import loadbalancer.rig.world.AppServer;
-import loadbalancer.rig.world.NodePort;
+import loadbalancer.harness.simulation.AppServer;
+import loadbalancer.harness.simulation.NodePort;
 
 /**
  * A fault that has been injected and is active.
--- a/rig/src/main/java/loadbalancer/rig/fault/Fault.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Fault.java
@@ -1,8 +1,8 @@
-package loadbalancer.rig.fault;
+package loadbalancer.harness.fault;
 
 import java.util.SplittableRandom;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.World;
 
 /** A kind of fault that can be injected into a world. One small class each; {@link Faults} names them. */
 public interface Fault {
--- a/rig/src/main/java/loadbalancer/rig/fault/Faults.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Faults.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.fault;
+package loadbalancer.harness.fault;
 
 import java.util.List;
 import java.util.Map;
--- a/rig/src/main/java/loadbalancer/rig/fault/ListDown.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/ListDown.java
@@ -1,9 +1,9 @@
-package loadbalancer.rig.fault;
+package loadbalancer.harness.fault;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.World;
 
 /** Discovery is down: no node hears of any change. */
 final class ListDown implements Fault {
--- a/rig/src/main/java/loadbalancer/rig/fault/Partition.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Partition.java
@@ -1,9 +1,9 @@
-package loadbalancer.rig.fault;
+package loadbalancer.harness.fault;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.World;
 
 /**
  * One zone is cut off from the others, both ways, or with {@code size} 2 only outwards; all in it goes on.
--- a/rig/src/main/java/loadbalancer/rig/fault/RollingRestart.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/RollingRestart.java
@@ -1,10 +1,10 @@
-package loadbalancer.rig.fault;
+package loadbalancer.harness.fault;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.world.NodePort;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.NodePort;
+import loadbalancer.harness.simulation.World;
 
 /** A part of the nodes get SIGTERM and are started again, one after the other. */
 final class RollingRestart implements Fault {
--- a/rig/src/main/java/loadbalancer/rig/fault/Vanish.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Vanish.java
@@ -1,10 +1,10 @@
-package loadbalancer.rig.fault;
+package loadbalancer.harness.fault;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.world.AppServer;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.AppServer;
+import loadbalancer.harness.simulation.World;
 
 /** A part of the app servers' machines fall silent, and come back cold. */
 final class Vanish implements Fault {
--- a/rig/src/main/java/loadbalancer/rig/fault/ZoneLost.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/ZoneLost.java
@@ -1,8 +1,8 @@
-package loadbalancer.rig.fault;
+package loadbalancer.harness.fault;
 
 import java.util.SplittableRandom;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.World;
 
 /** All app servers of one zone fall silent, and come back cold. */
 final class ZoneLost implements Fault {
--- a/rig/src/main/java/loadbalancer/rig/history/Event.java
+++ b/harness/src/main/java/loadbalancer/harness/history/Event.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.history;
+package loadbalancer.harness.history;
 
 import java.util.Map;
 
--- a/rig/src/main/java/loadbalancer/rig/history/History.java
+++ b/harness/src/main/java/loadbalancer/harness/history/History.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.history;
+package loadbalancer.harness.history;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -16,8 +16,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.rig.history.Event.Kind;
-import loadbalancer.rig.time.Timeline;
+import loadbalancer.harness.history.Event.Kind;
+import loadbalancer.harness.time.Timeline;
 
 /**
  * What happened in one run, a line of JSON each, passed to the referee as it happens. Without a file to go to
--- a/rig/src/main/java/loadbalancer/rig/history/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/history/package-info.java
@@ -1,2 +1,2 @@
 /** The events of a run, one JSON line each, and sums over them. */
-package loadbalancer.rig.history;
+package loadbalancer.harness.history;
--- a/rig/src/main/java/loadbalancer/rig/members/ModelCheckProcess.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/ModelCheckProcess.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.members;
+package loadbalancer.harness.membership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/rig/src/main/java/loadbalancer/rig/members/SimulatedFleet.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/SimulatedFleet.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.members;
+package loadbalancer.harness.membership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,15 +7,15 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
+import loadbalancer.harness.check.Checker;
+import loadbalancer.harness.check.Converged;
+import loadbalancer.harness.check.Violation;
+import loadbalancer.harness.history.Event.Kind;
+import loadbalancer.harness.history.History;
+import loadbalancer.harness.time.Simulator;
 import loadbalancer.membership.core.Member;
 import loadbalancer.membership.core.MembershipChange;
 import loadbalancer.membership.core.MembershipSettings;
-import loadbalancer.rig.check.Checker;
-import loadbalancer.rig.check.Converged;
-import loadbalancer.rig.check.Violation;
-import loadbalancer.rig.history.Event.Kind;
-import loadbalancer.rig.history.History;
-import loadbalancer.rig.time.Simulator;
 
 /** A fleet whose members run the membership protocol over a simulated network. */
 public final class SimulatedFleet {
--- a/rig/src/main/java/loadbalancer/rig/members/SimulatedMember.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/SimulatedMember.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.members;
+package loadbalancer.harness.membership;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import loadbalancer.harness.history.Event.Kind;
+import loadbalancer.harness.time.Timeline.Timer;
 import loadbalancer.membership.core.GossipUpdate;
 import loadbalancer.membership.core.MembershipActions;
 import loadbalancer.membership.core.MembershipChange;
 import loadbalancer.membership.core.MembershipMessage;
 import loadbalancer.membership.core.MembershipProtocol;
 import loadbalancer.membership.core.MembershipSettings;
-import loadbalancer.rig.history.Event.Kind;
-import loadbalancer.rig.time.Timeline.Timer;
 
 /**
  * One member of a simulated fleet, which runs the protocol as the program does. It may be started again after its end:
--- a/rig/src/main/java/loadbalancer/rig/members/SimulatedNetwork.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/SimulatedNetwork.java
@@ -1,11 +1,11 @@
-package loadbalancer.rig.members;
+package loadbalancer.harness.membership;
 
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
 import java.util.zip.CRC32C;
+import loadbalancer.harness.time.Timeline;
 import loadbalancer.membership.codec.MembershipCodec;
 import loadbalancer.membership.core.MembershipMessage;
-import loadbalancer.rig.time.Timeline;
 
 /** Datagrams in simulated time: they arrive late, twice, in another order, or not at all. */
 public final class SimulatedNetwork {
--- a/rig/src/main/java/loadbalancer/rig/real/DeployFile.java
+++ b/harness/src/main/java/loadbalancer/harness/process/DeployFile.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
--- a/rig/src/main/java/loadbalancer/rig/real/FakeEndpointList.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeEndpointList.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -24,10 +24,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
+import loadbalancer.harness.simulation.ListModel;
 import loadbalancer.policy.ListKind;
 import loadbalancer.policy.ServerEntry;
 import loadbalancer.policy.ServerState;
-import loadbalancer.rig.world.ListModel;
 
 /** Discovery's agent on one node's machine: it answers with what it has been sent, in the platform's form. */
 final class FakeEndpointList implements ListModel.Follower {
--- a/rig/src/main/java/loadbalancer/rig/real/FakeServer.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
@@ -13,11 +13,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.SplittableRandom;
+import loadbalancer.harness.simulation.AppServer;
+import loadbalancer.harness.simulation.Work;
+import loadbalancer.harness.simulation.World;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.LoadReport;
-import loadbalancer.rig.world.AppServer;
-import loadbalancer.rig.world.Work;
-import loadbalancer.rig.world.World;
 
 /** A fake app server: HTTP on loopback, whose timing and results are those of the model. */
 final class FakeServer {
--- a/rig/src/main/java/loadbalancer/rig/real/Listener.java
+++ b/harness/src/main/java/loadbalancer/harness/process/Listener.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/rig/src/main/java/loadbalancer/rig/real/MemberFleet.java
+++ b/harness/src/main/java/loadbalancer/harness/process/MemberFleet.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/rig/src/main/java/loadbalancer/rig/real/NodeClients.java
+++ b/harness/src/main/java/loadbalancer/harness/process/NodeClients.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -26,10 +26,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.NodePort.Answer;
+import loadbalancer.harness.simulation.NodePort.ClientRequest;
 import loadbalancer.policy.Idempotency;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.world.NodePort.Answer;
-import loadbalancer.rig.world.NodePort.ClientRequest;
 
 /** The connections of clients to one node; they are kept open, and more are opened when all are busy. */
 final class NodeClients {
--- a/rig/src/main/java/loadbalancer/rig/real/NodeConfigFile.java
+++ b/harness/src/main/java/loadbalancer/harness/process/NodeConfigFile.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/rig/src/main/java/loadbalancer/rig/real/NodeProcess.java
+++ b/harness/src/main/java/loadbalancer/harness/process/NodeProcess.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/rig/src/main/java/loadbalancer/rig/real/RealNode.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealNode.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.ExecutorService;
-import loadbalancer.rig.world.BaseNode;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.simulation.BaseNode;
+import loadbalancer.harness.simulation.World;
 
 /**
  * A node that is a process, started as the deploy file says; all but its start and its calls runs on the
--- a/rig/src/main/java/loadbalancer/rig/real/RealPlay.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -15,16 +15,16 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.rig.check.Checker;
-import loadbalancer.rig.check.NoCrash;
-import loadbalancer.rig.check.Rules;
-import loadbalancer.rig.history.Event;
-import loadbalancer.rig.history.History;
-import loadbalancer.rig.play.Outcome;
-import loadbalancer.rig.play.SimPlay;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.world.NodePort;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.check.Checker;
+import loadbalancer.harness.check.NoCrash;
+import loadbalancer.harness.check.Rules;
+import loadbalancer.harness.history.Event;
+import loadbalancer.harness.history.History;
+import loadbalancer.harness.run.Outcome;
+import loadbalancer.harness.run.SimPlay;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.NodePort;
+import loadbalancer.harness.simulation.World;
 
 /**
  * Plays a scenario with processes: nodes as the deploy file starts them, and app servers, list and clients as
--- a/rig/src/main/java/loadbalancer/rig/real/RealTimeline.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealTimeline.java
@@ -1,12 +1,12 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import loadbalancer.rig.time.Streams;
-import loadbalancer.rig.time.Timeline;
+import loadbalancer.harness.time.Streams;
+import loadbalancer.harness.time.Timeline;
 
 /** The system's time, on one event loop: what is scheduled runs there one after the other. */
 final class RealTimeline implements Timeline {
--- a/rig/src/main/java/loadbalancer/rig/real/RequestRegistry.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RequestRegistry.java
@@ -1,12 +1,12 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import java.util.HashMap;
 import java.util.Map;
+import loadbalancer.harness.simulation.AppServer;
+import loadbalancer.harness.simulation.BaseNode;
+import loadbalancer.harness.simulation.NodePort.ClientRequest;
+import loadbalancer.harness.simulation.World;
 import loadbalancer.policy.AttemptResult;
-import loadbalancer.rig.world.AppServer;
-import loadbalancer.rig.world.BaseNode;
-import loadbalancer.rig.world.NodePort.ClientRequest;
-import loadbalancer.rig.world.World;
 
 /**
  * The open requests of all clients, by transaction id, so that a fake app server knows what an attempt is about.
--- a/rig/src/main/java/loadbalancer/rig/real/ServerLinks.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ServerLinks.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import loadbalancer.rig.real.FaultLink.Direction;
-import loadbalancer.rig.real.FaultLink.Faults;
-import loadbalancer.rig.world.Links;
+import loadbalancer.harness.process.FaultLink.Direction;
+import loadbalancer.harness.process.FaultLink.Faults;
+import loadbalancer.harness.simulation.Links;
 
 /** The ways of nodes to app servers, a fault link for each pair, on a loop of their own. */
 final class ServerLinks implements Links.Carrier {
--- a/rig/src/main/java/loadbalancer/rig/play/Comparison.java
+++ b/harness/src/main/java/loadbalancer/harness/run/Comparison.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.play;
+package loadbalancer.harness.run;
 
 import java.util.Arrays;
 import java.util.Locale;
--- a/rig/src/main/java/loadbalancer/rig/play/Outcome.java
+++ b/harness/src/main/java/loadbalancer/harness/run/Outcome.java
@@ -1,12 +1,12 @@
-package loadbalancer.rig.play;
+package loadbalancer.harness.run;
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.rig.check.Checker;
-import loadbalancer.rig.check.Violation;
-import loadbalancer.rig.history.History;
-import loadbalancer.rig.world.Score;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.check.Checker;
+import loadbalancer.harness.check.Violation;
+import loadbalancer.harness.history.History;
+import loadbalancer.harness.simulation.Score;
+import loadbalancer.harness.simulation.World;
 
 /**
  * What came of one run.
--- a/rig/src/main/java/loadbalancer/rig/play/Shrink.java
+++ b/harness/src/main/java/loadbalancer/harness/run/Shrink.java
@@ -1,11 +1,11 @@
-package loadbalancer.rig.play;
+package loadbalancer.harness.run;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Function;
-import loadbalancer.rig.check.Violation;
-import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.harness.check.Violation;
+import loadbalancer.harness.scenario.Scenario;
 
 /**
  * Makes a scenario that breaks a rule smaller for as long as it still breaks the same one: faults are left
--- a/rig/src/main/java/loadbalancer/rig/play/SimPlay.java
+++ b/harness/src/main/java/loadbalancer/harness/run/SimPlay.java
@@ -1,19 +1,19 @@
-package loadbalancer.rig.play;
+package loadbalancer.harness.run;
 
 import java.io.OutputStream;
 import java.util.List;
 import java.util.SplittableRandom;
-import loadbalancer.rig.check.Checker;
-import loadbalancer.rig.check.Rules;
-import loadbalancer.rig.fault.ActiveFault;
-import loadbalancer.rig.fault.Faults;
-import loadbalancer.rig.history.Event.Kind;
-import loadbalancer.rig.history.History;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.time.Simulator;
-import loadbalancer.rig.time.Timeline;
-import loadbalancer.rig.world.Policy;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.check.Checker;
+import loadbalancer.harness.check.Rules;
+import loadbalancer.harness.fault.ActiveFault;
+import loadbalancer.harness.fault.Faults;
+import loadbalancer.harness.history.Event.Kind;
+import loadbalancer.harness.history.History;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.Policy;
+import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.time.Simulator;
+import loadbalancer.harness.time.Timeline;
 
 /** Plays a scenario in simulated time. */
 public final class SimPlay {
--- a/rig/src/main/java/loadbalancer/rig/play/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/run/package-info.java
@@ -1,2 +1,2 @@
 /** Runs of scenarios: one seed, many seeds, shrinking and comparing. */
-package loadbalancer.rig.play;
+package loadbalancer.harness.run;
--- a/rig/src/main/java/loadbalancer/rig/scale/ModuleScale.java
+++ b/harness/src/main/java/loadbalancer/harness/scale/ModuleScale.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.scale;
+package loadbalancer.harness.scale;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
--- a/rig/src/main/java/loadbalancer/rig/scale/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/scale/package-info.java
@@ -1,2 +1,2 @@
 /** Measurements of what the decision module costs as endpoint lists grow. */
-package loadbalancer.rig.scale;
+package loadbalancer.harness.scale;
--- a/rig/src/main/java/loadbalancer/rig/scenario/DayFile.java
+++ b/harness/src/main/java/loadbalancer/harness/scenario/DayFile.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.scenario;
+package loadbalancer.harness.scenario;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/rig/src/main/java/loadbalancer/rig/scenario/Scenario.java
+++ b/harness/src/main/java/loadbalancer/harness/scenario/Scenario.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.scenario;
+package loadbalancer.harness.scenario;
 
 import java.util.List;
 import loadbalancer.policy.Idempotency;
--- a/rig/src/main/java/loadbalancer/rig/scenario/ScenarioFile.java
+++ b/harness/src/main/java/loadbalancer/harness/scenario/ScenarioFile.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.scenario;
+package loadbalancer.harness.scenario;
 
 import com.fasterxml.jackson.core.JsonLocation;
 import com.fasterxml.jackson.core.JsonProcessingException;
--- a/rig/src/main/java/loadbalancer/rig/scenario/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/scenario/package-info.java
@@ -3,4 +3,4 @@
  *
  * <p>Owns the keys of the files. Knows nothing of runs; which kinds of faults there are is passed in.
  */
-package loadbalancer.rig.scenario;
+package loadbalancer.harness.scenario;
--- a/rig/src/main/java/loadbalancer/rig/world/AppServer.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/AppServer.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,13 +10,13 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
+import loadbalancer.harness.history.Event.Kind;
+import loadbalancer.harness.history.History;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.time.Timeline;
+import loadbalancer.harness.time.Timeline.Timer;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.LoadReport;
-import loadbalancer.rig.history.Event.Kind;
-import loadbalancer.rig.history.History;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.time.Timeline;
-import loadbalancer.rig.time.Timeline.Timer;
 
 /**
  * The model of one app server. Its cores are shared evenly by the jobs in its slots; further jobs wait
--- a/rig/src/main/java/loadbalancer/rig/world/Clients.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
@@ -1,14 +1,14 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.NodePort.Answer;
+import loadbalancer.harness.simulation.NodePort.ClientRequest;
+import loadbalancer.harness.time.Timeline;
+import loadbalancer.harness.time.Timeline.Timer;
 import loadbalancer.policy.Idempotency;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.time.Timeline;
-import loadbalancer.rig.time.Timeline.Timer;
-import loadbalancer.rig.world.NodePort.Answer;
-import loadbalancer.rig.world.NodePort.ClientRequest;
 
 /**
  * Clients, open loop: requests arrive at random, one stream for each class and zone, whatever becomes of those
--- a/rig/src/main/java/loadbalancer/rig/world/Front.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Front.java
@@ -1,8 +1,8 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import loadbalancer.rig.time.Timeline;
+import loadbalancer.harness.time.Timeline;
 
 /** The front of each zone: it deals requests among the nodes that it takes for alive. */
 final class Front {
--- a/rig/src/main/java/loadbalancer/rig/world/Links.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Links.java
@@ -1,11 +1,11 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.harness.scenario.Scenario;
 
 /** The network between zones: how long a message takes, and what does not come through. */
 public final class Links {
--- a/rig/src/main/java/loadbalancer/rig/world/ListModel.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/ListModel.java
@@ -1,17 +1,17 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import loadbalancer.harness.history.Event.Kind;
+import loadbalancer.harness.history.History;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.time.Timeline;
 import loadbalancer.policy.ListKind;
 import loadbalancer.policy.ServerEntry;
 import loadbalancer.policy.ServerState;
-import loadbalancer.rig.history.Event.Kind;
-import loadbalancer.rig.history.History;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.time.Timeline;
 
 /**
  * The list of app servers as discovery knows it, and what each node's agent has been sent of it: every change
--- a/rig/src/main/java/loadbalancer/rig/world/NodeHistory.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/NodeHistory.java
@@ -1,8 +1,8 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
+import loadbalancer.harness.history.Event.Kind;
+import loadbalancer.harness.history.History;
 import loadbalancer.policy.AttemptResult;
-import loadbalancer.rig.history.Event.Kind;
-import loadbalancer.rig.history.History;
 
 /**
  * Writes what one node does to the history of the run: a method for each event, which gives the event's fields their
--- a/rig/src/main/java/loadbalancer/rig/world/NodePort.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/NodePort.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
 /** One node as clients, the front and faults reach it: a simulated one or a process. */
 public interface NodePort {
--- a/rig/src/main/java/loadbalancer/rig/world/Score.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Score.java
@@ -1,9 +1,9 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import loadbalancer.rig.scenario.Scenario;
+import loadbalancer.harness.scenario.Scenario;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/rig/src/main/java/loadbalancer/rig/world/SimAttempt.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimAttempt.java
@@ -1,9 +1,9 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
+import loadbalancer.harness.time.Timeline.Timer;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.LoadReport;
-import loadbalancer.rig.time.Timeline.Timer;
 
 /** One attempt of a simulated node at a request: connect, send, and wait for the reply or the time-out. */
 final class SimAttempt {
--- a/rig/src/main/java/loadbalancer/rig/world/SimConnections.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimConnections.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/rig/src/main/java/loadbalancer/rig/world/SimNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimNode.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -6,14 +6,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
+import loadbalancer.harness.time.Timeline;
+import loadbalancer.harness.time.Timeline.Timer;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Balancer;
 import loadbalancer.policy.BalancerActions;
 import loadbalancer.policy.BalancerRequest;
 import loadbalancer.policy.ListKind;
 import loadbalancer.policy.ServerEntry;
-import loadbalancer.rig.time.Timeline;
-import loadbalancer.rig.time.Timeline.Timer;
 
 /**
  * A node in simulated time: the balancer, with sockets that are models. It does what the program does around the
--- a/rig/src/main/java/loadbalancer/rig/world/Work.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Work.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
 /**
  * What an app server is asked to do.
--- a/rig/src/main/java/loadbalancer/rig/world/World.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/World.java
@@ -1,19 +1,19 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import loadbalancer.harness.history.History;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.time.Timeline;
 import loadbalancer.policy.BalancerSettings;
 import loadbalancer.policy.DeduplicationScope;
 import loadbalancer.policy.LoadReportField;
 import loadbalancer.policy.RequestClass;
 import loadbalancer.policy.ServerEntry;
 import loadbalancer.policy.ServerState;
-import loadbalancer.rig.history.History;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.time.Timeline;
 
 /**
  * Everything in one run: app servers, nodes, clients and their front, the list and the network. It lives in
--- a/rig/src/main/java/loadbalancer/rig/time/Simulator.java
+++ b/harness/src/main/java/loadbalancer/harness/time/Simulator.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.time;
+package loadbalancer.harness.time;
 
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
--- a/rig/src/main/java/loadbalancer/rig/time/Streams.java
+++ b/harness/src/main/java/loadbalancer/harness/time/Streams.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.time;
+package loadbalancer.harness.time;
 
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
--- a/rig/src/main/java/loadbalancer/rig/time/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/time/package-info.java
@@ -1,2 +1,2 @@
 /** Virtual time and the streams of random numbers. */
-package loadbalancer.rig.time;
+package loadbalancer.harness.time;
--- a/rig/src/test/java/loadbalancer/rig/ArchitectureTest.java
+++ b/harness/src/test/java/loadbalancer/harness/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig;
+package loadbalancer.harness;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
@@ -11,7 +11,7 @@
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
-import loadbalancer.rig.fault.Fault;
+import loadbalancer.harness.fault.Fault;
 
 /** What may know of what; that a module's jar holds nothing of those above it, the compiler sees to. */
 @AnalyzeClasses(packages = "loadbalancer", importOptions = DoNotIncludeTests.class)
@@ -65,47 +65,47 @@
     static final ArchRule THE_RIG_POINTS_ONE_WAY = layeredArchitecture()
             .consideringOnlyDependenciesInLayers()
             .layer("time")
-            .definedBy("loadbalancer.rig.time..")
+            .definedBy("loadbalancer.harness.time..")
             .layer("history")
-            .definedBy("loadbalancer.rig.history..")
+            .definedBy("loadbalancer.harness.history..")
             .layer("scenario")
-            .definedBy("loadbalancer.rig.scenario..")
+            .definedBy("loadbalancer.harness.scenario..")
             .layer("check")
-            .definedBy("loadbalancer.rig.check..")
-            .layer("world")
-            .definedBy("loadbalancer.rig.world..")
+            .definedBy("loadbalancer.harness.check..")
+            .layer("simulation")
+            .definedBy("loadbalancer.harness.simulation..")
             .layer("fault")
-            .definedBy("loadbalancer.rig.fault..")
+            .definedBy("loadbalancer.harness.fault..")
             .layer("baseline")
-            .definedBy("loadbalancer.rig.baseline..")
-            .layer("play")
-            .definedBy("loadbalancer.rig.play..")
-            .whereLayer("play")
+            .definedBy("loadbalancer.harness.baseline..")
+            .layer("run")
+            .definedBy("loadbalancer.harness.run..")
+            .whereLayer("run")
             .mayNotBeAccessedByAnyLayer()
             .whereLayer("fault")
-            .mayOnlyBeAccessedByLayers("play")
+            .mayOnlyBeAccessedByLayers("run")
             .whereLayer("baseline")
             .mayNotBeAccessedByAnyLayer()
-            .whereLayer("world")
-            .mayOnlyBeAccessedByLayers("fault", "baseline", "play")
+            .whereLayer("simulation")
+            .mayOnlyBeAccessedByLayers("fault", "baseline", "run")
             .whereLayer("check")
-            .mayOnlyBeAccessedByLayers("play")
+            .mayOnlyBeAccessedByLayers("run")
             .whereLayer("history")
-            .mayOnlyBeAccessedByLayers("check", "world", "fault", "play");
+            .mayOnlyBeAccessedByLayers("check", "simulation", "fault", "run");
 
     @ArchTest
     static final ArchRule NO_PACKAGES_IN_A_RING =
-            slices().matching("loadbalancer.rig.(*)..").should().beFreeOfCycles();
+            slices().matching("loadbalancer.harness.(*)..").should().beFreeOfCycles();
 
     /** Virtual time is the only one: a run that looked at the clock could not be played again. */
     @ArchTest
     static final ArchRule THE_WORLD_HAS_NO_CLOCK = noClasses()
             .that()
             .resideInAnyPackage(
-                    "loadbalancer.rig.world..",
-                    "loadbalancer.rig.fault..",
-                    "loadbalancer.rig.check..",
-                    "loadbalancer.rig.baseline..")
+                    "loadbalancer.harness.simulation..",
+                    "loadbalancer.harness.fault..",
+                    "loadbalancer.harness.check..",
+                    "loadbalancer.harness.baseline..")
             .should()
             .callMethod(System.class, "nanoTime")
             .orShould()
--- a/rig/src/test/java/loadbalancer/rig/DataPathArchitectureTest.java
+++ b/harness/src/test/java/loadbalancer/harness/DataPathArchitectureTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig;
+package loadbalancer.harness;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
--- a/rig/src/test/java/loadbalancer/rig/PackageDependenciesTest.java
+++ b/harness/src/test/java/loadbalancer/harness/PackageDependenciesTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig;
+package loadbalancer.harness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -86,7 +86,7 @@
         String name = type.getPackageName() + ".";
         return name.startsWith(ROOT)
                 && !name.equals(ROOT)
-                && !name.startsWith(ROOT + "rig.")
+                && !name.startsWith(ROOT + "harness.")
                 && !name.equals(ROOT + "cli.");
     }
 
--- a/rig/src/test/java/loadbalancer/rig/check/CheckersTest.java
+++ b/harness/src/test/java/loadbalancer/harness/check/CheckersTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,10 +9,10 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import java.util.stream.Stream;
-import loadbalancer.rig.history.Event.Kind;
-import loadbalancer.rig.scenario.BadScenarioException;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.scenario.ScenarioFile;
+import loadbalancer.harness.history.Event.Kind;
+import loadbalancer.harness.scenario.BadScenarioException;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.scenario.ScenarioFile;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
--- a/rig/src/test/java/loadbalancer/rig/check/HistoryBuilder.java
+++ b/harness/src/test/java/loadbalancer/harness/check/HistoryBuilder.java
@@ -1,10 +1,10 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.rig.history.Event;
-import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.harness.history.Event;
+import loadbalancer.harness.history.Event.Kind;
 
 /** Feeds a history that is made by hand, or drawn, to one checker. */
 final class HistoryBuilder {
--- a/rig/src/test/java/loadbalancer/rig/check/LinearizableTest.java
+++ b/harness/src/test/java/loadbalancer/harness/check/LinearizableTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.SplittableRandom;
-import loadbalancer.rig.history.Event.Kind;
+import loadbalancer.harness.history.Event.Kind;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
--- a/rig/src/test/java/loadbalancer/rig/members/MembershipTest.java
+++ b/harness/src/test/java/loadbalancer/harness/membership/MembershipTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.members;
+package loadbalancer.harness.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/rig/src/test/java/loadbalancer/rig/real/FaultLinkTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/FaultLinkTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -18,8 +18,8 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.rig.real.FaultLink.Direction;
-import loadbalancer.rig.real.FaultLink.Faults;
+import loadbalancer.harness.process.FaultLink.Direction;
+import loadbalancer.harness.process.FaultLink.Faults;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/rig/src/test/java/loadbalancer/rig/real/MemberFleetTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/MemberFleetTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/rig/src/test/java/loadbalancer/rig/real/RealPlayTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/RealPlayTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,12 +15,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
-import loadbalancer.rig.fault.Faults;
-import loadbalancer.rig.history.Event;
-import loadbalancer.rig.history.Event.Kind;
-import loadbalancer.rig.play.Outcome;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.scenario.ScenarioFile;
+import loadbalancer.harness.fault.Faults;
+import loadbalancer.harness.history.Event;
+import loadbalancer.harness.history.Event.Kind;
+import loadbalancer.harness.run.Outcome;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.scenario.ScenarioFile;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/rig/src/test/java/loadbalancer/rig/play/Planted.java
+++ b/harness/src/test/java/loadbalancer/harness/run/Planted.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.play;
+package loadbalancer.harness.run;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,6 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Supplier;
+import loadbalancer.harness.simulation.Policy;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Balancer;
 import loadbalancer.policy.BalancerActions;
@@ -16,7 +17,6 @@
 import loadbalancer.policy.ServerEntry;
 import loadbalancer.policy.ServerState;
 import loadbalancer.policy.ServiceQBalancer;
-import loadbalancer.rig.world.Policy;
 
 /** The module with one fault planted between it and its node; what is not overridden passes through. */
 class Planted implements Balancer, BalancerActions {
--- a/rig/src/test/java/loadbalancer/rig/play/SimPlayTest.java
+++ b/harness/src/test/java/loadbalancer/harness/run/SimPlayTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.play;
+package loadbalancer.harness.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -6,9 +6,9 @@
 
 import java.util.List;
 import java.util.Set;
-import loadbalancer.rig.baseline.Baselines;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.world.Policy;
+import loadbalancer.harness.baseline.Baselines;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.Policy;
 import org.junit.jupiter.api.Test;
 
 class SimPlayTest {
--- a/rig/src/test/java/loadbalancer/rig/scenario/ScenarioFileTest.java
+++ b/harness/src/test/java/loadbalancer/harness/scenario/ScenarioFileTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.scenario;
+package loadbalancer.harness.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/rig/src/test/java/loadbalancer/rig/time/SimulatorTest.java
+++ b/harness/src/test/java/loadbalancer/harness/time/SimulatorTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.time;
+package loadbalancer.harness.time;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
