--- a/cli/src/main/java/loadbalancer/cli/Fleet.java
+++ b/cli/src/main/java/loadbalancer/cli/Fleet.java
@@ -22,7 +22,7 @@
 import loadbalancer.harness.run.Outcome;
 import loadbalancer.harness.run.Seeds;
 import loadbalancer.harness.run.Shrink;
-import loadbalancer.harness.run.SimPlay;
+import loadbalancer.harness.run.SimulatedRun;
 import loadbalancer.harness.scenario.BadScenarioException;
 import loadbalancer.harness.scenario.DayFile;
 import loadbalancer.harness.scenario.Scenario;
@@ -133,12 +133,12 @@
         if (real && policy != Policy.MODULE) {
             throw new UsageException("--policy " + policyName + ": must be module with --real");
         }
-        SimPlay.Progress progress = isTerminal() && !json ? this::showSecond : (nowUs, world) -> {};
+        SimulatedRun.Progress progress = isTerminal() && !json ? this::showSecond : (nowUs, world) -> {};
         Outcome outcome;
         try (OutputStream to = file == null ? null : new BufferedOutputStream(Files.newOutputStream(file))) {
             outcome = real
                     ? FleetDemo.play(scenario, seed, to, event -> {}, progress)
-                    : SimPlay.play(scenario, seed, policy, to, true, progress);
+                    : SimulatedRun.run(scenario, seed, policy, to, true, progress);
         }
         if (json) {
             out().println(Outcomes.json(scenario, outcome));
@@ -185,7 +185,7 @@
                 first,
                 atLeastOne("--seeds", seeds),
                 cores(cores),
-                seed -> SimPlay.play(scenario, seed, policy),
+                seed -> SimulatedRun.run(scenario, seed, policy),
                 outcome -> {
                     if (isTerminal()) {
                         err().printf("\r%d of %d seeds", ++count[0], seeds);
@@ -217,7 +217,7 @@
         Outcome worst = broken.get(0);
         printViolations(worst, options);
         Shrink.Smallest least = Shrink.shrink(
-                scenario, worst.violations().get(0), lesser -> SimPlay.play(lesser, worst.seed(), policy));
+                scenario, worst.violations().get(0), lesser -> SimulatedRun.run(lesser, worst.seed(), policy));
         Scenario s = least.scenario();
         out().printf(
                         Locale.ROOT,
@@ -276,7 +276,7 @@
 
     private static List<Outcome> play(Scenario scenario, Policy policy, long first, int seeds, int cores)
             throws InterruptedException {
-        return Seeds.play(first, seeds, cores, seed -> SimPlay.play(scenario, seed, policy), outcome -> {});
+        return Seeds.play(first, seeds, cores, seed -> SimulatedRun.run(scenario, seed, policy), outcome -> {});
     }
 
     @Command(
--- a/cli/src/main/java/loadbalancer/cli/FleetDemo.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetDemo.java
@@ -18,7 +18,7 @@
 import loadbalancer.harness.process.DeployFile;
 import loadbalancer.harness.process.RealPlay;
 import loadbalancer.harness.run.Outcome;
-import loadbalancer.harness.run.SimPlay;
+import loadbalancer.harness.run.SimulatedRun;
 import loadbalancer.harness.scenario.BadScenarioException;
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.scenario.ScenarioFile;
@@ -93,7 +93,7 @@
 
     /** Plays a scenario with processes, which are gone when this returns or this process is told to end. */
     static Outcome play(
-            Scenario scenario, long seed, OutputStream history, History.Reader reader, SimPlay.Progress progress)
+            Scenario scenario, long seed, OutputStream history, History.Reader reader, SimulatedRun.Progress progress)
             throws IOException, InterruptedException {
         DeployFile deploy = DeployFile.find(Path.of(""));
         Path folder = Files.createTempDirectory("lb-fleet");
--- a/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
@@ -21,7 +21,7 @@
 import loadbalancer.harness.history.Event;
 import loadbalancer.harness.history.History;
 import loadbalancer.harness.run.Outcome;
-import loadbalancer.harness.run.SimPlay;
+import loadbalancer.harness.run.SimulatedRun;
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.NodePort;
 import loadbalancer.harness.simulation.World;
@@ -135,7 +135,7 @@
     }
 
     /** Plays it from the start to the end. */
-    public Outcome play(SimPlay.Progress progress) throws IOException, InterruptedException {
+    public Outcome play(SimulatedRun.Progress progress) throws IOException, InterruptedException {
         onLoop(() -> {
             history.add("rig", Event.Kind.RUN, "scenario", scenario.name(), "seed", seed, "real", true);
             world.start();
@@ -147,7 +147,7 @@
                 () -> world.nodes().stream().allMatch(NodePort::isReady));
         long startedUs = onLoop(() -> {
             world.startClients();
-            SimPlay.scheduleFaults(world, time);
+            SimulatedRun.scheduleFaults(world, time);
             return time.nowUs();
         });
         long endUs = startedUs + world.endUs();
@@ -159,7 +159,7 @@
             TimeUnit.MICROSECONDS.sleep(Math.max(1, Math.min(endUs, startedUs + second * 1_000_000) - time.nowUs()));
             long played = second;
             onLoop(() -> {
-                progress.second(played * 1_000_000, world);
+                progress.onSecond(played * 1_000_000, world);
                 return null;
             });
         }
--- a/harness/src/main/java/loadbalancer/harness/run/SimPlay.java
+++ b/harness/src/main/java/loadbalancer/harness/run/SimulatedRun.java
@@ -16,7 +16,7 @@
 import loadbalancer.harness.time.Timeline;
 
 /** Plays a scenario in simulated time. */
-public final class SimPlay {
+public final class SimulatedRun {
     private static final long SECOND_US = 1_000_000;
     /**
      * Begins the name of the random stream of each fault. The older word for a fault stays in it: the seed of a
@@ -24,23 +24,23 @@
      */
     private static final String STREAM_PREFIX = "trouble ";
 
-    private SimPlay() {}
+    private SimulatedRun() {}
 
     /** Whoever follows a run while it goes on, once a simulated second. */
     public interface Progress {
-        void second(long nowUs, World world);
+        void onSecond(long nowUs, World world);
     }
 
     /** With no file and nobody looking on. */
-    public static Outcome play(Scenario scenario, long seed, Policy policy) {
-        return play(scenario, seed, policy, null, false, (nowUs, world) -> {});
+    public static Outcome run(Scenario scenario, long seed, Policy policy) {
+        return run(scenario, seed, policy, null, false, (nowUs, world) -> {});
     }
 
     /**
      * @param file where the history goes, or null
      * @param summed whether the outcome is to hold the sum over the history
      */
-    public static Outcome play(
+    public static Outcome run(
             Scenario scenario, long seed, Policy policy, OutputStream file, boolean summed, Progress progress) {
         Simulator time = new Simulator(seed);
         List<Checker> checkers = Rules.of(scenario, 0);
@@ -52,7 +52,7 @@
         scheduleFaults(world, time);
         for (long second = SECOND_US; second < world.endUs(); second += SECOND_US) {
             time.playUntil(second);
-            progress.second(second, world);
+            progress.onSecond(second, world);
         }
         time.playUntil(world.endUs());
         return Outcome.of(seed, world, history, checkers, time.nowUs(), summed);
--- a/harness/src/test/java/loadbalancer/harness/run/PlantedFaultsTest.java
+++ b/harness/src/test/java/loadbalancer/harness/run/PlantedFaultsTest.java
@@ -158,7 +158,7 @@
         return faults().map(fault -> DynamicTest.dynamicTest(fault.what, () -> {
             Scenario scenario = scenario(fault.scenario);
             List<Violation> found =
-                    SimPlay.play(scenario, 1, Planted.policy(fault.planted)).violations();
+                    SimulatedRun.run(scenario, 1, Planted.policy(fault.planted)).violations();
             assertTrue(
                     found.stream().anyMatch(v -> v.rule().equals(fault.rule)),
                     fault.rule + " not among "
@@ -173,7 +173,7 @@
             for (long seed = 1; seed <= 4; seed++) {
                 assertEquals(
                         List.of(),
-                        SimPlay.play(scenario(name), seed, Policy.MODULE).violations(),
+                        SimulatedRun.run(scenario(name), seed, Policy.MODULE).violations(),
                         name + seed);
             }
         }
@@ -188,11 +188,11 @@
                 // Forgotten.
             }
         });
-        Violation found = SimPlay.play(scenario, 3, faulty).violations().stream()
+        Violation found = SimulatedRun.run(scenario, 3, faulty).violations().stream()
                 .filter(v -> v.rule().equals("Cordons"))
                 .findFirst()
                 .orElseThrow();
-        Shrink.Smallest least = Shrink.shrink(scenario, found, lesser -> SimPlay.play(lesser, 3, faulty));
+        Shrink.Smallest least = Shrink.shrink(scenario, found, lesser -> SimulatedRun.run(lesser, 3, faulty));
         assertEquals(
                 List.of("cordoned"),
                 least.scenario().faults().stream().map(Scenario.FaultSpec::kind).toList());
--- a/harness/src/test/java/loadbalancer/harness/run/SimPlayTest.java
+++ b/harness/src/test/java/loadbalancer/harness/run/SimulatedRunTest.java
@@ -11,14 +11,14 @@
 import loadbalancer.harness.simulation.Policy;
 import org.junit.jupiter.api.Test;
 
-class SimPlayTest {
+class SimulatedRunTest {
 
     private static List<String> digests(Scenario scenario, int cores) throws InterruptedException {
         return Seeds.play(
                 1,
                 8,
                 cores,
-                seed -> SimPlay.play(scenario, seed, Policy.MODULE, null, true, (nowUs, world) -> {})
+                seed -> SimulatedRun.run(scenario, seed, Policy.MODULE, null, true, (nowUs, world) -> {})
                         .digest(),
                 digest -> {});
     }
@@ -35,7 +35,7 @@
     void everyBaselineKeepsTheRulesWhereNothingIsCold() throws Exception {
         Scenario scenario = PlantedFaultsTest.scenario("jam");
         for (String name : Baselines.names()) {
-            Outcome outcome = SimPlay.play(scenario, 5, Baselines.named(name));
+            Outcome outcome = SimulatedRun.run(scenario, 5, Baselines.named(name));
             assertEquals(List.of(), outcome.violations(), name);
             assertTrue(outcome.score().firstTries() > 1_000, name);
         }
@@ -46,10 +46,10 @@
         Scenario scenario = PlantedFaultsTest.scenario("jam");
         double[][] g = new double[2][6];
         for (int seed = 0; seed < 6; seed++) {
-            g[0][seed] = SimPlay.play(scenario, seed, Baselines.named("oracle"))
+            g[0][seed] = SimulatedRun.run(scenario, seed, Baselines.named("oracle"))
                     .score()
                     .g();
-            g[1][seed] = SimPlay.play(scenario, seed, Baselines.named("random"))
+            g[1][seed] = SimulatedRun.run(scenario, seed, Baselines.named("random"))
                     .score()
                     .g();
         }
