--- a/cli/src/main/java/loadbalancer/cli/Fleet.java
+++ b/cli/src/main/java/loadbalancer/cli/Fleet.java
@@ -20,7 +20,7 @@
 import loadbalancer.harness.fault.Faults;
 import loadbalancer.harness.run.Comparison;
 import loadbalancer.harness.run.Outcome;
-import loadbalancer.harness.run.Seeds;
+import loadbalancer.harness.run.SeedSweep;
 import loadbalancer.harness.run.Shrink;
 import loadbalancer.harness.run.SimulatedRun;
 import loadbalancer.harness.scenario.BadScenarioException;
@@ -181,7 +181,7 @@
         Scenario scenario = options.read();
         Policy policy = policy(policyName);
         int[] count = {0};
-        List<Outcome> all = Seeds.play(
+        List<Outcome> all = SeedSweep.run(
                 first,
                 atLeastOne("--seeds", seeds),
                 cores(cores),
@@ -276,7 +276,7 @@
 
     private static List<Outcome> play(Scenario scenario, Policy policy, long first, int seeds, int cores)
             throws InterruptedException {
-        return Seeds.play(first, seeds, cores, seed -> SimulatedRun.run(scenario, seed, policy), outcome -> {});
+        return SeedSweep.run(first, seeds, cores, seed -> SimulatedRun.run(scenario, seed, policy), outcome -> {});
     }
 
     @Command(
--- a/cli/src/main/java/loadbalancer/cli/FleetStudy.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetStudy.java
@@ -11,7 +11,7 @@
 import loadbalancer.harness.membership.MembershipStudy;
 import loadbalancer.harness.membership.MembershipStudy.FalsePositives;
 import loadbalancer.harness.membership.MembershipStudy.Result;
-import loadbalancer.harness.run.Seeds;
+import loadbalancer.harness.run.SeedSweep;
 import loadbalancer.membership.core.MembershipSettings;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -84,7 +84,7 @@
     }
 
     private <T> List<T> forEachSeed(LongFunction<T> play) throws InterruptedException {
-        return Seeds.play(
+        return SeedSweep.run(
                 1, seeds, cores == null ? Runtime.getRuntime().availableProcessors() : cores, play, done -> {});
     }
 
--- a/harness/src/test/java/loadbalancer/harness/run/SimulatedRunTest.java
+++ b/harness/src/test/java/loadbalancer/harness/run/SimulatedRunTest.java
@@ -14,7 +14,7 @@
 class SimulatedRunTest {
 
     private static List<String> digests(Scenario scenario, int cores) throws InterruptedException {
-        return Seeds.play(
+        return SeedSweep.run(
                 1,
                 8,
                 cores,
