--- a/cli/src/main/java/loadbalancer/cli/Fleet.java
+++ b/cli/src/main/java/loadbalancer/cli/Fleet.java
@@ -20,8 +20,8 @@
 import loadbalancer.harness.fault.Faults;
 import loadbalancer.harness.run.Comparison;
 import loadbalancer.harness.run.Outcome;
+import loadbalancer.harness.run.ScenarioShrinker;
 import loadbalancer.harness.run.SeedSweep;
-import loadbalancer.harness.run.Shrink;
 import loadbalancer.harness.run.SimulatedRun;
 import loadbalancer.harness.scenario.BadScenarioException;
 import loadbalancer.harness.scenario.DayFile;
@@ -216,14 +216,14 @@
                         .collect(Collectors.joining(", ")));
         Outcome worst = broken.get(0);
         printViolations(worst, options);
-        Shrink.Smallest least = Shrink.shrink(
+        ScenarioShrinker.Result least = ScenarioShrinker.shrink(
                 scenario, worst.violations().get(0), lesser -> SimulatedRun.run(lesser, worst.seed(), policy));
         Scenario s = least.scenario();
         out().printf(
                         Locale.ROOT,
                         "%nsmallest found in %d plays: %.3f s, %d nodes, %d servers, %.1f requests a"
                                 + " second, %d keys, faults %s%n",
-                        least.plays(),
+                        least.runs(),
                         s.lengthUs() / 1e6,
                         s.fleet().nodes(),
                         s.fleet().servers(),
--- a/harness/src/test/java/loadbalancer/harness/run/PlantedFaultsTest.java
+++ b/harness/src/test/java/loadbalancer/harness/run/PlantedFaultsTest.java
@@ -192,7 +192,8 @@
                 .filter(v -> v.rule().equals("Cordons"))
                 .findFirst()
                 .orElseThrow();
-        Shrink.Smallest least = Shrink.shrink(scenario, found, lesser -> SimulatedRun.run(lesser, 3, faulty));
+        ScenarioShrinker.Result least =
+                ScenarioShrinker.shrink(scenario, found, lesser -> SimulatedRun.run(lesser, 3, faulty));
         assertEquals(
                 List.of("cordoned"),
                 least.scenario().faults().stream().map(Scenario.FaultSpec::kind).toList());
