--- a/harness/src/main/java/loadbalancer/harness/check/Rules.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Checkers.java
@@ -4,8 +4,8 @@
 import loadbalancer.harness.scenario.Scenario;
 
 /** The checkers that every run of a fleet is held to. */
-public final class Rules {
-    private Rules() {}
+public final class Checkers {
+    private Checkers() {}
 
     /**
      * One of each of the platform's, with the figures of a scenario.
--- a/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.harness.check.Checker;
 import loadbalancer.harness.check.NoCrash;
-import loadbalancer.harness.check.Rules;
+import loadbalancer.harness.check.Checkers;
 import loadbalancer.harness.history.Event;
 import loadbalancer.harness.history.History;
 import loadbalancer.harness.run.Outcome;
@@ -73,7 +73,7 @@
         time = new RealTimeline(loop, seed);
         linkLoop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         links = new ServerLinks(linkLoop, time.stream("links"));
-        checkers = new ArrayList<>(Rules.of(scenario, SLACK_US));
+        checkers = new ArrayList<>(Checkers.of(scenario, SLACK_US));
         checkers.add(new NoCrash());
         List<History.Reader> readers = new ArrayList<>(checkers);
         readers.add(this::follow);
--- a/harness/src/main/java/loadbalancer/harness/run/SimulatedRun.java
+++ b/harness/src/main/java/loadbalancer/harness/run/SimulatedRun.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import loadbalancer.harness.check.Checker;
-import loadbalancer.harness.check.Rules;
+import loadbalancer.harness.check.Checkers;
 import loadbalancer.harness.fault.ActiveFault;
 import loadbalancer.harness.fault.Faults;
 import loadbalancer.harness.history.Event.Kind;
@@ -43,7 +43,7 @@
     public static Outcome run(
             Scenario scenario, long seed, Policy policy, OutputStream file, boolean summed, Progress progress) {
         Simulator time = new Simulator(seed);
-        List<Checker> checkers = Rules.of(scenario, 0);
+        List<Checker> checkers = Checkers.of(scenario, 0);
         History history = new History(time, checkers, file, summed);
         history.add("rig", Kind.RUN, "scenario", scenario.name(), "seed", seed, "real", false);
         World world = World.simulated(scenario, time, history, policy);
