--- a/harness/src/main/java/loadbalancer/harness/process/RealTimeline.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealTimeline.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import loadbalancer.harness.time.Streams;
+import loadbalancer.harness.time.RandomStreams;
 import loadbalancer.harness.time.Timeline;
 
 /** The system's time, on one event loop: what is scheduled runs there one after the other. */
@@ -62,6 +62,6 @@
 
     @Override
     public SplittableRandom stream(String actor) {
-        return Streams.stream(seed, actor);
+        return RandomStreams.stream(seed, actor);
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/time/Streams.java
+++ b/harness/src/main/java/loadbalancer/harness/time/RandomStreams.java
@@ -7,11 +7,11 @@
  * One stream of random numbers per actor, split from the seed by the actor's name and not by the order of
  * creation, so that one more actor does not shift what the others draw.
  */
-public final class Streams {
+public final class RandomStreams {
     private static final long FNV_START = 0xCBF29CE484222325L;
     private static final long FNV_PRIME = 0x100000001B3L;
 
-    private Streams() {}
+    private RandomStreams() {}
 
     /** The stream of an actor. */
     public static SplittableRandom stream(long seed, String actor) {
--- a/harness/src/main/java/loadbalancer/harness/time/Simulator.java
+++ b/harness/src/main/java/loadbalancer/harness/time/Simulator.java
@@ -71,7 +71,7 @@
 
     @Override
     public SplittableRandom stream(String actor) {
-        return Streams.stream(seed, actor);
+        return RandomStreams.stream(seed, actor);
     }
 
     /** Plays all that is due up to this time, this time included, and what that brings up. */
