--- a/cli/src/main/java/loadbalancer/cli/Report.java
+++ b/cli/src/main/java/loadbalancer/cli/Report.java
@@ -59,7 +59,7 @@
             switch (event.kind()) {
                 case RUN ->
                     title = event.text("scenario") + ", seed " + event.number("seed")
-                            + (event.yes("real") ? ", processes" : ", simulated");
+                            + (event.isTrue("real") ? ", processes" : ", simulated");
                 case ASK -> arrivedAtUs.put(event.number("request"), event.atUs());
                 case OUTCOME -> outcomes.merge(event.text("result"), 1, Integer::sum);
                 case SERVED -> count(served, event.process(), second);
--- a/harness/src/main/java/loadbalancer/harness/check/AckedWrites.java
+++ b/harness/src/main/java/loadbalancer/harness/check/AckedWrites.java
@@ -17,7 +17,7 @@
     public void read(Event event) {
         switch (event.kind()) {
             case RETURN -> {
-                if (event.has("number") && event.yes("ok")) {
+                if (event.has("number") && event.isTrue("ok")) {
                     acknowledged.merge(
                             event.process(), event, (a, b) -> a.number("number") > b.number("number") ? a : b);
                 }
--- a/harness/src/main/java/loadbalancer/harness/check/Linearizable.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Linearizable.java
@@ -127,7 +127,7 @@
         return switch (call.invoked.text("op")) {
             case "read" -> Objects.equals(call.returned.fields().get("value"), value);
             case "cas" ->
-                call.returned.yes("ok") == Objects.equals(call.invoked.fields().get("expect"), value);
+                call.returned.isTrue("ok") == Objects.equals(call.invoked.fields().get("expect"), value);
             default -> true;
         };
     }
--- a/harness/src/main/java/loadbalancer/harness/check/NoCrash.java
+++ b/harness/src/main/java/loadbalancer/harness/check/NoCrash.java
@@ -7,7 +7,7 @@
 public final class NoCrash extends Checker {
     @Override
     public void read(Event event) {
-        if (event.kind() == Event.Kind.KILLED && event.yes("crash")) {
+        if (event.kind() == Event.Kind.KILLED && event.isTrue("crash")) {
             violated(
                     event.atUs(),
                     event.process() + " ended by itself, exit code "
--- a/harness/src/main/java/loadbalancer/harness/check/VersionedList.java
+++ b/harness/src/main/java/loadbalancer/harness/check/VersionedList.java
@@ -37,13 +37,13 @@
 
     private void returned(Event event) {
         Event invoked = open.remove(event.number("call"));
-        if (invoked == null || !event.yes("ok")) {
+        if (invoked == null || !event.isTrue("ok")) {
             return;
         }
         long revision = event.number("revision");
         long before = seenAtCall.remove(event.number("call"));
         boolean list = invoked.text("op").equals("list");
-        if (revision < before + (list ? 0 : 1) && !invoked.yes("stale")) {
+        if (revision < before + (list ? 0 : 1) && !invoked.isTrue("stale")) {
             violated(
                     event.atUs(),
                     "revision " + revision + " after " + before + " had come back",
@@ -57,7 +57,7 @@
                 violated(event.atUs(), "revision " + revision + " used twice", List.of(twice, invoked, event));
             }
         }
-        newest = Math.max(newest, invoked.yes("stale") ? 0 : revision);
+        newest = Math.max(newest, invoked.isTrue("stale") ? 0 : revision);
     }
 
     @Override
--- a/harness/src/main/java/loadbalancer/harness/check/Versions.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Versions.java
@@ -23,12 +23,12 @@
                     return;
                 }
                 long seen = before.number("version");
-                if (event.number("version") < seen || event.number("version") == seen && !event.yes("whole")) {
+                if (event.number("version") < seen || event.number("version") == seen && !event.isTrue("whole")) {
                     violated(
                             event.atUs(),
                             "version " + event.number("version") + " after " + seen,
                             List.of(before, event));
-                } else if (!event.yes("whole") && event.number("from") != seen) {
+                } else if (!event.isTrue("whole") && event.number("from") != seen) {
                     violated(
                             event.atUs(),
                             "a gap: changes since " + event.number("from") + " after version " + seen,
--- a/harness/src/main/java/loadbalancer/harness/history/Event.java
+++ b/harness/src/main/java/loadbalancer/harness/history/Event.java
@@ -67,7 +67,7 @@
         return ((Number) fields.get(field)).doubleValue();
     }
 
-    public boolean yes(String field) {
+    public boolean isTrue(String field) {
         return Boolean.TRUE.equals(fields.get(field));
     }
 
