--- a/harness/src/main/java/loadbalancer/harness/history/History.java
+++ b/harness/src/main/java/loadbalancer/harness/history/History.java
@@ -45,12 +45,12 @@
      * @param file where the lines go, or null; closing it is the caller's
      * @param summed whether {@link #digest} is wanted, which takes as long as writing the lines
      */
-    public History(Timeline time, List<? extends Reader> readers, OutputStream file, boolean summed) {
+    public History(Timeline time, List<? extends Reader> readers, OutputStream file, boolean withDigest) {
         this.time = time;
         this.readers = readers;
         this.file = file;
         try {
-            digest = summed ? MessageDigest.getInstance("SHA-256") : null;
+            digest = withDigest ? MessageDigest.getInstance("SHA-256") : null;
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java has SHA-256", e);
         }
--- a/harness/src/main/java/loadbalancer/harness/membership/SimulatedFleet.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/SimulatedFleet.java
@@ -116,7 +116,7 @@
 
     /** Lets so much time pass. */
     public void run(long us) {
-        time.playUntil(time.nowUs() + us);
+        time.runUntil(time.nowUs() + us);
     }
 
     /** A fault of the network has begun or ended: from now on views may differ for a while. */
--- a/harness/src/main/java/loadbalancer/harness/run/Comparison.java
+++ b/harness/src/main/java/loadbalancer/harness/run/Comparison.java
@@ -5,20 +5,27 @@
 import java.util.SplittableRandom;
 
 /**
- * Two ways compared on the same seeds: the mean of the differences, and where 95 of 100 means lie that are
- * drawn from them anew (the bootstrap's percentile interval).
+ * Compares two variants, A and B, on the same seeds: the mean of the paired differences, and its 95 % confidence
+ * interval by the percentile bootstrap.
+ *
+ * @param worstA the smallest value of A
+ * @param worstB the smallest value of B
+ * @param difference mean of A - B
+ * @param from lower bound of the confidence interval
+ * @param to upper bound of the confidence interval
  */
 public record Comparison(
         double meanA, double meanB, double worstA, double worstB, double difference, double from, double to) {
+    /** Bootstrap samples. */
     private static final int DRAWS = 10_000;
 
-    /** Figures of A and B by seed. */
+    /** Compares the values of A and B, which are in the order of the seeds. */
     public static Comparison of(double[] a, double[] b) {
         double[] differences = new double[a.length];
         for (int i = 0; i < a.length; i++) {
             differences[i] = a[i] - b[i];
         }
-        // Its own fixed seed: the interval of the same figures is the same each time.
+        // A fixed seed: the same values always give the same interval.
         SplittableRandom random = new SplittableRandom(a.length);
         double[] means = new double[DRAWS];
         for (int draw = 0; draw < DRAWS; draw++) {
--- a/harness/src/main/java/loadbalancer/harness/run/Outcome.java
+++ b/harness/src/main/java/loadbalancer/harness/run/Outcome.java
@@ -9,16 +9,20 @@
 import loadbalancer.harness.simulation.World;
 
 /**
- * What came of one run.
+ * Result of one run.
  *
- * @param violations the first of each rule that was broken
- * @param events lines of its history
- * @param digest the sum over its history, or null where that was not asked for
+ * @param violations the first violation of each violated rule
+ * @param events number of lines in its history
+ * @param digest the digest of its history, or null if none was requested
  */
 public record Outcome(long seed, Score.Result score, List<Violation> violations, long events, String digest) {
-    /** Sums up a run that has come to its end. */
+    /**
+     * Ends the checkers and collects the result of a finished run.
+     *
+     * @param withDigest whether to include the digest of the history
+     */
     public static Outcome of(
-            long seed, World world, History history, List<Checker> checkers, long nowUs, boolean summed) {
+            long seed, World world, History history, List<Checker> checkers, long nowUs, boolean withDigest) {
         List<Violation> violations = new ArrayList<>();
         for (Checker checker : checkers) {
             checker.end(nowUs);
@@ -29,7 +33,7 @@
                 world.score().result(List.copyOf(world.servers().values())),
                 violations,
                 history.events(),
-                summed ? history.digest() : null);
+                withDigest ? history.digest() : null);
     }
 
     public boolean keepsRules() {
--- a/harness/src/main/java/loadbalancer/harness/run/ScenarioShrinker.java
+++ b/harness/src/main/java/loadbalancer/harness/run/ScenarioShrinker.java
@@ -8,11 +8,11 @@
 import loadbalancer.harness.scenario.Scenario;
 
 /**
- * Makes a scenario that breaks a rule smaller for as long as it still breaks the same one: faults are left
- * out one at a time, the run ends soon after the violation, then there are fewer nodes, servers and requests.
+ * Reduces a scenario that violates a rule to a smaller one that still violates the same rule. It removes faults one at
+ * a time, ends the run soon after the violation, and then reduces nodes, servers and load.
  */
 public final class ScenarioShrinker {
-    /** A run goes on for so long after the violation, so that its own end does not hide it. */
+    /** A run continues for this long after the violation, so that the end of the run does not hide it. */
     private static final long BEYOND_US = 1_000_000;
 
     private static final int MAX_RUNS = 200;
@@ -21,7 +21,11 @@
     private final String rule;
     private int runs;
 
-    /** A smaller scenario that still breaks the rule, and how. */
+    /**
+     * The smallest scenario found that still violates the rule.
+     *
+     * @param runs number of runs that the search took
+     */
     public record Result(Scenario scenario, Violation violation, int runs) {}
 
     private ScenarioShrinker(Function<Scenario, Outcome> runner, String rule) {
@@ -30,8 +34,10 @@
     }
 
     /**
-     * @param play plays a scenario with the seed that broke the rule
-     * @param found how it was broken
+     * Searches for a smaller scenario until no step makes it smaller, or after {@value #MAX_RUNS} runs.
+     *
+     * @param found a violation in a run of the scenario
+     * @param runner runs a scenario with the seed that led to the violation
      */
     public static Result shrink(Scenario scenario, Violation found, Function<Scenario, Outcome> runner) {
         ScenarioShrinker shrinker = new ScenarioShrinker(runner, found.rule());
@@ -39,8 +45,8 @@
         boolean smaller = true;
         while (smaller && shrinker.runs < MAX_RUNS) {
             smaller = false;
-            for (Scenario next : smallerCandidates(best)) {
-                Optional<Violation> still = shrinker.breaks(next);
+            for (Scenario next : candidates(best)) {
+                Optional<Violation> still = shrinker.findViolation(next);
                 if (still.isPresent()) {
                     best = new Result(next, still.get(), shrinker.runs);
                     smaller = true;
@@ -51,42 +57,40 @@
         return new Result(best.scenario, best.violation, shrinker.runs);
     }
 
-    private Optional<Violation> breaks(Scenario scenario) {
+    private Optional<Violation> findViolation(Scenario scenario) {
         runs++;
         return runner.apply(scenario).violations().stream()
                 .filter(v -> v.rule().equals(rule))
                 .findFirst();
     }
 
-    /** What to try next, the largest step first. */
-    private static List<Scenario> smallerCandidates(Result current) {
+    /** Smaller scenarios to try next, the largest reduction first. */
+    private static List<Scenario> candidates(Result from) {
         List<Scenario> candidates = new ArrayList<>();
-        Scenario scenario = current.scenario;
-        for (int i = 0; i < scenario.faults().size(); i++) {
-            List<Scenario.FaultSpec> fewer = new ArrayList<>(scenario.faults());
+        Scenario s = from.scenario;
+        for (int i = 0; i < s.faults().size(); i++) {
+            List<Scenario.FaultSpec> fewer = new ArrayList<>(s.faults());
             fewer.remove(i);
-            candidates.add(scenario.with(fewer));
+            candidates.add(s.with(fewer));
         }
-        long neededUs = current.violation.atUs() + BEYOND_US;
-        if (neededUs < scenario.lengthUs()) {
-            candidates.add(scenario.with(neededUs, scenario.fleet(), scenario.load()));
+        long neededUs = from.violation.atUs() + BEYOND_US;
+        if (neededUs < s.lengthUs()) {
+            candidates.add(s.with(neededUs, s.fleet(), s.load()));
         }
-        Scenario.Fleet fleet = scenario.fleet();
-        Scenario.Load load = scenario.load();
-        if (fleet.nodes() > 1) {
-            candidates.add(scenario.with(scenario.lengthUs(), fleet.first(fleet.nodes() / 2, fleet.servers()), load));
+        Scenario.Fleet f = s.fleet();
+        Scenario.Load l = s.load();
+        if (f.nodes() > 1) {
+            candidates.add(s.with(s.lengthUs(), f.first(f.nodes() / 2, f.servers()), l));
         }
-        if (fleet.servers() > 1) {
-            candidates.add(scenario.with(
-                    scenario.lengthUs(),
-                    fleet.first(fleet.nodes(), fleet.servers() / 2),
-                    load.of(load.perSecond() / 2, load.keys())));
+        if (f.servers() > 1) {
+            candidates.add(
+                    s.with(s.lengthUs(), f.first(f.nodes(), f.servers() / 2), l.with(l.perSecond() / 2, l.keys())));
         }
-        if (load.keys() > 0) {
-            candidates.add(scenario.with(scenario.lengthUs(), fleet, load.of(load.perSecond(), 0)));
+        if (l.keys() > 0) {
+            candidates.add(s.with(s.lengthUs(), f, l.with(l.perSecond(), 0)));
         }
-        if (load.perSecond() > 1) {
-            candidates.add(scenario.with(scenario.lengthUs(), fleet, load.of(load.perSecond() / 2, load.keys())));
+        if (l.perSecond() > 1) {
+            candidates.add(s.with(s.lengthUs(), f, l.with(l.perSecond() / 2, l.keys())));
         }
         return candidates;
     }
--- a/harness/src/main/java/loadbalancer/harness/run/SeedSweep.java
+++ b/harness/src/main/java/loadbalancer/harness/run/SeedSweep.java
@@ -9,15 +9,22 @@
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
 
-/** The same run with many seeds, several at a time; what comes of each does not depend on how many. */
+/**
+ * Runs the same task with many seeds, several at a time. The result for a seed does not depend on how many run at a
+ * time.
+ */
 public final class SeedSweep {
     private SeedSweep() {}
 
     /**
+     * Runs the task for each seed, and blocks until all have ended.
+     *
      * @param first the first seed; the others follow it
-     * @param cores how many run at a time
-     * @param done told of each, in the order of seeds, by the thread that called this
-     * @return what came of each, in the order of seeds
+     * @param count number of seeds
+     * @param cores number of runs at a time
+     * @param done called with each result in the order of the seeds, on the calling thread
+     * @return the results in the order of the seeds
+     * @throws IllegalStateException if a run throws an exception, which is the cause
      */
     public static <T> List<T> run(long first, int count, int cores, LongFunction<T> task, Consumer<T> done)
             throws InterruptedException {
--- a/harness/src/main/java/loadbalancer/harness/run/SimulatedRun.java
+++ b/harness/src/main/java/loadbalancer/harness/run/SimulatedRun.java
@@ -15,50 +15,52 @@
 import loadbalancer.harness.time.Simulator;
 import loadbalancer.harness.time.Timeline;
 
-/** Plays a scenario in simulated time. */
+/** Runs a scenario in simulated time. */
 public final class SimulatedRun {
     private static final long SECOND_US = 1_000_000;
     /**
-     * Begins the name of the random stream of each fault. The older word for a fault stays in it: the seed of a
-     * stream is made of its name, and a kept seed has to give the same run, byte for byte.
+     * Prefix of the name of each fault's random stream. It keeps the older word for a fault: the seed of a stream is
+     * derived from its name, and a recorded seed has to give the same run, byte for byte.
      */
     private static final String STREAM_PREFIX = "trouble ";
 
     private SimulatedRun() {}
 
-    /** Whoever follows a run while it goes on, once a simulated second. */
+    /** Receives the progress of a run, once per simulated second. */
     public interface Progress {
         void onSecond(long nowUs, World world);
     }
 
-    /** With no file and nobody looking on. */
+    /** Runs a scenario without a history file, a digest or a progress listener. */
     public static Outcome run(Scenario scenario, long seed, Policy policy) {
         return run(scenario, seed, policy, null, false, (nowUs, world) -> {});
     }
 
     /**
-     * @param file where the history goes, or null
-     * @param summed whether the outcome is to hold the sum over the history
+     * Runs a scenario to its end.
+     *
+     * @param file receives the history, or null; the caller closes it
+     * @param withDigest whether the outcome contains the digest of the history
      */
     public static Outcome run(
-            Scenario scenario, long seed, Policy policy, OutputStream file, boolean summed, Progress progress) {
+            Scenario scenario, long seed, Policy policy, OutputStream file, boolean withDigest, Progress progress) {
         Simulator time = new Simulator(seed);
         List<Checker> checkers = Checkers.of(scenario, 0);
-        History history = new History(time, checkers, file, summed);
+        History history = new History(time, checkers, file, withDigest);
         history.add("rig", Kind.RUN, "scenario", scenario.name(), "seed", seed, "real", false);
         World world = World.simulated(scenario, time, history, policy);
         world.start();
         world.startClients();
         scheduleFaults(world, time);
         for (long second = SECOND_US; second < world.endUs(); second += SECOND_US) {
-            time.playUntil(second);
+            time.runUntil(second);
             progress.onSecond(second, world);
         }
-        time.playUntil(world.endUs());
-        return Outcome.of(seed, world, history, checkers, time.nowUs(), summed);
+        time.runUntil(world.endUs());
+        return Outcome.of(seed, world, history, checkers, time.nowUs(), withDigest);
     }
 
-    /** Schedules the faults of a world's scenario, from when clients begin to send. */
+    /** Schedules the faults of a world's scenario; their times count from now, when clients begin to send. */
     public static void scheduleFaults(World world, Timeline time) {
         int number = 0;
         for (Scenario.FaultSpec spec : world.scenario().faults()) {
--- a/harness/src/main/java/loadbalancer/harness/run/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/run/package-info.java
@@ -1,2 +1,2 @@
-/** Runs of scenarios: one seed, many seeds, shrinking and comparing. */
+/** Runs of scenarios: with one seed, with many seeds, shrinking a scenario, and comparing two variants. */
 package loadbalancer.harness.run;
--- a/harness/src/main/java/loadbalancer/harness/scenario/Scenario.java
+++ b/harness/src/main/java/loadbalancer/harness/scenario/Scenario.java
@@ -79,7 +79,7 @@
             double perSecond, double zoneSkew, int keys, double keyZipf, List<Double> zoneShares, List<Double> shape) {
 
         /** With this much asked for, and so many keys. */
-        public Load of(double otherPerSecond, int otherKeys) {
+        public Load with(double otherPerSecond, int otherKeys) {
             return new Load(otherPerSecond, zoneSkew, otherKeys, keyZipf, zoneShares, shape);
         }
     }
--- a/harness/src/main/java/loadbalancer/harness/time/Simulator.java
+++ b/harness/src/main/java/loadbalancer/harness/time/Simulator.java
@@ -4,48 +4,48 @@
 import java.util.SplittableRandom;
 
 /**
- * Virtual time: a queue of events ordered by time and, at the same time, by when they were asked for. One
- * thread; the same seed gives the same run to the byte.
+ * A timeline of virtual time: a queue of tasks ordered by time, and by the order of scheduling at equal times.
+ * Single-threaded; the same seed gives the same run, byte for byte.
  */
 public final class Simulator implements Timeline {
-    /** Most events that may be due at once; a world that holds more will not settle. */
+    /** Maximum number of scheduled tasks. A simulation that schedules more does not come to an end. */
     public static final int MAX_SCHEDULED = 10_000_000;
 
     private final long seed;
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
     private long nowUs;
-    private long asked;
-    private long played;
+    private long nextSequence;
+    private long executedTasks;
 
-    /** A world that has more due than can ever settle. */
-    public static final class NeverSettledException extends RuntimeException {
+    /** Thrown when a task is scheduled while the queue is full. */
+    public static final class QueueFullException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        NeverSettledException(String message) {
+        QueueFullException(String message) {
             super(message);
         }
     }
 
-    private static final class Due implements Timer, Comparable<Due> {
+    private static final class ScheduledTask implements Timer, Comparable<ScheduledTask> {
         private final long atUs;
-        private final long number;
-        private Runnable what;
+        private final long sequence;
+        private Runnable task;
 
-        Due(long atUs, long number, Runnable what) {
+        ScheduledTask(long atUs, long sequence, Runnable task) {
             this.atUs = atUs;
-            this.number = number;
-            this.what = what;
+            this.sequence = sequence;
+            this.task = task;
         }
 
         @Override
         public void cancel() {
-            what = null;
+            task = null;
         }
 
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(ScheduledTask other) {
             int byTime = Long.compare(atUs, other.atUs);
-            return byTime != 0 ? byTime : Long.compare(number, other.number);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -59,14 +59,14 @@
     }
 
     @Override
-    public Timer at(long atUs, Runnable what) {
-        if (due.size() >= MAX_SCHEDULED) {
-            throw new NeverSettledException("never settled: " + due.size() + " events are due at " + nowUs
-                    + " us, the next at " + due.peek().atUs + " us");
+    public Timer at(long atUs, Runnable task) {
+        if (queue.size() >= MAX_SCHEDULED) {
+            throw new QueueFullException("queue of tasks is full: " + queue.size() + " are scheduled at " + nowUs
+                    + " us, the next at " + queue.peek().atUs + " us");
         }
-        Due added = new Due(Math.max(nowUs, atUs), asked++, what);
-        due.add(added);
-        return added;
+        ScheduledTask scheduled = new ScheduledTask(Math.max(nowUs, atUs), nextSequence++, task);
+        queue.add(scheduled);
+        return scheduled;
     }
 
     @Override
@@ -74,21 +74,21 @@
         return RandomStreams.stream(seed, actor);
     }
 
-    /** Plays all that is due up to this time, this time included, and what that brings up. */
-    public void playUntil(long untilUs) {
-        while (!due.isEmpty() && due.peek().atUs <= untilUs) {
-            Due next = due.poll();
-            if (next.what != null) {
+    /** Runs all tasks due up to this time, inclusive, and the tasks that these schedule up to it. */
+    public void runUntil(long untilUs) {
+        while (!queue.isEmpty() && queue.peek().atUs <= untilUs) {
+            ScheduledTask next = queue.poll();
+            if (next.task != null) {
                 nowUs = next.atUs;
-                played++;
-                next.what.run();
+                executedTasks++;
+                next.task.run();
             }
         }
         nowUs = Math.max(nowUs, untilUs);
     }
 
-    /** How many events it has played. */
-    public long played() {
-        return played;
+    /** Number of tasks run so far. */
+    public long executedTasks() {
+        return executedTasks;
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/time/Timeline.java
+++ b/harness/src/main/java/loadbalancer/harness/time/Timeline.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The time that a world lives in, and its chance: virtual and seeded in simulation, the system's in a real
- * run. What is scheduled runs one after the other, never inside something else that runs.
+ * The clock, scheduler and source of random numbers of a run: virtual time in a simulated run, the system's time in a
+ * run with processes. Scheduled tasks run one after the other, never nested inside another task.
  */
 public interface Timeline {
 
@@ -12,24 +12,21 @@
     long nowUs();
 
     /**
-     * Runs it at this time, or as soon as may be where that has passed; in the order asked for at equal
-     * times.
+     * Schedules a task for this time, or as soon as possible if the time has passed. Tasks of equal times run in the
+     * order of scheduling.
      */
-    Timer at(long atUs, Runnable what);
+    Timer at(long atUs, Runnable task);
 
-    default Timer after(long us, Runnable what) {
-        return at(nowUs() + us, what);
+    default Timer after(long delayUs, Runnable task) {
+        return at(nowUs() + delayUs, task);
     }
 
-    /**
-     * The random numbers of one actor, the same for the same seed and name whatever else there is in the
-     * world.
-     */
+    /** Returns the random numbers of one actor. They depend only on the seed and the actor's name. */
     SplittableRandom stream(String actor);
 
-    /** Something scheduled. */
+    /** A scheduled task. */
     interface Timer {
-        /** Calls it off; nothing if it has run. */
+        /** Cancels the task; has no effect once it has run. */
         void cancel();
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/time/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/time/package-info.java
@@ -1,2 +1,2 @@
-/** Virtual time and the streams of random numbers. */
+/** The clock and scheduler of a run, in virtual time, and the streams of random numbers. */
 package loadbalancer.harness.time;
--- a/harness/src/test/java/loadbalancer/harness/time/SimulatorTest.java
+++ b/harness/src/test/java/loadbalancer/harness/time/SimulatorTest.java
@@ -21,7 +21,7 @@
         time.at(10, () -> seen.add("b at " + time.nowUs()));
         time.at(15, () -> seen.add("off")).cancel();
         time.at(31, () -> seen.add("beyond"));
-        time.playUntil(30);
+        time.runUntil(30);
         assertEquals(List.of("a at 10", "b at 10", "late at 10", "c at 20"), seen);
         assertEquals(30, time.nowUs());
     }
