--- a/harness/src/main/java/loadbalancer/harness/history/Event.java
+++ b/harness/src/main/java/loadbalancer/harness/history/Event.java
@@ -3,55 +3,65 @@
 import java.util.Map;
 
 /**
- * One thing that happened, as the checkers read it.
+ * One event of a run's history.
  *
- * @param atUs microseconds since the run began
- * @param process whose doing it was
- * @param kind what it was
- * @param fields the rest, in the order in which it is written down: text, whole numbers, decimals and yes or
- *    no
+ * @param atUs microseconds since the start of the run
+ * @param process the process that the event is about, or the harness itself
+ * @param fields values by name, in the order in which they are written: strings, integers, decimals and booleans
  */
 public record Event(long atUs, String process, Kind kind, Map<String, Object> fields) {
 
-    /** What can happen. Fields stand in {@code docs/rig.md}. */
+    /** The kinds of events. Histories store these names. The fields of each are listed in {@code docs/rig.md}. */
     public enum Kind {
-        /** A run begins; always the first. */
+        /** Start of a run; always the first event. */
         RUN,
-        /** A process began, was told to end, was killed, stands still, goes on. */
+        /** A process has started. */
         STARTED,
+        /** A process has been asked to shut down. */
         ENDING,
+        /** A process has ended. */
         KILLED,
+        /** A process has been paused. */
         PAUSED,
+        /** A paused process has resumed. */
         RESUMED,
-        /**
-         * A request reached a node; an attempt left it, and ended; the client has its final answer, or left.
-         */
+        /** A node has received a request. */
         ASK,
+        /** A node has sent an attempt to an app server. */
         SEND,
+        /** An attempt has ended. */
         OUTCOME,
+        /** A node has sent the final response to a request. */
         ANSWER,
+        /** The client of a request has disconnected. */
         LEFT,
-        /** An app server served an attempt; it fell over. */
+        /** An app server has served an attempt. */
         SERVED,
+        /** A cold app server has collapsed under overload. */
         FELL,
-        /** A node was told of an app server, or to keep one out. */
+        /** The endpoint list has notified a node of the state of an app server. */
         TOLD,
+        /** A node has cordoned an app server. */
         CORDON,
+        /** A node has ended the cordon of an app server. */
         UNCORDON,
-        /** The rig hurt something, or healed it. */
+        /** The harness has injected a fault. */
         FAULT,
+        /** The harness has ended a fault. */
         HEALED,
-        /** A call to something shared began, and came back. */
+        /** A call to a shared object, such as a register, has begun. */
         INVOKE,
+        /** A call to a shared object has returned. */
         RETURN,
-        /**
-         * A watcher saw a version; a decision used a value; a lease was taken, and given up; views were equal
-         * or not.
-         */
+        /** A watcher has received a version. */
         WATCHED,
+        /** A decision has used a value. */
         USED,
+        /** A process has acquired a lease. */
         LEASED,
+        /** A process has released a lease. */
         RELEASED,
+        /** A process holds a view with this digest. */
         VIEW
     }
 
--- a/harness/src/main/java/loadbalancer/harness/history/History.java
+++ b/harness/src/main/java/loadbalancer/harness/history/History.java
@@ -20,14 +20,14 @@
 import loadbalancer.harness.time.Timeline;
 
 /**
- * What happened in one run, a line of JSON each, passed to the referee as it happens. Without a file to go to
- * it is only passed on and summed up, so that a thousand seeds need no disk.
+ * The history of one run. It passes each event to the readers as it happens, and writes it as one line of JSON to a
+ * file, if there is one. Without a file, a thousand seeds need no disk space.
  */
 public final class History {
-    /** Most bytes of a history; a run that has more fails, as a cut history proves nothing. */
+    /** Maximum size of a history in bytes. A run that exceeds it fails, because a truncated history proves nothing. */
     public static final long MAX_BYTES = 1L << 30;
 
-    /** Whoever reads along. */
+    /** Receives the events of a history in order. */
     public interface Reader {
         void read(Event event);
     }
@@ -42,8 +42,10 @@
     private long events;
 
     /**
-     * @param file where the lines go, or null; closing it is the caller's
-     * @param summed whether {@link #digest} is wanted, which takes as long as writing the lines
+     * Creates an empty history.
+     *
+     * @param file receives the lines, or null; the caller closes it
+     * @param withDigest whether to compute {@link #digest}, which takes as long as writing the lines
      */
     public History(Timeline time, List<? extends Reader> readers, OutputStream file, boolean withDigest) {
         this.time = time;
@@ -56,13 +58,17 @@
         }
     }
 
-    /** Writes down that something happened now: names and values of its fields in turn. */
+    /**
+     * Adds an event that happens now.
+     *
+     * @param fields names and values of the fields, alternating
+     */
     public void add(String process, Kind kind, Object... fields) {
-        Map<String, Object> named = new LinkedHashMap<>();
+        Map<String, Object> byName = new LinkedHashMap<>();
         for (int i = 0; i < fields.length; i += 2) {
-            named.put((String) fields[i], fields[i + 1]);
+            byName.put((String) fields[i], fields[i + 1]);
         }
-        Event event = new Event(time.nowUs(), process, kind, named);
+        Event event = new Event(time.nowUs(), process, kind, byName);
         events++;
         if (file != null || digest != null) {
             write(line(event).getBytes(StandardCharsets.UTF_8));
@@ -75,7 +81,7 @@
     private void write(byte[] line) {
         bytes += line.length;
         if (bytes > MAX_BYTES) {
-            throw new IllegalStateException("the history has grown over " + MAX_BYTES + " bytes");
+            throw new IllegalStateException("the history exceeds " + MAX_BYTES + " bytes");
         }
         if (digest != null) {
             digest.update(line);
@@ -85,11 +91,11 @@
                 file.write(line);
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("history", e);
+            throw new UncheckedIOException("cannot write the history", e);
         }
     }
 
-    /** The event as it stands in a history, its end of line included. */
+    /** Returns the line of the history for an event, including the line break. */
     public static String line(Event event) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
@@ -100,12 +106,12 @@
             for (Map.Entry<String, Object> field : event.fields().entrySet()) {
                 json.writeFieldName(field.getKey());
                 Object value = field.getValue();
-                if (value instanceof Boolean yes) {
-                    json.writeBoolean(yes);
+                if (value instanceof Boolean flag) {
+                    json.writeBoolean(flag);
                 } else if (value instanceof Double decimal) {
                     json.writeNumber(decimal);
-                } else if (value instanceof Number whole) {
-                    json.writeNumber(whole.longValue());
+                } else if (value instanceof Number integer) {
+                    json.writeNumber(integer.longValue());
                 } else {
                     json.writeString(String.valueOf(value));
                 }
@@ -117,7 +123,7 @@
         return text.append('\n').toString();
     }
 
-    /** Reads a history that was written down, event by event. */
+    /** Reads a stored history and passes each event to the reader. */
     public static void read(InputStream from, Reader reader) throws IOException {
         try (JsonParser json = JSON.createParser(from)) {
             while (json.nextToken() == JsonToken.START_OBJECT) {
@@ -152,7 +158,7 @@
         }
         if (kind == null) {
             throw new IOException(
-                    "an event without a kind at " + json.currentLocation().offsetDescription());
+                    "event without a kind at " + json.currentLocation().offsetDescription());
         }
         return new Event(atUs, process, kind, fields);
     }
@@ -161,7 +167,10 @@
         return events;
     }
 
-    /** The sum over all lines so far: equal for two runs that went the same way to the byte. */
+    /**
+     * Returns the SHA-256 over all lines so far in hexadecimal. It is equal for two runs whose histories are equal, byte
+     * for byte. Requires that the history was created with a digest.
+     */
     public String digest() {
         try {
             return HexFormat.of().formatHex(((MessageDigest) digest.clone()).digest());
--- a/harness/src/main/java/loadbalancer/harness/history/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/history/package-info.java
@@ -1,2 +1,2 @@
-/** The events of a run, one JSON line each, and sums over them. */
+/** The history of a run: its events, one line of JSON each, and a digest over them. */
 package loadbalancer.harness.history;
