--- a/harness/src/main/java/loadbalancer/harness/check/AckedWrites.java
+++ b/harness/src/main/java/loadbalancer/harness/check/AckedWrites.java
@@ -6,9 +6,10 @@
 import loadbalancer.harness.history.Event;
 
 /**
- * What was acknowledged as durable is there after every restart. {@code RETURN} of an op append acknowledges
- * its number; {@code STARTED} of a process with a store tells the highest number that it found, {@code
- * found}.
+ * Checks that every write that was acknowledged as durable is present after each restart.
+ *
+ * <p>{@code RETURN} with ok acknowledges the write with its {@code number}. {@code STARTED} of a process that has a
+ * store contains the highest number that it {@code found}.
  */
 public final class AckedWrites extends Checker {
     private final Map<String, Event> acknowledged = new HashMap<>();
@@ -25,9 +26,10 @@
             case STARTED -> {
                 Event last = acknowledged.get(event.process());
                 if (last != null && event.has("found") && event.number("found") < last.number("number")) {
-                    violated(
+                    addViolation(
                             event.atUs(),
-                            "found " + event.number("found") + " though " + last.number("number") + " was acknowledged",
+                            "found " + event.number("found") + " although " + last.number("number")
+                                    + " was acknowledged",
                             List.of(last, event));
                 }
             }
--- a/harness/src/main/java/loadbalancer/harness/check/Ages.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Ages.java
@@ -4,8 +4,8 @@
 import loadbalancer.harness.history.Event;
 
 /**
- * No decision used a value that was older than its bound, by the true time at which it was written: {@code
- * USED}.
+ * Checks that no decision uses a value older than its bound. The age counts from the time of the run at which the value
+ * was written. {@code USED} has value, written and bound, both in microseconds.
  */
 public final class Ages extends Checker {
     @Override
@@ -13,7 +13,7 @@
         if (event.kind() == Event.Kind.USED) {
             long ageUs = event.atUs() - event.number("written");
             if (ageUs > event.number("bound")) {
-                violated(
+                addViolation(
                         event.atUs(),
                         event.text("value") + " was " + ageUs + " us old, bound " + event.number("bound"),
                         List.of(event));
--- a/harness/src/main/java/loadbalancer/harness/check/Checker.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Checker.java
@@ -5,38 +5,46 @@
 import loadbalancer.harness.history.Event;
 import loadbalancer.harness.history.History;
 
-/** Reads a history once, forwards, and says what in it must not have happened. */
+/** Reads a history once, in order, and reports violations of one rule. */
 public abstract class Checker implements History.Reader {
-    /** More than so many tell nothing new. */
+    /** Number of violations that are kept; further ones are only counted. */
     static final int MAX_VIOLATIONS = 100;
 
     private final List<Violation> violations = new ArrayList<>();
-    private long found;
+    private long violationCount;
 
-    /** The rule's name, as scenarios and reports use it. */
+    /**
+     * Returns the name of the rule, which reports store. It is the name of the class, so that renaming a checker
+     * changes reports.
+     */
     public final String name() {
         return getClass().getSimpleName();
     }
 
-    /** The history has come to its end. */
+    /** Called at the end of the history. */
     public void end(long nowUs) {
-        // Most rules are broken by an event and not by the want of one.
+        // Most rules are violated by an event, not by a missing one.
     }
 
-    /** The first ones, in order. */
+    /** Returns the first {@value #MAX_VIOLATIONS} violations, in order. */
     public final List<Violation> violations() {
         return List.copyOf(violations);
     }
 
-    /** How many there were in all. */
-    public final long found() {
-        return found;
+    /** Returns the number of all violations, including those that are not kept. */
+    public final long violationCount() {
+        return violationCount;
     }
 
-    protected final void violated(long atUs, String what, List<Event> events) {
-        found++;
+    /**
+     * Records a violation.
+     *
+     * @param events what led to it, in order
+     */
+    protected final void addViolation(long atUs, String description, List<Event> events) {
+        violationCount++;
         if (violations.size() < MAX_VIOLATIONS) {
-            violations.add(new Violation(name(), atUs, what, List.copyOf(events)));
+            violations.add(new Violation(name(), atUs, description, List.copyOf(events)));
         }
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/check/Checkers.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Checkers.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import loadbalancer.harness.scenario.Scenario;
 
-/** The checkers that every run of a fleet is held to. */
+/** Creates the checkers that apply to every run of a fleet. */
 public final class Checkers {
     private Checkers() {}
 
     /**
-     * One of each of the platform's, with the figures of a scenario.
+     * Returns a new checker for each rule of the platform, with the limits of a scenario.
      *
-     * @param slackUs by how much the times of a history may be off
+     * @param slackUs inaccuracy of the times of a history, which is added to the time limits
      */
     public static List<Checker> of(Scenario scenario, long slackUs) {
         Scenario.Rules rules = scenario.rules();
--- a/harness/src/main/java/loadbalancer/harness/check/ColdServers.java
+++ b/harness/src/main/java/loadbalancer/harness/check/ColdServers.java
@@ -9,19 +9,23 @@
 import loadbalancer.harness.history.Event;
 
 /**
- * No cold server is pushed over by nodes that had been told of its start: they made up two thirds of what
- * felled it.
+ * Checks that no cold app server collapses under the load of nodes that knew it was cold. It is a violation if more
+ * than two thirds of the attempts in the window before the collapse came from nodes that had been notified of its
+ * start.
  */
 public final class ColdServers extends Checker {
-    private static final double BLAMED_FROM = 2.0 / 3;
+    private static final double MAX_NOTIFIED_SHARE = 2.0 / 3;
 
-    private final long deduplicationWindowUs;
+    private final long overloadWindowUs;
+    /** Start of each app server, in microseconds, if it started after the beginning of the run. */
     private final Map<String, Long> startedAt = new HashMap<>();
+    /** By app server: the nodes that were notified of its latest start. */
     private final Map<String, Set<String>> notified = new HashMap<>();
+    /** By app server: the attempts sent to it within the window. */
     private final Map<String, ArrayDeque<Event>> sent = new HashMap<>();
 
-    public ColdServers(long deduplicationWindowUs) {
-        this.deduplicationWindowUs = deduplicationWindowUs;
+    public ColdServers(long overloadWindowUs) {
+        this.overloadWindowUs = overloadWindowUs;
     }
 
     @Override
@@ -44,28 +48,29 @@
                 ArrayDeque<Event> to = sent.get(event.text("server"));
                 if (to != null) {
                     to.add(event);
-                    while (to.peek().atUs() < event.atUs() - deduplicationWindowUs) {
+                    while (to.peek().atUs() < event.atUs() - overloadWindowUs) {
                         to.poll();
                     }
                 }
             }
-            case FELL -> judge(event);
+            case FELL -> checkCollapse(event);
             default -> {}
         }
     }
 
-    private void judge(Event fell) {
-        Set<String> knew = notified.get(fell.process());
-        List<Event> all = sent.get(fell.process()).stream()
-                .filter(e -> e.atUs() >= fell.atUs() - deduplicationWindowUs)
+    private void checkCollapse(Event collapse) {
+        Set<String> notifiedNodes = notified.get(collapse.process());
+        List<Event> all = sent.get(collapse.process()).stream()
+                .filter(e -> e.atUs() >= collapse.atUs() - overloadWindowUs)
                 .toList();
-        List<Event> byThose =
-                all.stream().filter(e -> knew.contains(e.process())).toList();
-        if (byThose.size() > BLAMED_FROM * all.size()) {
-            violated(
-                    fell.atUs(),
-                    byThose.size() + " of " + all.size() + " sends that felled it came from nodes told of its start",
-                    List.of(fell));
+        List<Event> byNotified =
+                all.stream().filter(e -> notifiedNodes.contains(e.process())).toList();
+        if (byNotified.size() > MAX_NOTIFIED_SHARE * all.size()) {
+            addViolation(
+                    collapse.atUs(),
+                    byNotified.size() + " of " + all.size()
+                            + " attempts before its collapse came from nodes notified of its start",
+                    List.of(collapse));
         }
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/check/Converged.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Converged.java
@@ -5,11 +5,14 @@
 import java.util.TreeMap;
 import loadbalancer.harness.history.Event;
 
-/** Within a time after the last fault all processes that live hold the same view: {@code VIEW} has digest. */
+/**
+ * Checks that all running processes hold the same view within a time after the last fault and the last start, end,
+ * pause or resumption of a process. {@code VIEW} has the digest of a view.
+ */
 public final class Converged extends Checker {
     private final long withinUs;
     private final Map<String, Event> views = new TreeMap<>();
-    private long hurtAtUs;
+    private long lastFaultAtUs;
 
     public Converged(long withinUs) {
         this.withinUs = withinUs;
@@ -21,9 +24,9 @@
             case VIEW -> views.put(event.process(), event);
             case KILLED -> {
                 views.remove(event.process());
-                hurtAtUs = event.atUs();
+                lastFaultAtUs = event.atUs();
             }
-            case STARTED, ENDING, PAUSED, RESUMED, FAULT, HEALED -> hurtAtUs = event.atUs();
+            case STARTED, ENDING, PAUSED, RESUMED, FAULT, HEALED -> lastFaultAtUs = event.atUs();
             default -> {}
         }
     }
@@ -32,10 +35,10 @@
     public void end(long nowUs) {
         long digests =
                 views.values().stream().map(e -> e.text("digest")).distinct().count();
-        if (nowUs >= hurtAtUs + withinUs && digests > 1) {
-            violated(
+        if (nowUs >= lastFaultAtUs + withinUs && digests > 1) {
+            addViolation(
                     nowUs,
-                    digests + " different views " + (nowUs - hurtAtUs) + " us after the last fault",
+                    digests + " different views " + (nowUs - lastFaultAtUs) + " us after the last fault",
                     new ArrayList<>(views.values()));
         }
     }
--- a/harness/src/main/java/loadbalancer/harness/check/Cordons.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Cordons.java
@@ -6,21 +6,22 @@
 import loadbalancer.harness.history.Event;
 
 /**
- * Nothing goes to an app server that operators have taken out at that node, from the node's yes to their next
- * word.
+ * Checks that a node sends no attempt to an app server that is cordoned at this node, from the node's confirmation
+ * until the cordon ends.
  */
 public final class Cordons extends Checker {
-    private final Map<String, Event> out = new HashMap<>();
+    /** The {@code CORDON} event of each node and app server that is in effect. */
+    private final Map<String, Event> cordons = new HashMap<>();
 
     @Override
     public void read(Event event) {
         String pair = event.process() + " " + event.fields().get("server");
         switch (event.kind()) {
-            case CORDON -> out.putIfAbsent(pair, event);
-            case UNCORDON -> out.remove(pair);
+            case CORDON -> cordons.putIfAbsent(pair, event);
+            case UNCORDON -> cordons.remove(pair);
             case SEND -> {
-                if (out.containsKey(pair)) {
-                    violated(event.atUs(), "sent to a server that is out by hand", List.of(out.get(pair), event));
+                if (cordons.containsKey(pair)) {
+                    addViolation(event.atUs(), "attempt sent to a cordoned server", List.of(cordons.get(pair), event));
                 }
             }
             default -> {}
--- a/harness/src/main/java/loadbalancer/harness/check/Drains.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Drains.java
@@ -6,12 +6,12 @@
 import loadbalancer.harness.history.Event;
 
 /**
- * Nothing goes to an app server that a node was never told of, or was told drains or is gone, beyond the
- * grace.
+ * Checks that a node sends no attempt to an app server of which it was not notified, nor to one that is draining or
+ * gone, once the grace period since that notification has passed. A restarted node has to be notified again.
  */
 public final class Drains extends Checker {
     private final long graceUs;
-    /** The last notification of each node about each server. */
+    /** By node and app server: the notification from which the grace period counts. */
     private final Map<String, Map<String, Event>> notified = new HashMap<>();
 
     public Drains(long graceUs) {
@@ -25,7 +25,7 @@
             case TOLD -> {
                 Map<String, Event> toNode = notified.computeIfAbsent(event.process(), node -> new HashMap<>());
                 Event before = toNode.get(event.text("server"));
-                // Told to drain and later that it is gone: the grace runs from the first.
+                // Draining and then gone: the grace period starts at the first notification.
                 if (before == null || isReady(before) || isReady(event)) {
                     toNode.put(event.text("server"), event);
                 }
@@ -33,11 +33,13 @@
             case SEND -> {
                 Event last = notified.getOrDefault(event.process(), Map.of()).get(event.text("server"));
                 if (last == null) {
-                    violated(event.atUs(), "sent to a server that the node was never told of", List.of(event));
+                    addViolation(
+                            event.atUs(), "attempt sent to a server that the node was not notified of", List.of(event));
                 } else if (!isReady(last) && event.atUs() > last.atUs() + graceUs) {
-                    violated(
+                    addViolation(
                             event.atUs(),
-                            "sent " + (event.atUs() - last.atUs()) + " us after word that it is " + last.text("state"),
+                            "attempt sent " + (event.atUs() - last.atUs()) + " us after notification of state "
+                                    + last.text("state"),
                             List.of(last, event));
                 }
             }
--- a/harness/src/main/java/loadbalancer/harness/check/Linearizable.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Linearizable.java
@@ -10,15 +10,18 @@
 import loadbalancer.harness.history.Event;
 
 /**
- * Reads, writes and compare-and-sets of registers could have happened one after the other, each at some time
- * between its call and its return (Wing and Gong's search, with Lowe's memory of what was seen). A call that
- * never returned may have happened, or not. {@code INVOKE} has call, op (read, write, cas), key, value and,
- * for cas, expect; {@code RETURN} has call, ok, and for a read its value.
+ * Checks that reads, writes and compare-and-sets of registers are linearizable: that there is an order in which each
+ * takes effect at one moment between its call and its return. It is the search of Wing and Gong, with Lowe's cache of
+ * visited states. A call that never returned may or may not have taken effect.
+ *
+ * <p>{@code INVOKE} has call, op (read, write, cas), key, value and, for cas, expect. {@code RETURN} has call, ok, and
+ * for a read its value.
  */
 public final class Linearizable extends Checker {
-    /** Calls of one key beyond which the search is not tried: it takes exponential time at worst. */
+    /** Maximum number of calls of one key. The search takes exponential time in the worst case. */
     static final int MAX_CALLS = 10_000;
 
+    /** Maximum number of states that the search visits for one key. */
     private static final int MAX_STATES = 5_000_000;
 
     private final Map<String, List<Call>> byKey = new LinkedHashMap<>();
@@ -37,8 +40,8 @@
         }
     }
 
-    /** What has happened so far, as a set of calls, and the value that left. */
-    private record State(Set<Integer> done, String value) {}
+    /** The calls that have taken effect, by index, and the value of the register after them. */
+    private record State(Set<Integer> performed, String value) {}
 
     @Override
     public void read(Event event) {
@@ -65,10 +68,10 @@
     public void end(long nowUs) {
         byKey.forEach((key, calls) -> {
             if (calls.size() > MAX_CALLS) {
-                throw new IllegalStateException("register " + key + " has over " + MAX_CALLS + " calls");
+                throw new IllegalStateException("register " + key + " has more than " + MAX_CALLS + " calls");
             }
             if (!isLinearizable(calls)) {
-                violated(nowUs, "the calls of register " + key + " happened in no order", events(calls));
+                addViolation(nowUs, "the calls of register " + key + " are not linearizable", events(calls));
             }
         });
     }
@@ -85,42 +88,44 @@
     }
 
     private boolean isLinearizable(List<Call> calls) {
-        Set<State> seen = new HashSet<>();
-        List<State> toTry = new ArrayList<>();
-        toTry.add(new State(Set.of(), null));
-        while (!toTry.isEmpty()) {
-            State at = toTry.remove(toTry.size() - 1);
+        Set<State> visited = new HashSet<>();
+        List<State> pending = new ArrayList<>();
+        pending.add(new State(Set.of(), null));
+        while (!pending.isEmpty()) {
+            State current = pending.remove(pending.size() - 1);
             long firstEndUs = Long.MAX_VALUE;
-            boolean all = true;
+            boolean allPending = true;
             for (int i = 0; i < calls.size(); i++) {
-                if (!at.done.contains(i)) {
+                if (!current.performed.contains(i)) {
                     firstEndUs = Math.min(firstEndUs, calls.get(i).endsUs());
-                    all &= calls.get(i).returned == null;
+                    allPending &= calls.get(i).returned == null;
                 }
             }
-            if (all) {
+            if (allPending) {
                 return true;
             }
             for (int i = 0; i < calls.size(); i++) {
                 Call call = calls.get(i);
-                if (!at.done.contains(i) && call.invoked.atUs() <= firstEndUs && happens(call, at.value)) {
-                    Set<Integer> done = new HashSet<>(at.done);
-                    done.add(i);
-                    State next = new State(done, after(call, at.value));
-                    if (seen.add(next)) {
-                        toTry.add(next);
+                if (!current.performed.contains(i)
+                        && call.invoked.atUs() <= firstEndUs
+                        && isConsistent(call, current.value)) {
+                    Set<Integer> performed = new HashSet<>(current.performed);
+                    performed.add(i);
+                    State next = new State(performed, valueAfter(call, current.value));
+                    if (visited.add(next)) {
+                        pending.add(next);
                     }
                 }
             }
-            if (seen.size() > MAX_STATES) {
-                throw new IllegalStateException("too many orders to search; keep fewer calls to a register");
+            if (visited.size() > MAX_STATES) {
+                throw new IllegalStateException("too many states to search; use fewer calls per register");
             }
         }
         return false;
     }
 
-    /** Whether what came back is what comes back at this value. */
-    private static boolean happens(Call call, String value) {
+    /** Whether the result of a call is the one that it has at this value of the register. */
+    private static boolean isConsistent(Call call, String value) {
         if (call.returned == null) {
             return true;
         }
@@ -132,7 +137,7 @@
         };
     }
 
-    private static String after(Call call, String value) {
+    private static String valueAfter(Call call, String value) {
         return switch (call.invoked.text("op")) {
             case "write" -> call.invoked.text("value");
             case "cas" ->
--- a/harness/src/main/java/loadbalancer/harness/check/OneAnswer.java
+++ b/harness/src/main/java/loadbalancer/harness/check/OneAnswer.java
@@ -4,45 +4,47 @@
 import loadbalancer.harness.history.Event.Kind;
 
 /**
- * Every request that a node took has one final answer within its time and the grace, unless its client left
- * or the node was killed; what is served was served by an app server, for this request.
+ * Checks that every request that a node received has exactly one final response before its deadline plus the grace
+ * period, unless its client disconnected or the node was killed, and that a response with result OK was produced by an
+ * app server for this request.
  */
-public final class OneAnswer extends OpenRequests {
+public final class OneAnswer extends RequestChecker {
     private final long graceUs;
 
     public OneAnswer(long graceUs) {
         this.graceUs = graceUs;
     }
 
-    private long dueUs(Open of) {
-        return of.arrival.atUs() + of.arrival.number("left") + graceUs;
+    private long dueUs(TrackedRequest request) {
+        return request.arrival.atUs() + request.arrival.number("left") + graceUs;
     }
 
     @Override
-    void onRequestEvent(Open of, Event event) {
-        if (event.kind() == Kind.LEFT && !of.ended && event.atUs() > dueUs(of)) {
-            violated(event.atUs(), "its client gave up, due at " + dueUs(of) + " us", of.events);
+    void onRequestEvent(TrackedRequest request, Event event) {
+        if (event.kind() == Kind.LEFT && !request.ended && event.atUs() > dueUs(request)) {
+            addViolation(event.atUs(), "client gave up, response due at " + dueUs(request) + " us", request.events);
         }
         if (event.kind() != Kind.ANSWER) {
             return;
         }
-        if (of.ended && of.events.stream().anyMatch(e -> e.kind() == Kind.ANSWER && e != event)) {
-            violated(event.atUs(), "a second final answer", of.events);
-        } else if (!of.ended && event.atUs() > dueUs(of)) {
-            violated(event.atUs(), "answered " + (event.atUs() - dueUs(of)) + " us too late", of.events);
+        if (request.ended && request.events.stream().anyMatch(e -> e.kind() == Kind.ANSWER && e != event)) {
+            addViolation(event.atUs(), "second final response", request.events);
+        } else if (!request.ended && event.atUs() > dueUs(request)) {
+            addViolation(event.atUs(), "response " + (event.atUs() - dueUs(request)) + " us too late", request.events);
         }
         if (event.text("answer").equals("ALIEN")) {
-            violated(event.atUs(), "an answer made for another request", of.events);
-        } else if (event.text("answer").equals("OK") && of.events.stream().noneMatch(e -> e.kind() == Kind.SERVED)) {
-            violated(event.atUs(), "an answer that no app server made", of.events);
+            addViolation(event.atUs(), "response made for another request", request.events);
+        } else if (event.text("answer").equals("OK")
+                && request.events.stream().noneMatch(e -> e.kind() == Kind.SERVED)) {
+            addViolation(event.atUs(), "response that no app server made", request.events);
         }
     }
 
     @Override
     public void end(long nowUs) {
-        for (Open of : stillOpen()) {
-            if (nowUs > dueUs(of)) {
-                violated(nowUs, "never answered, due at " + dueUs(of) + " us", of.events);
+        for (TrackedRequest request : openRequests()) {
+            if (nowUs > dueUs(request)) {
+                addViolation(nowUs, "no response, due at " + dueUs(request) + " us", request.events);
             }
         }
     }
--- a/harness/src/main/java/loadbalancer/harness/check/Repeats.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Repeats.java
@@ -10,10 +10,11 @@
 import loadbalancer.policy.Idempotency;
 
 /**
- * What may have run is neither sent again nor called harmless to repeat, unless its class is safe; no more
- * attempts than allowed, no two at once where that is not, and none once the request is over.
+ * Checks the attempts of each request. A request of a non-idempotent class that may have run is neither retried nor
+ * rejected, as a rejection tells the client that it may repeat the request. A request has at most the allowed number of
+ * attempts, no concurrent ones unless hedging is allowed, and none after it has ended.
  */
-public final class Repeats extends OpenRequests {
+public final class Repeats extends RequestChecker {
     private final Scenario.Rules rules;
     private final Map<String, Idempotency> classes = new HashMap<>();
 
@@ -23,32 +24,35 @@
     }
 
     @Override
-    void onRequestEvent(Open of, Event event) {
+    void onRequestEvent(TrackedRequest request, Event event) {
         boolean refused = event.kind() == Kind.ANSWER && event.text("answer").equals("REFUSED");
         if (event.kind() == Kind.SEND) {
-            long sent = of.events.stream().filter(e -> e.kind() == Kind.SEND).count();
-            if (of.ended) {
-                violated(event.atUs(), "sent after its final answer", of.events);
+            long sent = request.events.stream().filter(e -> e.kind() == Kind.SEND).count();
+            if (request.ended) {
+                addViolation(event.atUs(), "attempt sent after the final response", request.events);
             }
             if (sent > rules.maxAttempts()) {
-                violated(event.atUs(), "attempt " + sent + " of " + rules.maxAttempts(), of.events);
+                addViolation(event.atUs(), "attempt " + sent + " of at most " + rules.maxAttempts(), request.events);
             }
-            if (!rules.hedging() && sent - 1 > outcomes(of)) {
-                violated(event.atUs(), "two attempts at once", of.events);
+            if (!rules.hedging() && sent - 1 > outcomes(request)) {
+                addViolation(event.atUs(), "two attempts at once without hedging", request.events);
             }
         }
         if ((event.kind() == Kind.SEND || refused)
-                && classes.get(of.cls()) == Idempotency.NON_IDEMPOTENT
-                && mayHaveRun(of.events.subList(0, of.events.size() - 1))) {
-            violated(event.atUs(), (refused ? "refused" : "sent again") + " though it may have run", of.events);
+                && classes.get(request.className()) == Idempotency.NON_IDEMPOTENT
+                && mayHaveRun(request.events.subList(0, request.events.size() - 1))) {
+            addViolation(
+                    event.atUs(),
+                    (refused ? "refused" : "retried") + " although an earlier attempt may have run",
+                    request.events);
         }
     }
 
-    private static long outcomes(Open of) {
-        return of.events.stream().filter(e -> e.kind() == Kind.OUTCOME).count();
+    private static long outcomes(TrackedRequest request) {
+        return request.events.stream().filter(e -> e.kind() == Kind.OUTCOME).count();
     }
 
-    /** Whether an attempt is not known never to have run. */
+    /** Whether any attempt may have run: it has no outcome yet, or one that does not rule it out. */
     private static boolean mayHaveRun(List<Event> events) {
         return events.stream()
                 .filter(e -> e.kind() == Kind.SEND)
--- a/harness/src/main/java/loadbalancer/harness/check/SingleLeaseHolder.java
+++ b/harness/src/main/java/loadbalancer/harness/check/SingleLeaseHolder.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import loadbalancer.harness.history.Event;
 
-/** No two processes hold a lease at once. {@code LEASED} has lease and until, {@code RELEASED} has lease. */
+/**
+ * Checks that no two processes hold a lease at the same time. {@code LEASED} has lease and until, its expiry;
+ * {@code RELEASED} has lease.
+ */
 public final class SingleLeaseHolder extends Checker {
     private final Map<String, Event> holders = new HashMap<>();
 
@@ -17,9 +20,10 @@
                 if (before != null
                         && !before.process().equals(event.process())
                         && before.number("until") > event.atUs()) {
-                    violated(
+                    addViolation(
                             event.atUs(),
-                            event.process() + " took " + event.text("lease") + " which " + before.process() + " held",
+                            event.process() + " acquired " + event.text("lease") + " while " + before.process()
+                                    + " held it",
                             List.of(before, event));
                 }
             }
--- a/harness/src/main/java/loadbalancer/harness/check/VersionedList.java
+++ b/harness/src/main/java/loadbalancer/harness/check/VersionedList.java
@@ -8,18 +8,20 @@
 import loadbalancer.harness.history.Event;
 
 /**
- * A list whose every change has a revision is linearizable: revisions are never used twice, a call that began
- * after another returned sees at least its revision, and a read holds just what the changes up to its
- * revision made. As revisions tell the order, no search is needed. {@code INVOKE} has call, op (put, remove,
- * list), entry and value; {@code RETURN} has call, ok, revision, and for list its digest, made of entries in
- * order as {@code a=1,b=2}. A read that says it may be stale is held to its content only.
+ * Checks that a list whose every change has a revision is linearizable. No revision is used twice. A call that begins
+ * after another has returned sees at least the revision of that one. A read returns exactly the result of all changes
+ * up to its revision. Revisions define the order, so that no search is needed. Of a read that is marked as stale only
+ * the content is checked.
+ *
+ * <p>{@code INVOKE} has call, op (put, remove, list), entry, value and stale. {@code RETURN} has call, ok, revision,
+ * and for list the digest, which consists of the sorted entries, as in {@code a=1,b=2}.
  */
 public final class VersionedList extends Checker {
     private final Map<Long, Event> open = new HashMap<>();
-    private final Map<Long, Long> seenAtCall = new HashMap<>();
+    private final Map<Long, Long> newestAtInvoke = new HashMap<>();
     private final TreeMap<Long, Event> changes = new TreeMap<>();
     private final Map<Event, Event> reads = new LinkedHashMap<>();
-    private long newest;
+    private long newestRevision;
 
     @Override
     public void read(Event event) {
@@ -27,7 +29,7 @@
             case INVOKE -> {
                 if (!event.has("key")) {
                     open.put(event.number("call"), event);
-                    seenAtCall.put(event.number("call"), newest);
+                    newestAtInvoke.put(event.number("call"), newestRevision);
                 }
             }
             case RETURN -> returned(event);
@@ -41,12 +43,12 @@
             return;
         }
         long revision = event.number("revision");
-        long before = seenAtCall.remove(event.number("call"));
+        long newestBefore = newestAtInvoke.remove(event.number("call"));
         boolean list = invoked.text("op").equals("list");
-        if (revision < before + (list ? 0 : 1) && !invoked.isTrue("stale")) {
-            violated(
+        if (revision < newestBefore + (list ? 0 : 1) && !invoked.isTrue("stale")) {
+            addViolation(
                     event.atUs(),
-                    "revision " + revision + " after " + before + " had come back",
+                    "revision " + revision + " after revision " + newestBefore + " was returned",
                     List.of(invoked, event));
         }
         if (list) {
@@ -54,29 +56,30 @@
         } else {
             Event twice = changes.put(revision, invoked);
             if (twice != null) {
-                violated(event.atUs(), "revision " + revision + " used twice", List.of(twice, invoked, event));
+                addViolation(event.atUs(), "revision " + revision + " used twice", List.of(twice, invoked, event));
             }
         }
-        newest = Math.max(newest, invoked.isTrue("stale") ? 0 : revision);
+        newestRevision = Math.max(newestRevision, invoked.isTrue("stale") ? 0 : revision);
     }
 
     @Override
     public void end(long nowUs) {
         reads.forEach((invoked, returned) -> {
             long revision = returned.number("revision");
-            // Changes that never returned may have happened: only where all revisions are known can it be
-            // told.
+            // A change that never returned may have taken effect. The content can be checked only if the changes of
+            // all revisions are known.
             if (changes.headMap(revision, true).size() == revision
-                    && !holds(revision).equals(returned.text("digest"))) {
-                violated(
+                    && !contentAt(revision).equals(returned.text("digest"))) {
+                addViolation(
                         returned.atUs(),
-                        "revision " + revision + " holds " + holds(revision),
+                        "revision " + revision + " has the content " + contentAt(revision),
                         List.of(invoked, returned));
             }
         });
     }
 
-    private String holds(long revision) {
+    /** Returns the entries after all changes up to a revision, in the form of a digest. */
+    private String contentAt(long revision) {
         TreeMap<String, String> entries = new TreeMap<>();
         for (Event change : changes.headMap(revision, true).values()) {
             if (change.text("op").equals("put")) {
--- a/harness/src/main/java/loadbalancer/harness/check/Versions.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Versions.java
@@ -6,9 +6,10 @@
 import loadbalancer.harness.history.Event;
 
 /**
- * Each watcher sees versions that only grow, and none left out unless what it is given says that it is whole.
- * {@code WATCHED} has version and whole, and from, the version that it follows on. A watcher that starts
- * again may begin anywhere.
+ * Checks that each watcher sees increasing versions without gaps. Only a full list may repeat a version or follow a gap.
+ * A watcher that restarts may begin with any version.
+ *
+ * <p>{@code WATCHED} has version, whole for a full list, and from, the version to which the changes apply.
  */
 public final class Versions extends Checker {
     private final Map<String, Event> last = new HashMap<>();
@@ -24,14 +25,14 @@
                 }
                 long seen = before.number("version");
                 if (event.number("version") < seen || event.number("version") == seen && !event.isTrue("whole")) {
-                    violated(
+                    addViolation(
                             event.atUs(),
                             "version " + event.number("version") + " after " + seen,
                             List.of(before, event));
                 } else if (!event.isTrue("whole") && event.number("from") != seen) {
-                    violated(
+                    addViolation(
                             event.atUs(),
-                            "a gap: changes since " + event.number("from") + " after version " + seen,
+                            "gap: changes since " + event.number("from") + " after version " + seen,
                             List.of(before, event));
                 }
             }
--- a/harness/src/main/java/loadbalancer/harness/check/Violation.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Violation.java
@@ -5,9 +5,11 @@
 import loadbalancer.harness.history.History;
 
 /**
- * Something that must not have happened.
+ * A violation of a rule.
  *
- * @param rule the name of the checker that found it
+ * @param rule the name of the checker that reports it
+ * @param atUs microseconds since the start of the run
+ * @param what a description
  * @param events what led to it, in order
  */
 public record Violation(String rule, long atUs, String what, List<Event> events) {
--- a/harness/src/main/java/loadbalancer/harness/check/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/check/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Checkers: each reads the history of a run once, forwards, and reports violations of one rule.
+ * Checkers: each reads the history of a run once, in order, and reports violations of one rule.
  *
- * <p>A checker knows events only, never the parts of a run: a history that was stored is judged as one that is running.
+ * <p>A checker depends on events only, not on the objects of a run. A stored history is therefore checked like that of
+ * a run in progress.
  */
 package loadbalancer.harness.check;
--- a/harness/src/main/java/loadbalancer/harness/history/History.java
+++ b/harness/src/main/java/loadbalancer/harness/history/History.java
@@ -168,8 +168,8 @@
     }
 
     /**
-     * Returns the SHA-256 over all lines so far in hexadecimal. It is equal for two runs whose histories are equal, byte
-     * for byte. Requires that the history was created with a digest.
+     * Returns the SHA-256 over all lines so far in hexadecimal. Two runs have the same digest if their histories are
+     * equal, byte for byte. Requires that the history was created with a digest.
      */
     public String digest() {
         try {
