--- a/harness/src/main/java/loadbalancer/harness/check/Versions.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Versions.java
@@ -6,8 +6,8 @@
 import loadbalancer.harness.history.Event;
 
 /**
- * Checks that each watcher sees increasing versions without gaps. Only a full list may repeat a version or follow a gap.
- * A watcher that restarts may begin with any version.
+ * Checks that each watcher sees increasing versions without gaps. Only a full list may repeat a version or follow a
+ * gap. A watcher that restarts may begin with any version.
  *
  * <p>{@code WATCHED} has version, whole for a full list, and from, the version to which the changes apply.
  */
--- a/harness/src/main/java/loadbalancer/harness/fault/ActiveFault.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/ActiveFault.java
@@ -7,7 +7,7 @@
 /**
  * A fault that has been injected and is active.
  *
- * @param targets what it was injected into: ids of servers, names of nodes, or another name
+ * @param targets what it was injected into: ids of app servers, names of nodes, or the name of a zone, class or part
  * @param heal ends the fault
  */
 public record ActiveFault(List<String> targets, Runnable heal) {
--- a/harness/src/main/java/loadbalancer/harness/fault/Burst.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Burst.java
@@ -5,7 +5,7 @@
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.World;
 
-/** Clients ask {@code size} times as much. */
+/** Multiplies the load of the clients by {@code size}. */
 final class Burst implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
--- a/harness/src/main/java/loadbalancer/harness/fault/Cordoned.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Cordoned.java
@@ -6,16 +6,16 @@
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.World;
 
-/** Operators take a part of the app servers out by hand at every node, and let them in again. */
+/** Cordons a part of the app servers at every node; healing ends the cordons. */
 final class Cordoned implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
         List<AppServer> targets = world.faultTargets(spec, random);
-        set(world, targets, true);
-        return ActiveFault.servers(targets, () -> set(world, targets, false));
+        setCordoned(world, targets, true);
+        return ActiveFault.servers(targets, () -> setCordoned(world, targets, false));
     }
 
-    private static void set(World world, List<AppServer> targets, boolean out) {
-        world.nodes().forEach(node -> targets.forEach(server -> node.setCordoned(server.id(), out)));
+    private static void setCordoned(World world, List<AppServer> targets, boolean cordoned) {
+        world.nodes().forEach(node -> targets.forEach(server -> node.setCordoned(server.id(), cordoned)));
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/fault/Crash.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Crash.java
@@ -6,7 +6,7 @@
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.World;
 
-/** A part of the app servers' processes are killed, and come back cold. */
+/** Kills the processes of a part of the app servers; healing starts them again, cold. */
 final class Crash implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
--- a/harness/src/main/java/loadbalancer/harness/fault/FastErrors.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/FastErrors.java
@@ -6,7 +6,7 @@
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.World;
 
-/** A part of the app servers fail the share {@code size} of what they get, at once. */
+/** Makes a part of the app servers fail the share {@code size} of their requests immediately. */
 final class FastErrors implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
--- a/harness/src/main/java/loadbalancer/harness/fault/Fault.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Fault.java
@@ -4,15 +4,15 @@
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.World;
 
-/** A kind of fault that can be injected into a world. One small class each; {@link Faults} names them. */
+/** A kind of fault that can be injected into a run. {@link Faults} maps the names of the kinds. */
 public interface Fault {
 
     /**
-     * Injects the fault into the world.
+     * Injects the fault.
      *
-     * @param spec when, how hard and where, as the scenario has it
-     * @param random the stream of this fault alone
-     * @return the targets, and what heals them
+     * @param spec time, size and targets, from the scenario
+     * @param random the random numbers of this fault only
+     * @return the targets and the action that ends the fault
      */
     ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random);
 }
--- a/harness/src/main/java/loadbalancer/harness/fault/Faults.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Faults.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The kinds of faults, by the names that scenario files use. */
+/** The kinds of faults, by their names in scenario files. */
 public final class Faults {
     private static final Map<String, Fault> BY_NAME = new TreeMap<>(Map.ofEntries(
             Map.entry("burst", new Burst()),
@@ -14,7 +14,7 @@
             Map.entry("heavy_tail", new HeavyTail()),
             Map.entry("herd", new Herd()),
             Map.entry("list_down", new ListDown()),
-            Map.entry("lost_answers", new LostAnswers()),
+            Map.entry("lost_answers", new LostResponses()),
             Map.entry("partition", new Partition()),
             Map.entry("release", new Release()),
             Map.entry("resets", new Resets()),
@@ -30,11 +30,15 @@
         return List.copyOf(BY_NAME.keySet());
     }
 
-    /** The kind of this name, which has to be one of {@link #names}. */
+    /**
+     * Returns the kind of fault with this name.
+     *
+     * @throws IllegalArgumentException if it is not one of {@link #names}
+     */
     public static Fault named(String name) {
         Fault fault = BY_NAME.get(name);
         if (fault == null) {
-            throw new IllegalArgumentException("no kind of fault is named " + name);
+            throw new IllegalArgumentException("unknown kind of fault: " + name);
         }
         return fault;
     }
--- a/harness/src/main/java/loadbalancer/harness/fault/HeavyTail.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/HeavyTail.java
@@ -5,7 +5,7 @@
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.World;
 
-/** The share {@code extra} of one class takes {@code size} times the work. */
+/** Multiplies the work of a share {@code extra} of the requests of one class by {@code size}. */
 final class HeavyTail implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
--- a/harness/src/main/java/loadbalancer/harness/fault/Herd.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Herd.java
@@ -6,7 +6,7 @@
 import loadbalancer.harness.simulation.NodePort;
 import loadbalancer.harness.simulation.World;
 
-/** A part of the nodes are killed at once, and all started again {@code size} seconds later. */
+/** Kills a part of the nodes at the same time, and starts all of them again {@code size} seconds later. */
 final class Herd implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
--- a/harness/src/main/java/loadbalancer/harness/fault/ListDown.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/ListDown.java
@@ -5,7 +5,7 @@
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.World;
 
-/** Discovery is down: no node hears of any change. */
+/** Makes discovery unavailable: no node is notified of changes to the endpoint list. */
 final class ListDown implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
--- a/harness/src/main/java/loadbalancer/harness/fault/LostAnswers.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/LostResponses.java
@@ -6,8 +6,8 @@
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.World;
 
-/** A part of the app servers hear and work, and what they say does not come through. */
-final class LostAnswers implements Fault {
+/** Drops all that a part of the app servers send. They still receive requests and work on them. */
+final class LostResponses implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
         List<AppServer> targets = world.faultTargets(spec, random);
--- a/harness/src/main/java/loadbalancer/harness/fault/Partition.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Partition.java
@@ -6,23 +6,25 @@
 import loadbalancer.harness.simulation.World;
 
 /**
- * One zone is cut off from the others, both ways, or with {@code size} 2 only outwards; all in it goes on.
+ * Partitions one zone from the others, in both directions, or with {@code size} 2 only the traffic out of it. Traffic
+ * within the zone is not affected.
  */
 final class Partition implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
         int zone = random.nextInt(world.zones());
-        cut(world, zone, spec.size() == 2, true);
+        setPartitioned(world, zone, spec.size() == 2, true);
         return new ActiveFault(
-                List.of(world.scenario().fleet().zones().get(zone)), () -> cut(world, zone, spec.size() == 2, false));
+                List.of(world.scenario().fleet().zones().get(zone)),
+                () -> setPartitioned(world, zone, spec.size() == 2, false));
     }
 
-    private static void cut(World world, int zone, boolean outwards, boolean off) {
+    private static void setPartitioned(World world, int zone, boolean outboundOnly, boolean partitioned) {
         for (int other = 0; other < world.zones(); other++) {
             if (other != zone) {
-                world.links().setCut(zone, other, off);
-                if (!outwards) {
-                    world.links().setCut(other, zone, off);
+                world.links().setCut(zone, other, partitioned);
+                if (!outboundOnly) {
+                    world.links().setCut(other, zone, partitioned);
                 }
             }
         }
--- a/harness/src/main/java/loadbalancer/harness/fault/Release.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Release.java
@@ -6,29 +6,30 @@
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.World;
 
-/** A part of the app servers are restarted one after the other: asked to drain, ended, started again cold. */
+/** Restarts a part of the app servers one after the other: each drains, is killed, and starts again cold. */
 final class Release implements Fault {
-    /** From the word that one drains to its end, beyond what the list and the rule on drains take. */
-    private static final long LINGERS_US = 1_000_000;
+    /** Time from the end of a drain, which is when no node may send requests any more, until the server is killed. */
+    private static final long SHUTDOWN_DELAY_US = 1_000_000;
 
-    private static final long DOWN_US = 500_000;
+    /** Time from the kill of a server until it starts again. */
+    private static final long RESTART_DELAY_US = 500_000;
 
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
         List<AppServer> targets = world.faultTargets(spec, random);
-        long gapUs = spec.lengthUs() / Math.max(1, targets.size());
+        long intervalUs = spec.lengthUs() / Math.max(1, targets.size());
         Scenario scenario = world.scenario();
-        long toldUs = scenario.list().changeUs()
+        long drainedAfterUs = scenario.list().changeUs()
                 + scenario.list().spreadUs()
                 + scenario.rules().drainGraceUs();
         for (int i = 0; i < targets.size(); i++) {
             AppServer server = targets.get(i);
-            world.time().after(i * gapUs, () -> {
+            world.time().after(i * intervalUs, () -> {
                 world.list().startDraining(server.id());
-                world.time().after(toldUs + LINGERS_US, () -> {
+                world.time().after(drainedAfterUs + SHUTDOWN_DELAY_US, () -> {
                     server.kill();
                     world.list().remove(server.id(), true, false);
-                    world.time().after(DOWN_US, () -> world.startServer(server));
+                    world.time().after(RESTART_DELAY_US, () -> world.startServer(server));
                 });
             });
         }
--- a/harness/src/main/java/loadbalancer/harness/fault/Resets.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Resets.java
@@ -7,7 +7,8 @@
 import loadbalancer.harness.simulation.World;
 
 /**
- * All connections to a part of the app servers break, amid requests, every {@code size} seconds (0: once).
+ * Breaks all connections to a part of the app servers, including those with requests in progress, every {@code size}
+ * seconds (0: once).
  */
 final class Resets implements Fault {
     @Override
@@ -18,10 +19,10 @@
         return ActiveFault.servers(targets, () -> {});
     }
 
-    private static void resetRepeatedly(World world, List<AppServer> targets, long everyUs, long untilUs) {
+    private static void resetRepeatedly(World world, List<AppServer> targets, long intervalUs, long untilUs) {
         targets.forEach(world.links()::reset);
-        if (everyUs > 0 && world.time().nowUs() + everyUs < untilUs) {
-            world.time().after(everyUs, () -> resetRepeatedly(world, targets, everyUs, untilUs));
+        if (intervalUs > 0 && world.time().nowUs() + intervalUs < untilUs) {
+            world.time().after(intervalUs, () -> resetRepeatedly(world, targets, intervalUs, untilUs));
         }
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/fault/RollingRestart.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/RollingRestart.java
@@ -6,16 +6,16 @@
 import loadbalancer.harness.simulation.NodePort;
 import loadbalancer.harness.simulation.World;
 
-/** A part of the nodes get SIGTERM and are started again, one after the other. */
+/** Sends SIGTERM to a part of the nodes and starts them again, one after the other. */
 final class RollingRestart implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
         List<NodePort> targets = World.randomShare(world.nodes(), spec.part(), random);
-        long gapUs = spec.lengthUs() / targets.size();
+        long intervalUs = spec.lengthUs() / targets.size();
         for (int i = 0; i < targets.size(); i++) {
             NodePort node = targets.get(i);
-            world.time().after(i * gapUs, node::terminate);
-            world.time().after(i * gapUs + NodePort.MAX_SHUTDOWN_US + 1, node::start);
+            world.time().after(i * intervalUs, node::terminate);
+            world.time().after(i * intervalUs + NodePort.MAX_SHUTDOWN_US + 1, node::start);
         }
         return ActiveFault.nodes(targets);
     }
--- a/harness/src/main/java/loadbalancer/harness/fault/Slow.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Slow.java
@@ -6,7 +6,7 @@
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.World;
 
-/** A part of the app servers work {@code size} times slower. */
+/** Makes a part of the app servers work {@code size} times slower. */
 final class Slow implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
--- a/harness/src/main/java/loadbalancer/harness/fault/SlowLinks.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/SlowLinks.java
@@ -6,7 +6,7 @@
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.World;
 
-/** A part of the app servers are {@code size} milliseconds farther away, each way. */
+/** Adds {@code size} milliseconds of delay in each direction between the nodes and a part of the app servers. */
 final class SlowLinks implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
--- a/harness/src/main/java/loadbalancer/harness/fault/Vanish.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Vanish.java
@@ -6,14 +6,17 @@
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.World;
 
-/** A part of the app servers' machines fall silent, and come back cold. */
+/**
+ * Makes the machines of a part of the app servers unreachable while their connections stay open; healing starts the
+ * servers again, cold.
+ */
 final class Vanish implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
-        return silence(world, world.faultTargets(spec, random));
+        return makeUnreachable(world, world.faultTargets(spec, random));
     }
 
-    static ActiveFault silence(World world, List<AppServer> targets) {
+    static ActiveFault makeUnreachable(World world, List<AppServer> targets) {
         for (AppServer server : targets) {
             server.becomeUnreachable();
             world.list().remove(server.id(), false, true);
--- a/harness/src/main/java/loadbalancer/harness/fault/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Kinds of faults that a scenario may inject, one small class each.
+ * The kinds of faults that a scenario can inject, one class each.
  *
- * <p>A fault acts on {@link loadbalancer.harness.simulation.World} only; it must not know whether a run is
- * simulated, nor which policy decides.
+ * <p>A fault acts on {@link loadbalancer.harness.simulation.World} only. It must not depend on whether a run is
+ * simulated or uses processes, nor on the policy.
  */
 package loadbalancer.harness.fault;
