--- a/harness/src/main/java/loadbalancer/harness/check/Checkers.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Checkers.java
@@ -15,9 +15,9 @@
     public static List<Checker> of(Scenario scenario, long slackUs) {
         Scenario.Rules rules = scenario.rules();
         return List.of(
-                new OneAnswer(rules.answerGraceUs() + slackUs),
+                new OneAnswer(rules.responseGraceUs() + slackUs),
                 new Repeats(scenario),
-                new Drains(rules.drainGraceUs() + rules.answerGraceUs() + slackUs),
+                new Drains(rules.drainGraceUs() + rules.responseGraceUs() + slackUs),
                 new Cordons(),
                 new ColdServers(rules.overloadUs()));
     }
--- a/harness/src/main/java/loadbalancer/harness/scenario/Scenario.java
+++ b/harness/src/main/java/loadbalancer/harness/scenario/Scenario.java
@@ -104,10 +104,10 @@
     /**
      * @param tries a client makes at most
      * @param tryShare of its time left that it gives each try but the last
-     * @param leaving share of first tries that the client leaves early
+     * @param abandonShare share of first tries that the client leaves early
      */
     public record Clients(
-            int tries, double tryShare, long backoffUs, double leaving, boolean marksRepeats, long noticeUs) {}
+            int tries, double tryShare, long backoffUs, double abandonShare, boolean marksRepeats, long noticeUs) {}
 
     /** One way from one party to another: mean, and the spread around it as a share. */
     public record Net(
@@ -153,7 +153,7 @@
             boolean hedging,
             boolean cancel,
             long drainGraceUs,
-            long answerGraceUs,
+            long responseGraceUs,
             double overloadMultiple,
             long overloadUs,
             long downUs) {}
--- a/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
@@ -156,7 +156,7 @@
                     stream.classIndex == heavyClass && stream.random.nextDouble() < heavyShare ? heavyFactor : 1;
             workUs = cls.workUs() * Distributions.spread(stream.random, cls.cv()) * heavier;
             deadlineUs = firstSentAtUs + cls.deadlineUs();
-            leaves = stream.random.nextDouble() < scenario.clients().leaving();
+            leaves = stream.random.nextDouble() < scenario.clients().abandonShare();
             openRequests++;
         }
 
@@ -178,7 +178,7 @@
             // A client waits a little beyond its deadline, so that the checkers see responses that are late.
             long waitsUs = leavesNow
                     ? (long) (patienceUs * stream.random.nextDouble())
-                    : patienceUs + 2 * scenario.rules().answerGraceUs();
+                    : patienceUs + 2 * scenario.rules().responseGraceUs();
             timeout = time.after(waitsUs, () -> {
                 current++;
                 NodePort target = node;
--- a/harness/src/main/java/loadbalancer/harness/simulation/World.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/World.java
@@ -86,7 +86,7 @@
                 .mapToLong(Scenario.RequestClass::deadlineUs)
                 .max()
                 .orElse(0);
-        return scenario.lengthUs() + longest + 4 * scenario.rules().answerGraceUs() + 1_000_000;
+        return scenario.lengthUs() + longest + 4 * scenario.rules().responseGraceUs() + 1_000_000;
     }
 
     // ---------------------------------------------------------------- its parts
