--- a/harness/src/main/java/loadbalancer/harness/scenario/BadScenarioException.java
+++ b/harness/src/main/java/loadbalancer/harness/scenario/BadScenarioException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A scenario that cannot be played: all that is wrong with it, each with key, value and what is allowed. */
+/** Thrown for an invalid scenario. It lists all problems, each with key, value and the allowed values. */
 public final class BadScenarioException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/harness/src/main/java/loadbalancer/harness/scenario/DayFile.java
+++ b/harness/src/main/java/loadbalancer/harness/scenario/DayFile.java
@@ -10,11 +10,13 @@
 import java.nio.file.Path;
 
 /**
- * Makes a scenario of a day that the platform's simulator has drawn, so that this model's G can be held
- * against that one's on the same days. What it leaves out stands in {@code docs/model.md}.
+ * Converts a day file of the platform's simulator to a scenario, so that the score G of both models can be compared on
+ * the same days. {@code docs/model.md} lists what the conversion leaves out.
  */
 public final class DayFile {
+    /** Microseconds per millisecond; times of a day file are in microseconds. */
     private static final double MS = 1e3;
+    /** Microseconds per second. */
     private static final double S = 1e6;
 
     private final JsonNode day;
@@ -24,13 +26,18 @@
         this.day = day;
     }
 
-    /** The scenario as TOML. */
+    /**
+     * Returns the scenario as TOML.
+     *
+     * @param name the name of the scenario
+     * @throws IOException if the file cannot be read or is not a day file
+     */
     public static String toToml(Path file, String name) throws IOException {
         JsonNode day = new ObjectMapper().readTree(Files.readString(file));
         if (!day.path("tiers").isArray()
                 || !day.path("servers").isArray()
                 || !day.path("classes").isArray()) {
-            throw new IOException(file + ": is no day, which has tiers, servers and classes");
+            throw new IOException(file + ": is no day file; it must have lists of tiers, servers and classes");
         }
         return new TomlMapper().writeValueAsString(new DayFile(day).scenario(name));
     }
@@ -68,7 +75,7 @@
         from.forEach(entry -> to.add(entry.path(field)));
     }
 
-    /** A load of 1 is what the servers can do when warm and not crowded. */
+    /** A load of 1 in a day file is the capacity of the servers when they are warm and below the thrashing limit. */
     private void load() {
         JsonNode traffic = day.path("traffic");
         double capacity = 0;
@@ -89,7 +96,7 @@
                 .put("key_zipf", traffic.path("key_zipf").asDouble());
         load.set("zone_shares", traffic.path("zone_share"));
         ArrayNode shape = load.putArray("shape");
-        // Its points are a second apart.
+        // The points of the shape are one second apart.
         traffic.path("shape").forEach(point -> shape.add(point.path(1)));
     }
 
@@ -152,7 +159,7 @@
         ArrayNode servers = scenario.putArray("server");
         for (JsonNode kind : tier().path("kinds")) {
             int cores = kind.path("cores").asInt();
-            // Slots and queue are told of the machine, and counted by the core here.
+            // A day file has slots and queue per machine; a scenario has them per core.
             servers.addObject()
                     .put("cores", cores)
                     .put("slots", Math.max(1, kind.path("slots").asInt() / cores))
--- a/harness/src/main/java/loadbalancer/harness/scenario/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/scenario/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Scenario files: their model, their reader and its errors, and the conversion of the operators' day files.
+ * Scenario files: their model, their reader and its errors, and the conversion of day files of the platform's
+ * simulator.
  *
- * <p>Owns the keys of the files. Knows nothing of runs; which kinds of faults there are is passed in.
+ * <p>This package defines the keys of the files. It does not depend on runs; the kinds of faults are passed in.
  */
 package loadbalancer.harness.scenario;
--- a/harness/src/test/java/loadbalancer/harness/scenario/ScenarioFileTest.java
+++ b/harness/src/test/java/loadbalancer/harness/scenario/ScenarioFileTest.java
@@ -34,9 +34,9 @@
                 """, Map.of());
         assertEquals(
                 List.of(
-                        "name = \"\": must be a text",
+                        "name = \"\": must be a string",
                         "fleet.nodes = 0: must be a number from 1 to 10000",
-                        "fleet.zones = [\"a\",\"a\"]: must be a list of different texts",
+                        "fleet.zones = [\"a\",\"a\"]: must be a list of distinct strings",
                         "load.per_second = \"many\": must be a number from 0.001 to 1000000",
                         "fault[0].kind = \"slwo\": must be one of slow, vanish (meant: slow?)",
                         "fault[0].part = 1.5: must be a number from 0 to 1",
@@ -70,9 +70,9 @@
                 1e-9);
     }
 
-    /** Stored files and recorded commands name faults by an older key. They are read as ever. */
+    /** Stored files and recorded commands use the former key of the tables of faults, which must stay readable. */
     @Test
-    void theOlderKeyOfFaultsIsRead() throws Exception {
+    void formerKeyOfFaultsIsRead() throws Exception {
         Scenario read = ScenarioFile.parse(
                 "name = \"x\"\n[[trouble]]\nkind = \"slow\"\nsize = 2\n", Map.of("trouble.0.size", "4"), KINDS);
         assertEquals("slow", read.faults().get(0).kind());
@@ -84,6 +84,6 @@
 
     @Test
     void invalidTomlIsReportedWithItsLine() {
-        assertTrue(problems("name = \"x\"\nlength_s = = 3\n", Map.of()).get(0).startsWith("line 2: no TOML"));
+        assertTrue(problems("name = \"x\"\nlength_s = = 3\n", Map.of()).get(0).startsWith("line 2: not valid TOML"));
     }
 }
