--- a/harness/src/main/java/loadbalancer/harness/membership/MembershipStudy.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/MembershipStudy.java
@@ -6,22 +6,31 @@
 import loadbalancer.membership.core.MembershipChange;
 import loadbalancer.membership.core.MembershipSettings;
 
-/** Measures membership in simulated time: what it costs, how quickly it detects and converges, how often it errs. */
+/**
+ * Measures the membership protocol in simulated time: its network load, the times of detection and convergence, and
+ * false positives.
+ */
 public final class MembershipStudy {
     private static final String RANDOM_STREAM = "study";
-    /** Views have converged and gossip has ended by then. */
+    /** Time from the start of a fleet until views have converged and gossip has ended. */
     private static final int SETTLE_PERIODS = 60;
 
+    /** Duration of the measurement of the load. */
     private static final int LOAD_PERIODS = 60;
+    /** How long a measurement waits for detection or convergence. */
     private static final int MAX_PERIODS = 200;
+    /** Duration of the partition. */
     private static final int PARTITION_PERIODS = 60;
-    /** Times are measured to a part of a period, as they are kept to the microsecond. */
+    /**
+     * How often per period the fleet is examined. Times of detection do not depend on it, because members record them
+     * to the microsecond.
+     */
     private static final int STEPS_PER_PERIOD = 4;
 
     private static final double MICROS_PER_SECOND = 1e6;
     private static final long NEVER_US = Long.MAX_VALUE / 4;
     private static final double DID_NOT_HAPPEN = -1;
-    /** So many members are paused in turn while false positives are counted. */
+    /** Number of members that are paused, at random, while false positives are counted. */
     private static final int PAUSED_MEMBERS = 3;
 
     private final SimulatedFleet fleet;
@@ -39,13 +48,13 @@
     }
 
     /**
-     * One fleet's results. Times are in probe periods, and -1 for what did not happen within {@link #MAX_PERIODS}.
+     * Results of one fleet. Times are in probe periods, or -1 for what did not happen within {@link #MAX_PERIODS}.
      *
-     * @param datagramsPerSecond sent by a member while nothing happens, on average
-     * @param bytesPerSecond of these
-     * @param firstDetection from a crash until a member suspected it
-     * @param fullDetection from a crash until all members suspected it or held it for dead
-     * @param convergence from the end of a partition in halves until all members held the same
+     * @param datagramsPerSecond mean number of datagrams that a member sends while there are no faults
+     * @param bytesPerSecond mean size of these datagrams
+     * @param firstDetection from a crash until the first member suspected the crashed one
+     * @param fullDetection from a crash until all members considered the crashed one suspect or dead
+     * @param convergence from the end of a partition into halves until all views were equal
      */
     public record Result(
             int members,
@@ -57,10 +66,10 @@
             double convergence) {}
 
     /**
-     * What was wrongly held of members that were up.
+     * False positives: members that were running but were considered suspect or dead.
      *
-     * @param failures how often one was held for dead
-     * @param suspicions how often a member suspected another
+     * @param failures number of notifications of a failure
+     * @param suspicions number of notifications of a suspicion
      */
     public record FalsePositives(int members, long seed, long failures, long suspicions) {}
 
@@ -68,7 +77,12 @@
 
     private record Detection(double first, double full) {}
 
-    /** Measures one fleet. Throws IllegalStateException where it does not converge though nothing goes wrong. */
+    /**
+     * Measures one fleet.
+     *
+     * @param adapt changes the settings of each member
+     * @throws IllegalStateException if the fleet does not converge in the absence of faults
+     */
     public static Result measure(int members, long seed, UnaryOperator<MembershipSettings> adapt) {
         MembershipStudy study = new MembershipStudy(members, seed, adapt);
         study.settle();
@@ -88,7 +102,7 @@
     private void settle() {
         fleet.startAll(periodUs);
         if (fleet.convergedAtUs(periodUs, SETTLE_PERIODS * periodUs) < 0) {
-            throw new IllegalStateException(members + " members did not settle, seed " + seed);
+            throw new IllegalStateException(members + " members did not converge, seed " + seed);
         }
         fleet.run(SETTLE_PERIODS * periodUs + random.nextLong(periodUs));
     }
@@ -149,8 +163,8 @@
     }
 
     /**
-     * Counts members that were up and were suspected or held for dead: a share of datagrams is lost, and three members
-     * are paused now and then, for less than a suspicion lasts.
+     * Counts false positives. A share of datagrams is lost, and three members are paused repeatedly, each time for less
+     * than the suspicion timeout.
      */
     public static FalsePositives countFalsePositives(
             int members, long seed, double lossShare, int seconds, UnaryOperator<MembershipSettings> adapt) {
--- a/harness/src/main/java/loadbalancer/harness/membership/ModelCheck.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/ModelCheck.java
@@ -6,14 +6,15 @@
 import java.util.Set;
 
 /**
- * Explores all orders of events of a very small fleet, up to a depth: any message under way may arrive next or get
- * lost, any process may wake next, one process may crash, one may leave, and one may be partitioned and healed.
+ * Explores all orders of events of a very small fleet, up to a depth. Each message in flight may arrive next or get
+ * lost, each process may wake next, one process may crash, one may leave, and one may be partitioned and reconnected.
  *
- * <p>The state of a protocol depends on nothing but the events that it was given, in their order. Two paths that gave
- * each process the same events in the same order have come to the same state, and one of them is enough. A state is
- * reached by replaying its path, as a protocol cannot be copied.
+ * <p>The state of a protocol depends only on the sequence of its events. Two paths with the same sequence for each
+ * process lead to the same state, so that only one of them is explored further. A state is reached by replaying its
+ * path, because a protocol cannot be copied.
  */
 public final class ModelCheck {
+    /** The exploration stops when there are more violations. */
     private static final int MAX_VIOLATIONS = 10;
 
     private final int processes;
@@ -26,12 +27,12 @@
     private boolean truncated;
 
     /**
-     * What was found.
+     * Result of a check.
      *
-     * @param states different ones that were reached
-     * @param ends of these, the ones at the full depth, from which the fleet was run on without faults
+     * @param states number of different states that were reached
+     * @param ends number of these at the full depth, from which the fleet continued without faults
      * @param complete whether all states up to the depth were reached
-     * @param violations each with the path to it
+     * @param violations descriptions, each with the path to the state
      */
     public record Result(long states, long ends, boolean complete, List<String> violations) {}
 
@@ -41,7 +42,7 @@
         this.maxStates = maxStates;
     }
 
-    /** Explores all states up to the depth, or as many as are allowed. */
+    /** Explores all states up to the depth, or until {@code maxStates} states were reached. */
     public static Result check(int processes, int depth, long maxStates) {
         ModelCheck check = new ModelCheck(processes, depth, maxStates);
         check.explore(new ArrayList<>());
--- a/harness/src/main/java/loadbalancer/harness/membership/ModelCheckFleet.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/ModelCheckFleet.java
@@ -8,18 +8,18 @@
 import loadbalancer.membership.core.MembershipMessage;
 
 /**
- * The fleet of a model check on one path: its processes, the messages under way, and which event comes next. State
- * syncs take no time: they happen right after the event that starts them.
+ * The fleet of a model check on one path: its processes, the messages in flight, and the choice of the next event.
+ * State syncs take no time: they happen immediately after the event that starts them.
  */
 final class ModelCheckFleet {
     private static final int NOT_PARTITIONED = -1;
-    /** In the end nothing is lost, and time passes for all. By then all processes have to hold the same. */
+    /** At the end of a path the fleet runs for this long without loss. After that, all views must be equal. */
     private static final int FAULTLESS_PERIODS = 15;
 
     private static final int WAKES_PER_PERIOD = 20;
 
     private final ModelCheckProcess[] processes;
-    private final List<Sent> underWay = new ArrayList<>();
+    private final List<Sent> inFlight = new ArrayList<>();
     private final List<String> violations = new ArrayList<>();
     private int partitioned = NOT_PARTITIONED;
     private boolean mayPartition = true;
@@ -33,7 +33,7 @@
         for (int i = 0; i < count; i++) {
             processes[i] = new ModelCheckProcess(i, this);
         }
-        // They know each other from the start: how they join is not what is checked.
+        // The processes know each other from the start, because joining is not part of the check.
         for (ModelCheckProcess process : processes) {
             for (ModelCheckProcess other : processes) {
                 if (process != other) {
@@ -41,7 +41,7 @@
                 }
             }
         }
-        underWay.clear();
+        inFlight.clear();
     }
 
     List<String> violations() {
@@ -52,7 +52,7 @@
         violations.add(violation);
     }
 
-    /** Equal for two fleets whose processes were given the same events in the same order. */
+    /** Returns a key that is equal for two fleets whose processes have handled the same events in the same order. */
     List<Long> stateKey() {
         List<Long> key = new ArrayList<>();
         for (ModelCheckProcess process : processes) {
@@ -60,34 +60,36 @@
         }
         key.add((long) partitioned);
         key.add((mayPartition ? 1L : 0) + (mayCrash ? 2 : 0) + (mayLeave ? 4 : 0));
-        underWay.stream().mapToLong(Sent::hashCode).sorted().forEach(key::add);
+        inFlight.stream().mapToLong(Sent::hashCode).sorted().forEach(key::add);
         return key;
     }
 
     // ---------------------------------------------------------------- choices
 
-    /** How many different events may come next. */
+    /** Returns the number of events that may come next. */
     int choices() {
         boolean mayChangePartition = mayPartition || partitioned != NOT_PARTITIONED;
         return processes.length
-                + 2 * underWay.size()
+                + 2 * inFlight.size()
                 + (mayCrash ? 1 : 0)
                 + (mayLeave ? 1 : 0)
                 + (mayChangePartition ? 1 : 0);
     }
 
-    /** Carries out one of the {@link #choices}: a wake, an arrival, a loss, a crash, a leave or a partition. */
+    /**
+     * Performs one of the {@link #choices}: a wake, an arrival, a loss, a crash, a leave, or a change of the partition.
+     */
     void choose(int choice) {
-        int messages = underWay.size();
+        int messages = inFlight.size();
         int afterWakes = choice - processes.length;
         int afterArrivals = afterWakes - messages;
         int afterLosses = afterArrivals - messages;
         if (afterWakes < 0) {
             processes[choice].wake();
         } else if (afterArrivals < 0) {
-            deliver(underWay.remove(afterWakes));
+            deliver(inFlight.remove(afterWakes));
         } else if (afterLosses < 0) {
-            underWay.remove(afterArrivals);
+            inFlight.remove(afterArrivals);
         } else {
             chooseFault(afterLosses);
         }
@@ -112,7 +114,7 @@
     // ---------------------------------------------------------------- network
 
     void send(int from, String address, MembershipMessage message) {
-        underWay.add(new Sent(from, address, message));
+        inFlight.add(new Sent(from, address, message));
     }
 
     private boolean isConnected(int from, int to) {
@@ -138,9 +140,9 @@
         }
     }
 
-    // ---------------------------------------------------------------- the end
+    // ---------------------------------------------------------------- end of the path
 
-    /** From now on nothing is lost and time passes for all alike. Returns a violation, or null. */
+    /** Runs the fleet without loss, with the same passage of time for all processes. Returns a violation, or null. */
     String runWithoutFaults() {
         partitioned = NOT_PARTITIONED;
         for (int i = 0; i < FAULTLESS_PERIODS * WAKES_PER_PERIOD; i++) {
@@ -149,8 +151,8 @@
                 return null;
             }
             next.wake();
-            while (!underWay.isEmpty()) {
-                deliver(underWay.remove(0));
+            while (!inFlight.isEmpty()) {
+                deliver(inFlight.remove(0));
             }
         }
         return violations.isEmpty() ? divergence() : violations.toString();
@@ -166,7 +168,7 @@
         return next;
     }
 
-    /** A process that does not hold just those that are up for live, or null. */
+    /** Returns a description of a process whose live members are not exactly the running processes, or null. */
     private String divergence() {
         Set<Long> digests = new HashSet<>();
         int up = 0;
@@ -178,7 +180,7 @@
         }
         for (ModelCheckProcess process : processes) {
             if (process.isUp() && (digests.size() != 1 || process.protocol().liveCount() != up)) {
-                return "process " + process.number() + " holds " + process.stateSnapshot() + " in the end";
+                return "process " + process.number() + " holds " + process.stateSnapshot() + " at the end";
             }
         }
         return null;
--- a/harness/src/main/java/loadbalancer/harness/membership/ModelCheckProcess.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/ModelCheckProcess.java
@@ -17,8 +17,8 @@
 import loadbalancer.membership.core.MembershipSettings;
 
 /**
- * One process of a model check, with a clock of its own: how fast it runs against the others' is part of the order of
- * events. After each event it is checked that no record went back to an older one.
+ * One process of a model check. It has its own clock, whose speed relative to the others results from the order of
+ * events. After each event it checks that no record was replaced by an older one.
  */
 final class ModelCheckProcess implements MembershipActions {
     private static final long STARTED_AT_US = 1_000_000_000L;
@@ -28,19 +28,19 @@
     private final int number;
     private final ModelCheckFleet fleet;
     private final MembershipProtocol protocol;
-    /** Over all events so far, in their order. */
+    /** Hash of the sequence of events so far. */
     private long eventsHash = 1;
 
     private boolean up = true;
     private long nowUs;
     private long wakeAtUs;
-    /** What it held of each name before the present event. */
-    private final Map<String, Member> heldBefore = new HashMap<>();
-    /** Members that have left, and in which incarnation. */
+    /** Record of each name before the current event. */
+    private final Map<String, Member> recordsBefore = new HashMap<>();
+    /** Incarnations of the members that have left, by name. */
     private final Map<String, Incarnation> leftMembers = new HashMap<>();
 
     private boolean handling;
-    /** What was asked for within an event, and is carried out after it. */
+    /** Actions that were requested during an event and are performed after it. */
     private final List<Runnable> afterEvent = new ArrayList<>();
 
     ModelCheckProcess(int number, ModelCheckFleet fleet) {
@@ -50,7 +50,7 @@
         protocol.start(0);
     }
 
-    /** Few probes and short timeouts: then more of the protocol fits into the depth. */
+    /** Few probes and short timeouts, so that the depth covers more of the protocol. */
     private MembershipSettings settings() {
         return MembershipSettings.builder("p" + number, address(), "z", "node", List.of(SEED_ADDRESS))
                 .indirectProbes(1)
@@ -131,7 +131,7 @@
         eventsHash = eventsHash * HASH_FACTOR + description.hashCode();
         event.accept(protocol);
         handling = false;
-        checkHeld();
+        checkRecords();
         while (!afterEvent.isEmpty()) {
             afterEvent.remove(0).run();
         }
@@ -139,23 +139,23 @@
 
     // ---------------------------------------------------------------- checks
 
-    /** No record of a name may be replaced by an older one, and a member that has left stays so. */
-    private void checkHeld() {
-        Map<String, Member> held = new TreeMap<>();
+    /** Checks that no record of a name was replaced by an older one, and that a member that has left remains so. */
+    private void checkRecords() {
+        Map<String, Member> records = new TreeMap<>();
         stateSnapshot().stream()
                 .skip(1)
-                .forEach(update -> held.put(update.member().name(), update.member()));
-        held.values().forEach(this::checkLeft);
-        held.forEach((name, member) -> checkOrder(heldBefore.get(name), member));
-        heldBefore.clear();
-        heldBefore.putAll(held);
+                .forEach(update -> records.put(update.member().name(), update.member()));
+        records.values().forEach(this::checkLeft);
+        records.forEach((name, member) -> checkOrder(recordsBefore.get(name), member));
+        recordsBefore.clear();
+        recordsBefore.putAll(records);
     }
 
     private void checkLeft(Member member) {
         if (member.state() == MemberState.LEFT) {
             leftMembers.put(member.name(), member.incarnation());
         } else if (member.incarnation().equals(leftMembers.get(member.name()))) {
-            fleet.addViolation("process " + number + " took back that " + member.name() + " has left");
+            fleet.addViolation("process " + number + " no longer holds that " + member.name() + " has left");
         }
     }
 
@@ -165,7 +165,7 @@
         }
         int order = now.incarnation().compareTo(before.incarnation());
         if (order < 0 || order == 0 && now.state().compareTo(before.state()) < 0) {
-            fleet.addViolation("process " + number + " held " + before + ", and then " + now);
+            fleet.addViolation("process " + number + " replaced " + before + " by older " + now);
         }
     }
 
@@ -183,12 +183,12 @@
 
     @Override
     public void onChange(MembershipChange change) {
-        // What is held is checked after each event.
+        // Records are checked after each event.
     }
 
     @Override
     public void onRoundTrip(long roundTripUs) {
-        // The clocks of two processes have nothing in common.
+        // A round trip is measured with unrelated clocks here, and means nothing.
     }
 
     @Override
--- a/harness/src/main/java/loadbalancer/harness/membership/SimulatedFleet.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/SimulatedFleet.java
@@ -34,13 +34,17 @@
     private final List<FailureNotification> failures = new ArrayList<>();
 
     /**
-     * A member was notified that another one has failed.
+     * Notification of a member that another one has failed.
      *
-     * @param wasDown whether it had; if not, it was held for dead falsely
+     * @param wasDown whether the other one was down; if not, the notification is a false positive
      */
     public record FailureNotification(long atUs, String observer, String member, boolean wasDown) {}
 
-    /** @param convergeWithinUs how long after the last fault views may differ */
+    /**
+     * Creates a fleet without members.
+     *
+     * @param convergeWithinUs how long views may differ after the last fault
+     */
     public SimulatedFleet(long seed, long convergeWithinUs) {
         time = new Simulator(seed);
         random = time.stream(RANDOM_STREAM);
@@ -67,7 +71,11 @@
 
     // ---------------------------------------------------------------- members
 
-    /** Adds so many members, m0 on, the first three of which are seeds; none is started. */
+    /**
+     * Adds members m0, m1 and so on without starting them. The first three are the seeds.
+     *
+     * @param adapt changes the settings of each member
+     */
     public SimulatedFleet withMembers(int count, UnaryOperator<MembershipSettings> adapt) {
         for (int i = 0; i < count; i++) {
             add(adapt.apply(MembershipSettings.of("m" + i, "m" + i + ":1", "z" + i % ZONES, "node", SEEDS)));
@@ -75,7 +83,7 @@
         return this;
     }
 
-    /** Adds one member; it takes the place of whoever had its address. */
+    /** Adds one member without starting it. It replaces a previous member at the same address. */
     public SimulatedMember add(MembershipSettings settings) {
         SimulatedMember member = new SimulatedMember(this, settings);
         members.add(member);
@@ -83,10 +91,10 @@
         return member;
     }
 
-    /** Starts all, at times spread evenly over so long. */
-    public SimulatedFleet startAll(long overUs) {
+    /** Starts all members, at times spread evenly over the duration. */
+    public SimulatedFleet startAll(long durationUs) {
         for (int i = 0; i < members.size(); i++) {
-            time.at(time.nowUs() + overUs * i / members.size(), members.get(i)::start);
+            time.at(time.nowUs() + durationUs * i / members.size(), members.get(i)::start);
         }
         return this;
     }
@@ -112,14 +120,14 @@
         return members.stream().filter(SimulatedMember::isUp).toList();
     }
 
-    // ---------------------------------------------------------------- what happens
+    // ---------------------------------------------------------------- events
 
-    /** Lets so much time pass. */
-    public void run(long us) {
-        time.runUntil(time.nowUs() + us);
+    /** Runs the fleet for a duration. */
+    public void run(long durationUs) {
+        time.runUntil(time.nowUs() + durationUs);
     }
 
-    /** A fault of the network has begun or ended: from now on views may differ for a while. */
+    /** Records that a fault of the network has begun or ended, after which views may differ for a while. */
     public void recordFault(String kind) {
         history.add("rig", Kind.FAULT, "kind", kind);
     }
@@ -132,17 +140,17 @@
         recordView(observer);
     }
 
-    /** Whether the process of this generation is up. */
-    private boolean isRunning(Member held) {
+    /** Whether the process of this generation is running. */
+    private boolean isRunning(Member known) {
         return membersUp().stream()
-                .filter(member -> member.name().equals(held.name()))
+                .filter(member -> member.name().equals(known.name()))
                 .findFirst()
                 .map(member -> member.protocol().self().incarnation().generation()
-                        == held.incarnation().generation())
+                        == known.incarnation().generation())
                 .orElse(false);
     }
 
-    /** Records what a member holds where that has changed. */
+    /** Records the digest of a member's view if it has changed. */
     void recordView(SimulatedMember observer) {
         if (!observer.isUp() || observer.protocol() == null) {
             return;
@@ -154,19 +162,19 @@
         }
     }
 
-    // ---------------------------------------------------------------- what came of it
+    // ---------------------------------------------------------------- results
 
-    /** All failures that members were notified of. */
+    /** Returns all notifications of failures. */
     public List<FailureNotification> failures() {
         return failures;
     }
 
-    /** How many of them were of members that were up. */
+    /** Returns the number of notifications of failures of running members. */
     public long falseFailures() {
         return failures.stream().filter(failure -> !failure.wasDown).count();
     }
 
-    /** Whether all that are up hold just these for live. */
+    /** Whether the live members of each running member are exactly the running members. */
     public boolean isConverged() {
         List<SimulatedMember> up = membersUp();
         long views = up.stream()
@@ -178,14 +186,18 @@
         }
         List<String> names =
                 up.stream().map(SimulatedMember::name).sorted().distinct().toList();
-        return up.stream().allMatch(member -> namesHeldLive(member).equals(names));
+        return up.stream().allMatch(member -> liveNames(member).equals(names));
     }
 
-    private static List<String> namesHeldLive(SimulatedMember member) {
+    private static List<String> liveNames(SimulatedMember member) {
         return member.protocol().liveMembers().stream().map(Member::name).toList();
     }
 
-    /** When the fleet had converged, looking every so often up to a time; -1 if it did not. */
+    /**
+     * Runs the fleet until it has converged, and returns the time of that, or -1 if it does not converge in time.
+     *
+     * @param everyUs interval of the checks for convergence
+     */
     public long convergedAtUs(long everyUs, long untilUs) {
         while (time.nowUs() < untilUs) {
             if (isConverged()) {
@@ -196,7 +208,7 @@
         return isConverged() ? time.nowUs() : -1;
     }
 
-    /** Ends the run; violations of convergence. */
+    /** Ends the run and returns the violations of convergence. */
     public List<Violation> end() {
         membersUp().forEach(this::recordView);
         converged.end(time.nowUs());
--- a/harness/src/main/java/loadbalancer/harness/membership/SimulatedMember.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/SimulatedMember.java
@@ -16,13 +16,15 @@
 import loadbalancer.membership.core.MembershipSettings;
 
 /**
- * One member of a simulated fleet, which runs the protocol as the program does. It may be started again after its end:
+ * One member of a simulated fleet, which runs the same protocol code as the program. It can be restarted after its end;
  * events of an earlier process do not reach a later one.
  */
 public final class SimulatedMember {
-    /** Events that a paused process finds when it goes on; those beyond are lost, as in a full socket buffer. */
+    /**
+     * Maximum number of events that are kept for a paused process. Further ones are lost, as in a full socket buffer.
+     */
     private static final int MAX_BUFFERED_EVENTS = 200;
-    /** Time zero of the run in Unix time: above 0, so that a clock may be behind. */
+    /** Unix time of the start of the run; above 0, so that a clock may be behind. */
     private static final long CLOCK_START_US = 86_400_000_000L;
 
     private static final long NEVER = -1;
@@ -36,7 +38,7 @@
     private boolean paused;
     private final List<Runnable> bufferedEvents = new ArrayList<>();
     private Timer wake;
-    /** Which process this is, by the number of starts and ends so far. */
+    /** Identifies the current process: the number of starts and ends so far. */
     private int processNumber;
 
     private long clockOffsetUs;
@@ -58,7 +60,9 @@
         return address;
     }
 
-    /** The protocol of the present process. */
+    /**
+     * Returns the protocol of the current process, or of the last one if there is none; null before the first start.
+     */
     public MembershipProtocol protocol() {
         return protocol;
     }
@@ -71,7 +75,7 @@
         return settings;
     }
 
-    /** Since when it has held that member for suspect or dead; -1 if it does not. */
+    /** Returns the time since which it has considered a member suspect or dead, or -1 if it does not. */
     long suspectedSinceUs(SimulatedMember member) {
         return suspectedSinceUs.getOrDefault(member.name, NEVER);
     }
@@ -80,12 +84,12 @@
         return suspectedSinceUs(member) != NEVER;
     }
 
-    /** How many changes of this type its listener was notified of. */
+    /** Returns the number of changes of this type of which its listener was notified. */
     public int count(MembershipChange.Type type) {
         return changes.getOrDefault(type, 0);
     }
 
-    /** From the next start on its clock is off by this. */
+    /** Sets the offset of its clock, which applies from the next start. */
     public void setClockOffset(long offsetUs) {
         clockOffsetUs = offsetUs;
     }
@@ -105,14 +109,14 @@
         fleet.recordView(this);
     }
 
-    /** Ends the process without a leave. */
+    /** Ends the process without a leave message. */
     public void kill() {
         processNumber++;
         up = false;
         fleet.history().add(name, Kind.KILLED);
     }
 
-    /** Leaves, and ends the process. */
+    /** Leaves the fleet and ends the process. */
     public void leave() {
         protocol.leave();
         processNumber++;
@@ -120,13 +124,13 @@
         fleet.history().add(name, Kind.KILLED, "left", true);
     }
 
-    /** Stops the process; events are buffered until it resumes. */
+    /** Pauses the process; events are buffered until it resumes. */
     public void pause() {
         paused = true;
         fleet.history().add(name, Kind.PAUSED);
     }
 
-    /** Goes on, as if no time had passed, with the events that were buffered. */
+    /** Resumes the process, which then handles the buffered events. */
     public void resume() {
         paused = false;
         fleet.history().add(name, Kind.RESUMED);
@@ -162,7 +166,7 @@
         handle(processNumber, receiver -> receiver.onMessage(nowUs(), message));
     }
 
-    /** What the protocol of one process does to the outside. */
+    /** Performs the actions of the protocol of one process. */
     private final class Actions implements MembershipActions {
         private final int process;
 
@@ -219,7 +223,7 @@
 
         @Override
         public void onRoundTrip(long roundTripUs) {
-            // The network's delay is a model here: its distribution says nothing.
+            // The delay of the network is simulated, so that its distribution is of no interest.
         }
 
         @Override
--- a/harness/src/main/java/loadbalancer/harness/membership/SimulatedNetwork.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/SimulatedNetwork.java
@@ -7,7 +7,7 @@
 import loadbalancer.membership.codec.MembershipCodec;
 import loadbalancer.membership.core.MembershipMessage;
 
-/** Datagrams in simulated time: they arrive late, twice, in another order, or not at all. */
+/** A simulated datagram network that delays, duplicates, reorders and loses datagrams. */
 public final class SimulatedNetwork {
     private static final String RANDOM_STREAM = "datagrams";
     private static final String FLEET = "simulated";
@@ -29,19 +29,22 @@
         random = time.stream(RANDOM_STREAM);
     }
 
-    /** One way takes the delay and up to the jitter more, evenly: with a jitter above the delay, order is lost. */
+    /**
+     * Sets the one-way delay, which is uniformly distributed from the delay to the sum of delay and jitter. Datagrams
+     * may be reordered within the jitter.
+     */
     public void setDelay(long newDelayUs, long newJitterUs) {
         delayUs = newDelayUs;
         jitterUs = newJitterUs;
     }
 
-    /** These shares of datagrams are lost, and arrive twice. */
+    /** Sets the shares of datagrams that are lost and that are duplicated. */
     public void setFaults(double lost, double duplicated) {
         lossShare = lost;
         duplicateShare = duplicated;
     }
 
-    /** Nothing arrives from one member at another for whose names this holds. */
+    /** Drops datagrams between members, by name of sender and receiver, for which the predicate holds. */
     public void partition(BiPredicate<String, String> isCut) {
         partition = isCut;
     }
@@ -55,12 +58,12 @@
         return partition.test(from, to);
     }
 
-    /** The delay of one datagram. */
+    /** Returns a random delay for one datagram. */
     long nextDelayUs() {
         return delayUs + (jitterUs == 0 ? 0 : random.nextLong(jitterUs));
     }
 
-    /** Sends a datagram; whoever receives it is told by {@code deliver}, once for each copy that arrives. */
+    /** Sends a datagram. {@code deliver} is called for each copy that arrives. */
     void send(String from, String to, MembershipMessage message, Runnable deliver) {
         count(message);
         int copies = nextCopies();
@@ -95,7 +98,9 @@
         return sentBytes;
     }
 
-    /** CRC32C over all datagrams in the order in which they were sent: equal for two runs that sent the same. */
+    /**
+     * Returns the CRC32C over all datagrams in the order of sending. Two runs that sent the same have the same value.
+     */
     long sentChecksum() {
         return sentChecksum.getValue();
     }
