--- a/harness/src/test/java/loadbalancer/harness/ArchitectureTest.java
+++ b/harness/src/test/java/loadbalancer/harness/ArchitectureTest.java
@@ -13,7 +13,7 @@
 import com.tngtech.archunit.lang.ArchRule;
 import loadbalancer.harness.fault.Fault;
 
-/** What may know of what; that a module's jar holds nothing of those above it, the compiler sees to. */
+/** Rules for the dependencies of packages. Dependencies between modules are checked by the compiler. */
 @AnalyzeClasses(packages = "loadbalancer", importOptions = DoNotIncludeTests.class)
 class ArchitectureTest {
     private static final DescribedPredicate<JavaClass> CORES = DescribedPredicate.describe(
@@ -21,9 +21,12 @@
             c -> c.getPackageName().startsWith("loadbalancer.membership.core")
                     || c.getPackageName().equals("loadbalancer.policy"));
 
-    /** A core is told the time, its chance and all that happens; what it wants done it says. */
+    /**
+     * A core receives the time, its random seed and all events as arguments, and requests actions through an interface.
+     * It must do no I/O and must not read the clock.
+     */
     @ArchTest
-    static final ArchRule CORES_DO_NOT_REACH_OUT = noClasses()
+    static final ArchRule CORES_DO_NO_IO_AND_READ_NO_CLOCK = noClasses()
             .that(CORES)
             .should()
             .dependOnClassesThat()
@@ -62,7 +65,7 @@
             .areAssignableTo(Thread.class);
 
     @ArchTest
-    static final ArchRule THE_RIG_POINTS_ONE_WAY = layeredArchitecture()
+    static final ArchRule HARNESS_DEPENDS_IN_ONE_DIRECTION = layeredArchitecture()
             .consideringOnlyDependenciesInLayers()
             .layer("time")
             .definedBy("loadbalancer.harness.time..")
@@ -94,12 +97,12 @@
             .mayOnlyBeAccessedByLayers("check", "simulation", "fault", "run");
 
     @ArchTest
-    static final ArchRule NO_PACKAGES_IN_A_RING =
+    static final ArchRule HARNESS_HAS_NO_PACKAGE_CYCLES =
             slices().matching("loadbalancer.harness.(*)..").should().beFreeOfCycles();
 
-    /** Virtual time is the only one: a run that looked at the clock could not be played again. */
+    /** A simulated run uses virtual time only. A run that read the clock could not be repeated. */
     @ArchTest
-    static final ArchRule THE_WORLD_HAS_NO_CLOCK = noClasses()
+    static final ArchRule SIMULATION_READS_NO_CLOCK = noClasses()
             .that()
             .resideInAnyPackage(
                     "loadbalancer.harness.simulation..",
@@ -114,6 +117,6 @@
             .callMethod(Math.class, "random");
 
     @ArchTest
-    static final ArchRule FAULTS_ARE_SMALL_AND_NAMED_IN_ONE_PLACE =
+    static final ArchRule FAULTS_ARE_PACKAGE_PRIVATE =
             classes().that().implement(Fault.class).should().bePackagePrivate();
 }
--- a/harness/src/test/java/loadbalancer/harness/DataPathArchitectureTest.java
+++ b/harness/src/test/java/loadbalancer/harness/DataPathArchitectureTest.java
@@ -10,9 +10,9 @@
 /** The direction of dependencies between the packages that carry requests. */
 @AnalyzeClasses(packages = "loadbalancer", importOptions = DoNotIncludeTests.class)
 class DataPathArchitectureTest {
-    /** Only {@code request} ties the client's side to the server's side. */
+    /** Only {@code request} connects the client side with the server side. */
     @ArchTest
-    static final ArchRule CLIENT_AND_UPSTREAM_DO_NOT_KNOW_REQUESTS = noClasses()
+    static final ArchRule CLIENT_AND_UPSTREAM_DO_NOT_DEPEND_ON_REQUEST = noClasses()
             .that()
             .resideInAnyPackage("loadbalancer.client..", "loadbalancer.upstream..")
             .should()
@@ -20,7 +20,7 @@
             .resideInAnyPackage("loadbalancer.request..", "loadbalancer.process..", "loadbalancer.admin..");
 
     @ArchTest
-    static final ArchRule CLIENT_DOES_NOT_KNOW_UPSTREAM = noClasses()
+    static final ArchRule CLIENT_DOES_NOT_DEPEND_ON_UPSTREAM = noClasses()
             .that()
             .resideInAPackage("loadbalancer.client..")
             .should()
@@ -28,7 +28,7 @@
             .resideInAnyPackage("loadbalancer.upstream..", "loadbalancer.discovery..");
 
     @ArchTest
-    static final ArchRule UPSTREAM_DOES_NOT_KNOW_CLIENT = noClasses()
+    static final ArchRule UPSTREAM_DOES_NOT_DEPEND_ON_CLIENT = noClasses()
             .that()
             .resideInAPackage("loadbalancer.upstream..")
             .should()
@@ -36,7 +36,7 @@
             .resideInAPackage("loadbalancer.client..");
 
     @ArchTest
-    static final ArchRule TRANSFER_AND_HTTP_ARE_AT_THE_BOTTOM = noClasses()
+    static final ArchRule TRANSFER_AND_HTTP_ARE_THE_LOWEST_LAYER = noClasses()
             .that()
             .resideInAnyPackage("loadbalancer.transfer..", "loadbalancer.http..")
             .should()
@@ -52,7 +52,7 @@
                     "loadbalancer.process..");
 
     @ArchTest
-    static final ArchRule POLICY_DOES_NOT_KNOW_HTTP = noClasses()
+    static final ArchRule POLICY_DOES_NOT_DEPEND_ON_HTTP = noClasses()
             .that()
             .resideInAPackage("loadbalancer.policy..")
             .should()
--- a/harness/src/test/java/loadbalancer/harness/PackageDependenciesTest.java
+++ b/harness/src/test/java/loadbalancer/harness/PackageDependenciesTest.java
@@ -19,7 +19,7 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** Holds the table of dependencies in docs/ARCHITECTURE.md to what the node's packages import, arrow by arrow. */
+/** Checks that the table of dependencies in docs/ARCHITECTURE.md matches the dependencies of the node's packages. */
 class PackageDependenciesTest {
     private static final Path PAGE = Path.of("docs/ARCHITECTURE.md");
     private static final String TABLE = "| package | may import |";
@@ -30,12 +30,12 @@
             new ClassFileImporter().withImportOption(new DoNotIncludeTests()).importPackages("loadbalancer");
 
     @Test
-    void packagesImportWhatThePageSays() throws IOException {
+    void packagesDependOnWhatThePageLists() throws IOException {
         assertEquals(lines(documented()), lines(imported()));
     }
 
     @Test
-    void noPackagesFormACycle() {
+    void packagesHaveNoCycles() {
         SlicesRuleDefinition.slices()
                 .matching("loadbalancer.(**)")
                 .should()
@@ -69,11 +69,11 @@
     private static Map<String, Set<String>> imported() {
         Map<String, Set<String>> dependencies = new TreeMap<>();
         for (JavaClass from : CLASSES) {
-            if (isOfTheNode(from)) {
+            if (isNodeType(from)) {
                 Set<String> to = dependencies.computeIfAbsent(shortName(from), name -> new TreeSet<>());
                 from.getDirectDependenciesFromSelf().stream()
                         .map(dependency -> dependency.getTargetClass().getBaseComponentType())
-                        .filter(PackageDependenciesTest::isOfTheNode)
+                        .filter(PackageDependenciesTest::isNodeType)
                         .map(PackageDependenciesTest::shortName)
                         .forEach(to::add);
                 to.remove(shortName(from));
@@ -82,7 +82,7 @@
         return dependencies;
     }
 
-    private static boolean isOfTheNode(JavaClass type) {
+    private static boolean isNodeType(JavaClass type) {
         String name = type.getPackageName() + ".";
         return name.startsWith(ROOT)
                 && !name.equals(ROOT)
--- a/harness/src/test/java/loadbalancer/harness/check/CheckersTest.java
+++ b/harness/src/test/java/loadbalancer/harness/check/CheckersTest.java
@@ -16,23 +16,23 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Each checker on a history that it must let pass, and on the same with one thing wrong. */
+/** Runs each checker on a valid history and on the same history with one violation. */
 class CheckersTest {
 
     private record Case(
             String name,
             Supplier<Checker> checker,
             Function<HistoryBuilder, HistoryBuilder> start,
-            Function<HistoryBuilder, HistoryBuilder> right,
-            Function<HistoryBuilder, HistoryBuilder> wrong) {}
+            Function<HistoryBuilder, HistoryBuilder> valid,
+            Function<HistoryBuilder, HistoryBuilder> invalid) {}
 
     private static Case of(
             String name,
             Supplier<Checker> checker,
             Function<HistoryBuilder, HistoryBuilder> start,
-            Function<HistoryBuilder, HistoryBuilder> right,
-            Function<HistoryBuilder, HistoryBuilder> wrong) {
-        return new Case(name, checker, start, right, wrong);
+            Function<HistoryBuilder, HistoryBuilder> valid,
+            Function<HistoryBuilder, HistoryBuilder> invalid) {
+        return new Case(name, checker, start, valid, invalid);
     }
 
     private static Scenario scenario(boolean hedging) {
@@ -46,8 +46,8 @@
         }
     }
 
-    private static HistoryBuilder ask(HistoryBuilder t, String cls) {
-        return t.add(Kind.ASK, "request", 1L, "class", cls, "left", 1_000L);
+    private static HistoryBuilder request(HistoryBuilder t, String className) {
+        return t.add(Kind.ASK, "request", 1L, "class", className, "left", 1_000L);
     }
 
     private static HistoryBuilder send(HistoryBuilder t, int attempt) {
@@ -58,8 +58,8 @@
         return t.add(Kind.OUTCOME, "request", 1L, "attempt", attempt, "result", result);
     }
 
-    private static HistoryBuilder answer(HistoryBuilder t, String answer) {
-        return t.add(Kind.ANSWER, "request", 1L, "answer", answer);
+    private static HistoryBuilder response(HistoryBuilder t, String response) {
+        return t.add(Kind.ANSWER, "request", 1L, "answer", response);
     }
 
     private static HistoryBuilder served(HistoryBuilder t) {
@@ -84,165 +84,165 @@
         return t.add(Kind.WATCHED, "from", from, "version", version, "whole", whole);
     }
 
-    private static HistoryBuilder told(HistoryBuilder t, String state) {
+    private static HistoryBuilder notified(HistoryBuilder t, String state) {
         return t.add(Kind.TOLD, "server", "s", "state", state, "started", 0L);
     }
 
     private static Stream<Case> cases() {
         return Stream.of(
                 of(
-                        "a request never answered",
+                        "request without a response",
                         () -> new OneAnswer(50),
-                        t -> served(ask(t, "search")),
-                        t -> answer(t, "OK").at(5_000),
+                        t -> served(request(t, "search")),
+                        t -> response(t, "OK").at(5_000),
                         t -> t.at(5_000)),
                 of(
-                        "a late answer",
+                        "late response",
                         () -> new OneAnswer(50),
-                        t -> ask(t, "search"),
-                        t -> answer(t.at(1_040), "FAILED"),
-                        t -> answer(t.at(1_060), "FAILED")),
+                        t -> request(t, "search"),
+                        t -> response(t.at(1_040), "FAILED"),
+                        t -> response(t.at(1_060), "FAILED")),
                 of(
-                        "a client that gave up",
+                        "client that gave up",
                         () -> new OneAnswer(50),
-                        t -> ask(t, "search"),
+                        t -> request(t, "search"),
                         t -> t.at(500).add(Kind.LEFT, "request", 1L),
                         t -> t.at(1_060).add(Kind.LEFT, "request", 1L)),
                 of(
-                        "a second answer",
+                        "second response",
                         () -> new OneAnswer(50),
-                        t -> answer(ask(t, "search"), "REFUSED"),
+                        t -> response(request(t, "search"), "REFUSED"),
                         t -> t,
-                        t -> answer(t, "REFUSED")),
+                        t -> response(t, "REFUSED")),
                 of(
-                        "an answer nobody made",
+                        "response that no app server made",
                         () -> new OneAnswer(50),
-                        t -> send(ask(t, "search"), 0),
-                        t -> answer(served(t), "OK"),
-                        t -> answer(t, "OK")),
+                        t -> send(request(t, "search"), 0),
+                        t -> response(served(t), "OK"),
+                        t -> response(t, "OK")),
                 of(
-                        "an unsafe repeat",
+                        "retry of a non-idempotent request that failed",
                         () -> new Repeats(scenario(true)),
-                        t -> send(ask(t, "settle"), 0),
+                        t -> send(request(t, "settle"), 0),
                         t -> send(outcome(t, 0, "FULL"), 1),
                         t -> send(outcome(t, 0, "ERROR"), 1)),
                 of(
-                        "a repeat while it may run",
+                        "retry of a non-idempotent request that is in progress",
                         () -> new Repeats(scenario(true)),
-                        t -> send(ask(t, "settle"), 0),
+                        t -> send(request(t, "settle"), 0),
                         t -> t,
                         t -> send(t, 1)),
                 of(
-                        "a refusal though it may have run",
+                        "rejection of a request that may have run",
                         () -> new Repeats(scenario(true)),
-                        t -> outcome(send(ask(t, "settle"), 0), 0, "RESET"),
-                        t -> answer(t, "FAILED"),
-                        t -> answer(t, "REFUSED")),
+                        t -> outcome(send(request(t, "settle"), 0), 0, "RESET"),
+                        t -> response(t, "FAILED"),
+                        t -> response(t, "REFUSED")),
                 of(
                         "too many attempts",
                         () -> new Repeats(scenario(true)),
-                        t -> send(send(ask(t, "search"), 0), 1),
+                        t -> send(send(request(t, "search"), 0), 1),
                         t -> t,
                         t -> send(t, 2)),
                 of(
-                        "two attempts at once",
+                        "concurrent attempts without hedging",
                         () -> new Repeats(scenario(false)),
-                        t -> send(ask(t, "search"), 0),
+                        t -> send(request(t, "search"), 0),
                         t -> send(outcome(t, 0, "ERROR"), 1),
                         t -> send(t, 1)),
                 of(
-                        "sent after the end",
+                        "attempt after the final response",
                         () -> new Repeats(scenario(true)),
-                        t -> answer(ask(t, "search"), "FAILED"),
+                        t -> response(request(t, "search"), "FAILED"),
                         t -> t,
                         t -> send(t, 0)),
                 of(
-                        "a drain ignored",
+                        "attempt to a draining server",
                         () -> new Drains(1_000),
-                        t -> told(told(t, "READY"), "DRAINING"),
+                        t -> notified(notified(t, "READY"), "DRAINING"),
                         t -> send(t.at(900), 0),
                         t -> send(t.at(1_100), 0)),
                 of(
-                        "a second word does not start the grace anew",
+                        "second notification does not restart the grace period",
                         () -> new Drains(1_000),
-                        t -> told(told(told(t, "READY"), "DRAINING").at(800), "GONE"),
+                        t -> notified(notified(notified(t, "READY"), "DRAINING").at(800), "GONE"),
                         t -> send(t, 0),
                         t -> send(t.at(1_100), 0)),
                 of(
-                        "a server never told of",
+                        "attempt to an unknown server",
                         () -> new Drains(1_000),
                         t -> t,
-                        t -> send(told(t, "READY"), 0),
+                        t -> send(notified(t, "READY"), 0),
                         t -> send(t, 0)),
                 of(
-                        "a cordon ignored",
+                        "attempt to a cordoned server",
                         Cordons::new,
                         t -> t.add(Kind.CORDON, "server", "s"),
                         t -> send(t.add(Kind.UNCORDON, "server", "s"), 0),
                         t -> send(t, 0)),
                 of(
-                        "a cold server pushed over",
+                        "collapse of a cold server",
                         () -> new ColdServers(1_000),
                         t -> t.by("s", Kind.STARTED, "at", 1L, "zone", 0),
                         t -> send(t, 0).by("s", Kind.FELL),
                         t -> send(t.add(Kind.TOLD, "server", "s", "state", "READY", "started", 1L), 0)
                                 .by("s", Kind.FELL)),
                 of(
-                        "a stale read of a register",
+                        "stale read of a register",
                         Linearizable::new,
                         t -> invoke(invoke(t, 1, "write", "x").add(Kind.RETURN, "call", 1L, "ok", true), 2, "read", ""),
                         t -> t.add(Kind.RETURN, "call", 2L, "ok", true, "value", "x"),
                         t -> t.add(Kind.RETURN, "call", 2L, "ok", true, "value", "old")),
                 of(
-                        "a revision used twice",
+                        "revision used twice",
                         VersionedList::new,
                         t -> put(t, 1, 1),
                         t -> put(t, 2, 2),
                         t -> put(t, 2, 1)),
                 of(
-                        "a list that misses a change",
+                        "list without a change",
                         VersionedList::new,
                         t -> put(t, 1, 1),
                         t -> list(t, 2, 1, "a=v1"),
                         t -> list(t, 2, 1, "")),
                 of(
-                        "a stale list served as fresh",
+                        "stale list returned as current",
                         VersionedList::new,
                         t -> put(put(t, 1, 1), 2, 2),
                         t -> list(t, 3, 2, "a=v2"),
                         t -> list(t, 3, 1, "a=v1")),
                 of(
-                        "a watch with a gap",
+                        "watch with a gap",
                         Versions::new,
                         t -> watched(t, 0, 4, true),
                         t -> watched(t, 4, 6, false),
                         t -> watched(t, 5, 6, false)),
                 of(
-                        "a version that goes back",
+                        "decreasing version",
                         Versions::new,
                         t -> watched(t, 0, 4, true),
                         t -> watched(t.add(Kind.STARTED), 0, 3, true),
                         t -> watched(t, 0, 3, true)),
                 of(
-                        "a value past its bound",
+                        "value older than its bound",
                         Ages::new,
                         t -> t.at(900),
                         t -> t.add(Kind.USED, "value", "v", "written", 400L, "bound", 500L),
                         t -> t.add(Kind.USED, "value", "v", "written", 399L, "bound", 500L)),
                 of(
-                        "two holders",
+                        "two holders of a lease",
                         SingleLeaseHolder::new,
                         t -> t.add(Kind.LEASED, "lease", "l", "until", 100L),
                         t -> t.at(100).by("q", Kind.LEASED, "lease", "l", "until", 200L),
                         t -> t.at(99).by("q", Kind.LEASED, "lease", "l", "until", 200L)),
                 of(
-                        "an acknowledged write lost",
+                        "acknowledged write lost",
                         AckedWrites::new,
                         t -> t.add(Kind.RETURN, "call", 1L, "number", 7L, "ok", true),
                         t -> t.add(Kind.STARTED, "found", 7L),
                         t -> t.add(Kind.STARTED, "found", 6L)),
                 of(
-                        "views that stay different",
+                        "views that do not converge",
                         () -> new Converged(1_000),
                         t -> t.add(Kind.VIEW, "digest", "x")
                                 .by("q", Kind.VIEW, "digest", "y")
@@ -252,18 +252,18 @@
     }
 
     @TestFactory
-    Stream<DynamicTest> eachCheckerTellsGoodHistoriesFromBad() {
+    Stream<DynamicTest> checkerAcceptsValidAndRejectsInvalidHistories() {
         return cases().map(c -> DynamicTest.dynamicTest(c.name, () -> {
             assertEquals(
                     List.of(),
-                    c.right
+                    c.valid
                             .apply(c.start.apply(new HistoryBuilder(c.checker.get())))
                             .end());
-            List<Violation> found = c.wrong
+            List<Violation> violations = c.invalid
                     .apply(c.start.apply(new HistoryBuilder(c.checker.get())))
                     .end();
-            assertFalse(found.isEmpty(), "not caught");
-            assertTrue(!found.get(0).events().isEmpty(), "tells nothing of what led to it");
+            assertFalse(violations.isEmpty(), "no violation reported");
+            assertTrue(!violations.get(0).events().isEmpty(), "violation without events");
         }));
     }
 }
--- a/harness/src/test/java/loadbalancer/harness/check/HistoryBuilder.java
+++ b/harness/src/test/java/loadbalancer/harness/check/HistoryBuilder.java
@@ -6,7 +6,7 @@
 import loadbalancer.harness.history.Event;
 import loadbalancer.harness.history.Event.Kind;
 
-/** Feeds a history that is made by hand, or drawn, to one checker. */
+/** Passes the events of a test's history to one checker. */
 final class HistoryBuilder {
     private final Checker checker;
     private long nowUs;
@@ -20,21 +20,21 @@
         return this;
     }
 
-    /** An event of process p. */
+    /** Adds an event of process p. */
     HistoryBuilder add(Kind kind, Object... fields) {
         return by("p", kind, fields);
     }
 
     HistoryBuilder by(String process, Kind kind, Object... fields) {
-        Map<String, Object> named = new LinkedHashMap<>();
+        Map<String, Object> byName = new LinkedHashMap<>();
         for (int i = 0; i < fields.length; i += 2) {
-            named.put((String) fields[i], fields[i + 1]);
+            byName.put((String) fields[i], fields[i + 1]);
         }
-        checker.read(new Event(nowUs++, process, kind, named));
+        checker.read(new Event(nowUs++, process, kind, byName));
         return this;
     }
 
-    /** The violations once the history has come to its end. */
+    /** Ends the history and returns the violations. */
     List<Violation> end() {
         checker.end(nowUs);
         return checker.violations();
--- a/harness/src/test/java/loadbalancer/harness/check/LinearizableTest.java
+++ b/harness/src/test/java/loadbalancer/harness/check/LinearizableTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The search against registers that are known to be right, as each call happens at one moment, and with one
- * lie.
+ * Checks random histories of a register that are linearizable by construction, because each call takes effect at one
+ * moment, and the same histories with one wrong read.
  */
 class LinearizableTest {
     private static final int CALLS = 60;
@@ -22,18 +22,19 @@
     private record Step(long atUs, Kind kind, Object[] fields) {}
 
     /**
-     * A true history; in one read of it, chosen by {@code lie}, a value comes back that was never written.
+     * Returns a linearizable history, except that the read with the index {@code wrongRead} returns a value that was
+     * never written; -1 for none.
      */
-    private static List<Step> history(long seed, int lie) {
+    private static List<Step> history(long seed, int wrongRead) {
         SplittableRandom random = new SplittableRandom(seed);
-        long[] free = new long[CLIENTS];
+        long[] freeAtUs = new long[CLIENTS];
         List<long[]> calls = new ArrayList<>();
         for (int i = 0; i < CALLS; i++) {
             int client = random.nextInt(CLIENTS);
-            long from = free[client] + random.nextLong(1, 50);
-            long happens = from + random.nextLong(0, 100);
-            free[client] = happens + random.nextLong(0, 100);
-            calls.add(new long[] {from, happens, free[client]});
+            long callUs = freeAtUs[client] + random.nextLong(1, 50);
+            long effectUs = callUs + random.nextLong(0, 100);
+            freeAtUs[client] = effectUs + random.nextLong(0, 100);
+            calls.add(new long[] {callUs, effectUs, freeAtUs[client]});
         }
         calls.sort(Comparator.comparingLong(call -> call[1]));
         List<Step> steps = new ArrayList<>();
@@ -47,7 +48,7 @@
                     value = "v" + i;
                     steps.add(
                             step(calls.get(i)[0], Kind.INVOKE, "call", id, "op", "write", "key", "k", "value", value));
-                    // One in four never comes back, though it happened.
+                    // One write in four takes effect but never returns.
                     if (random.nextInt(4) > 0) {
                         steps.add(step(calls.get(i)[2], Kind.RETURN, "call", id, "ok", true));
                     }
@@ -71,7 +72,7 @@
                     steps.add(step(calls.get(i)[2], Kind.RETURN, "call", id, "ok", expects));
                 }
                 default -> {
-                    String read = reads++ == lie ? "never" : before;
+                    String read = reads++ == wrongRead ? "never" : before;
                     steps.add(step(calls.get(i)[0], Kind.INVOKE, "call", id, "op", "read", "key", "k"));
                     steps.add(
                             read == null
@@ -88,16 +89,16 @@
         return new Step(atUs, kind, fields);
     }
 
-    private static List<Violation> judge(List<Step> steps) {
-        HistoryBuilder told = new HistoryBuilder(new Linearizable());
-        steps.forEach(step -> told.at(step.atUs).add(step.kind, step.fields));
-        return told.end();
+    private static List<Violation> check(List<Step> steps) {
+        HistoryBuilder builder = new HistoryBuilder(new Linearizable());
+        steps.forEach(step -> builder.at(step.atUs).add(step.kind, step.fields));
+        return builder.end();
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void linearizableHistoriesPassAndOthersAreDetected(long seed) {
-        assertEquals(List.of(), judge(history(seed, -1)));
-        assertTrue(judge(history(seed, (int) seed % 10)).size() == 1);
+    void linearizableHistoryPassesAndWrongReadIsDetected(long seed) {
+        assertEquals(List.of(), check(history(seed, -1)));
+        assertTrue(check(history(seed, (int) seed % 10)).size() == 1);
     }
 }
--- a/harness/src/test/java/loadbalancer/harness/membership/MembershipDeterminismTest.java
+++ b/harness/src/test/java/loadbalancer/harness/membership/MembershipDeterminismTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a seed comes to, to the byte: every datagram of a fleet, every change that its members were notified of,
- * and the results of a study. A refactoring that changes the order of random draws, a message or a time fails here.
+ * Checks that a seed always gives the same result, byte for byte: the datagrams of a fleet, the changes of which its
+ * members are notified, and the results of a study. A refactoring that changes the order of random draws, a message or
+ * a time fails here.
  */
 class MembershipDeterminismTest {
     private static final long PERIOD_US = 1_000_000;
@@ -24,7 +25,7 @@
         return Integer.parseInt(name.substring(1)) % 2 == 0;
     }
 
-    /** Changes of each type in the order of the types, the time, then datagrams, bytes and their checksum. */
+    /** Returns the number of changes of each type, the time, the numbers of datagrams and bytes, and their checksum. */
     private static String trace(SimulatedFleet fleet) {
         long[] changes = Arrays.stream(MembershipChange.Type.values())
                 .mapToLong(type -> fleet.members().stream()
@@ -36,7 +37,10 @@
                 + Long.toHexString(fleet.network().sentChecksum());
     }
 
-    /** Crash, restart with a late clock, partition, leave, pause, lost and repeated datagrams, a name used twice. */
+    /**
+     * The faults are a crash, a restart with a clock that is behind, a partition, a leave, a pause, lost and duplicated
+     * datagrams, and a name that is used twice.
+     */
     @Test
     void fleetUnderFaultsSendsTheSameDatagrams() {
         SimulatedFleet fleet = new SimulatedFleet(11, Long.MAX_VALUE / 4)
@@ -66,7 +70,7 @@
         assertEquals("[412, 14, 617, 474, 143, 15, 0, 1, 1, 0] 157000000 16805 1836139 2164eac9", trace(fleet));
     }
 
-    /** More processes than places, and a short retention of tombstones. */
+    /** There are more processes than {@code maxMembers} allows, and tombstones are retained for a short time. */
     @Test
     void fullFleetRejectsTheSameMembers() {
         UnaryOperator<MembershipSettings> small = usual -> usual.toBuilder()
@@ -87,7 +91,7 @@
     }
 
     @Test
-    void studyComesToTheSameResults() {
+    void studyGivesTheSameResults() {
         assertEquals(
                 "[12, 7, 2.0, 105.82916666666667, 1.227972, 1.959131, 1.0]",
                 values(MembershipStudy.measure(12, 7, settings -> settings)));
@@ -95,7 +99,7 @@
                 "[10, 3, 0, 18]", values(MembershipStudy.countFalsePositives(10, 3, 0.05, 60, settings -> settings)));
     }
 
-    /** The components in their order, whatever their names. */
+    /** Returns the values of the components in their order, without names. */
     private static String values(Record result) {
         return result.toString().replaceAll("[A-Za-z]+=|^[A-Za-z]+", "");
     }
--- a/harness/src/test/java/loadbalancer/harness/membership/MembershipTest.java
+++ b/harness/src/test/java/loadbalancer/harness/membership/MembershipTest.java
@@ -11,18 +11,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Failures of processes and of the network in simulated time, over several seeds. Whatever happens, in the end all
- * members that are up hold just these for live.
+ * Failures of processes and of the network in simulated time, with several seeds. After each scenario the live members
+ * of each running member must be exactly the running members.
  */
 class MembershipTest {
     private static final long PERIOD_US = 1_000_000;
     private static final int SETTLE_PERIODS = 20;
-    /** Larger for a longer hunt, as are the joining members. */
+    /** A larger number makes a longer search for failures, as does a larger number of joining members. */
     private static final int SEEDS = Integer.getInteger("loadbalancer.seeds", 5);
 
     private static final int JOINING = Integer.getInteger("loadbalancer.joining", 200);
 
-    /** Whether a member that is up may be held for dead in between. */
+    /** Whether running members may be considered dead during a scenario. */
     private enum FalseFailures {
         ALLOWED,
         NONE
@@ -53,24 +53,24 @@
         return fleet;
     }
 
-    /** Plays the story with each seed; the fleet has so many periods to converge after it. */
+    /** Runs a scenario with each seed, and checks that the fleet converges within a number of periods after it. */
     private static void assertConverges(
-            int members, int convergePeriods, FalseFailures falseFailures, Consumer<SimulatedFleet> story) {
+            int members, int convergePeriods, FalseFailures allowed, Consumer<SimulatedFleet> scenario) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimulatedFleet fleet = settledFleet(seed, members, convergePeriods);
-            story.accept(fleet);
+            scenario.accept(fleet);
             long endUs = fleet.time().nowUs() + convergePeriods * PERIOD_US;
             long convergedAtUs = fleet.convergedAtUs(PERIOD_US / 2, endUs);
             assertTrue(convergedAtUs >= 0, "not converged, seed " + seed);
             run(fleet, convergePeriods + 1);
             assertEquals(List.of(), fleet.end(), "seed " + seed);
             assertTrue(
-                    falseFailures == FalseFailures.ALLOWED || fleet.falseFailures() == 0,
-                    "held for dead while up, seed " + seed + ": " + fleet.failures());
+                    allowed == FalseFailures.ALLOWED || fleet.falseFailures() == 0,
+                    "considered dead while running, seed " + seed + ": " + fleet.failures());
         }
     }
 
-    /** Ends a partition; from here on views may differ only for the time that they have to converge. */
+    /** Ends a partition. From now on views may differ only for the time in which they have to converge. */
     private static void heal(SimulatedFleet fleet) {
         fleet.network().heal();
         fleet.recordFault("healed");
@@ -83,13 +83,13 @@
         assertConverges(30, 10, FalseFailures.NONE, fleet -> run(fleet, 30));
     }
 
-    /** A process crashes without a word. The others detect it, and nobody else is held for dead. */
+    /** A process crashes. The others detect it, and consider no other member dead. */
     @Test
     void crashIsDetected() {
         assertConverges(30, 30, FalseFailures.NONE, fleet -> fleet.member(7).kill());
     }
 
-    /** A process announces that it leaves. The others hold it for left, not for dead. */
+    /** A process announces that it leaves. The others record it as left, not as dead. */
     @Test
     void leaveIsNoFailure() {
         assertConverges(30, 10, FalseFailures.NONE, fleet -> {
@@ -100,7 +100,7 @@
         });
     }
 
-    /** A process is paused for less than a suspicion timeout. It refutes the suspicion when it goes on. */
+    /** A process is paused for less than the suspicion timeout. It refutes the suspicion when it resumes. */
     @Test
     void pauseOfThreeSecondsIsRefuted() {
         assertConverges(30, 15, FalseFailures.NONE, fleet -> {
@@ -110,9 +110,9 @@
         });
     }
 
-    /** A process is paused for so long that the others hold it for dead. It comes back when it goes on. */
+    /** A process is paused for so long that the others consider it dead. It is live again when it resumes. */
     @Test
-    void memberComesBackAfterAPauseOfAMinute() {
+    void memberRejoinsAfterAPauseOfAMinute() {
         assertConverges(30, 15, FalseFailures.ALLOWED, fleet -> {
             fleet.member(4).pause();
             run(fleet, 60);
@@ -121,9 +121,9 @@
     }
 
     /**
-     * A process receives nothing from half of the fleet and suspects these members. Then it is paused until all their
-     * suspicion timeouts would be over. When it goes on it must hold none of them for dead, as it could not hear their
-     * refutations. Its own messages arrive all the time, so that nobody holds it for dead either.
+     * A process receives nothing from half of the fleet and suspects these members. Then it is paused beyond their
+     * suspicion timeouts. When it resumes it must not consider them dead, because it could not receive their
+     * refutations. Its own messages arrive all the time, so that no member considers it dead either.
      */
     @Test
     void suspicionsArePostponedByAPause() {
@@ -138,7 +138,7 @@
         });
     }
 
-    /** All processes crash, and all but the seeds start again. They find each other once a seed is back. */
+    /** All processes crash, and all except the seeds restart. They find each other once a seed has restarted. */
     @Test
     void fleetThatRestartsWithoutSeedsWaitsForOne() {
         assertConverges(10, 40, FalseFailures.ALLOWED, fleet -> {
@@ -150,7 +150,7 @@
         });
     }
 
-    /** Each process in turn leaves and starts again at once, as in an upgrade of the fleet. */
+    /** Each process in turn leaves and restarts immediately, as in an upgrade of the fleet. */
     @Test
     void rollingRestartIsNoFailure() {
         assertConverges(30, 30, FalseFailures.NONE, fleet -> {
@@ -163,7 +163,7 @@
         });
     }
 
-    /** A process crashes and starts again before anybody has noticed. */
+    /** A process crashes and restarts before any other member detects the crash. */
     @Test
     void restartAtOnceIsAnUpdate() {
         assertConverges(12, 15, FalseFailures.NONE, fleet -> {
@@ -173,11 +173,11 @@
     }
 
     /**
-     * A process crashes and starts again with a clock that is an hour behind. Its new generation is lower than the one
-     * that the others hold, so that all it announces would be ignored. It learns that and raises its generation.
+     * A process crashes and restarts with a clock that is an hour behind. Its new generation is lower than the one that
+     * the others have recorded, so that they would ignore its announcements. It detects this and raises its generation.
      */
     @Test
-    void restartWithAClockBehindIsHeard() {
+    void restartWithAClockBehindIsAccepted() {
         assertConverges(12, 30, FalseFailures.NONE, fleet -> {
             fleet.member(5).kill();
             run(fleet, 1);
@@ -186,18 +186,18 @@
         });
     }
 
-    /** A process crashes, and one of another name starts at its address. The old name must not be held for alive. */
+    /** A process crashes, and one with another name starts at its address. The old name must not stay alive. */
     @Test
-    void anotherNameAtTheSameAddress() {
+    void anotherNameAtTheSameAddressReplacesTheOldName() {
         assertConverges(12, 40, FalseFailures.NONE, fleet -> {
             fleet.member(5).kill();
             fleet.add(seededBy("m0:1", "m99", "m5:1")).start();
         });
     }
 
-    /** A process crashes and starts again at another address. The others have to use the new one. */
+    /** A process crashes and restarts at another address. The others have to use the new one. */
     @Test
-    void sameNameAtAnotherAddressAfterACrash() {
+    void sameNameAtAnotherAddressAfterACrashConverges() {
         assertConverges(12, 40, FalseFailures.NONE, fleet -> {
             fleet.member(5).kill();
             run(fleet, 2);
@@ -205,7 +205,7 @@
         });
     }
 
-    /** A second process starts with the name of a member that is up. The one that started first yields the name. */
+    /** A second process starts with the name of a running member. The one that started first yields the name. */
     @Test
     void earlierProcessYieldsItsNameToTheLaterOne() {
         assertConverges(12, 20, FalseFailures.ALLOWED, fleet -> {
@@ -233,7 +233,7 @@
 
     // ---------------------------------------------------------------- network
 
-    /** The network is partitioned in halves, which hold each other for dead. They find each other once it is healed. */
+    /** The network is partitioned into halves, which consider each other dead. They rejoin once it is healed. */
     @Test
     void halvesConvergeAfterAPartition() {
         assertConverges(20, 15, FalseFailures.ALLOWED, fleet -> {
@@ -243,7 +243,7 @@
         });
     }
 
-    /** The same with three parts. */
+    /** The network is partitioned into thirds, which rejoin once it is healed. */
     @Test
     void thirdsConvergeAfterAPartition() {
         assertConverges(21, 15, FalseFailures.ALLOWED, fleet -> {
@@ -253,9 +253,9 @@
         });
     }
 
-    /** A member can send and receives nothing. It holds all others for dead, and they hold it for dead. */
+    /** A member can send but receives nothing. It considers all others dead, and they consider it dead. */
     @Test
-    void memberThatReceivesNothingComesBack() {
+    void memberThatReceivedNothingRejoins() {
         assertConverges(12, 15, FalseFailures.ALLOWED, fleet -> {
             fleet.network().partition((from, to) -> to.equals("m5"));
             run(fleet, 40);
@@ -263,7 +263,7 @@
         });
     }
 
-    /** The network is partitioned in halves, and one member reaches both. */
+    /** The network is partitioned into halves, and one member reaches both. */
     @Test
     void fleetConvergesAfterAPartitionWithABridge() {
         assertConverges(13, 15, FalseFailures.ALLOWED, fleet -> {
@@ -289,7 +289,7 @@
         });
     }
 
-    /** For a minute three in ten datagrams are lost, one in ten arrives twice, and they arrive in any order. */
+    /** For a minute, three in ten datagrams are lost, one in ten is duplicated, and datagrams are reordered. */
     @Test
     void lossyNetworkIsNoFailure() {
         assertConverges(20, 20, FalseFailures.NONE, fleet -> {
@@ -302,11 +302,11 @@
     }
 
     /**
-     * The checks must be able to fail: here a member whose messages never arrive cannot refute, and is held for dead
-     * though it is up.
+     * Shows that the checks can fail: a member whose messages never arrive cannot refute a suspicion, and is considered
+     * dead although it is running.
      */
     @Test
-    void memberWhoseMessagesNeverArriveIsFalselyHeldForDead() {
+    void memberWhoseMessagesNeverArriveIsFalselyConsideredDead() {
         SimulatedFleet fleet = settledFleet(1, 12, 10);
         fleet.network().partition((from, to) -> from.equals("m5"));
         run(fleet, 60);
--- a/harness/src/test/java/loadbalancer/harness/run/Planted.java
+++ b/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
@@ -18,33 +18,37 @@
 import loadbalancer.policy.ServerState;
 import loadbalancer.policy.ServiceQBalancer;
 
-/** The module with one fault planted between it and its node; what is not overridden passes through. */
-class Planted implements Balancer, BalancerActions {
+/**
+ * A wrapper that seeds one fault into the balancer. It stands between the balancer and its node and forwards all calls
+ * that a subclass does not override.
+ */
+class FaultyBalancer implements Balancer, BalancerActions {
     Balancer inner;
     BalancerActions out;
     BalancerSettings settings;
     long now;
-    /** Requests that the node holds, and the newest server of each. */
-    final Map<Long, BalancerRequest> held = new HashMap<>();
+    /** Requests of the node, by id. */
+    final Map<Long, BalancerRequest> requests = new HashMap<>();
 
+    /** App server of the latest attempt, by request id. */
     final Map<Long, String> sentTo = new HashMap<>();
     final Map<String, ServerEntry> listed = new TreeMap<>();
 
-    static Policy policy(Supplier<Planted> fault) {
+    static Policy policy(Supplier<FaultyBalancer> fault) {
         return (settings, seed, actions, servers) -> {
-            Planted planted = fault.get();
-            planted.out = actions;
-            planted.settings = settings;
-            planted.inner = new ServiceQBalancer(planted.given(settings), seed, planted);
-            return planted;
+            FaultyBalancer faulty = fault.get();
+            faulty.out = actions;
+            faulty.settings = settings;
+            faulty.inner = new ServiceQBalancer(faulty.adjustSettings(settings), seed, faulty);
+            return faulty;
         };
     }
 
-    BalancerSettings given(BalancerSettings told) {
-        return told;
+    BalancerSettings adjustSettings(BalancerSettings original) {
+        return original;
     }
 
-    /** Any ready server but this one. */
+    /** Returns a ready server other than this one. */
     String another(String server) {
         return listed.values().stream()
                 .filter(e -> e.state() == ServerState.READY && !e.id().equals(server))
@@ -68,7 +72,7 @@
     @Override
     public void onRequest(long nowUs, BalancerRequest request) {
         now = nowUs;
-        held.put(request.id(), request);
+        requests.put(request.id(), request);
         inner.onRequest(nowUs, request);
     }
 
--- a/harness/src/test/java/loadbalancer/harness/run/PlantedFaultsTest.java
+++ b/harness/src/test/java/loadbalancer/harness/run/FaultyBalancerTest.java
@@ -28,12 +28,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Faults planted in the module, each of which the referee has to catch on a scenario that meets it. */
-class PlantedFaultsTest {
+/**
+ * Mutation tests of the checkers: each seeded fault of the balancer must be detected by its checker, in a scenario that
+ * exposes it.
+ */
+class FaultyBalancerTest {
 
-    private record Fault(String what, String rule, String scenario, Supplier<Planted> planted) {}
+    private record Mutant(String name, String rule, String scenario, Supplier<FaultyBalancer> balancer) {}
 
-    /** One of the project's, with the overrides that follow its name: {@code jam load.per_second=9}. */
+    /** Reads a scenario of the project, with the overrides after its name: {@code jam load.per_second=9}. */
     static Scenario scenario(String name) throws Exception {
         Map<String, String> overrides = new TreeMap<>();
         String[] words = name.split("[ =]");
@@ -43,13 +46,17 @@
         return ScenarioFile.read(Path.of("scenarios", words[0] + ".toml"), overrides, Faults.names());
     }
 
-    private static boolean isUnsafe(Planted at, long request) {
-        return at.settings.classes.get(at.held.get(request).classIndex()).idempotency() == Idempotency.NON_IDEMPOTENT;
+    private static boolean isNonIdempotent(FaultyBalancer balancer, long request) {
+        return balancer.settings
+                        .classes
+                        .get(balancer.requests.get(request).classIndex())
+                        .idempotency()
+                == Idempotency.NON_IDEMPOTENT;
     }
 
-    private static Stream<Fault> faults() {
+    private static Stream<Mutant> mutants() {
         return Stream.of(
-                new Fault("a drain taken for ready", "Drains", "herd", () -> new Planted() {
+                new Mutant("draining server treated as ready", "Drains", "herd", () -> new FaultyBalancer() {
                     @Override
                     public void onServers(long nowUs, ListKind kind, List<ServerEntry> entries) {
                         super.onServers(
@@ -60,7 +67,7 @@
                                         .toList());
                     }
                 }),
-                new Fault("changes of the list never heeded", "Drains", "hands", () -> new Planted() {
+                new Mutant("changes of the endpoint list ignored", "Drains", "hands", () -> new FaultyBalancer() {
                     @Override
                     public void onServers(long nowUs, ListKind kind, List<ServerEntry> entries) {
                         if (kind != ListKind.CHANGES) {
@@ -68,13 +75,13 @@
                         }
                     }
                 }),
-                new Fault("a cordon forgotten", "Cordons", "hands", () -> new Planted() {
+                new Mutant("cordon ignored", "Cordons", "hands", () -> new FaultyBalancer() {
                     @Override
                     public void onCordoned(long nowUs, Set<String> serverIds) {
                         super.onCordoned(nowUs, Set.of());
                     }
                 }),
-                new Fault("an answer lost", "OneAnswer", "jam", () -> new Planted() {
+                new Mutant("response lost", "OneAnswer", "jam", () -> new FaultyBalancer() {
                     @Override
                     public void fail(long requestId) {
                         if (requestId % 3 > 0) {
@@ -82,65 +89,65 @@
                         }
                     }
                 }),
-                new Fault("an answer kept for too long", "OneAnswer", "jam", () -> new Planted() {
-                    private final List<Long> kept = new ArrayList<>();
+                new Mutant("response delayed for too long", "OneAnswer", "jam", () -> new FaultyBalancer() {
+                    private final List<Long> delayed = new ArrayList<>();
 
                     @Override
                     public void reject(long requestId, long retryAfterUs) {
-                        kept.add(requestId);
+                        delayed.add(requestId);
                     }
 
                     @Override
                     public void onWake(long nowUs) {
                         super.onWake(nowUs);
-                        kept.removeIf(id -> {
-                            boolean late = held.get(id).remainingUs() > 0 && nowUs % 97 == 0;
-                            if (late) {
+                        delayed.removeIf(id -> {
+                            boolean due = requests.get(id).remainingUs() > 0 && nowUs % 97 == 0;
+                            if (due) {
                                 out.reject(id, 0);
                             }
-                            return late;
+                            return due;
                         });
                     }
                 }),
-                new Fault("a refusal of what may have run", "Repeats", "jam", () -> new Planted() {
+                new Mutant("rejection of a request that may have run", "Repeats", "jam", () -> new FaultyBalancer() {
                     @Override
                     public void fail(long requestId) {
                         super.reject(requestId, 0);
                     }
                 }),
-                new Fault("a repeat too many", "Repeats", "jam", () -> new Planted() {
+                new Mutant("retry of a request that may have run", "Repeats", "jam", () -> new FaultyBalancer() {
                     @Override
                     public void onOutcome(long nowUs, AttemptOutcome outcome) {
                         if (outcome.result() == AttemptResult.ERROR
-                                && isUnsafe(this, outcome.requestId())
+                                && isNonIdempotent(this, outcome.requestId())
                                 && !outcome.requestEnded()) {
                             out.send(outcome.requestId(), another(sentTo.get(outcome.requestId())), 0, 0);
                         }
                         super.onOutcome(nowUs, outcome);
                     }
                 }),
-                new Fault("a second copy of an unsafe request", "Repeats", "calm", () -> new Planted() {
+                new Mutant("hedged request of a non-idempotent class", "Repeats", "calm", () -> new FaultyBalancer() {
                     @Override
                     public void send(long requestId, String serverId, long beginByUs, long untilUs) {
                         super.send(requestId, serverId, beginByUs, untilUs);
-                        if (isUnsafe(this, requestId)) {
+                        if (isNonIdempotent(this, requestId)) {
                             out.send(requestId, another(serverId), beginByUs, untilUs);
                         }
                     }
                 }),
-                new Fault("more attempts than allowed", "Repeats", "jam rules.max_attempts=1", () -> new Planted() {
+                new Mutant("more attempts than allowed", "Repeats", "jam rules.max_attempts=1", () -> new FaultyBalancer() {
                     @Override
-                    BalancerSettings given(BalancerSettings told) {
+                    BalancerSettings adjustSettings(BalancerSettings original) {
                         BalancerSettings more = new BalancerSettings();
-                        more.nodes = told.nodes;
-                        more.nodeIndex = told.nodeIndex;
-                        more.zones.addAll(told.zones);
-                        more.classes.addAll(told.classes);
-                        more.maxAttempts = told.maxAttempts + 4;
+                        more.nodes = original.nodes;
+                        more.nodeIndex = original.nodeIndex;
+                        more.zones.addAll(original.zones);
+                        more.classes.addAll(original.classes);
+                        more.maxAttempts = original.maxAttempts + 4;
                         return more;
                     }
                 }),
-                new Fault("cold servers flooded", "ColdServers", "herd", () -> new Planted() {
+                new Mutant("cold servers overloaded", "ColdServers", "herd", () -> new FaultyBalancer() {
                     @Override
                     public void send(long requestId, String serverId, long beginByUs, long untilUs) {
                         String coldest = listed.values().stream()
@@ -154,21 +161,21 @@
     }
 
     @TestFactory
-    Stream<DynamicTest> theRefereeCatchesEach() {
-        return faults().map(fault -> DynamicTest.dynamicTest(fault.what, () -> {
-            Scenario scenario = scenario(fault.scenario);
-            List<Violation> found =
-                    SimulatedRun.run(scenario, 1, Planted.policy(fault.planted)).violations();
+    Stream<DynamicTest> checkerDetectsEachFaultyBalancer() {
+        return mutants().map(mutant -> DynamicTest.dynamicTest(mutant.name, () -> {
+            Scenario scenario = scenario(mutant.scenario);
+            List<Violation> violations =
+                    SimulatedRun.run(scenario, 1, FaultyBalancer.policy(mutant.balancer)).violations();
             assertTrue(
-                    found.stream().anyMatch(v -> v.rule().equals(fault.rule)),
-                    fault.rule + " not among "
-                            + found.stream().map(Violation::rule).toList());
-            assertFalse(found.get(0).events().isEmpty());
+                    violations.stream().anyMatch(v -> v.rule().equals(mutant.rule)),
+                    mutant.rule + " not among "
+                            + violations.stream().map(Violation::rule).toList());
+            assertFalse(violations.get(0).events().isEmpty());
         }));
     }
 
     @Test
-    void unmodifiedBalancerKeepsTheRulesOnTheSameScenarios() throws Exception {
+    void unmodifiedBalancerViolatesNoRuleInTheSameScenarios() throws Exception {
         for (String name : List.of("calm", "jam", "herd", "hands", "links", "zone")) {
             for (long seed = 1; seed <= 4; seed++) {
                 assertEquals(
@@ -182,23 +189,23 @@
     @Test
     void violationIsShrunkToTheSmallestScenario() throws Exception {
         Scenario scenario = scenario("hands");
-        Policy faulty = Planted.policy(() -> new Planted() {
+        Policy faulty = FaultyBalancer.policy(() -> new FaultyBalancer() {
             @Override
             public void onCordoned(long nowUs, Set<String> serverIds) {
-                // Forgotten.
+                // Ignores the cordons.
             }
         });
-        Violation found = SimulatedRun.run(scenario, 3, faulty).violations().stream()
+        Violation violation = SimulatedRun.run(scenario, 3, faulty).violations().stream()
                 .filter(v -> v.rule().equals("Cordons"))
                 .findFirst()
                 .orElseThrow();
-        ScenarioShrinker.Result least =
-                ScenarioShrinker.shrink(scenario, found, lesser -> SimulatedRun.run(lesser, 3, faulty));
+        ScenarioShrinker.Result smallest =
+                ScenarioShrinker.shrink(scenario, violation, smaller -> SimulatedRun.run(smaller, 3, faulty));
         assertEquals(
                 List.of("cordoned"),
-                least.scenario().faults().stream().map(Scenario.FaultSpec::kind).toList());
-        assertEquals(1, least.scenario().fleet().nodes());
-        assertTrue(least.scenario().lengthUs() < scenario.lengthUs() / 2);
-        assertEquals("Cordons", least.violation().rule());
+                smallest.scenario().faults().stream().map(Scenario.FaultSpec::kind).toList());
+        assertEquals(1, smallest.scenario().fleet().nodes());
+        assertTrue(smallest.scenario().lengthUs() < scenario.lengthUs() / 2);
+        assertEquals("Cordons", smallest.violation().rule());
     }
 }
--- a/harness/src/test/java/loadbalancer/harness/run/SimulatedRunTest.java
+++ b/harness/src/test/java/loadbalancer/harness/run/SimulatedRunTest.java
@@ -24,16 +24,16 @@
     }
 
     @Test
-    void sameSeedGivesSameBytesOnOneCoreAndOnEight() throws Exception {
-        Scenario scenario = PlantedFaultsTest.scenario("hands");
-        List<String> alone = digests(scenario, 1);
-        assertEquals(alone, digests(scenario, 8));
-        assertEquals(8, Set.copyOf(alone).size());
+    void sameSeedGivesSameHistoryOnOneCoreAndOnEight() throws Exception {
+        Scenario scenario = FaultyBalancerTest.scenario("hands");
+        List<String> sequential = digests(scenario, 1);
+        assertEquals(sequential, digests(scenario, 8));
+        assertEquals(8, Set.copyOf(sequential).size());
     }
 
     @Test
-    void everyBaselineKeepsTheRulesWhereNothingIsCold() throws Exception {
-        Scenario scenario = PlantedFaultsTest.scenario("jam");
+    void noBaselineViolatesRulesWithoutColdServers() throws Exception {
+        Scenario scenario = FaultyBalancerTest.scenario("jam");
         for (String name : Baselines.names()) {
             Outcome outcome = SimulatedRun.run(scenario, 5, Baselines.named(name));
             assertEquals(List.of(), outcome.violations(), name);
@@ -43,7 +43,7 @@
 
     @Test
     void oraclePolicyBeatsRandom() throws Exception {
-        Scenario scenario = PlantedFaultsTest.scenario("jam");
+        Scenario scenario = FaultyBalancerTest.scenario("jam");
         double[][] g = new double[2][6];
         for (int seed = 0; seed < 6; seed++) {
             g[0][seed] = SimulatedRun.run(scenario, seed, Baselines.named("oracle"))
@@ -53,8 +53,8 @@
                     .score()
                     .g();
         }
-        Comparison compared = Comparison.of(g[0], g[1]);
-        assertTrue(compared.from() > 0, compared.toString());
-        assertNotEquals(compared.from(), compared.to());
+        Comparison comparison = Comparison.of(g[0], g[1]);
+        assertTrue(comparison.from() > 0, comparison.toString());
+        assertNotEquals(comparison.from(), comparison.to());
     }
 }
--- a/harness/src/test/java/loadbalancer/harness/time/SimulatorTest.java
+++ b/harness/src/test/java/loadbalancer/harness/time/SimulatorTest.java
@@ -9,20 +9,20 @@
 
 class SimulatorTest {
     private final Simulator time = new Simulator(7);
-    private final List<String> seen = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
 
     @Test
     void tasksDueTogetherRunInOrderAndCancelledOnesNever() {
-        time.at(20, () -> seen.add("c at " + time.nowUs()));
+        time.at(20, () -> events.add("c at " + time.nowUs()));
         time.at(10, () -> {
-            seen.add("a at " + time.nowUs());
-            time.at(5, () -> seen.add("late at " + time.nowUs()));
+            events.add("a at " + time.nowUs());
+            time.at(5, () -> events.add("late at " + time.nowUs()));
         });
-        time.at(10, () -> seen.add("b at " + time.nowUs()));
-        time.at(15, () -> seen.add("off")).cancel();
-        time.at(31, () -> seen.add("beyond"));
+        time.at(10, () -> events.add("b at " + time.nowUs()));
+        time.at(15, () -> events.add("off")).cancel();
+        time.at(31, () -> events.add("beyond"));
         time.runUntil(30);
-        assertEquals(List.of("a at 10", "b at 10", "late at 10", "c at 20"), seen);
+        assertEquals(List.of("a at 10", "b at 10", "late at 10", "c at 20"), events);
         assertEquals(30, time.nowUs());
     }
 
