--- a/harness/src/main/java/loadbalancer/harness/check/Ages.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Ages.java
@@ -5,7 +5,7 @@
 
 /**
  * Checks that no decision uses a value older than its bound. The age counts from the time of the run at which the value
- * was written. {@code USED} has value, written and bound, both in microseconds.
+ * was written. {@code USED} has value, which is its name, and the times written and bound in microseconds.
  */
 public final class Ages extends Checker {
     @Override
--- a/harness/src/main/java/loadbalancer/harness/check/Violation.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Violation.java
@@ -9,7 +9,7 @@
  *
  * @param rule the name of the checker that reports it
  * @param atUs microseconds since the start of the run
- * @param what a description
+ * @param what a description for reports
  * @param events what led to it, in order
  */
 public record Violation(String rule, long atUs, String what, List<Event> events) {
--- a/harness/src/main/java/loadbalancer/harness/membership/MembershipStudy.java
+++ b/harness/src/main/java/loadbalancer/harness/membership/MembershipStudy.java
@@ -51,7 +51,7 @@
      * Results of one fleet. Times are in probe periods, or -1 for what did not happen within {@link #MAX_PERIODS}.
      *
      * @param datagramsPerSecond mean number of datagrams that a member sends while there are no faults
-     * @param bytesPerSecond mean size of these datagrams
+     * @param bytesPerSecond mean number of bytes in these datagrams
      * @param firstDetection from a crash until the first member suspected the crashed one
      * @param fullDetection from a crash until all members considered the crashed one suspect or dead
      * @param convergence from the end of a partition into halves until all views were equal
--- a/harness/src/main/java/loadbalancer/harness/scenario/Scenario.java
+++ b/harness/src/main/java/loadbalancer/harness/scenario/Scenario.java
@@ -219,7 +219,7 @@
      *
      * @param part share of the possible targets that is affected, at random
      * @param size severity, in the unit of its kind
-     * @param extra a second parameter of some kinds
+     * @param extra a second parameter, which only some kinds have
      * @param on the numbers of the target servers, or of the class, instead of a random choice; may be empty
      */
     public record FaultSpec(
