--- a/harness/src/main/java/loadbalancer/harness/check/Linearizable.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Linearizable.java
@@ -132,7 +132,8 @@
         return switch (call.invoked.text("op")) {
             case "read" -> Objects.equals(call.returned.fields().get("value"), value);
             case "cas" ->
-                call.returned.isTrue("ok") == Objects.equals(call.invoked.fields().get("expect"), value);
+                call.returned.isTrue("ok")
+                        == Objects.equals(call.invoked.fields().get("expect"), value);
             default -> true;
         };
     }
--- a/harness/src/main/java/loadbalancer/harness/check/Repeats.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Repeats.java
@@ -27,7 +27,8 @@
     void onRequestEvent(TrackedRequest request, Event event) {
         boolean refused = event.kind() == Kind.ANSWER && event.text("answer").equals("REFUSED");
         if (event.kind() == Kind.SEND) {
-            long sent = request.events.stream().filter(e -> e.kind() == Kind.SEND).count();
+            long sent =
+                    request.events.stream().filter(e -> e.kind() == Kind.SEND).count();
             if (request.ended) {
                 addViolation(event.atUs(), "attempt sent after the final response", request.events);
             }
--- a/harness/src/main/java/loadbalancer/harness/check/RequestChecker.java
+++ b/harness/src/main/java/loadbalancer/harness/check/RequestChecker.java
@@ -52,7 +52,8 @@
                     }
                 }
             }
-            case KILLED -> open.values().removeIf(request -> request.arrival.process().equals(event.process()));
+            case KILLED ->
+                open.values().removeIf(request -> request.arrival.process().equals(event.process()));
             default -> {}
         }
     }
--- a/harness/src/main/java/loadbalancer/harness/scenario/ScenarioFile.java
+++ b/harness/src/main/java/loadbalancer/harness/scenario/ScenarioFile.java
@@ -59,9 +59,8 @@
             tree = TOML.readTree(toml);
         } catch (JsonProcessingException e) {
             JsonLocation at = e.getLocation();
-            throw new BadScenarioException(
-                    List.of("line " + (at == null ? "?" : at.getLineNr()) + ": not valid TOML: "
-                            + e.getOriginalMessage()));
+            throw new BadScenarioException(List.of(
+                    "line " + (at == null ? "?" : at.getLineNr()) + ": not valid TOML: " + e.getOriginalMessage()));
         }
         renameOldFaultKey(tree);
         overrides.forEach((path, value) -> override(tree, withoutOldFaultKey(path), value, problems));
@@ -234,10 +233,9 @@
     }
 
     private static List<Scenario.ServerKind> servers(List<TableReader> tables) {
-        List<TableReader> present =
-                tables.isEmpty()
-                        ? List.of(new TableReader("server", MissingNode.getInstance(), new ArrayList<>()))
-                        : tables;
+        List<TableReader> present = tables.isEmpty()
+                ? List.of(new TableReader("server", MissingNode.getInstance(), new ArrayList<>()))
+                : tables;
         return present.stream().map(ScenarioFile::server).toList();
     }
 
--- a/harness/src/main/java/loadbalancer/harness/scenario/TableReader.java
+++ b/harness/src/main/java/loadbalancer/harness/scenario/TableReader.java
@@ -141,8 +141,7 @@
             addProblem(
                     key,
                     value,
-                    "a list of " + (size < 0 ? "" : size + " ") + "numbers from " + format(min) + " to "
-                            + format(max));
+                    "a list of " + (size < 0 ? "" : size + " ") + "numbers from " + format(min) + " to " + format(max));
             return List.of();
         }
         return numbers;
@@ -187,10 +186,9 @@
         for (Iterator<String> keys = table.fieldNames(); keys.hasNext(); ) {
             String key = keys.next();
             if (!knownKeys.contains(key)) {
-                problems.add(
-                        path(key) + " = " + table.get(key) + ": is not known" + nearest(key, knownKeys)
-                                + "; keys here are "
-                                + String.join(", ", knownKeys.stream().sorted().toList()));
+                problems.add(path(key) + " = " + table.get(key) + ": is not known" + nearest(key, knownKeys)
+                        + "; keys here are "
+                        + String.join(", ", knownKeys.stream().sorted().toList()));
             }
         }
     }
--- a/harness/src/main/java/loadbalancer/harness/time/RandomStreams.java
+++ b/harness/src/main/java/loadbalancer/harness/time/RandomStreams.java
@@ -8,8 +8,10 @@
  * creation, so that an additional actor does not change the numbers that the others draw.
  */
 public final class RandomStreams {
-    /** FNV-1a, 64 bit: offset basis and prime. */
+    /** Offset basis of 64-bit FNV-1a. */
     private static final long FNV_START = 0xCBF29CE484222325L;
+
+    /** Prime of 64-bit FNV-1a. */
     private static final long FNV_PRIME = 0x100000001B3L;
 
     private RandomStreams() {}
--- a/harness/src/test/java/loadbalancer/harness/check/CheckersTest.java
+++ b/harness/src/test/java/loadbalancer/harness/check/CheckersTest.java
@@ -193,12 +193,7 @@
                         t -> invoke(invoke(t, 1, "write", "x").add(Kind.RETURN, "call", 1L, "ok", true), 2, "read", ""),
                         t -> t.add(Kind.RETURN, "call", 2L, "ok", true, "value", "x"),
                         t -> t.add(Kind.RETURN, "call", 2L, "ok", true, "value", "old")),
-                of(
-                        "revision used twice",
-                        VersionedList::new,
-                        t -> put(t, 1, 1),
-                        t -> put(t, 2, 2),
-                        t -> put(t, 2, 1)),
+                of("revision used twice", VersionedList::new, t -> put(t, 1, 1), t -> put(t, 2, 2), t -> put(t, 2, 1)),
                 of(
                         "list without a change",
                         VersionedList::new,
--- a/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
+++ b/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
@@ -32,6 +32,7 @@
 
     /** App server of the latest attempt, by request id. */
     final Map<Long, String> sentTo = new HashMap<>();
+
     final Map<String, ServerEntry> listed = new TreeMap<>();
 
     static Policy policy(Supplier<FaultyBalancer> fault) {
--- a/harness/src/test/java/loadbalancer/harness/run/FaultyBalancerTest.java
+++ b/harness/src/test/java/loadbalancer/harness/run/FaultyBalancerTest.java
@@ -135,18 +135,22 @@
                         }
                     }
                 }),
-                new Mutant("more attempts than allowed", "Repeats", "jam rules.max_attempts=1", () -> new FaultyBalancer() {
-                    @Override
-                    BalancerSettings adjustSettings(BalancerSettings original) {
-                        BalancerSettings more = new BalancerSettings();
-                        more.nodes = original.nodes;
-                        more.nodeIndex = original.nodeIndex;
-                        more.zones.addAll(original.zones);
-                        more.classes.addAll(original.classes);
-                        more.maxAttempts = original.maxAttempts + 4;
-                        return more;
-                    }
-                }),
+                new Mutant(
+                        "more attempts than allowed",
+                        "Repeats",
+                        "jam rules.max_attempts=1",
+                        () -> new FaultyBalancer() {
+                            @Override
+                            BalancerSettings adjustSettings(BalancerSettings original) {
+                                BalancerSettings more = new BalancerSettings();
+                                more.nodes = original.nodes;
+                                more.nodeIndex = original.nodeIndex;
+                                more.zones.addAll(original.zones);
+                                more.classes.addAll(original.classes);
+                                more.maxAttempts = original.maxAttempts + 4;
+                                return more;
+                            }
+                        }),
                 new Mutant("cold servers overloaded", "ColdServers", "herd", () -> new FaultyBalancer() {
                     @Override
                     public void send(long requestId, String serverId, long beginByUs, long untilUs) {
@@ -162,16 +166,17 @@
 
     @TestFactory
     Stream<DynamicTest> checkerDetectsEachFaultyBalancer() {
-        return mutants().map(mutant -> DynamicTest.dynamicTest(mutant.name, () -> {
-            Scenario scenario = scenario(mutant.scenario);
-            List<Violation> violations =
-                    SimulatedRun.run(scenario, 1, FaultyBalancer.policy(mutant.balancer)).violations();
-            assertTrue(
-                    violations.stream().anyMatch(v -> v.rule().equals(mutant.rule)),
-                    mutant.rule + " not among "
-                            + violations.stream().map(Violation::rule).toList());
-            assertFalse(violations.get(0).events().isEmpty());
-        }));
+        return mutants()
+                .map(mutant -> DynamicTest.dynamicTest(mutant.name, () -> {
+                    Scenario scenario = scenario(mutant.scenario);
+                    List<Violation> violations = SimulatedRun.run(scenario, 1, FaultyBalancer.policy(mutant.balancer))
+                            .violations();
+                    assertTrue(
+                            violations.stream().anyMatch(v -> v.rule().equals(mutant.rule)),
+                            mutant.rule + " not among "
+                                    + violations.stream().map(Violation::rule).toList());
+                    assertFalse(violations.get(0).events().isEmpty());
+                }));
     }
 
     @Test
@@ -203,7 +208,9 @@
                 ScenarioShrinker.shrink(scenario, violation, smaller -> SimulatedRun.run(smaller, 3, faulty));
         assertEquals(
                 List.of("cordoned"),
-                smallest.scenario().faults().stream().map(Scenario.FaultSpec::kind).toList());
+                smallest.scenario().faults().stream()
+                        .map(Scenario.FaultSpec::kind)
+                        .toList());
         assertEquals(1, smallest.scenario().fleet().nodes());
         assertTrue(smallest.scenario().lengthUs() < scenario.lengthUs() / 2);
         assertEquals("Cordons", smallest.violation().rule());
