--- a/cli/src/main/java/loadbalancer/cli/Fleet.java
+++ b/cli/src/main/java/loadbalancer/cli/Fleet.java
@@ -14,21 +14,21 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import loadbalancer.rig.baseline.Baselines;
-import loadbalancer.rig.baseline.JarPolicy;
-import loadbalancer.rig.check.Violation;
-import loadbalancer.rig.fault.Faults;
-import loadbalancer.rig.play.Comparison;
-import loadbalancer.rig.play.Outcome;
-import loadbalancer.rig.play.Seeds;
-import loadbalancer.rig.play.Shrink;
-import loadbalancer.rig.play.SimPlay;
-import loadbalancer.rig.scenario.BadScenarioException;
-import loadbalancer.rig.scenario.DayFile;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.scenario.ScenarioFile;
-import loadbalancer.rig.world.Policy;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.baseline.Baselines;
+import loadbalancer.harness.baseline.JarPolicy;
+import loadbalancer.harness.check.Violation;
+import loadbalancer.harness.fault.Faults;
+import loadbalancer.harness.run.Comparison;
+import loadbalancer.harness.run.Outcome;
+import loadbalancer.harness.run.ScenarioShrinker;
+import loadbalancer.harness.run.SeedSweep;
+import loadbalancer.harness.run.SimulatedRun;
+import loadbalancer.harness.scenario.BadScenarioException;
+import loadbalancer.harness.scenario.DayFile;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.scenario.ScenarioFile;
+import loadbalancer.harness.simulation.Policy;
+import loadbalancer.harness.simulation.World;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
@@ -133,12 +133,12 @@
         if (real && policy != Policy.MODULE) {
             throw new UsageException("--policy " + policyName + ": must be module with --real");
         }
-        SimPlay.Progress progress = isTerminal() && !json ? this::showSecond : (nowUs, world) -> {};
+        SimulatedRun.Progress progress = isTerminal() && !json ? this::showSecond : (nowUs, world) -> {};
         Outcome outcome;
         try (OutputStream to = file == null ? null : new BufferedOutputStream(Files.newOutputStream(file))) {
             outcome = real
                     ? FleetDemo.play(scenario, seed, to, event -> {}, progress)
-                    : SimPlay.play(scenario, seed, policy, to, true, progress);
+                    : SimulatedRun.run(scenario, seed, policy, to, true, progress);
         }
         if (json) {
             out().println(Outcomes.json(scenario, outcome));
@@ -181,11 +181,11 @@
         Scenario scenario = options.read();
         Policy policy = policy(policyName);
         int[] count = {0};
-        List<Outcome> all = Seeds.play(
+        List<Outcome> all = SeedSweep.run(
                 first,
                 atLeastOne("--seeds", seeds),
                 cores(cores),
-                seed -> SimPlay.play(scenario, seed, policy),
+                seed -> SimulatedRun.run(scenario, seed, policy),
                 outcome -> {
                     if (isTerminal()) {
                         err().printf("\r%d of %d seeds", ++count[0], seeds);
@@ -216,14 +216,14 @@
                         .collect(Collectors.joining(", ")));
         Outcome worst = broken.get(0);
         printViolations(worst, options);
-        Shrink.Smallest least = Shrink.shrink(
-                scenario, worst.violations().get(0), lesser -> SimPlay.play(lesser, worst.seed(), policy));
+        ScenarioShrinker.Result least = ScenarioShrinker.shrink(
+                scenario, worst.violations().get(0), lesser -> SimulatedRun.run(lesser, worst.seed(), policy));
         Scenario s = least.scenario();
         out().printf(
                         Locale.ROOT,
                         "%nsmallest found in %d plays: %.3f s, %d nodes, %d servers, %.1f requests a"
                                 + " second, %d keys, faults %s%n",
-                        least.plays(),
+                        least.runs(),
                         s.lengthUs() / 1e6,
                         s.fleet().nodes(),
                         s.fleet().servers(),
@@ -276,7 +276,7 @@
 
     private static List<Outcome> play(Scenario scenario, Policy policy, long first, int seeds, int cores)
             throws InterruptedException {
-        return Seeds.play(first, seeds, cores, seed -> SimPlay.play(scenario, seed, policy), outcome -> {});
+        return SeedSweep.run(first, seeds, cores, seed -> SimulatedRun.run(scenario, seed, policy), outcome -> {});
     }
 
     @Command(
--- a/cli/src/main/java/loadbalancer/cli/FleetDemo.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetDemo.java
@@ -12,19 +12,19 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import loadbalancer.rig.fault.Faults;
-import loadbalancer.rig.history.Event;
-import loadbalancer.rig.history.History;
-import loadbalancer.rig.play.Outcome;
-import loadbalancer.rig.play.SimPlay;
-import loadbalancer.rig.real.DeployFile;
-import loadbalancer.rig.real.RealPlay;
-import loadbalancer.rig.scenario.BadScenarioException;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.scenario.ScenarioFile;
-import loadbalancer.rig.world.AppServer;
-import loadbalancer.rig.world.NodePort;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.fault.Faults;
+import loadbalancer.harness.history.Event;
+import loadbalancer.harness.history.History;
+import loadbalancer.harness.process.DeployFile;
+import loadbalancer.harness.process.RealPlay;
+import loadbalancer.harness.run.Outcome;
+import loadbalancer.harness.run.SimulatedRun;
+import loadbalancer.harness.scenario.BadScenarioException;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.scenario.ScenarioFile;
+import loadbalancer.harness.simulation.AppServer;
+import loadbalancer.harness.simulation.NodePort;
+import loadbalancer.harness.simulation.World;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
@@ -93,7 +93,7 @@
 
     /** Plays a scenario with processes, which are gone when this returns or this process is told to end. */
     static Outcome play(
-            Scenario scenario, long seed, OutputStream history, History.Reader reader, SimPlay.Progress progress)
+            Scenario scenario, long seed, OutputStream history, History.Reader reader, SimulatedRun.Progress progress)
             throws IOException, InterruptedException {
         DeployFile deploy = DeployFile.find(Path.of(""));
         Path folder = Files.createTempDirectory("lb-fleet");
--- a/cli/src/main/java/loadbalancer/cli/Report.java
+++ b/cli/src/main/java/loadbalancer/cli/Report.java
@@ -14,8 +14,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import loadbalancer.rig.history.Event;
-import loadbalancer.rig.history.History;
+import loadbalancer.harness.history.Event;
+import loadbalancer.harness.history.History;
 import org.HdrHistogram.Histogram;
 import org.jfree.chart.ChartFactory;
 import org.jfree.chart.ChartUtils;
@@ -59,7 +59,7 @@
             switch (event.kind()) {
                 case RUN ->
                     title = event.text("scenario") + ", seed " + event.number("seed")
-                            + (event.yes("real") ? ", processes" : ", simulated");
+                            + (event.isTrue("real") ? ", processes" : ", simulated");
                 case ASK -> arrivedAtUs.put(event.number("request"), event.atUs());
                 case OUTCOME -> outcomes.merge(event.text("result"), 1, Integer::sum);
                 case SERVED -> count(served, event.process(), second);
--- a/rig/src/main/java/loadbalancer/rig/check/AckedWrites.java
+++ b/harness/src/main/java/loadbalancer/harness/check/AckedWrites.java
@@ -1,14 +1,15 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /**
- * What was acknowledged as durable is there after every restart. {@code RETURN} of an op append acknowledges
- * its number; {@code STARTED} of a process with a store tells the highest number that it found, {@code
- * found}.
+ * Checks that every write that was acknowledged as durable is present after each restart.
+ *
+ * <p>{@code RETURN} with ok acknowledges the write with its {@code number}. {@code STARTED} of a process that has a
+ * store contains the highest number that it {@code found}.
  */
 public final class AckedWrites extends Checker {
     private final Map<String, Event> acknowledged = new HashMap<>();
@@ -17,7 +18,7 @@
     public void read(Event event) {
         switch (event.kind()) {
             case RETURN -> {
-                if (event.has("number") && event.yes("ok")) {
+                if (event.has("number") && event.isTrue("ok")) {
                     acknowledged.merge(
                             event.process(), event, (a, b) -> a.number("number") > b.number("number") ? a : b);
                 }
@@ -25,9 +26,10 @@
             case STARTED -> {
                 Event last = acknowledged.get(event.process());
                 if (last != null && event.has("found") && event.number("found") < last.number("number")) {
-                    violated(
+                    addViolation(
                             event.atUs(),
-                            "found " + event.number("found") + " though " + last.number("number") + " was acknowledged",
+                            "found " + event.number("found") + " although " + last.number("number")
+                                    + " was acknowledged",
                             List.of(last, event));
                 }
             }
--- a/rig/src/main/java/loadbalancer/rig/check/Ages.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Ages.java
@@ -1,11 +1,11 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.List;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /**
- * No decision used a value that was older than its bound, by the true time at which it was written: {@code
- * USED}.
+ * Checks that no decision uses a value older than its bound. The age counts from the time of the run at which the value
+ * was written. {@code USED} has value, which is its name, and the times written and bound in microseconds.
  */
 public final class Ages extends Checker {
     @Override
@@ -13,7 +13,7 @@
         if (event.kind() == Event.Kind.USED) {
             long ageUs = event.atUs() - event.number("written");
             if (ageUs > event.number("bound")) {
-                violated(
+                addViolation(
                         event.atUs(),
                         event.text("value") + " was " + ageUs + " us old, bound " + event.number("bound"),
                         List.of(event));
--- a/rig/src/main/java/loadbalancer/rig/check/Versions.java
+++ b/harness/src/main/java/loadbalancer/harness/check/Versions.java
@@ -1,14 +1,15 @@
-package loadbalancer.rig.check;
+package loadbalancer.harness.check;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.rig.history.Event;
+import loadbalancer.harness.history.Event;
 
 /**
- * Each watcher sees versions that only grow, and none left out unless what it is given says that it is whole.
- * {@code WATCHED} has version and whole, and from, the version that it follows on. A watcher that starts
- * again may begin anywhere.
+ * Checks that each watcher sees increasing versions without gaps. Only a full list may repeat a version or follow a
+ * gap. A watcher that restarts may begin with any version.
+ *
+ * <p>{@code WATCHED} has version, whole for a full list, and from, the version to which the changes apply.
  */
 public final class Versions extends Checker {
     private final Map<String, Event> last = new HashMap<>();
@@ -23,15 +24,15 @@
                     return;
                 }
                 long seen = before.number("version");
-                if (event.number("version") < seen || event.number("version") == seen && !event.yes("whole")) {
-                    violated(
+                if (event.number("version") < seen || event.number("version") == seen && !event.isTrue("whole")) {
+                    addViolation(
                             event.atUs(),
                             "version " + event.number("version") + " after " + seen,
                             List.of(before, event));
-                } else if (!event.yes("whole") && event.number("from") != seen) {
-                    violated(
+                } else if (!event.isTrue("whole") && event.number("from") != seen) {
+                    addViolation(
                             event.atUs(),
-                            "a gap: changes since " + event.number("from") + " after version " + seen,
+                            "gap: changes since " + event.number("from") + " after version " + seen,
                             List.of(before, event));
                 }
             }
--- a/rig/src/main/java/loadbalancer/rig/real/RealPlay.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -15,16 +15,16 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.rig.check.Checker;
-import loadbalancer.rig.check.NoCrash;
-import loadbalancer.rig.check.Rules;
-import loadbalancer.rig.history.Event;
-import loadbalancer.rig.history.History;
-import loadbalancer.rig.play.Outcome;
-import loadbalancer.rig.play.SimPlay;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.world.NodePort;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.check.Checker;
+import loadbalancer.harness.check.Checkers;
+import loadbalancer.harness.check.NoCrash;
+import loadbalancer.harness.history.Event;
+import loadbalancer.harness.history.History;
+import loadbalancer.harness.run.Outcome;
+import loadbalancer.harness.run.SimulatedRun;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.NodePort;
+import loadbalancer.harness.simulation.World;
 
 /**
  * Plays a scenario with processes: nodes as the deploy file starts them, and app servers, list and clients as
@@ -73,7 +73,7 @@
         time = new RealTimeline(loop, seed);
         linkLoop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         links = new ServerLinks(linkLoop, time.stream("links"));
-        checkers = new ArrayList<>(Rules.of(scenario, SLACK_US));
+        checkers = new ArrayList<>(Checkers.of(scenario, SLACK_US));
         checkers.add(new NoCrash());
         List<History.Reader> readers = new ArrayList<>(checkers);
         readers.add(this::follow);
@@ -135,7 +135,7 @@
     }
 
     /** Plays it from the start to the end. */
-    public Outcome play(SimPlay.Progress progress) throws IOException, InterruptedException {
+    public Outcome play(SimulatedRun.Progress progress) throws IOException, InterruptedException {
         onLoop(() -> {
             history.add("rig", Event.Kind.RUN, "scenario", scenario.name(), "seed", seed, "real", true);
             world.start();
@@ -147,7 +147,7 @@
                 () -> world.nodes().stream().allMatch(NodePort::isReady));
         long startedUs = onLoop(() -> {
             world.startClients();
-            SimPlay.scheduleFaults(world, time);
+            SimulatedRun.scheduleFaults(world, time);
             return time.nowUs();
         });
         long endUs = startedUs + world.endUs();
@@ -159,7 +159,7 @@
             TimeUnit.MICROSECONDS.sleep(Math.max(1, Math.min(endUs, startedUs + second * 1_000_000) - time.nowUs()));
             long played = second;
             onLoop(() -> {
-                progress.second(played * 1_000_000, world);
+                progress.onSecond(played * 1_000_000, world);
                 return null;
             });
         }
--- a/rig/src/main/java/loadbalancer/rig/world/Clients.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
@@ -1,14 +1,14 @@
-package loadbalancer.rig.world;
+package loadbalancer.harness.simulation;
 
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.NodePort.Answer;
+import loadbalancer.harness.simulation.NodePort.ClientRequest;
+import loadbalancer.harness.time.Timeline;
+import loadbalancer.harness.time.Timeline.Timer;
 import loadbalancer.policy.Idempotency;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.time.Timeline;
-import loadbalancer.rig.time.Timeline.Timer;
-import loadbalancer.rig.world.NodePort.Answer;
-import loadbalancer.rig.world.NodePort.ClientRequest;
 
 /**
  * Clients, open loop: requests arrive at random, one stream for each class and zone, whatever becomes of those
@@ -156,7 +156,7 @@
                     stream.classIndex == heavyClass && stream.random.nextDouble() < heavyShare ? heavyFactor : 1;
             workUs = cls.workUs() * Distributions.spread(stream.random, cls.cv()) * heavier;
             deadlineUs = firstSentAtUs + cls.deadlineUs();
-            leaves = stream.random.nextDouble() < scenario.clients().leaving();
+            leaves = stream.random.nextDouble() < scenario.clients().abandonShare();
             openRequests++;
         }
 
@@ -178,7 +178,7 @@
             // A client waits a little beyond its deadline, so that the checkers see responses that are late.
             long waitsUs = leavesNow
                     ? (long) (patienceUs * stream.random.nextDouble())
-                    : patienceUs + 2 * scenario.rules().answerGraceUs();
+                    : patienceUs + 2 * scenario.rules().responseGraceUs();
             timeout = time.after(waitsUs, () -> {
                 current++;
                 NodePort target = node;
--- a/rig/src/main/java/loadbalancer/rig/time/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Virtual time and the streams of random numbers. */
-package loadbalancer.rig.time;
