--- a/harness/src/main/java/loadbalancer/harness/simulation/AppServer.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/AppServer.java
@@ -19,17 +19,16 @@
 import loadbalancer.policy.LoadReport;
 
 /**
- * The model of one app server. Its cores are shared evenly by the jobs in its slots; further jobs wait
- * in a queue, and beyond that are rejected. It is less efficient the more it holds, pauses now and then, starts
- * cold, falls over when it gets far too much while it is, and does a request with a key that it remembers in
- * less time.
+ * The model of one app server. The jobs in its slots share its cores evenly; further jobs wait in a queue and are
+ * rejected once the queue is full. Its efficiency falls with the number of jobs, and it pauses from time to time. It
+ * starts cold and crashes if it is overloaded while cold. A request with a cached key takes less work.
  */
 public final class AppServer {
-    /** How often a cold server's pace is worked out anew, as it rises all the time. */
+    /** Interval at which a cold server's speed is recomputed, as it rises continuously. */
     private static final long WARMING_STEP_US = 50_000;
-    /** An error comes back this quickly, and costs no work. */
+    /** Latency of an error response, which costs no work. */
     private static final long ERROR_US = 1_000;
-    /** What is left of a request at which it counts as done: rounding of times to microseconds. */
+    /** Remaining work at which a job counts as completed, as times are rounded to microseconds. */
     private static final double DONE_US = 0.5;
 
     private final String id;
@@ -50,7 +49,7 @@
     private double errorShare;
     private long startedUs;
     private boolean cold;
-    /** The work that a job has had that runs since the beginning, and when that was computed. */
+    /** Work done so far for a job that has run since the beginning, as of {@code progressAtUs}. */
     private double progress;
 
     private long progressAtUs;
@@ -60,7 +59,7 @@
     private final ArrayDeque<Job> queued = new ArrayDeque<>();
     private long jobs;
     private Timer nextStep;
-    /** Counts starts and ends: what one incarnation has scheduled must not run in another. */
+    /** Incremented on each start and end: a task scheduled by one incarnation must not run in another. */
     private int incarnation;
 
     private final LinkedHashMap<String, Long> cachedKeys = new LinkedHashMap<>(16, 0.75f, true);
@@ -73,12 +72,12 @@
     private double workDoneUs;
     private double workWastedUs;
 
-    /** How an attempt at it ends; called on the timeline. */
+    /** Receives the result of an attempt and a load report, or null; called on the timeline. */
     public interface Reply extends BiConsumer<AttemptResult, LoadReport> {}
 
     private record Arrival(long atUs, double workUs) {}
 
-    /** Something that it has taken. */
+    /** An attempt that the server has accepted. */
     public static final class Job {
         private final long number;
         private final Work work;
@@ -95,7 +94,7 @@
         }
     }
 
-    /** @param onCollapse called once it has fallen over; starting it again is the caller's */
+    /** @param onCollapse called after a crash by overload; the caller restarts the server */
     AppServer(int number, String id, Scenario scenario, Timeline time, History history, Runnable onCollapse) {
         this.id = id;
         Scenario.Fleet fleet = scenario.fleet();
@@ -120,7 +119,7 @@
         return zone;
     }
 
-    /** Whether its process runs; a silent machine's does. */
+    /** Whether its process runs; false while it is unreachable. */
     public boolean isUp() {
         return up;
     }
@@ -129,17 +128,17 @@
         return unreachable;
     }
 
-    /** When it last started; 0 if it was up and warm as the run began. */
+    /** Returns the time of its last start, or 0 if it was started warm, before the run. */
     public long startedUs() {
         return startedUs;
     }
 
-    /** Requests in its slots and its queue. */
+    /** Returns the number of requests in its slots and its queue. */
     public int requestCount() {
         return running.size() + queued.size();
     }
 
-    /** Work on a standard core that it can do in a second when warm and not crowded. */
+    /** Returns the work of a standard core that it can do per unit of time when it is warm and not congested. */
     public double capacity() {
         return kind.cores() * speed;
     }
@@ -148,17 +147,17 @@
         return workDoneUs;
     }
 
-    /** The same as it is now, with what a cold start, slowness and errors take off it. */
+    /** Returns the capacity reduced by warm-up, slowdown and errors; nearly 0 while the server is down. */
     public double presentCapacity() {
         return up ? Math.max(1e-9, capacity() * warmth() / slowdown * (1 - errorShare)) : 1e-9;
     }
 
-    /** Work that it did for nobody: abandoned before it was done, or lost with the process. */
+    /** Returns the work whose result nobody received: its attempt was abandoned, or the process ended. */
     public double workWastedUs() {
         return workWastedUs;
     }
 
-    /** Starts it; a warm start is for what ran before the run began. */
+    /** Starts it; {@code warm} for a server that already ran before the run began. */
     public void start(boolean warm) {
         up = true;
         unreachable = false;
@@ -170,7 +169,7 @@
         schedulePause(incarnation);
     }
 
-    /** Ends its process at once: what it holds is reset. */
+    /** Ends its process at once and resets all of its jobs. */
     public void kill() {
         if (!up) {
             return;
@@ -195,7 +194,7 @@
         paused = false;
     }
 
-    /** All its connections break: what is in its slots goes on, for nobody. */
+    /** Resets all of its connections. Jobs in its slots continue, but their results are discarded. */
     void breakConnections() {
         List<Job> broken = new ArrayList<>(running);
         broken.addAll(queued);
@@ -206,13 +205,13 @@
         }
     }
 
-    /** Its machine says nothing any more, though connections stay open; ended by {@link #start}. */
+    /** Makes its machine stop responding while connections stay open, until {@link #start}. */
     public void becomeUnreachable() {
         kill();
         unreachable = true;
     }
 
-    /** Makes all work from now on take this many times as long. */
+    /** Makes all work take this many times as long from now on. */
     public void setSlowdown(double factor) {
         updateProgress();
         slowdown = factor;
@@ -250,7 +249,7 @@
 
     // ---------------------------------------------------------------- connections
 
-    /** Whether one more connection from this node is taken; it costs work. */
+    /** Accepts one more connection from this node, unless it is down or at its limit. A handshake costs work. */
     public boolean connect(String node) {
         if (!up || connected >= kind.cores() * net.connectionsPerCore()) {
             return false;
@@ -261,7 +260,7 @@
         return true;
     }
 
-    /** A connection has been closed by the node. */
+    /** The node has closed a connection. */
     public void disconnect(String node) {
         if (connections.getOrDefault(node, 0) > 0) {
             connections.merge(node, -1, Integer::sum);
@@ -272,10 +271,10 @@
     // ---------------------------------------------------------------- work
 
     /**
-     * Takes an attempt, all of which has arrived. The reply comes later, never from inside this call; a
-     * silent machine gives none.
+     * Submits an attempt that has arrived completely. The reply is delivered later, never from within this call; an
+     * unreachable server sends none.
      *
-     * @return what to abandon by {@link #abandon}, or null
+     * @return the job, for {@link #abandon}, or null if the attempt was not accepted
      */
     public Job submit(Work work, Reply reply) {
         if (unreachable) {
@@ -313,7 +312,7 @@
         return job;
     }
 
-    /** Nobody waits for it any more; what waits is dropped, what is in work goes on, for nothing. */
+    /** Marks the result as no longer needed: a queued job is dropped, a running job continues and is wasted. */
     public void abandon(Job job) {
         if (job != null && !job.abandoned) {
             job.abandoned = true;
@@ -337,7 +336,10 @@
         return at != null && time.nowUs() - at <= kind.keyCacheUs();
     }
 
-    /** A cold server that gets far more than it can do for too long falls over. */
+    /**
+     * Records arriving work, and crashes a cold server if the work of the last {@code overloadUs} exceeds its capacity
+     * by more than the overload multiple. The limit allows for random variation of the arrivals.
+     */
     private void recordPressure(double workUs) {
         if (!cold) {
             return;
@@ -368,7 +370,7 @@
                                         / Math.max(1, kind.warmUpUs()));
     }
 
-    /** By how much work each running job progresses in a microsecond. */
+    /** Returns the work done for each running job per microsecond. */
     private double pace() {
         if (paused || running.isEmpty()) {
             return 0;
@@ -442,7 +444,10 @@
         }
     }
 
-    /** Its load report, requests in its queue and in all: refreshed now and then, late and noisy. */
+    /**
+     * Returns its load report: requests in the queue and in total. It is refreshed at an interval, becomes visible
+     * after a delay, and contains noise.
+     */
     private LoadReport report() {
         long now = time.nowUs();
         if (now - reportedAtUs >= kind.reportEveryUs()) {
--- a/harness/src/main/java/loadbalancer/harness/simulation/BaseNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/BaseNode.java
@@ -4,7 +4,7 @@
 import java.util.TreeSet;
 import loadbalancer.policy.BalancerSettings;
 
-/** What a simulated node and a process have in common: place, settings, readiness, cordons and history. */
+/** Base of simulated nodes and node processes: name, zone, settings, readiness, cordons and history. */
 public abstract class BaseNode implements NodePort {
     private final String name;
     private final int zone;
@@ -16,7 +16,7 @@
     private long stateChangedAtUs;
     private int incarnation;
 
-    /** Node {@code number} of the world's scenario. */
+    /** Creates node {@code number} of the scenario. */
     protected BaseNode(int number, World world) {
         name = "n" + number;
         zone = world.scenario().fleet().zoneOfNode(number);
@@ -45,7 +45,7 @@
         return stateChangedAtUs;
     }
 
-    /** Where its events are written. */
+    /** Returns the writer of its events. */
     public final NodeHistory history() {
         return history;
     }
@@ -58,12 +58,12 @@
         return settings;
     }
 
-    /** The servers that operators have cordoned at it. */
+    /** Returns the servers that operators have cordoned at this node. */
     protected final Set<String> cordoned() {
         return cordoned;
     }
 
-    /** Adds or removes a cordon; false if nothing changes by that. */
+    /** Adds or removes a cordon; returns false if that changes nothing. */
     protected final boolean updateCordon(String serverId, boolean add) {
         return add ? cordoned.add(serverId) : cordoned.remove(serverId);
     }
@@ -73,7 +73,7 @@
         stateChangedAtUs = world.time().nowUs();
     }
 
-    /** Counts its starts and ends: what one incarnation has scheduled must not run in another. */
+    /** Incremented on each start and end: a task scheduled by one incarnation must not run in another. */
     protected final int incarnation() {
         return incarnation;
     }
@@ -82,7 +82,7 @@
         return ++incarnation;
     }
 
-    /** The request has reached it. */
+    /** Records that the node has received the request. */
     protected final void recordRequest(ClientRequest request) {
         String className = settings.classes.get(request.classIndex()).name();
         history.request(request.id(), className, request.remainingUs());
--- a/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
@@ -11,11 +11,11 @@
 import loadbalancer.policy.Idempotency;
 
 /**
- * Clients, open loop: requests arrive at random, one stream for each class and zone, whatever becomes of those
- * before. A client retries what may be retried, and a few disconnect early.
+ * Open-loop clients: requests arrive at random, in one stream for each class and zone, independently of the progress of
+ * earlier requests. A client retries where that is allowed. A share of the clients disconnects early.
  */
 final class Clients {
-    /** Rates change over time: no longer wait than this is drawn. */
+    /** Longest time until the arrival rate is evaluated again, as rates change over time. */
     private static final long STEP_US = 20_000;
 
     private final Scenario scenario;
@@ -52,12 +52,12 @@
         }
     }
 
-    /** No request arrives from now on. */
+    /** Stops the arrival of new requests. */
     void stop() {
         stopped = true;
     }
 
-    /** Requests whose client still waits. */
+    /** Returns the number of requests whose client still waits. */
     long openRequests() {
         return openRequests;
     }
@@ -67,21 +67,21 @@
         burstFactor = factor;
     }
 
-    /** Multiplies the work of this share of a class from now on; -1 for no class. */
+    /** Multiplies the work of a share of one class from now on; class -1 for none. */
     void setHeavyTail(int classIndex, double share, double factor) {
         heavyClass = classIndex;
         heavyShare = share;
         heavyFactor = factor;
     }
 
-    /** By how much the present rate differs from the mean. */
+    /** Returns the current rate over the mean rate. */
     private double rateFactor() {
         List<Double> shape = scenario.load().shape();
         int second = (int) Math.min((time.nowUs() - openedUs) / 1_000_000, shape.size() - 1);
         return burstFactor * (shape.isEmpty() ? 1 : shape.get(second));
     }
 
-    /** Where the zones' shares lie evenly between the quietest and the busiest. */
+    /** Returns the zone's share of the load: as listed, or falling linearly with the zone's index by the zone skew. */
     private double zoneShare(int zone) {
         if (!scenario.load().zoneShares().isEmpty()) {
             return scenario.load().zoneShares().get(zone);
@@ -113,7 +113,8 @@
             }
             double now = perUs * rateFactor();
             long waitUs = now == 0 ? Long.MAX_VALUE : Distributions.exponential(random, 1 / now);
-            // The exponential distribution has no memory: an arrival beyond this step is drawn anew in the next.
+            // The exponential distribution is memoryless, so an arrival beyond this step may be redrawn in the next
+            // step.
             boolean arrives = waitUs <= STEP_US;
             time.after(Math.min(waitUs, STEP_US), () -> {
                 if (arrives && !stopped) {
@@ -133,7 +134,7 @@
         }
     }
 
-    /** A request of one client, over all of its attempts. */
+    /** One request of a client, with all of its attempts. */
     private final class LogicalRequest {
         private final ArrivalStream stream;
         private final Scenario.RequestClass cls;
@@ -175,7 +176,7 @@
             node = world.front().choose(stream.zone, stream.random);
             int attempt = ++current;
             boolean leavesNow = leaves && tries == 1;
-            // A client waits a little beyond its deadline, so that the checkers see responses that are late.
+            // A client waits a little beyond its deadline so that the checkers see late responses.
             long waitsUs = leavesNow
                     ? (long) (patienceUs * stream.random.nextDouble())
                     : patienceUs + 2 * scenario.rules().responseGraceUs();
--- a/harness/src/main/java/loadbalancer/harness/simulation/Distributions.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Distributions.java
@@ -2,16 +2,16 @@
 
 import java.util.SplittableRandom;
 
-/** Draws from the distributions that a world is made of. */
+/** Random draws from the distributions that the models use. */
 final class Distributions {
     private Distributions() {}
 
-    /** The time until the next event, of events at random with this mean distance. */
+    /** Draws the time until the next event of a Poisson process with this mean interval. */
     static long exponential(SplittableRandom random, double mean) {
         return Math.round(-mean * Math.log1p(-random.nextDouble()));
     }
 
-    /** Lognormal with mean 1 and this spread over the mean. */
+    /** Draws from a lognormal distribution with mean 1 and this coefficient of variation. */
     static double spread(SplittableRandom random, double cv) {
         if (cv == 0) {
             return 1;
@@ -20,7 +20,7 @@
         return Math.exp(Math.sqrt(variance) * gaussian(random) - variance / 2);
     }
 
-    /** A delay around its mean: lognormal, as a network's have a tail to the long side only. */
+    /** Draws a delay with this mean: lognormal, as network delays have a long tail on one side only. */
     static long delay(SplittableRandom random, long mean, double jitter) {
         return Math.round(mean * spread(random, jitter));
     }
--- a/harness/src/main/java/loadbalancer/harness/simulation/Front.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Front.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 import loadbalancer.harness.time.Timeline;
 
-/** The front of each zone: it deals requests among the nodes that it takes for alive. */
+/** The front of all zones: sends each request to a random node that it considers alive. */
 final class Front {
     private final List<NodePort> nodes;
     private final Timeline time;
@@ -16,7 +16,7 @@
         this.noticeUs = noticeUs;
     }
 
-    /** A node of this zone, or of any where none of it is taken for alive; null if none at all is. */
+    /** Returns a node of this zone, or of any zone if this one has none considered alive; null if there is none. */
     NodePort choose(int zone, SplittableRandom random) {
         List<NodePort> alive = nodes.stream()
                 .filter(n -> n.zone() == zone && isPresumedAlive(n))
@@ -27,7 +27,7 @@
         return alive.isEmpty() ? null : alive.get(random.nextInt(alive.size()));
     }
 
-    /** A death is noticed late. */
+    /** The front notices only after a delay that a node is not ready any more. */
     private boolean isPresumedAlive(NodePort node) {
         return node.isReady() || node.stateChangedAtUs() > 0 && time.nowUs() - node.stateChangedAtUs() < noticeUs;
     }
--- a/harness/src/main/java/loadbalancer/harness/simulation/Links.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Links.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import loadbalancer.harness.scenario.Scenario;
 
-/** The network between zones: how long a message takes, and what does not come through. */
+/** The network between zones: delays of messages, and links that are blocked. */
 public final class Links {
     private final Scenario.Net net;
     private final Set<String> cutWays = new HashSet<>();
@@ -15,15 +15,15 @@
     private final Set<String> mutedServers = new HashSet<>();
     private Carrier carrier;
 
-    /** What carries messages to app servers and back where that is more than a model. */
+    /** Applies faults to the real connections of app servers in a run with processes. */
     public interface Carrier {
-        /** Each way to this server and back takes so much longer. */
+        /** Delays messages to and from this server by this much more. */
         void slow(String server, long us);
 
-        /** What this server says does not come through. */
+        /** Blocks or unblocks everything that this server sends. */
         void mute(String server, boolean to);
 
-        /** All connections to this server break, amid whatever is under way. */
+        /** Resets all connections to this server, including those with open requests. */
         void reset(String server);
     }
 
@@ -35,17 +35,17 @@
         return net;
     }
 
-    /** From now on faults of single servers' links are carried out there and not in the model. */
+    /** From now on applies faults of single servers' links there instead of in the model. */
     public void setCarrier(Carrier carrier) {
         this.carrier = carrier;
     }
 
-    /** How long a message takes one way between a node and an app server. */
+    /** Draws the one-way delay of a message between a node and an app server. */
     long delay(SplittableRandom random, int node, AppServer server) {
         return delay(random, node, server.zone()) + extraDelaysUs.getOrDefault(server.id(), 0L);
     }
 
-    /** Delays messages to this server and from it by this much more from now on. */
+    /** Delays messages to and from this server by this much more from now on. */
     public void setExtraDelay(AppServer server, long us) {
         if (carrier == null) {
             extraDelaysUs.put(server.id(), us);
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Drops what this server sends from now on, or no longer; it receives and works on. */
+    /** Drops everything that this server sends, or ends that. The server still receives and processes requests. */
     public void setMuted(AppServer server, boolean muted) {
         if (carrier != null) {
             carrier.mute(server.id(), muted);
@@ -69,7 +69,7 @@
         return mutedServers.contains(server.id());
     }
 
-    /** All connections to this server break, amid whatever is under way on them. */
+    /** Resets all connections to this server, including those with open requests. */
     public void reset(AppServer server) {
         if (carrier == null) {
             server.breakConnections();
@@ -78,19 +78,17 @@
         }
     }
 
-    /** How long a message takes one way. */
+    /** Draws the one-way delay of a message between two zones. */
     public long delay(SplittableRandom random, int from, int to) {
         return Distributions.delay(random, from == to ? net.sameZoneUs() : net.crossZoneUs(), net.jitter());
     }
 
-    /** Between a client and a node of its zone. */
+    /** Draws the one-way delay of a message between a client and a node. */
     long clientDelay(SplittableRandom random) {
         return Distributions.delay(random, net.clientUs(), net.jitter());
     }
 
-    /**
-     * From now on nothing comes through from one zone to another, one way; connections stay open and silent.
-     */
+    /** Blocks or unblocks all messages in one direction between two zones. Connections stay open. */
     public void setCut(int from, int to, boolean isCut) {
         if (isCut) {
             cutWays.add(from + ">" + to);
--- a/harness/src/main/java/loadbalancer/harness/simulation/ListModel.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/ListModel.java
@@ -14,8 +14,8 @@
 import loadbalancer.policy.ServerState;
 
 /**
- * The list of app servers as discovery knows it, and what each node's agent has been sent of it: every change
- * reaches each node late, by a delay of its own, and in order. While discovery is down nothing does.
+ * The endpoint list in discovery, and the state of the list at each node's agent. Every change reaches each agent in
+ * order, after a delay of its own. While discovery is down no change reaches any agent.
  */
 public final class ListModel {
     private final Timeline time;
@@ -26,12 +26,12 @@
     private long version = 1;
     private boolean down;
 
-    /** Whoever follows the list at one node. */
+    /** Receives the list at one node. */
     public interface Follower {
         void listed(long version, ListKind kind, List<ServerEntry> entries);
     }
 
-    /** The agent of discovery on a node's machine. */
+    /** Discovery's agent on the machine of one node. */
     private final class Agent {
         private final String node;
         private final SplittableRandom random;
@@ -65,7 +65,7 @@
             if (follower != null) {
                 follower.listed(version, ListKind.CHANGES, List.of(change.entry));
             }
-            // What the agent has counts as delivered to the node, whether or not the node follows.
+            // A change counts as delivered once the agent has it, whether or not a node follows the list.
             recordDelivery(change.entry);
         }
 
@@ -86,19 +86,19 @@
 
     private record Change(long version, ServerEntry entry) {}
 
-    /** A list service that delivers changes after the delays of the scenario. */
+    /** Creates a list whose changes are delivered after the delays of the scenario. */
     public ListModel(Timeline time, History history, Scenario.ServerList delays) {
         this.time = time;
         this.history = history;
         this.delays = delays;
     }
 
-    /** An app server that is there from the start, known to all. */
+    /** Adds an app server that is on the list of every node from the start. */
     public void addInitial(ServerEntry entry) {
         known.put(entry.id(), entry);
     }
 
-    /** Delivers the list to this follower from now on, first all that the agent of its node has. */
+    /** Delivers the list to this follower from now on, beginning with the full list that its node's agent has. */
     public void follow(String node, Follower follower) {
         Agent agent = agents.computeIfAbsent(node, name -> {
             Agent added = new Agent(name);
@@ -115,12 +115,12 @@
         agents.get(node).follower = null;
     }
 
-    /** An app server has started, or started again. */
+    /** Announces an app server that has started or restarted. */
     public void add(ServerEntry entry) {
         change(entry, delays.addUs());
     }
 
-    /** A server was asked to take no new requests. */
+    /** Announces that a server is draining: it takes no new requests. */
     public void startDraining(String id) {
         ServerEntry entry = known.get(id);
         if (entry != null) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /** A server has ended; how late discovery notices depends on how it ended. */
+    /** Removes a server that has ended. The delay until discovery notices depends on how it ended. */
     public void remove(String id, boolean planned, boolean unreachable) {
         ServerEntry entry = known.get(id);
         if (entry != null) {
@@ -145,7 +145,7 @@
     private void change(ServerEntry entry, long delayUs) {
         time.after(delayUs, () -> {
             ServerEntry before = known.get(entry.id());
-            // A removal that arrives after a new start is out of date.
+            // A removal that arrives after a restart is obsolete.
             if (before != null && before.startedAtUs() > entry.startedAtUs()) {
                 return;
             }
@@ -160,7 +160,7 @@
         });
     }
 
-    /** While it is down nothing is delivered to agents; afterwards all of it is. */
+    /** While discovery is down, changes to agents are queued; they are sent once it is up again. */
     public void setDown(boolean isDown) {
         down = isDown;
         if (!down) {
--- a/harness/src/main/java/loadbalancer/harness/simulation/NodeHistory.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/NodeHistory.java
@@ -5,45 +5,45 @@
 import loadbalancer.policy.AttemptResult;
 
 /**
- * Writes what one node does to the history of the run: a method for each event, which gives the event's fields their
- * names. The names are those of stored histories and stay as they are.
+ * Writes the events of one node to the history of the run, with one method for each event. Stored histories contain the
+ * names of events and fields, so these names must not change.
  */
 public final class NodeHistory {
     private final String node;
     private final History history;
 
-    /** Events of the node with this name. */
+    /** Creates a writer for the events of the node with this name. */
     public NodeHistory(String node, History history) {
         this.node = node;
         this.history = history;
     }
 
-    /** Its process is started. */
+    /** The node is being started. */
     public void started() {
         history.add(node, Kind.STARTED);
     }
 
-    /** It is asked to shut down. */
+    /** The node was sent SIGTERM. */
     public void terminating() {
         history.add(node, Kind.ENDING);
     }
 
-    /** Its simulated process has ended. */
+    /** The simulated process of the node has ended. */
     public void killed() {
         history.add(node, Kind.KILLED);
     }
 
-    /** Its real process has ended. */
+    /** The operating-system process of the node has ended. */
     public void exited(boolean crashed, int exitCode) {
         history.add(node, Kind.KILLED, "crash", crashed, "code", exitCode);
     }
 
-    /** It has taken a request. */
+    /** The node has received a request. */
     public void request(long requestId, String className, long remainingUs) {
         history.add(node, Kind.ASK, "request", requestId, "class", className, "left", remainingUs);
     }
 
-    /** It has sent a response. */
+    /** The node has sent a response. */
     public void response(long requestId, String answer) {
         history.add(node, Kind.ANSWER, "request", requestId, "answer", answer);
     }
@@ -53,12 +53,12 @@
         history.add(node, Kind.LEFT, "request", requestId);
     }
 
-    /** Operators have cordoned a server at it, or have ended the cordon. */
+    /** Operators have cordoned a server at the node, or have ended the cordon. */
     public void setCordoned(String serverId, boolean cordoned) {
         history.add(node, cordoned ? Kind.CORDON : Kind.UNCORDON, "server", serverId);
     }
 
-    /** It has sent an attempt to a server. */
+    /** The node has sent an attempt to a server. */
     public void attempt(long requestId, int attempt, String serverId, boolean crossesZones) {
         history.add(
                 node, Kind.SEND, "request", requestId, "attempt", attempt, "server", serverId, "crosses", crossesZones);
--- a/harness/src/main/java/loadbalancer/harness/simulation/NodePort.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/NodePort.java
@@ -1,34 +1,35 @@
 package loadbalancer.harness.simulation;
 
-/** One node as clients, the front and faults reach it: a simulated one or a process. */
+/** The interface of clients, the front and faults to one node, which is simulated or a process. */
 public interface NodePort {
-    /** How long after SIGTERM the front still sends it new requests, as it has yet to notice. */
+    /** Time after SIGTERM during which the front still sends new requests, until it notices. */
     long REQUESTS_AFTER_SIGTERM_US = 300_000;
-    /** How long after SIGTERM it is killed at the latest. */
+    /** Time after SIGTERM at which the node is killed if it has not ended by then. */
     long MAX_SHUTDOWN_US = 3_700_000;
 
-    /** How a request came back to its client; stored histories hold these names. */
+    /** The result of one attempt of a client. Stored histories contain these names. */
     enum Answer {
         OK,
-        /** Rejected: a retry is harmless. */
+        /** The node rejected the request; a retry is safe. */
         REFUSED,
         FAILED,
-        /** The node had taken it, and the connection broke. */
+        /** The connection broke after the node had received the request. */
         BROKEN,
-        /** The node never had it. */
+        /** The node did not receive the request. */
         UNREACHABLE
     }
 
     /**
      * One attempt of a client.
      *
-     * @param workUs the work that it takes on a standard core; nodes are not given this
-     * @param remainingUs how long the client will wait
+     * @param key the key that app servers cache, or null
+     * @param workUs the work that it takes on a standard core; not visible to nodes
+     * @param remainingUs time that the client will wait
      * @param repeat whether the client has sent the same request before
      */
     record ClientRequest(long id, int classIndex, String key, double workUs, long remainingUs, boolean repeat) {}
 
-    /** Gets the answer, once. */
+    /** Receives the result, exactly once. */
     interface ResponseListener {
         void onAnswer(Answer answer);
     }
@@ -37,27 +38,27 @@
 
     int zone();
 
-    /** Starts its process; it takes requests once it is ready. */
+    /** Starts its process, which accepts requests once it is ready. */
     void start();
 
-    /** Ends it at once; what it holds is lost. */
+    /** Ends it at once; its open requests are lost. */
     void kill();
 
-    /** Sends it SIGTERM: it takes nothing new after a while, serves its open requests, and ends. */
+    /** Sends it SIGTERM: it stops accepting requests after a while, completes its open requests, and ends. */
     void terminate();
 
-    /** Whether it takes requests. */
+    /** Whether it accepts requests. */
     boolean isReady();
 
-    /** When it last became ready, or ceased to be; 0 if it never was. */
+    /** Returns the time of its last change to or from ready, or 0 if it never changed. */
     long stateChangedAtUs();
 
-    /** Sends it a client's request; the listener is never called from inside this call. */
+    /** Sends it a request of a client. The listener is never called from within this call. */
     void send(ClientRequest request, ResponseListener listener);
 
     /** The client of this request has disconnected. */
     void clientGone(long requestId);
 
-    /** Lets operators cordon an app server at it, or end the cordon. */
+    /** Cordons an app server at this node, as an operator does, or ends the cordon. */
     void setCordoned(String serverId, boolean cordoned);
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/Policy.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Policy.java
@@ -6,14 +6,15 @@
 import loadbalancer.policy.BalancerSettings;
 import loadbalancer.policy.ServiceQBalancer;
 
-/** What makes the decisions of a simulated node. */
+/** Creates the balancer of a simulated node. */
 public interface Policy {
-    /** The project's own module. */
+    /** The project's own decision module. */
     Policy MODULE = (settings, seed, actions, servers) -> new ServiceQBalancer(settings, seed, actions);
 
     /**
-     * A node that has just started; {@code servers} are the true ones, for policies that no real node can
-     * have.
+     * Creates the balancer of a node that starts.
+     *
+     * @param servers the models of the app servers, for reference policies that use state no real node can observe
      */
     Balancer make(BalancerSettings settings, long seed, BalancerActions actions, Map<String, AppServer> servers);
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/Score.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Score.java
@@ -7,13 +7,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The score of a run: the weight served within the latency objective over the weight offered, in three views, less
- * prices.
+ * The score of a run: the weight served within the latency objective over the weight offered, for the whole run, the
+ * worst window and the worst class, less the costs of cross-zone attempts, wasted work and late failures.
  */
 public final class Score {
     private static final int WINDOW_S = 10;
     private static final long SECOND_US = 1_000_000;
-    /** Longest latency that the histogram tells apart. */
+    /** Highest latency that the histogram tracks; longer ones are recorded as this. */
     private static final long MAX_LATENCY_US = 60 * SECOND_US;
 
     private final Scenario scenario;
@@ -43,13 +43,13 @@
         earnedByClass = new double[scenario.classes().size()];
     }
 
-    /** A node has sent an attempt. */
+    /** Counts an attempt that a node has sent. */
     public void onAttempt(boolean crosses) {
         attempts++;
         crossing += crosses ? 1 : 0;
     }
 
-    /** Clients begin to send. */
+    /** Clients start to send; sets the origin of the windows. */
     void onClientsStarted(long nowUs) {
         startedUs = nowUs;
     }
@@ -64,9 +64,7 @@
         left++;
     }
 
-    /**
-     * A client's request is over, and it was still there; how long it took counts only where it was served.
-     */
+    /** Records the end of a request whose client has not disconnected. Only served requests enter the histogram. */
     void onRequestEnd(int classIndex, long firstSentAtUs, long tookUs, NodePort.Answer answer) {
         Scenario.RequestClass cls = scenario.classes().get(classIndex);
         int second = (int) Math.min((firstSentAtUs - startedUs) / SECOND_US, offeredBySecond.length - 1);
@@ -117,7 +115,7 @@
         return worst;
     }
 
-    /** Sums the run up. */
+    /** Computes the result of the run. */
     public Result result(List<AppServer> servers) {
         Scenario.Prices prices = scenario.prices();
         double wastedUs = servers.stream().mapToDouble(AppServer::workWastedUs).sum();
@@ -149,11 +147,18 @@
     }
 
     /**
-     * What came of a run. Latencies are microseconds over all that was served, late or not.
+     * The result of a run. Latencies cover all served requests, including late ones.
      *
-     * @param g the one figure
-     * @param inTime requests that were served within their latency objective, by whichever attempt
-     * @param left requests whose client disconnected early; they count for nothing else
+     * @param g the overall score: the weighted sum of the three shares, less costs
+     * @param whole share of the weight that was served within its latency objective, over the whole run
+     * @param worstWindow the same share in the worst window of 10 s
+     * @param worstClass the same share in the worst request class
+     * @param firstTries requests of clients
+     * @param tries attempts of clients, including retries
+     * @param attempts attempts of nodes
+     * @param crossing attempts of nodes to another zone
+     * @param inTime requests that were served within their latency objective, by any of their attempts
+     * @param left requests whose client disconnected early; they are not part of the score
      */
     public record Result(
             double g,
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimAttempt.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimAttempt.java
@@ -5,7 +5,7 @@
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.LoadReport;
 
-/** One attempt of a simulated node at a request: connect, send, and wait for the reply or the time-out. */
+/** One attempt of a simulated node: connects, sends the request, and waits for the reply or the timeout. */
 final class SimAttempt {
     private final SimNode node;
     private final SimRequest request;
@@ -119,7 +119,7 @@
         }
     }
 
-    /** The node's process has ended; nothing is reported any more. */
+    /** Abandons the attempt when the node's process ends, without reporting an outcome. */
     void abandon() {
         if (!ended) {
             server.abandon(job);
@@ -142,7 +142,7 @@
         if (result == AttemptResult.OK && !request.ended) {
             node.respond(request, NodePort.Answer.OK);
         }
-        // The balancer may be in the middle of an event: the outcome of what it cancelled is reported afterwards.
+        // The balancer may have cancelled this attempt while it handles an event: report the outcome after that event.
         node.schedule(0, () -> node.reportOutcome(request, outcome(result, report)));
     }
 
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimConnections.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimConnections.java
@@ -3,13 +3,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The model of a node's connections to the app servers: how many are idle, and for how long. */
+/** The model of a node's pool of connections to the app servers: idle connections and their last use. */
 final class SimConnections {
     private final String node;
     private final World world;
     private final Map<String, ToServer> byServer = new HashMap<>();
 
-    /** Connections to one incarnation of a server, which its start identifies. */
+    /** Connections to one incarnation of a server, which is identified by its start time. */
     private static final class ToServer {
         private long serverStartedUs = -1;
         private int idle;
@@ -21,7 +21,7 @@
         this.world = world;
     }
 
-    /** Takes an idle connection to this server; false if there is none, and one has to be opened. */
+    /** Takes an idle connection to this server; returns false if there is none and a new one has to be opened. */
     boolean acquireIdle(AppServer server) {
         ToServer connections = byServer.computeIfAbsent(server.id(), id -> new ToServer());
         boolean restarted = connections.serverStartedUs != server.startedUs();
@@ -38,7 +38,7 @@
         return true;
     }
 
-    /** Gives back a connection on which a response has come. */
+    /** Returns a connection to the pool after its response. */
     void release(AppServer server) {
         ToServer connections = byServer.get(server.id());
         connections.idle += connections.serverStartedUs == server.startedUs() ? 1 : 0;
@@ -52,7 +52,7 @@
         }
     }
 
-    /** The node's process has ended, and its connections with it. */
+    /** Closes all connections when the node's process ends. */
     void clear() {
         byServer.keySet().forEach(serverId -> world.servers().get(serverId).disconnect(node));
         byServer.clear();
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimNode.java
@@ -16,8 +16,8 @@
 import loadbalancer.policy.ServerEntry;
 
 /**
- * A node in simulated time: the balancer, with sockets that are models. It does what the program does around the
- * balancer, in no time of its own.
+ * A node in simulated time: the real balancer with models of its connections. It does what the program does around the
+ * balancer, and that processing takes no simulated time.
  */
 final class SimNode extends BaseNode implements BalancerActions {
     private static final long DRAINED_POLL_INTERVAL_US = 10_000;
@@ -50,7 +50,7 @@
         return connections;
     }
 
-    /** Runs this later, unless the incarnation that scheduled it has ended by then. */
+    /** Schedules a task that is skipped if the incarnation that scheduled it has ended by then. */
     Timer schedule(long afterUs, Runnable task) {
         int scheduledBy = incarnation();
         return time.after(afterUs, () -> {
@@ -164,7 +164,7 @@
         }
     }
 
-    /** Also a second response to a request is written to the history: the checkers are to see it. */
+    /** Responds to a request. A second response is also written to the history, so that the checkers can detect it. */
     void respond(SimRequest request, Answer answer) {
         history().response(request.id(), answer.name());
         if (!request.ended) {
@@ -235,7 +235,7 @@
 
     @Override
     public void probe(String serverId) {
-        throw new IllegalStateException("probes are not allowed in this world");
+        throw new IllegalStateException("probes are not supported by simulated nodes");
     }
 
     @Override
@@ -245,7 +245,7 @@
 
     @Override
     public void subscribe() {
-        // Lists are pushed here.
+        // Lists are pushed to simulated nodes.
     }
 
     @Override
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimRequest.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimRequest.java
@@ -3,14 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request at a simulated node, from its arrival until its last attempt has ended. */
+/** A request at a simulated node, from its arrival until its last attempt ends. */
 final class SimRequest {
     final NodePort.ClientRequest request;
     final NodePort.ResponseListener listener;
     final long deadlineUs;
     final List<SimAttempt> attempts = new ArrayList<>(1);
     int attemptsInFlight;
-    /** Whether its client has its response, or has gone. */
+    /** Whether the client has received its response or has disconnected. */
     boolean ended;
 
     SimRequest(NodePort.ClientRequest request, NodePort.ResponseListener listener, long deadlineUs) {
@@ -23,7 +23,7 @@
         return request.id();
     }
 
-    /** Whether nothing is owed to it any more. */
+    /** Whether the request has ended and has no attempt in flight. */
     boolean isOver() {
         return ended && attemptsInFlight == 0;
     }
--- a/harness/src/main/java/loadbalancer/harness/simulation/World.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/World.java
@@ -16,11 +16,11 @@
 import loadbalancer.policy.ServerState;
 
 /**
- * Everything in one run: app servers, nodes, clients and their front, the list and the network. It lives in
- * whichever time it is given; faults are injected from outside.
+ * The complete environment of one run: app servers, nodes, clients and their front, the endpoint list and the network.
+ * It runs on the given timeline, simulated or real. Faults are injected by the caller.
  */
 public final class World {
-    /** App servers that share which keys they have seen. */
+    /** Number of app servers in a cell, the group of servers that share a record of the idempotency keys seen. */
     private static final int CELL = 8;
 
     private final Scenario scenario;
@@ -34,7 +34,7 @@
     private final Clients clients;
     private final Score score;
 
-    /** A world as the scenario describes it, which writes all events to the history. */
+    /** Creates the environment that the scenario describes, without nodes. All events are written to the history. */
     public World(Scenario scenario, Timeline time, History history) {
         this.scenario = scenario;
         this.time = time;
@@ -50,12 +50,12 @@
         }
     }
 
-    /** Adds a node; before the start. */
+    /** Adds a node. Must be called before {@link #start}. */
     public void add(NodePort node) {
         nodes.add(node);
     }
 
-    /** The same with simulated nodes, all of which decide by this policy. */
+    /** Creates the environment with simulated nodes, all of which use this policy. */
     public static World simulated(Scenario scenario, Timeline time, History history, Policy policy) {
         World world = new World(scenario, time, history);
         for (int i = 0; i < scenario.fleet().nodes(); i++) {
@@ -64,7 +64,7 @@
         return world;
     }
 
-    /** Starts the servers, warm and known to all, and then the nodes. */
+    /** Starts the servers, warmed up and on every node's list, and then the nodes. */
     public void start() {
         for (AppServer server : servers.values()) {
             server.start(true);
@@ -73,14 +73,14 @@
         nodes.forEach(NodePort::start);
     }
 
-    /** Clients begin to send, until the scenario's time is over. */
+    /** Starts the clients, which send requests for the scenario's duration. */
     public void startClients() {
         score.onClientsStarted(time.nowUs());
         clients.start();
         time.after(scenario.lengthUs(), clients::stop);
     }
 
-    /** How long after the start of the clients every request is past its deadline. */
+    /** Returns the time after the start of the clients by which every request is past its deadline. */
     public long endUs() {
         long longest = scenario.classes().stream()
                 .mapToLong(Scenario.RequestClass::deadlineUs)
@@ -89,7 +89,7 @@
         return scenario.lengthUs() + longest + 4 * scenario.rules().responseGraceUs() + 1_000_000;
     }
 
-    // ---------------------------------------------------------------- its parts
+    // ---------------------------------------------------------------- components
 
     public Scenario scenario() {
         return scenario;
@@ -119,7 +119,7 @@
         return front;
     }
 
-    /** In the order in which they were made. */
+    /** Returns all app servers by id, in order of creation. */
     public Map<String, AppServer> servers() {
         return servers;
     }
@@ -128,26 +128,25 @@
         return nodes;
     }
 
-    /** How many zones there are. */
     public int zones() {
         return scenario.fleet().zones().size();
     }
 
-    /** Requests whose client still waits for a response. */
+    /** Returns the number of requests whose client still waits for a response. */
     public long openRequests() {
         return clients.openRequests();
     }
 
-    /** The work of an attempt, which differs from attempt to attempt of the same request. */
+    /** Draws the work of one attempt; it varies between attempts of the same request. */
     public double attemptWork(NodePort.ClientRequest request, SplittableRandom random) {
         return request.workUs()
                 * Distributions.spread(
                         random, scenario.classes().get(request.classIndex()).attemptNoise());
     }
 
-    // ---------------------------------------------------------------- what faults do
+    // ---------------------------------------------------------------- operations of faults
 
-    /** A random share of these, at least one, in random order. */
+    /** Returns a random share of these elements, at least one unless there are none, in random order. */
     public static <T> List<T> randomShare(List<T> all, double share, SplittableRandom random) {
         List<T> mixed = new ArrayList<>(all);
         for (int i = mixed.size() - 1; i > 0; i--) {
@@ -159,7 +158,7 @@
         return mixed.subList(0, Math.min(mixed.size(), Math.max(1, (int) Math.round(share * mixed.size()))));
     }
 
-    /** The servers that a fault is injected into. */
+    /** Returns the servers that a fault applies to: those it names, or a random share. */
     public List<AppServer> faultTargets(Scenario.FaultSpec fault, SplittableRandom random) {
         List<AppServer> all = List.copyOf(servers.values());
         return fault.on().isEmpty()
@@ -170,24 +169,24 @@
                         .toList();
     }
 
-    /** Starts an app server that had ended; it is cold. */
+    /** Restarts an app server that has ended. It starts cold. */
     public void startServer(AppServer server) {
         server.start(false);
         list.add(entry(server));
     }
 
-    /** Kills an app server. Discovery is not notified, and finds out late. */
+    /** Kills an app server. Discovery is not notified and detects it after a delay. */
     public void killServer(AppServer server) {
         server.kill();
         list.remove(server.id(), false, false);
     }
 
-    /** Multiplies the load by this; 1 ends it. */
+    /** Multiplies the request rate by this factor; 1 restores the scenario's rate. */
     public void setLoadFactor(double factor) {
         clients.setLoadFactor(factor);
     }
 
-    /** Multiplies the work of a share of one class; a class of -1 ends it. */
+    /** Multiplies the work of a share of the requests of one class; class -1 ends it. */
     public void setHeavyTail(int classIndex, double share, double factor) {
         clients.setHeavyTail(classIndex, share, factor);
     }
@@ -207,7 +206,7 @@
         return new ServerEntry(server.id(), server.zone(), number / CELL, ServerState.READY, 1, server.startedUs());
     }
 
-    /** The settings of a node, as its configuration file has them. */
+    /** Returns the settings that a node's configuration file contains. */
     public BalancerSettings settings(int nodeIndex) {
         BalancerSettings settings = new BalancerSettings();
         settings.nodes = scenario.fleet().nodes();
--- a/harness/src/main/java/loadbalancer/harness/simulation/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Models of app servers, clients, front, endpoint list and network, and the simulated node.
+ * Models of app servers, clients, the front, the endpoint list and the network, and the simulated node.
  *
- * <p>Owns what happens between the parts of a fleet, in whichever time it is given: simulated, or that of a run with
- * real processes. Must not know sockets, threads or the system's time: one seed gives one history.
+ * <p>All models are scheduled on a {@link loadbalancer.harness.time.Timeline}: simulated time, or the system's time in
+ * a run with processes. This package must not use sockets, threads or the system's clock, so that a simulated run with
+ * the same seed produces the same history.
  */
 package loadbalancer.harness.simulation;
