--- a/harness/src/main/java/loadbalancer/harness/process/DatagramLink.java
+++ b/harness/src/main/java/loadbalancer/harness/process/DatagramLink.java
@@ -15,20 +15,23 @@
 import java.util.function.Predicate;
 
 /**
- * The way to one party over UDP, which can be hurt: it listens in place of that party and passes on what
- * comes. Who has sent is told by the address that it sent from, so each party needs one of its own.
+ * A UDP proxy that injects faults: it listens in place of its target and forwards each datagram. Senders are
+ * distinguished by their source address, so each member needs an address of its own.
+ *
+ * <p>Faults are applied on the event loop; the setters may be called from any thread.
  */
 public final class DatagramLink implements AutoCloseable {
-    /** Datagrams under way; what comes beyond is lost, as in a full buffer. */
+    /** Maximum number of datagrams in flight; further datagrams are dropped, as by a full buffer. */
     private static final int MAX_QUEUED = 10_000;
 
     /**
-     * What is wrong.
+     * The faults of the link.
      *
-     * @param lost this share does not come through
-     * @param doubled this share comes twice
-     * @param delayUs how much longer it takes
-     * @param jitterUs and up to so much more, each datagram by itself: order is lost
+     * @param lost share of datagrams that are dropped
+     * @param doubled share of datagrams that are delivered twice
+     * @param delayUs additional delay
+     * @param jitterUs exclusive upper bound of a random delay added to each datagram; it can reorder datagrams; 0 for
+     *    none
      */
     public record Faults(double lost, double doubled, long delayUs, long jitterUs) {
         public static final Faults NONE = new Faults(0, 0, 0, 0);
@@ -42,7 +45,7 @@
     private Predicate<InetAddress> cut = from -> false;
     private int held;
 
-    /** Listens at this address; called from outside the loop. */
+    /** Binds to this address and waits for it; must not be called on the loop. */
     public DatagramLink(EventLoop loop, InetSocketAddress at, InetSocketAddress target, SplittableRandom random) {
         this.loop = loop;
         this.target = target;
@@ -58,7 +61,7 @@
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                        // Nobody listens at the target just now: what is sent there is lost.
+                        // The target is not listening at the moment: datagrams to it are lost.
                     }
                 })
                 .bind(at)
@@ -70,7 +73,7 @@
         loop.execute(() -> faults = to);
     }
 
-    /** From now on nothing comes through from these. */
+    /** Drops datagrams from these senders from now on, and from no others. */
     public void cut(Predicate<InetAddress> from) {
         loop.execute(() -> cut = from);
     }
--- a/harness/src/main/java/loadbalancer/harness/process/DeployFile.java
+++ b/harness/src/main/java/loadbalancer/harness/process/DeployFile.java
@@ -7,14 +7,14 @@
 import java.nio.file.Path;
 
 /**
- * Where the program is and how it is started, as the deploy file tells.
+ * The part of the deploy file that the harness uses: where the program is and how it is started.
  *
- * @param root the folder from which commands run
- * @param run starts one real node
+ * @param root the folder in which commands run
+ * @param run the command that starts one node process
  */
 public record DeployFile(Path root, String run) {
 
-    /** Looks in this folder and above it. */
+    /** Reads the deploy file of this folder or of the nearest folder above it that has one. */
     public static DeployFile find(Path from) throws IOException {
         for (Path at = from.toAbsolutePath(); at != null; at = at.getParent()) {
             Path file = at.resolve("deploy/balancer.toml");
--- a/harness/src/main/java/loadbalancer/harness/process/FakeEndpointList.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeEndpointList.java
@@ -29,7 +29,7 @@
 import loadbalancer.policy.ServerEntry;
 import loadbalancer.policy.ServerState;
 
-/** Discovery's agent on one node's machine: it answers with what it has been sent, in the platform's form. */
+/** A fake of discovery's agent on the machine of one node: serves the list of the model in the platform's format. */
 final class FakeEndpointList implements ListModel.Follower {
     private static final long BEAT_US = 2_000_000;
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -42,7 +42,7 @@
     private final Listener listener;
     private long version;
 
-    /** @param endpoints addresses of app servers by id */
+    /** @param endpoints returns the address of an app server by its id */
     FakeEndpointList(String address, RealTimeline time, List<String> zones, Function<String, String> endpoints) {
         this.time = time;
         this.zones = zones;
@@ -78,7 +78,7 @@
         }
     }
 
-    /** All that it has, for a configuration file. */
+    /** Returns the full list, as a configuration file contains it. */
     ObjectNode whole() {
         return tree(true, List.copyOf(known.values()));
     }
@@ -108,7 +108,7 @@
         return list;
     }
 
-    /** A connection of the node. */
+    /** One connection of the node: serves the list once, or as a watch with heartbeats. */
     private final class Watch extends SimpleChannelInboundHandler<FullHttpRequest> {
         private ChannelHandlerContext context;
 
--- a/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
@@ -19,7 +19,7 @@
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.LoadReport;
 
-/** A fake app server: HTTP on loopback, whose timing and results are those of the model. */
+/** A fake app server: serves HTTP on loopback with the timing and the results of its model. */
 final class FakeServer {
     private final AppServer server;
     private final World world;
@@ -33,10 +33,10 @@
         this.world = world;
         this.time = time;
         this.requests = requests;
-        // The name of the stream stays, as it makes the stream's seed.
+        // The stream's seed is derived from its name, so this literal must not change.
         random = time.stream("stand-in " + server.id());
         listener = new Listener(time.loop(), address, Connection::new);
-        // Once from outside the loop, so that its port is known.
+        // The first call runs outside the loop, so it waits until the port is known.
         listener.open();
     }
 
@@ -44,12 +44,12 @@
         return listener.address();
     }
 
-    /** Whether connections to it are taken: by its process, or by a machine that says nothing. */
+    /** Whether connections to it are accepted: its process runs, or its machine is unreachable but accepts them. */
     boolean isOpen() {
         return server.isUp() || server.isUnreachable();
     }
 
-    /** Follows the model: a silent machine's connections stay open, a dead process's are reset. */
+    /** Applies the state of the model: an unreachable machine keeps its connections, a dead process resets them. */
     void follow() {
         if (isOpen()) {
             listener.open();
@@ -62,7 +62,7 @@
         listener.close();
     }
 
-    /** One connection of a node: one request at a time. */
+    /** One connection of a node, with one request at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private RequestRegistry.Attempt attempt;
         private AppServer.Job job;
--- a/harness/src/main/java/loadbalancer/harness/process/FaultLink.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FaultLink.java
@@ -26,18 +26,20 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A TCP proxy that injects faults between two parties: it listens in place of the one and forwards to it
- * what the other sends. Each direction has faults of its own, which hold for what comes from then on. What it
- * cannot do is keep the system from accepting a connection: one that is to say nothing is taken, and then
- * says nothing.
+ * A TCP proxy that injects faults: it listens in place of its target and forwards the bytes of both directions. Each
+ * direction has its own faults. A delay applies to bytes that arrive after it is set, the other faults also apply to
+ * bytes that are already queued. The link cannot keep the operating system from accepting a connection: a blocked
+ * connection is accepted, and nothing is forwarded on it.
+ *
+ * <p>Faults are applied on the event loop; the setters may be called from any thread.
  */
 public final class FaultLink implements AutoCloseable {
-    /** How many bytes a direction buffers; at this limit it stops reading. */
+    /** Maximum number of bytes that a direction buffers; at this limit it stops reading. */
     private static final int MAX_QUEUED_BYTES = 1 << 20;
-    /** Pieces in which a trickle comes, a second. */
+    /** Number of chunks per second in which a rate-limited direction forwards bytes. */
     private static final int PIECES_PER_S = 50;
 
-    /** The direction in which bytes go. */
+    /** The direction of bytes, as seen from the link. */
     public enum Direction {
         TO_TARGET,
         FROM_TARGET
@@ -46,14 +48,14 @@
     /**
      * The faults of one direction.
      *
-     * @param blocked nothing comes through until that is over; what was sent meanwhile comes then, as TCP
-     *    sends it again
-     * @param delayUs the delay of everything
-     * @param jitterUs and up to this much more at random; order is kept
-     * @param bytesPerSecond no more than this; 0 for no limit
-     * @param resetAfter the connection breaks once so many bytes of it have come through, amid whatever they
-     *    are; 0 for never
-     * @param halfOpen the close of the connection on one side is not passed on to the other
+     * @param blocked nothing is forwarded until this is lifted; bytes that were sent meanwhile are forwarded then, like
+     *    TCP retransmissions
+     * @param delayUs additional delay
+     * @param jitterUs exclusive upper bound of a random delay added to {@code delayUs}; order is kept; 0 for none
+     * @param bytesPerSecond rate limit; 0 for none
+     * @param resetAfter number of forwarded bytes after which the connection is reset, even within a message; 0 for
+     *    never
+     * @param halfOpen whether a close or reset of one side is not passed on to the other
      */
     public record Faults(
             boolean blocked, long delayUs, long jitterUs, long bytesPerSecond, long resetAfter, boolean halfOpen) {
@@ -85,7 +87,7 @@
     private UnaryOperator<ByteBuf> tampered = UnaryOperator.identity();
     private Direction tamperedDirection = Direction.FROM_TARGET;
 
-    /** Listens at this address; called from outside the loop. */
+    /** Listens at this address, on a port that the system chooses, and waits for it; must not be called on the loop. */
     public FaultLink(EventLoop loop, String address, InetSocketAddress target, SplittableRandom random) {
         this.loop = loop;
         this.target = target;
@@ -120,8 +122,8 @@
     }
 
     /**
-     * Whether it takes connections, as the party behind it does. It keeps its port, and connections that
-     * stand go on.
+     * Starts or stops accepting connections, to match whether the target does. The port is kept, and established
+     * connections stay open.
      */
     public void setOpen(boolean to) {
         loop.execute(() -> {
@@ -139,7 +141,10 @@
         });
     }
 
-    /** From now on what goes this direction is changed so; it takes over what it is given, for what it gives. */
+    /**
+     * Transforms the bytes of one direction from now on; the other direction is unchanged. The function takes ownership
+     * of its argument, and the caller that of the result.
+     */
     public void tamper(Direction direction, UnaryOperator<ByteBuf> by) {
         loop.execute(() -> {
             tamperedDirection = direction;
@@ -147,7 +152,7 @@
         });
     }
 
-    /** From now on this holds for one direction of all connections. */
+    /** Sets the faults of one direction of all connections, present and new. */
     public void set(Direction direction, Faults to) {
         loop.execute(() -> {
             faults.put(direction, to);
@@ -155,14 +160,14 @@
         });
     }
 
-    /** The same for both. */
+    /** Sets the faults of both directions. */
     public void set(Faults to) {
         for (Direction direction : Direction.values()) {
             set(direction, to);
         }
     }
 
-    /** Connections that come from these say nothing, from now on: those that stand and new ones. */
+    /** Blocks both directions of connections from these sources from now on, present and new, and of no others. */
     public void cut(Predicate<InetAddress> from) {
         loop.execute(() -> {
             cut = from;
@@ -170,7 +175,7 @@
         });
     }
 
-    /** Breaks all connections. */
+    /** Resets all connections. */
     public void reset() {
         loop.execute(() -> Set.copyOf(tunnels).forEach(Tunnel::reset));
     }
@@ -210,11 +215,11 @@
     private final class Tunnel extends ChannelInboundHandlerAdapter {
         private final Direction direction;
         private final SocketChannel from;
-        /** Where the connection came from. */
+        /** The address that the connection was opened from. */
         private final InetAddress source;
 
         private SocketChannel to;
-        /** What has come and is not through yet, each with when it may be. */
+        /** Bytes that have been received and not forwarded yet, with the earliest time to forward them. */
         private final ArrayDeque<Piece> held = new ArrayDeque<>();
 
         private int heldBytes;
@@ -246,7 +251,7 @@
             pass();
         }
 
-        /** Lets through what may go, and looks again when more may. */
+        /** Forwards the bytes that are due, and schedules the next call for the rest. */
         void pass() {
             if (to == null) {
                 return;
@@ -327,7 +332,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A party that breaks the connection: the other is told so, unless it is not to hear.
+            // One side has reset the connection: the reset is passed on, unless the link is half open.
             if (to != null && !now().halfOpen()) {
                 reset();
             }
--- a/harness/src/main/java/loadbalancer/harness/process/Listener.java
+++ b/harness/src/main/java/loadbalancer/harness/process/Listener.java
@@ -18,9 +18,9 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** An address of a stand-in, on loopback, which keeps its port while it is closed and opened again. */
+/** The HTTP listener of a fake on loopback. It keeps its port when it is closed and opened again. */
 final class Listener {
-    /** The largest body that a node passes on. */
+    /** The largest body that a node forwards. */
     private static final int MAX_BODY_BYTES = 32 << 20;
 
     private final EventLoop loop;
@@ -31,8 +31,8 @@
     private int port;
 
     /**
-     * @param address the stand-in's own, so that nobody else takes the port while it is closed
-     * @param handler serves one connection, which brings whole requests
+     * @param address used by this fake only, so that no other process takes the port while the listener is closed
+     * @param handler creates the handler of one connection, which receives aggregated requests
      */
     Listener(EventLoop loop, String address, Supplier<ChannelHandler> handler) {
         this.loop = loop;
@@ -40,7 +40,10 @@
         this.handler = handler;
     }
 
-    /** Opens it; the port is the system's choice the first time, which waits for it, and then the same. */
+    /**
+     * Opens it. The system chooses the port at the first call, which must not be on the loop and waits for the result;
+     * later calls use the same port.
+     */
     void open() {
         if (listening != null) {
             return;
@@ -77,7 +80,7 @@
         }
     }
 
-    /** Closes it, and resets what is connected. */
+    /** Closes it and resets all of its connections. */
     void close() {
         if (listening == null) {
             return;
@@ -96,14 +99,14 @@
         return new InetSocketAddress(at, port);
     }
 
-    /** A port that nobody else takes meanwhile, where the address is somebody's own. */
+    /** Returns a free port at this address. It stays free as long as only the caller uses the address. */
     static InetSocketAddress free(String address) throws IOException {
         try (ServerSocket any = new ServerSocket(0, 1, new InetSocketAddress(address, 0).getAddress())) {
             return (InetSocketAddress) any.getLocalSocketAddress();
         }
     }
 
-    /** As addresses are written. */
+    /** Formats an address as host:port. */
     static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/harness/src/main/java/loadbalancer/harness/process/MemberFleet.java
+++ b/harness/src/main/java/loadbalancer/harness/process/MemberFleet.java
@@ -16,11 +16,11 @@
 import loadbalancer.membership.codec.MembershipView;
 
 /**
- * Processes of the program that take part in one fleet over links that can fail, for datagrams and connections alike.
- * They serve no requests: only membership is tested.
+ * Node processes that form one fleet over links with injected faults, for both datagrams and connections. They receive
+ * no requests: only membership is tested.
  */
 final class MemberFleet implements AutoCloseable {
-    /** Every member has the addresses of the first so many. */
+    /** Number of members, the first ones, whose addresses every member is configured with. */
     private static final int SEEDS = 3;
 
     private static final int POLL_MILLIS = 20;
@@ -32,7 +32,7 @@
     private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final List<MemberProcess> members = new ArrayList<>();
 
-    /** @param folder for configurations and logs, the caller's */
+    /** @param folder for configurations and logs; owned by the caller */
     MemberFleet(DeployFile deploy, Path folder, long seed, int periodMillis) {
         this.deploy = deploy;
         this.folder = folder;
@@ -63,14 +63,14 @@
                 .toList();
     }
 
-    /** Adds one member whose process is not started. */
+    /** Adds one member without starting its process. */
     MemberProcess add(String name) throws IOException {
         MemberProcess added = new MemberProcess(this, members.size(), name, loop, random);
         members.add(added);
         return added;
     }
 
-    /** Adds so many members, m0 on, and starts all. */
+    /** Adds this many members, named m0, m1 and so on, and starts them all. */
     MemberFleet startMembers(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             add("m" + i);
@@ -91,7 +91,10 @@
 
     // ---------------------------------------------------------------- network
 
-    /** From now on nothing arrives from one member at another where this holds; connections need both ways. */
+    /**
+     * Blocks datagrams from the first to the second member of each pair that matches, from now on. Connections are
+     * blocked if either direction is, as they need both.
+     */
     void partition(BiPredicate<MemberProcess, MemberProcess> isCut) {
         for (MemberProcess to : members) {
             Predicate<InetAddress> isCutFrom = from -> memberAt(from) != null && isCut.test(memberAt(from), to);
@@ -113,7 +116,7 @@
 
     // ---------------------------------------------------------------- views
 
-    /** Whether all members that are up hold just these for live, in the same generations. */
+    /** Whether all running members have the same view, and it lists exactly the running members as live. */
     boolean isConverged() {
         List<MemberProcess> up = members.stream().filter(MemberProcess::isUp).toList();
         List<String> names =
@@ -131,12 +134,17 @@
         return digests == 1 && MemberProcess.liveNames(views.get(0)).equals(names);
     }
 
-    /** Throws IllegalStateException, with what each member holds for live, where this does not hold in time. */
+    /**
+     * Waits until a condition is true.
+     *
+     * @throws IllegalStateException if it is not true in time; the message lists the live members in each member's view
+     */
     void await(String condition, long withinMillis, BooleanSupplier holds) throws InterruptedException {
         long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() > endNanos) {
-                throw new IllegalStateException("not within " + withinMillis + " ms: " + condition + liveNames());
+                throw new IllegalStateException(
+                        "condition not met within " + withinMillis + " ms: " + condition + liveNames());
             }
             TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
         }
@@ -146,7 +154,7 @@
         StringBuilder lines = new StringBuilder();
         for (MemberProcess member : members) {
             List<String> live = member.liveNames();
-            lines.append('\n').append(member.name()).append(member.isUp() ? " " + live : " has no process");
+            lines.append('\n').append(member.name()).append(member.isUp() ? " " + live : " is not running");
             if (live.isEmpty()) {
                 lines.append(member.lastLogged());
             }
--- a/harness/src/main/java/loadbalancer/harness/process/MemberProcess.java
+++ b/harness/src/main/java/loadbalancer/harness/process/MemberProcess.java
@@ -25,14 +25,16 @@
 import loadbalancer.policy.RequestClass;
 
 /**
- * One member of a {@link MemberFleet}: an address with a faulty link for datagrams and one for connections before it,
- * and one process after the other that runs there.
+ * One member of a {@link MemberFleet}: an address, a link with injected faults in front of it for datagrams and one for
+ * connections, and the process that currently runs there.
  */
 final class MemberProcess implements AutoCloseable {
-    /** Where members run, and where their links listen; the last number tells them apart. */
+    /** Network of the addresses that members bind to; the last number identifies the member. */
     private static final String MEMBER_NETWORK = "127.6.0.";
 
+    /** Network of the addresses that the members' links listen at; the last number identifies the member. */
     private static final String LINK_NETWORK = "127.7.0.";
+
     private static final String FLEET_NAME = "rig";
     private static final int CLIENT_TIMEOUT_MILLIS = 2_000;
     private static final long IDLE_TIMEOUT_US = 15_000_000;
@@ -65,7 +67,7 @@
         return name;
     }
 
-    /** The address by which the others know it: the link's. */
+    /** Returns the address that it advertises to the other members: that of its links. */
     String advertisedAddress() {
         return Listener.text(connections.address());
     }
@@ -74,20 +76,20 @@
         return bind.getAddress().equals(address);
     }
 
-    /** Nothing arrives from addresses of which this holds. */
+    /** Blocks datagrams and connections from these addresses, and from no others. */
     void cut(Predicate<InetAddress> datagramsFrom, Predicate<InetAddress> connectionsFrom) {
         datagrams.cut(datagramsFrom);
         connections.cut(connectionsFrom);
     }
 
-    // ---------------------------------------------------------------- its process
+    // ---------------------------------------------------------------- process
 
-    /** Starts a process that takes part in the fleet. */
+    /** Starts a process that joins the fleet. */
     void start() throws IOException {
         start(Map.of());
     }
 
-    /** The same with these variables in its environment. */
+    /** Starts a process that joins the fleet, with these additional environment variables. */
     void start(Map<String, String> environment) throws IOException {
         start(fleetConfig(), environment);
     }
@@ -138,7 +140,7 @@
         return config;
     }
 
-    /** Requests do not matter here: any valid settings do. */
+    /** Returns arbitrary valid settings, as members receive no requests. */
     private static BalancerSettings balancerSettings() {
         BalancerSettings settings = new BalancerSettings();
         settings.zones.add("a");
@@ -161,7 +163,7 @@
         process.kill();
     }
 
-    /** Stops it until {@link #resume}. */
+    /** Stops it by SIGSTOP until {@link #resume}. */
     void pause() throws IOException {
         process.pause(true);
     }
@@ -170,7 +172,7 @@
         process.pause(false);
     }
 
-    /** Sends SIGTERM, as an operator does. */
+    /** Sends SIGTERM. */
     void terminate() {
         process.terminate();
     }
@@ -179,19 +181,19 @@
         return fleet.folder().resolve(number + "-log" + starts);
     }
 
-    /** All that its present or last process has logged. */
+    /** Returns the log of its current or last process. */
     String logged() throws IOException {
         return Files.readString(log());
     }
 
-    /** The end of its log, for a test that failed: why it ended, or why it does not answer. */
+    /** Returns the end of its log for the message of a failed test: why the process ended or does not respond. */
     String lastLogged() {
         try {
             List<String> lines = Files.readAllLines(log());
             return "\n    "
                     + String.join("\n    ", lines.subList(Math.max(0, lines.size() - LAST_LINES), lines.size()));
         } catch (IOException e) {
-            return " and no log: " + e;
+            return " and its log cannot be read: " + e;
         }
     }
 
@@ -208,7 +210,7 @@
         datagrams.close();
     }
 
-    // ---------------------------------------------------------------- what it shows
+    // ---------------------------------------------------------------- state
 
     /** Whether clients can connect. */
     boolean isListening() {
@@ -216,22 +218,22 @@
             socket.connect(listen, CLIENT_TIMEOUT_MILLIS);
             return true;
         } catch (IOException e) {
-            // Not yet: the caller tries again.
+            // Not listening yet: the caller tries again.
             return false;
         }
     }
 
-    /** How it sees its fleet, asked past its links; null where it does not answer. */
+    /** Fetches its membership view directly, not through its links; null if it does not respond. */
     MembershipView view() {
         try {
             return MembershipClient.fetchView(bind, CLIENT_TIMEOUT_MILLIS);
         } catch (IOException e) {
-            // It has not started, has ended, or is paused: the caller tries again.
+            // The process is starting, has ended, or is paused: the caller tries again.
             return null;
         }
     }
 
-    /** Names of all that it holds for live, itself included. */
+    /** Returns the names of the live members in its view, including itself; empty if it does not respond. */
     List<String> liveNames() {
         MembershipView view = view();
         return view == null ? List.of() : liveNames(view);
--- a/harness/src/main/java/loadbalancer/harness/process/NodeClients.java
+++ b/harness/src/main/java/loadbalancer/harness/process/NodeClients.java
@@ -31,7 +31,7 @@
 import loadbalancer.harness.simulation.NodePort.ClientRequest;
 import loadbalancer.policy.Idempotency;
 
-/** The connections of clients to one node; they are kept open, and more are opened when all are busy. */
+/** The connections of clients to one node. Connections are kept alive, and more are opened when all are busy. */
 final class NodeClients {
     private static final int MAX_RESPONSE_BYTES = 32 << 20;
     private static final int REQUEST_BODY_BYTES = 64;
@@ -42,12 +42,12 @@
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
     private final Map<Long, Connection> busy = new HashMap<>();
 
-    /** What becomes of one request. */
+    /** Receives the progress of one request. */
     interface ResponseHandler {
-        /** All of it has been written to a connection that the node's machine accepted. */
+        /** The request was written completely to a connection that the node's machine accepted. */
         void onWritten();
 
-        /** Its end; {@code misdirected} if the response was made for another request. */
+        /** The request has ended; {@code misdirected} if the response belongs to another request. */
         void onEnd(Answer answer, boolean misdirected);
     }
 
@@ -89,7 +89,7 @@
         });
     }
 
-    /** The client of this request closes its connection. */
+    /** Closes the connection of this request, as a client that disconnects does. */
     void disconnect(long id) {
         Connection on = busy.remove(id);
         if (on != null) {
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Closes idle connections; busy ones close with their response. */
+    /** Closes idle connections. Busy ones close after a response that ends keep-alive. */
     void closeIdle() {
         idle.forEach(connection -> connection.channel.close());
         idle.clear();
@@ -184,7 +184,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A node that is killed resets its connections.
+            // A killed node resets its connections.
             channel.close();
         }
     }
--- a/harness/src/main/java/loadbalancer/harness/process/NodeConfigFile.java
+++ b/harness/src/main/java/loadbalancer/harness/process/NodeConfigFile.java
@@ -11,21 +11,22 @@
 import loadbalancer.policy.Idempotency;
 import loadbalancer.policy.RequestClass;
 
-/** What the platform writes for a node. */
+/** Writes the configuration file of a node, as the platform does. */
 final class NodeConfigFile {
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** The most of both that the platform's pages give a node. */
+    /** Maximum number of sockets that the platform gives a node. */
     private static final int SOCKETS = 1_024;
 
+    /** Maximum memory that the platform gives a node. */
     private static final int MEMORY_MB = 192;
 
     private NodeConfigFile() {}
 
     /**
-     * Puts it in place whole.
+     * Writes the file and moves it into place, so that a node never reads a part of it.
      *
-     * @param known the list as the node had it last
-     * @param fleet the fleet of processes that it takes part in, or null
+     * @param known the endpoint list that the node starts with
+     * @param fleet the membership configuration of the fleet, or null for none
      */
     static void write(
             Path file,
@@ -55,7 +56,7 @@
         Files.move(whole, file, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** The object that the simulator's first message gives an instance, by its names and units. */
+    /** Returns the settings object with the names and units of the simulator's first message to an instance. */
     private static ObjectNode settings(BalancerSettings from, long idleUs) {
         ObjectNode to = JSON.createObjectNode();
         to.put("balancers", from.nodes)
--- a/harness/src/main/java/loadbalancer/harness/process/NodeProcess.java
+++ b/harness/src/main/java/loadbalancer/harness/process/NodeProcess.java
@@ -15,22 +15,22 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * A process that the rig has started and ends by its id. It ends with the rig, however that ends: a shell
- * beside it reads a pipe from the rig, and kills it when that closes.
+ * A process that the harness has started. It never outlives the harness, however the harness ends: a guard shell
+ * reads a pipe from the harness, and kills the process when the pipe closes.
  */
 final class NodeProcess implements AutoCloseable {
-    /** Of what it prints the newest is kept: twice so much at the most. */
+    /** Size at which an output file is rotated. One older file is kept, so at most twice this much is kept. */
     static final long MAX_OUTPUT_BYTES = 8L << 20;
 
     private static final long GRACE_MS = 5_000;
     /**
      * Starts the command ($0) and kills it when standard input closes; its exit code is the command's. The first line
-     * is the command's process id. A shell prints its own id and then becomes the command: were the id printed beside
-     * the command, a quick one's output could come ahead of it.
+     * is the command's process id. A shell prints its own id and then execs the command: if the id were printed by
+     * another process, the output of a quick command could precede it.
      */
     static final String GUARD = "exec 3<&0; sh -c 'echo $$; exec sh -c \"$0\"' \"$0\" </dev/null 3<&- & p=$!;"
             + " { cat <&3; kill -9 $p; } >/dev/null 2>&1 & w=$!; exec 3<&-; wait $p; c=$?;"
-            // Once it has ended its id may be another's: nobody may be killed by it any more.
+            // After its end the id may be reused for another process, which must not be killed.
             + " kill $w; exit $c";
 
     private final String name;
@@ -41,12 +41,13 @@
     private boolean cut;
 
     /**
-     * Starts it.
+     * Starts the process and waits for its id.
      *
-     * @param command for the shell; it has to exec what it starts
-     * @param environment added to the rig's own
-     * @param output where what it prints goes
-     * @param ended called from a thread of its own, with the exit code
+     * @param command shell command, which must exec the program that it starts
+     * @param environment variables that are added to the environment of the harness
+     * @param folder working directory
+     * @param output file for standard output and standard error
+     * @param ended called on a separate thread after the process has ended
      */
     NodeProcess(String name, String command, Map<String, String> environment, Path folder, Path output, Ended ended)
             throws IOException {
@@ -60,7 +61,7 @@
         BufferedReader from = new BufferedReader(new InputStreamReader(guard.getInputStream(), StandardCharsets.UTF_8));
         String id = from.readLine();
         if (id == null) {
-            throw new IOException(name + " did not start");
+            throw new IOException(name + " did not start: no process id was read");
         }
         process = ProcessHandle.of(Long.parseLong(id)).orElse(null);
         Thread pump = new Thread(() -> pump(from, ended), "output of " + name);
@@ -68,7 +69,7 @@
         pump.start();
     }
 
-    /** Told once it has ended. */
+    /** Called after the process has ended, with its exit code. */
     interface Ended {
         void ended(int code);
     }
@@ -99,14 +100,14 @@
             }
             ended.ended(guard.waitFor());
         } catch (IOException e) {
-            System.err.println("rig: output of " + name + " is lost: " + e);
+            System.err.println("harness: output of " + name + " cannot be written: " + e);
             kill();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Whether its oldest output has been dropped. */
+    /** Whether its output has been rotated. */
     boolean isCut() {
         return cut;
     }
@@ -119,21 +120,21 @@
         return process == null ? -1 : process.pid();
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     void terminate() {
         if (isAlive()) {
             process.destroy();
         }
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL. */
     void kill() {
         if (isAlive()) {
             process.destroyForcibly();
         }
     }
 
-    /** SIGSTOP, and SIGCONT: it comes back believing that no time has passed. */
+    /** Sends SIGSTOP or SIGCONT. A process does not notice that it was stopped, except by its clock. */
     void pause(boolean stop) throws IOException {
         signal(stop ? "STOP" : "CONT");
     }
@@ -149,7 +150,7 @@
         }
     }
 
-    /** Ends it: asked first, and killed if that does not help in time. */
+    /** Ends it by SIGTERM, and by SIGKILL if it has not ended after a grace period. Waits for its end. */
     @Override
     public void close() {
         terminate();
--- a/harness/src/main/java/loadbalancer/harness/process/RealNode.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealNode.java
@@ -14,16 +14,16 @@
 import loadbalancer.harness.simulation.World;
 
 /**
- * A node that is a process, started as the deploy file says; all but its start and its calls runs on the
- * loop.
+ * A node that runs as a process, started by the command of the deploy file. Starts and calls that block run on an
+ * executor, everything else runs on the event loop of the run.
  */
 final class RealNode extends BaseNode {
-    /** How often a starting node is asked whether it is up. */
+    /** Interval at which a starting node is polled until it is up. */
     private static final long READY_POLL_INTERVAL_US = 50_000;
 
     private static final int CALL_TIMEOUT_MS = 2_000;
     private static final int SIGKILL_EXIT_CODE = 137;
-    /** In the history, an answer that belongs to another request. */
+    /** Result in the history for a response that belongs to another request. */
     private static final String MISDIRECTED = "ALIEN";
 
     private final RealTimeline time;
@@ -42,9 +42,9 @@
     private boolean terminating;
 
     /**
-     * @param address the node's own on loopback
-     * @param discovery the address at which it reaches the list
-     * @param blockingTasks runs what blocks: starts, and calls at the control address
+     * @param address loopback address that only this node uses
+     * @param discovery address at which the node reaches its endpoint list
+     * @param blockingTasks runs blocking tasks: starts, and calls to the node
      */
     RealNode(
             int number,
@@ -71,7 +71,7 @@
         control = Listener.free(address);
     }
 
-    /** The id of its process, or -1. */
+    /** Returns the id of its process, or -1 if it was never started. */
     long pid() {
         return child == null ? -1 : child.pid();
     }
@@ -136,7 +136,7 @@
         pollUntilUp(startedAs);
     }
 
-    /** The front admits a node once {@code GET /up} says yes. */
+    /** Polls {@code GET /up} until it responds 200; the front sends requests to the node from then on. */
     private void pollUntilUp(int startedAs) {
         blockingTasks.execute(() -> {
             boolean up = call(listen, "GET /up HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n")
@@ -151,7 +151,7 @@
         });
     }
 
-    /** The whole response, or an empty text if the call fails. */
+    /** Sends a call and returns the complete response, or an empty string if the call fails. */
     private static String call(InetSocketAddress address, String text) {
         try (Socket socket = new Socket()) {
             socket.connect(address, CALL_TIMEOUT_MS);
@@ -159,7 +159,7 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         } catch (IOException e) {
-            // It does not listen yet, or not any more: the caller tries again.
+            // The node does not listen yet, or has ended: the response is empty.
             return "";
         }
     }
@@ -208,7 +208,7 @@
         });
     }
 
-    /** Stops it at once and waits for its end; no event of it is written. */
+    /** Stops the process and waits for its end, without writing an event. */
     void close() {
         nextIncarnation();
         if (child != null) {
@@ -230,7 +230,7 @@
 
             @Override
             public void onWritten() {
-                // A process that has been killed has not got the request, though the system accepted its bytes.
+                // A killed process does not receive the request, although the operating system accepted its bytes.
                 written = current == incarnation() && running;
                 if (!written) {
                     return;
@@ -262,7 +262,7 @@
             return;
         }
         if (!cordoned) {
-            // It may be used again from the call on, whatever the node answers.
+            // From this call on the node may use the server again, whatever it responds.
             history().setCordoned(server, false);
         }
         blockingTasks.execute(() -> {
--- a/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
@@ -27,15 +27,15 @@
 import loadbalancer.harness.simulation.World;
 
 /**
- * Plays a scenario with processes: nodes as the deploy file starts them, and app servers, list and clients as
- * real HTTP peers in this process, each at an address of its own on loopback.
+ * Runs a scenario with node processes, which the command of the deploy file starts. App servers, endpoint lists and
+ * clients are HTTP peers in this process; each app server and list has its own loopback address.
  */
 public final class RealPlay implements AutoCloseable {
-    /** The most that are started at once on one machine. */
+    /** Maximum number of nodes, which all run on one machine. */
     public static final int MAX_NODES = 128;
 
     private static final long READY_WITHIN_MS = 60_000;
-    /** How much later than it happened the rig may hear of something. */
+    /** Time by which the harness may observe an event late; checkers tolerate this much. */
     private static final long SLACK_US = 100_000;
 
     private final Scenario scenario;
@@ -54,11 +54,11 @@
     private final List<RealNode> nodes = new ArrayList<>();
 
     /**
-     * Prepares it; nothing has been started yet but what stands in.
+     * Prepares the run. Opens the fakes and links, and starts no node.
      *
-     * @param folder for configuration and logs, the caller's
-     * @param file where the history goes, or null
-     * @param reader reads along
+     * @param folder for configurations and logs; owned by the caller
+     * @param file receives the history, or null
+     * @param reader receives each event of the history
      */
     public RealPlay(
             Scenario scenario, long seed, DeployFile deploy, Path folder, OutputStream file, History.Reader reader)
@@ -122,11 +122,11 @@
         }
     }
 
-    /** An app server's model has come up or gone down: so does its address. */
+    /** Opens or closes the listener and the links of an app server when its model starts or ends. */
     private void follow(Event event) {
         FakeServer server = servers.get(event.process());
         if (server != null && (event.kind() == Event.Kind.STARTED || event.kind() == Event.Kind.KILLED)) {
-            // Later, as a machine that falls silent is killed first.
+            // Deferred, as the model of a server that becomes unreachable is killed first.
             time.after(0, () -> {
                 server.follow();
                 links.follow(event.process(), server.isOpen());
@@ -134,17 +134,14 @@
         }
     }
 
-    /** Plays it from the start to the end. */
+    /** Runs the scenario from start to end. */
     public Outcome play(SimulatedRun.Progress progress) throws IOException, InterruptedException {
         onLoop(() -> {
             history.add("rig", Event.Kind.RUN, "scenario", scenario.name(), "seed", seed, "real", true);
             world.start();
             return null;
         });
-        await(
-                "all nodes to be up",
-                READY_WITHIN_MS,
-                () -> world.nodes().stream().allMatch(NodePort::isReady));
+        await("all nodes are up", READY_WITHIN_MS, () -> world.nodes().stream().allMatch(NodePort::isReady));
         long startedUs = onLoop(() -> {
             world.startClients();
             SimulatedRun.scheduleFaults(world, time);
@@ -184,33 +181,33 @@
                 throw new IOException("the run failed", time.failure());
             }
             if (System.nanoTime() > end) {
-                throw new IOException("waited " + withinMs + " ms in vain for " + what);
+                throw new IOException("condition not met within " + withinMs + " ms: " + what);
             }
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
 
-    /** The way of a node to an app server. */
+    /** Returns the link of a node to an app server. */
     FaultLink link(int node, String server) {
         return links.link(node, server);
     }
 
-    /** The way of a node to its list. */
+    /** Returns the link of a node to its endpoint list. */
     FaultLink listLink(int node) {
         return listLinks.get(node);
     }
 
-    /** The ids of the nodes' processes. */
+    /** Returns the process ids of the nodes. */
     public List<Long> processes() {
         return nodes.stream().map(RealNode::pid).toList();
     }
 
-    /** Ends all processes and lets go of all sockets. */
+    /** Ends all processes and closes all sockets. */
     @Override
     public void close() {
         outside.shutdownNow();
         try {
-            // A start that is under way has to come to its end, or nobody would end what it started.
+            // A start in progress has to complete first, or its process would never be ended.
             outside.awaitTermination(READY_WITHIN_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/harness/src/main/java/loadbalancer/harness/process/RealTimeline.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealTimeline.java
@@ -8,7 +8,7 @@
 import loadbalancer.harness.time.RandomStreams;
 import loadbalancer.harness.time.Timeline;
 
-/** The system's time, on one event loop: what is scheduled runs there one after the other. */
+/** A timeline that follows the system's clock and runs all tasks on one event loop. */
 final class RealTimeline implements Timeline {
     private final EventLoop loop;
     private final long seed;
@@ -26,7 +26,7 @@
         return (System.nanoTime() - originNanos) / 1_000;
     }
 
-    /** The same as Unix time. */
+    /** Converts a time of this timeline to Unix time in milliseconds. */
     long unixMs(long atUs) {
         return originMs + atUs / 1_000;
     }
@@ -37,7 +37,7 @@
         return () -> planned.cancel(false);
     }
 
-    /** Runs it on the loop, as soon as may be. */
+    /** Runs a task on the loop as soon as possible; may be called from any thread. */
     void soon(Runnable what) {
         loop.execute(() -> run(what));
     }
@@ -46,12 +46,12 @@
         try {
             what.run();
         } catch (RuntimeException e) {
-            // A future would keep it to itself; the run has to fail by it.
+            // The future would swallow the exception, but the run has to fail.
             failure.compareAndSet(null, e);
         }
     }
 
-    /** The first thing scheduled that failed, or null. */
+    /** Returns the first exception of a task, or null. */
     Throwable failure() {
         return failure.get();
     }
--- a/harness/src/main/java/loadbalancer/harness/process/RequestRegistry.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RequestRegistry.java
@@ -9,9 +9,9 @@
 import loadbalancer.policy.AttemptResult;
 
 /**
- * The open requests of all clients, by transaction id, so that a fake app server knows what an attempt is about.
+ * The open requests of all clients by transaction id, by which a fake app server finds the request of an attempt.
  *
- * <p>Used on the loop of the run only.
+ * <p>Used on the event loop of the run only.
  */
 final class RequestRegistry {
     private final World world;
@@ -28,7 +28,7 @@
         }
     }
 
-    /** One attempt of a node. */
+    /** One attempt of a node at a request. */
     record Attempt(String txn, int number, ClientRequest request, BaseNode node) {}
 
     RequestRegistry(World world) {
@@ -39,17 +39,17 @@
         return String.format("%016x", id);
     }
 
-    /** A client has begun to send this to the node. */
+    /** Adds a request that a client sends to this node. */
     void add(ClientRequest request, BaseNode node) {
         requests.put(txn(request.id()), new OpenRequest(request, node));
     }
 
-    /** Long after its end no attempt of it can come any more. */
+    /** Removes a request. Called long after its end, when no attempt of it can arrive any more. */
     void forget(long id) {
         requests.remove(txn(id));
     }
 
-    /** An attempt has come to an app server; null if no client has sent such a request. */
+    /** Records an attempt that has arrived at an app server; returns null if no client has sent such a request. */
     Attempt onAttempt(String txn, AppServer server) {
         OpenRequest open = txn == null ? null : requests.get(txn);
         if (open == null) {
@@ -62,7 +62,7 @@
         return attempt;
     }
 
-    /** How it ended, as the server sees it. */
+    /** Records the result of an attempt as the server observes it. */
     void onOutcome(Attempt attempt, AppServer server, AttemptResult result) {
         attempt.node().history().outcome(attempt.request().id(), attempt.number(), server.id(), result);
     }
--- a/harness/src/main/java/loadbalancer/harness/process/ServerLinks.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ServerLinks.java
@@ -12,7 +12,7 @@
 import loadbalancer.harness.process.FaultLink.Faults;
 import loadbalancer.harness.simulation.Links;
 
-/** The ways of nodes to app servers, a fault link for each pair, on a loop of their own. */
+/** The links of nodes to app servers: a fault link for each pair, all on one event loop. */
 final class ServerLinks implements Links.Carrier {
     private final EventLoop loop;
     private final SplittableRandom random;
@@ -25,7 +25,7 @@
         this.random = random;
     }
 
-    /** One more; called from outside the loop. */
+    /** Adds the link of a node to an app server; must not be called on the loop. */
     void add(int node, String server, InetSocketAddress target) {
         byServer.computeIfAbsent(server, id -> new LinkedHashMap<>())
                 .put(node, new FaultLink(loop, "127.4.0." + (1 + node), target, random.split()));
@@ -39,7 +39,7 @@
         return byServer.getOrDefault(server, Map.of()).values();
     }
 
-    /** The server takes connections, or none any more: a link that still did would tell another story. */
+    /** Makes the links accept connections only while the server does, so that no node can connect to a dead server. */
     void follow(String server, boolean open) {
         to(server).forEach(link -> link.setOpen(open));
     }
@@ -60,7 +60,7 @@
         hurt(server);
     }
 
-    /** From all that is wrong with a server's links: the end of one fault must not end another. */
+    /** Applies all present faults of a server's links together, so that the end of one fault does not end another. */
     private void hurt(String server) {
         Faults slow = Faults.delayed(slower.getOrDefault(server, 0L), 0);
         for (FaultLink link : to(server)) {
