--- a/harness/src/main/java/loadbalancer/harness/baseline/Baseline.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/Baseline.java
@@ -20,9 +20,8 @@
 import loadbalancer.policy.ServerState;
 
 /**
- * What all built-in policies have in common: they keep the rules, send each request at once to the server
- * that they choose, and pass on what may be repeated to another choice. They do without limits, queues,
- * ejection and slow start.
+ * Base of all built-in policies. They keep the rules, send each request at once to a chosen server, and retry at
+ * another server where that is allowed. They have no limits, queues, ejection or slow start.
  */
 abstract class Baseline implements Balancer {
     private final BalancerActions out;
@@ -31,7 +30,7 @@
     private Set<String> cordoned = Set.of();
     private final Map<Long, Call> calls = new HashMap<>();
     private final Map<String, Integer> inFlight = new HashMap<>();
-    /** What may be sent to, in the list's order. */
+    /** Ids of the servers that may receive requests, in the order of the list. */
     private List<String> ready = List.of();
 
     private static final class Call {
@@ -53,15 +52,15 @@
         this.out = out;
     }
 
-    /** Which of these, at least one, the request goes to. */
+    /** Chooses the server of an attempt; there is at least one candidate. */
     abstract String choose(List<String> among);
 
-    /** How an attempt ended, for those that learn. */
+    /** Receives the result of an attempt, for policies that adapt to it. */
     void learn(String server, boolean served) {
-        // Most do not.
+        // Most policies ignore results.
     }
 
-    /** Own requests in flight at a server. */
+    /** Returns the number of this node's attempts in flight at a server. */
     final int inFlight(String server) {
         return inFlight.getOrDefault(server, 0);
     }
@@ -169,17 +168,17 @@
 
     @Override
     public void onListFailed(long nowUs) {
-        // The old list stands.
+        // The previous list stays in use.
     }
 
     @Override
     public void onFirstByte(long nowUs, long requestId, int attempt) {
-        // Nothing changes for it.
+        // Not used by these policies.
     }
 
     @Override
     public void onWake(long nowUs) {
-        // It asks for none.
+        // These policies never schedule a wake-up.
     }
 
     @Override
--- a/harness/src/main/java/loadbalancer/harness/baseline/Baselines.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/Baselines.java
@@ -12,7 +12,7 @@
 import loadbalancer.policy.BalancerActions;
 import loadbalancer.policy.BalancerSettings;
 
-/** The policies that a fleet can be compared with, by name. */
+/** The policies by name that a run can use for comparison, including the decision module itself. */
 public final class Baselines {
     private static final Map<String, Policy> BY_NAME = new TreeMap<>(Map.of(
             "module", Policy.MODULE,
@@ -29,12 +29,12 @@
         return List.copyOf(BY_NAME.keySet());
     }
 
-    /** The policy of a name, or null. */
+    /** Returns the policy with this name, or null. */
     public static Policy named(String name) {
         return BY_NAME.get(name);
     }
 
-    /** Any server, all alike. */
+    /** Chooses a server at random, all with equal probability. */
     private static class Random extends Baseline {
         final SplittableRandom random;
 
@@ -49,13 +49,13 @@
         }
     }
 
-    /** Each in its turn. */
+    /** Chooses the servers in turn. */
     private static final class RoundRobin extends Random {
         private int turn;
 
         RoundRobin(BalancerSettings settings, long seed, BalancerActions out) {
             super(settings, seed, out);
-            // Nodes that all began with the first server would go round together.
+            // A random start, as nodes that all start with the first server would proceed in step.
             turn = random.nextInt(1 << 20);
         }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /** The one with the fewest own requests in flight; ties at random. */
+    /** Chooses the server with the fewest attempts of this node in flight; ties at random. */
     private static final class LeastOutstanding extends Random {
         LeastOutstanding(BalancerSettings settings, long seed, BalancerActions out) {
             super(settings, seed, out);
@@ -79,7 +79,7 @@
         }
     }
 
-    /** The one of two drawn at random with fewer own requests in flight. */
+    /** Draws two servers at random and chooses the one with fewer attempts of this node in flight. */
     private static class TwoChoices extends Random {
         TwoChoices(BalancerSettings settings, long seed, BalancerActions out) {
             super(settings, seed, out);
@@ -97,7 +97,7 @@
         }
     }
 
-    /** The paper's mechanism and nothing else: two drawn by weights that fall with the count of errors. */
+    /** The published ServiceQ mechanism only: draws two servers by weights that decrease with their errors. */
     private static final class Plain extends TwoChoices {
         private final Map<String, Integer> errors = new HashMap<>();
 
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Sees what each server truly holds against what it can do: no real node can. */
+    /** Chooses by the actual load and capacity of the server models, which no real node can observe. */
     private static final class Oracle extends Random {
         private final Map<String, AppServer> servers;
 
--- a/harness/src/main/java/loadbalancer/harness/baseline/JarPolicy.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/JarPolicy.java
@@ -28,13 +28,13 @@
 import loadbalancer.policy.Tenant;
 
 /**
- * The decision module of another build, which has to know the same {@link Balancer}: its classes come from
- * that jar.
+ * The decision module of another build, loaded from the jar of that build. The build must have the same
+ * {@link Balancer} interface.
  */
 public final class JarPolicy {
     private static final String PACKAGE = Balancer.class.getPackageName() + ".";
     private static final String MODULE = PACKAGE + "ServiceQBalancer";
-    /** What the interface to the module is made of: shared by both builds, never taken from the jar. */
+    /** Types of the interface to the module: shared by both builds, never loaded from the jar. */
     private static final Set<String> INTERFACE = Stream.of(
                     Balancer.class,
                     BalancerActions.class,
@@ -56,30 +56,30 @@
 
     private JarPolicy() {}
 
-    /** Opens a node's jar; it is read once, whole, as classes are asked for. */
+    /** Creates a policy from a node's jar. Classes are read from the jar when they are first loaded. */
     public static Policy of(Path jar) throws IOException {
         if (!Files.isRegularFile(jar)) {
-            throw new IOException(jar + ": there is no such file");
+            throw new IOException(jar + ": is not an existing regular file");
         }
         Class<?> module;
         try {
             module = new Loader(jar).loadClass(MODULE);
         } catch (ClassNotFoundException e) {
-            throw new IOException(jar + ": has no " + MODULE, e);
+            throw new IOException(jar + ": does not contain " + MODULE, e);
         }
         return (settings, seed, actions, servers) -> {
             try {
                 return (Balancer) module.getConstructor(BalancerSettings.class, long.class, BalancerActions.class)
                         .newInstance(settings, seed, actions);
             } catch (InvocationTargetException e) {
-                throw new IllegalStateException(jar + ": the module failed as it began", e.getCause());
+                throw new IllegalStateException(jar + ": the constructor of the module failed", e.getCause());
             } catch (ReflectiveOperationException e) {
-                throw new IllegalStateException(jar + ": the module is of another make", e);
+                throw new IllegalStateException(jar + ": the module does not have the expected constructor", e);
             }
         };
     }
 
-    /** Takes the module's own classes from the jar, and all else from where this class comes from. */
+    /** Loads the module's own classes from the jar, and all others by the class loader of this class. */
     private static final class Loader extends ClassLoader {
         private final Path jar;
 
--- a/harness/src/main/java/loadbalancer/harness/baseline/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/package-info.java
@@ -1,2 +1,2 @@
-/** Policies that the decision module is compared with. */
+/** Reference policies that the decision module is compared with. */
 package loadbalancer.harness.baseline;
--- a/harness/src/main/java/loadbalancer/harness/scale/ModuleScale.java
+++ b/harness/src/main/java/loadbalancer/harness/scale/ModuleScale.java
@@ -21,30 +21,33 @@
 import loadbalancer.policy.ServiceQBalancer;
 
 /**
- * Measures what the decision module of one node costs as the fleet grows: one module, without sockets, that
- * is told of servers, requests and their outcomes.
+ * Measures the memory and processor time of one node's decision module by the size of the fleet. It drives one module
+ * with lists of servers, requests and outcomes, without sockets.
  */
 public final class ModuleScale {
     private static final int ROUNDS = 5;
+    /** Number of list changes that are timed together. */
     private static final int CHANGES = 200;
+
     private static final int ZONES = 19;
-    /** Of attempts that fail, where some do: each changes the weights of all draws. */
+    /** Share of failing attempts in rounds with failures; each failure changes the weights of all draws. */
     private static final double FAILING = 0.01;
 
+    /** Interval between requests in the time given to the module. */
     private static final long GAP_US = 8_000;
 
     private ModuleScale() {}
 
     /**
-     * What one module cost.
+     * The cost of one module. Times are processor time of the calling thread.
      *
-     * @param nodes as its settings say
-     * @param servers in its list
+     * @param nodes number of nodes in its settings
+     * @param servers number of servers in its list
      * @param stateBytes heap retained by the module, its settings and its list
-     * @param wholeListUs thread's processor time for a whole list, median of five
-     * @param oneChangeUs the same for a change of one server, mean of 200
-     * @param decisionUs the same for a request and its answer, where all succeed, median of five means
-     * @param failingDecisionUs the same where one answer in a hundred is an error
+     * @param wholeListUs time for a full list, median of five
+     * @param oneChangeUs time for a list change of one server, mean of 200
+     * @param decisionUs time for a request and its outcome if all succeed, median of five means
+     * @param failingDecisionUs the same if one attempt in a hundred fails
      */
     public record Cost(
             int nodes,
@@ -55,7 +58,7 @@
             double decisionUs,
             double failingDecisionUs) {}
 
-    /** Measures a module before so many servers, with so many requests in each round. */
+    /** Measures a module with this many nodes and servers, and with this many requests in each round. */
     public static Cost measure(int nodes, int servers, int requests) {
         long before = usedBytes();
         Driver driver = new Driver(nodes, servers);
@@ -86,14 +89,14 @@
         return (threads.getCurrentThreadCpuTime() - before) / 1e3;
     }
 
-    /** After a collection; the Java runtime may ignore the first call for one. */
+    /** Returns the used heap after a collection. Calls twice, as the Java runtime may ignore the first call. */
     private static long usedBytes() {
         System.gc();
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    /** A module with the clock, the servers and the clients that it sees. */
+    /** Drives one module: provides its clock, its servers and its requests. */
     private static final class Driver implements BalancerActions {
         private final SplittableRandom random = new SplittableRandom(1);
         private final List<ServerEntry> entries = new ArrayList<>();
@@ -130,7 +133,7 @@
             module.onServers(nowUs, ListKind.FULL, entries);
         }
 
-        /** Changes of one server each, in turn away from and back to service. */
+        /** Sends list changes of one server, alternately to draining and back to ready. */
         void change(int changes) {
             for (int i = 0; i < changes; i++) {
                 ServerEntry entry = entries.get(0);
--- a/harness/src/main/java/loadbalancer/harness/scale/package-info.java
+++ b/harness/src/main/java/loadbalancer/harness/scale/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements of what the decision module costs as endpoint lists grow. */
+/** Measurements of the memory and processor time of the decision module by the size of the endpoint list. */
 package loadbalancer.harness.scale;
--- a/harness/src/test/java/loadbalancer/harness/process/FaultLinkTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/FaultLinkTest.java
@@ -53,7 +53,7 @@
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** What is set holds once this returns: the loop has run it. */
+    /** Sets faults and waits until the loop has applied them. */
     private void set(Direction direction, Faults faults) {
         link.set(direction, faults);
         loop.submit(() -> {}).awaitUninterruptibly();
@@ -122,7 +122,7 @@
                     count++;
                 }
             } catch (IOException e) {
-                // The reset that is expected; what had come was counted.
+                // The expected reset; bytes read before it are counted.
             }
             return count;
         });
@@ -131,7 +131,7 @@
                 near.getOutputStream().write(bytes(MEGABYTE));
             }
         });
-        // A reset may take what was not read yet with it, but nothing beyond can have come.
+        // A reset may discard bytes that were not read yet, but no byte beyond the limit can arrive.
         assertTrue(read.get(20, TimeUnit.SECONDS) <= 300_000);
     }
 
--- a/harness/src/test/java/loadbalancer/harness/process/MemberFleetTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/MemberFleetTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Membership among processes of the program, over links that fail. */
+/** Tests membership between node processes over links with injected faults. */
 class MemberFleetTest {
     private static final int PERIOD_MILLIS = 200;
-    /** Starts of several processes on a busy machine, and many periods: far beyond what any of it takes. */
+    /** Far longer than the start of several processes on a busy machine plus many protocol periods. */
     private static final long TIMEOUT_MILLIS = 60_000;
 
     @TempDir
@@ -33,7 +33,7 @@
         return view == null ? -1 : view.metrics().get(name);
     }
 
-    /** How often a member has logged this event of another. */
+    /** Returns how often a member has logged this event about another member. */
     private static long countLogged(MemberProcess observer, String event, String member) throws IOException {
         String logged = logLine(event, member);
         return observer.logged().lines().filter(line -> line.contains(logged)).count();
@@ -44,15 +44,15 @@
     }
 
     /**
-     * Six processes find each other. One is killed, and is logged as failed. Another gets SIGTERM, and is logged as
-     * left and never as failed. The killed one starts again and is back.
+     * Six processes discover each other. One is killed and is logged as failed. Another receives SIGTERM and is logged
+     * as left, never as failed. The killed one restarts and rejoins.
      */
     @Test
     void membersFindEachOtherAndLogFailuresAndLeaves() throws Exception {
         try (MemberFleet fleet = fleet().startMembers(6)) {
             fleet.await("all six converged", TIMEOUT_MILLIS, fleet::isConverged);
-            // On a full machine a member that is up may be held for dead for a while. Counted by name, and from the
-            // event on, the numbers do not depend on the machine's speed.
+            // On an overloaded machine a running member may be considered dead for a while. The counts are taken by
+            // name and relative to the event, so that they do not depend on the machine's speed.
             MemberProcess observer = fleet.member(1);
             long failuresBefore = countLogged(observer, "member_failed", "m4");
             fleet.member(4).kill();
@@ -71,7 +71,7 @@
         }
     }
 
-    /** A member receives nothing. The others hold it for dead, it holds them for dead, and all converge once healed. */
+    /** A member receives nothing: it and the others consider each other dead, and all converge after the partition. */
     @Test
     void memberThatReceivesNothingFailsAndComesBack() throws Exception {
         try (MemberFleet fleet = fleet().startMembers(5)) {
@@ -92,7 +92,7 @@
         }
     }
 
-    /** A process is paused until the others hold it for dead. It comes back, and held nobody for dead meanwhile. */
+    /** A process is paused until the others consider it dead. It rejoins, and has not considered any other dead. */
     @Test
     void pausedMemberComesBackAndHoldsNobodyForDead() throws Exception {
         try (MemberFleet fleet = fleet().startMembers(5)) {
@@ -111,7 +111,7 @@
         }
     }
 
-    /** A node without a fleet in its configuration must not pay for membership: it loads no class of it. */
+    /** A node without a fleet in its configuration has no cost by membership: it loads none of its classes. */
     @Test
     void nodeWithoutFleetLoadsNoClassOfMembership() throws Exception {
         try (MemberFleet fleet = fleet()) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Classes that only membership needs, of those that a node loads until it serves. */
+    /** Returns the classes used only by membership that a node loads until it listens. */
     private Set<String> classesLoaded(MemberFleet fleet, boolean inFleet) throws Exception {
         Path classes = folder.resolve("classes-" + inFleet);
         Map<String, String> environment = Map.of("JAVA_TOOL_OPTIONS", "-Xlog:class+load:file=" + classes);
@@ -144,8 +144,8 @@
     }
 
     /**
-     * A second process starts with the name of a member. The first one yields the name and goes on to serve requests,
-     * and the others hold the second one for that member.
+     * A second process starts with the name of a member. The first one yields the name and continues to serve requests,
+     * and the others regard the second one as that member.
      */
     @Test
     void earlierProcessYieldsItsNameAndServesOn() throws Exception {
@@ -168,7 +168,7 @@
         }
     }
 
-    /** All processes crash, and those that are no seeds start again. Each is alone until a seed is back. */
+    /** All processes crash and only non-seeds restart. Each is alone in its view until a seed restarts. */
     @Test
     void membersThatRestartWithoutSeedsWaitForOne() throws Exception {
         try (MemberFleet fleet = fleet().startMembers(6)) {
--- a/harness/src/test/java/loadbalancer/harness/process/NodeProcessTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/NodeProcessTest.java
@@ -52,11 +52,11 @@
     }
 
     /**
-     * A process prints as soon as it runs. The rig takes the first line for the process's id, so that output that came
-     * ahead of it broke the start by chance. The id comes first, however quick the process is.
+     * The first line of output is read as the process id. Output of a quick process could precede the id and fail the
+     * start at random.
      */
     @Test
-    void idComesAheadOfAnythingThatTheProcessPrints() throws Exception {
+    void processIdPrecedesAllOutputOfTheProcess() throws Exception {
         for (int i = 0; i < 200; i++) {
             try (NodeProcess child = start("echo quick")) {
                 assertEquals(0, codes.poll(20, TimeUnit.SECONDS));
@@ -78,9 +78,9 @@
     }
 
     @Test
-    void processEndsWithTheRigHoweverThatEnds() throws Exception {
-        // The guard's pipe closes with the process that holds its other end: here a shell that stands in for
-        // the rig.
+    void processEndsWithTheHarnessEvenIfThatIsKilled() throws Exception {
+        // The guard's pipe closes with the process that holds its other end, here a shell in the role of the
+        // harness.
         Path id = folder.resolve("id");
         Process rig = new ProcessBuilder(
                         "sh",
@@ -91,7 +91,7 @@
         await(() -> Files.exists(id) && id.toFile().length() > 1);
         long pid = Long.parseLong(Files.readString(id).strip());
         assertTrue(ProcessHandle.of(pid).orElseThrow().isAlive());
-        // The writer's end goes as the rig's does when it is killed.
+        // The write end closes as that of the harness does when the harness is killed.
         rig.descendants()
                 .filter(p -> p.info().commandLine().orElse("").endsWith("sleep 1000"))
                 .forEach(ProcessHandle::destroyForcibly);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void newestOutputOfAProcessThatPrintsWithoutEndIsRetained() throws Exception {
+    void newestOutputOfAProcessThatPrintsEndlesslyIsRetained() throws Exception {
         try (NodeProcess child = start("exec yes 0123456789012345678901234567890123456789")) {
             await(child::isCut);
             child.kill();
--- a/harness/src/test/java/loadbalancer/harness/process/RealPlayTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/RealPlayTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Small fleets of processes; the node's jar has been packaged by then. */
+/** Runs small fleets of node processes. Requires the packaged jar of the node. */
 class RealPlayTest {
     private static final String FLEET = """
             name = "small"
@@ -111,7 +111,7 @@
                 part = 0.17
                 """);
         assertEquals(List.of(), outcome.violations());
-        // Two nodes and six servers, and one of each again.
+        // Two nodes and six servers, and one restart of each kind.
         assertEquals(10, counts.get(Kind.STARTED));
         assertEquals(2, counts.get(Kind.KILLED));
     }
@@ -138,11 +138,11 @@
                 size = 0.2
                 """);
         assertEquals(List.of(), outcome.violations());
-        // What a node gave up on, and what broke under it, as the servers saw it.
+        // Attempts that a node gave up are recorded as cancelled, as the servers observe them.
         assertTrue(outcomes.contains("CANCELLED"), outcomes.toString());
     }
 
-    /** Changes text that is sent in one piece, keeping its length. */
+    /** Returns a transformation of text that arrives in one buffer; it must keep the length. */
     private static UnaryOperator<ByteBuf> changing(UnaryOperator<String> change) {
         return bytes -> {
             String text = bytes.toString(StandardCharsets.ISO_8859_1);
@@ -151,7 +151,7 @@
         };
     }
 
-    /** Faults planted in what stands in: a referee that believed its own side would be none. */
+    /** A corrupted response of a fake must be reported: the checkers must not trust the harness itself. */
     @Test
     void misdirectedResponseIsDetected() throws Exception {
         Outcome outcome = play(
