--- a/harness/src/main/java/loadbalancer/harness/baseline/Baseline.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/Baseline.java
@@ -24,39 +24,39 @@
  * another server where that is allowed. They have no limits, queues, ejection or slow start.
  */
 abstract class Baseline implements Balancer {
-    private final BalancerActions out;
+    private final BalancerActions actions;
     private BalancerSettings settings;
     private final Map<String, ServerEntry> listed = new LinkedHashMap<>();
     private Set<String> cordoned = Set.of();
-    private final Map<Long, Call> calls = new HashMap<>();
+    private final Map<Long, RequestState> states = new HashMap<>();
     private final Map<String, Integer> inFlight = new HashMap<>();
     /** Ids of the servers that may receive requests, in the order of the list. */
     private List<String> ready = List.of();
 
-    private static final class Call {
+    private static final class RequestState {
         private final BalancerRequest request;
         private final RequestClass cls;
         private final ArrayDeque<String> servers = new ArrayDeque<>();
         private boolean mayHaveRun;
-        private int outstanding;
+        private int attemptsInFlight;
         private boolean ended;
 
-        Call(BalancerRequest request, RequestClass cls) {
+        RequestState(BalancerRequest request, RequestClass cls) {
             this.request = request;
             this.cls = cls;
         }
     }
 
-    Baseline(BalancerSettings settings, BalancerActions out) {
+    Baseline(BalancerSettings settings, BalancerActions actions) {
         this.settings = settings;
-        this.out = out;
+        this.actions = actions;
     }
 
     /** Chooses the server of an attempt; there is at least one candidate. */
-    abstract String choose(List<String> among);
+    abstract String choose(List<String> candidates);
 
     /** Receives the result of an attempt, for policies that adapt to it. */
-    void learn(String server, boolean served) {
+    void onResult(String server, boolean served) {
         // Most policies ignore results.
     }
 
@@ -77,10 +77,10 @@
                 listed.put(entry.id(), entry);
             }
         }
-        chooseReady();
+        updateReady();
     }
 
-    private void chooseReady() {
+    private void updateReady() {
         ready = listed.values().stream()
                 .filter(e -> e.state() == ServerState.READY && !cordoned.contains(e.id()))
                 .map(ServerEntry::id)
@@ -90,80 +90,80 @@
     @Override
     public void onCordoned(long nowUs, Set<String> serverIds) {
         cordoned = serverIds;
-        chooseReady();
+        updateReady();
     }
 
     @Override
     public void onRequest(long nowUs, BalancerRequest request) {
-        Call call = new Call(request, settings.classes.get(request.classIndex()));
-        calls.put(request.id(), call);
-        sendOn(call);
-    }
-
-    private void sendOn(Call call) {
-        List<String> among = new ArrayList<>(ready);
-        among.removeAll(call.servers);
-        if (among.isEmpty() || call.servers.size() >= settings.maxAttempts) {
-            call.ended = true;
-            if (call.mayHaveRun && call.cls.idempotency() != Idempotency.IDEMPOTENT) {
-                out.fail(call.request.id());
+        RequestState state = new RequestState(request, settings.classes.get(request.classIndex()));
+        states.put(request.id(), state);
+        sendNext(state);
+    }
+
+    private void sendNext(RequestState state) {
+        List<String> candidates = new ArrayList<>(ready);
+        candidates.removeAll(state.servers);
+        if (candidates.isEmpty() || state.servers.size() >= settings.maxAttempts) {
+            state.ended = true;
+            if (state.mayHaveRun && state.cls.idempotency() != Idempotency.IDEMPOTENT) {
+                actions.fail(state.request.id());
             } else {
-                out.reject(call.request.id(), 0);
+                actions.reject(state.request.id(), 0);
             }
-            forgetIfOver(call);
+            removeIfFinished(state);
             return;
         }
-        String server = choose(among);
-        call.servers.add(server);
-        call.outstanding++;
+        String server = choose(candidates);
+        state.servers.add(server);
+        state.attemptsInFlight++;
         inFlight.merge(server, 1, Integer::sum);
-        out.send(call.request.id(), server, Long.MAX_VALUE, 0);
+        actions.send(state.request.id(), server, Long.MAX_VALUE, 0);
     }
 
     @Override
     public void onOutcome(long nowUs, AttemptOutcome outcome) {
-        Call call = calls.get(outcome.requestId());
-        if (call == null) {
+        RequestState state = states.get(outcome.requestId());
+        if (state == null) {
             return;
         }
-        call.outstanding--;
-        String server = call.servers.peekLast();
+        state.attemptsInFlight--;
+        String server = state.servers.peekLast();
         inFlight.merge(server, -1, Integer::sum);
-        learn(server, outcome.result() == AttemptResult.OK);
-        call.mayHaveRun |= !outcome.result().neverRan;
+        onResult(server, outcome.result() == AttemptResult.OK);
+        state.mayHaveRun |= !outcome.result().neverRan;
         if (outcome.requestEnded()) {
-            call.ended = true;
-        } else if (call.mayHaveRun && call.cls.idempotency() != Idempotency.IDEMPOTENT
+            state.ended = true;
+        } else if (state.mayHaveRun && state.cls.idempotency() != Idempotency.IDEMPOTENT
                 || outcome.result() == AttemptResult.TIMEOUT) {
-            call.ended = true;
-            out.fail(call.request.id());
-        } else if (!call.ended) {
-            sendOn(call);
+            state.ended = true;
+            actions.fail(state.request.id());
+        } else if (!state.ended) {
+            sendNext(state);
         }
-        forgetIfOver(call);
+        removeIfFinished(state);
     }
 
-    private void forgetIfOver(Call call) {
-        if (call.ended && call.outstanding == 0) {
-            calls.remove(call.request.id());
+    private void removeIfFinished(RequestState state) {
+        if (state.ended && state.attemptsInFlight == 0) {
+            states.remove(state.request.id());
         }
     }
 
     @Override
     public void onClientGone(long nowUs, long requestId) {
-        Call call = calls.get(requestId);
-        if (call != null) {
-            call.ended = true;
-            for (int i = 0; i < call.servers.size() && settings.cancellation; i++) {
-                out.cancel(requestId, i);
+        RequestState state = states.get(requestId);
+        if (state != null) {
+            state.ended = true;
+            for (int i = 0; i < state.servers.size() && settings.cancellation; i++) {
+                actions.cancel(requestId, i);
             }
-            forgetIfOver(call);
+            removeIfFinished(state);
         }
     }
 
     @Override
-    public void onSettings(long nowUs, BalancerSettings other) {
-        settings = other;
+    public void onSettings(long nowUs, BalancerSettings newSettings) {
+        settings = newSettings;
     }
 
     @Override
--- a/harness/src/main/java/loadbalancer/harness/baseline/Baselines.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/Baselines.java
@@ -16,12 +16,12 @@
 public final class Baselines {
     private static final Map<String, Policy> BY_NAME = new TreeMap<>(Map.of(
             "module", Policy.MODULE,
-            "random", (settings, seed, out, servers) -> new Random(settings, seed, out),
-            "round-robin", (settings, seed, out, servers) -> new RoundRobin(settings, seed, out),
-            "least-outstanding", (settings, seed, out, servers) -> new LeastOutstanding(settings, seed, out),
-            "two-choices", (settings, seed, out, servers) -> new TwoChoices(settings, seed, out),
-            "plain", (settings, seed, out, servers) -> new Plain(settings, seed, out),
-            "oracle", (settings, seed, out, servers) -> new Oracle(settings, seed, out, servers)));
+            "random", (settings, seed, actions, servers) -> new Random(settings, seed, actions),
+            "round-robin", (settings, seed, actions, servers) -> new RoundRobin(settings, seed, actions),
+            "least-outstanding", (settings, seed, actions, servers) -> new LeastOutstanding(settings, seed, actions),
+            "two-choices", (settings, seed, actions, servers) -> new TwoChoices(settings, seed, actions),
+            "plain", (settings, seed, actions, servers) -> new Plain(settings, seed, actions),
+            "oracle", (settings, seed, actions, servers) -> new Oracle(settings, seed, actions, servers)));
 
     private Baselines() {}
 
@@ -38,14 +38,14 @@
     private static class Random extends Baseline {
         final SplittableRandom random;
 
-        Random(BalancerSettings settings, long seed, BalancerActions out) {
-            super(settings, out);
+        Random(BalancerSettings settings, long seed, BalancerActions actions) {
+            super(settings, actions);
             random = new SplittableRandom(seed);
         }
 
         @Override
-        String choose(List<String> among) {
-            return among.get(random.nextInt(among.size()));
+        String choose(List<String> candidates) {
+            return candidates.get(random.nextInt(candidates.size()));
         }
     }
 
@@ -53,46 +53,47 @@
     private static final class RoundRobin extends Random {
         private int turn;
 
-        RoundRobin(BalancerSettings settings, long seed, BalancerActions out) {
-            super(settings, seed, out);
+        RoundRobin(BalancerSettings settings, long seed, BalancerActions actions) {
+            super(settings, seed, actions);
             // A random start, as nodes that all start with the first server would proceed in step.
             turn = random.nextInt(1 << 20);
         }
 
         @Override
-        String choose(List<String> among) {
-            return among.get(turn++ % among.size());
+        String choose(List<String> candidates) {
+            return candidates.get(turn++ % candidates.size());
         }
     }
 
     /** Chooses the server with the fewest attempts of this node in flight; ties at random. */
     private static final class LeastOutstanding extends Random {
-        LeastOutstanding(BalancerSettings settings, long seed, BalancerActions out) {
-            super(settings, seed, out);
+        LeastOutstanding(BalancerSettings settings, long seed, BalancerActions actions) {
+            super(settings, seed, actions);
         }
 
         @Override
-        String choose(List<String> among) {
-            int least = among.stream().mapToInt(this::inFlight).min().orElseThrow();
-            List<String> best = among.stream().filter(s -> inFlight(s) == least).toList();
+        String choose(List<String> candidates) {
+            int least = candidates.stream().mapToInt(this::inFlight).min().orElseThrow();
+            List<String> best =
+                    candidates.stream().filter(s -> inFlight(s) == least).toList();
             return best.get(random.nextInt(best.size()));
         }
     }
 
     /** Draws two servers at random and chooses the one with fewer attempts of this node in flight. */
     private static class TwoChoices extends Random {
-        TwoChoices(BalancerSettings settings, long seed, BalancerActions out) {
-            super(settings, seed, out);
+        TwoChoices(BalancerSettings settings, long seed, BalancerActions actions) {
+            super(settings, seed, actions);
         }
 
-        String draw(List<String> among) {
-            return among.get(random.nextInt(among.size()));
+        String draw(List<String> candidates) {
+            return candidates.get(random.nextInt(candidates.size()));
         }
 
         @Override
-        String choose(List<String> among) {
-            String first = draw(among);
-            String second = draw(among);
+        String choose(List<String> candidates) {
+            String first = draw(candidates);
+            String second = draw(candidates);
             return inFlight(second) < inFlight(first) ? second : first;
         }
     }
@@ -101,12 +102,12 @@
     private static final class Plain extends TwoChoices {
         private final Map<String, Integer> errors = new HashMap<>();
 
-        Plain(BalancerSettings settings, long seed, BalancerActions out) {
-            super(settings, seed, out);
+        Plain(BalancerSettings settings, long seed, BalancerActions actions) {
+            super(settings, seed, actions);
         }
 
         @Override
-        void learn(String server, boolean served) {
+        void onResult(String server, boolean served) {
             if (served) {
                 errors.remove(server);
             } else {
@@ -115,13 +116,13 @@
         }
 
         @Override
-        String draw(List<String> among) {
-            int most = among.stream()
+        String draw(List<String> candidates) {
+            int most = candidates.stream()
                     .mapToInt(s -> errors.getOrDefault(s, 0))
                     .max()
                     .orElseThrow();
             double effect = Math.floor(Math.pow(1 + most, 1.5));
-            long[] weights = among.stream()
+            long[] weights = candidates.stream()
                     .mapToLong(s -> (long) Math.ceil(effect / (1 + errors.getOrDefault(s, 0))))
                     .toArray();
             long at = random.nextLong(Arrays.stream(weights).sum());
@@ -129,7 +130,7 @@
             while (at >= weights[i]) {
                 at -= weights[i++];
             }
-            return among.get(i);
+            return candidates.get(i);
         }
     }
 
@@ -137,19 +138,21 @@
     private static final class Oracle extends Random {
         private final Map<String, AppServer> servers;
 
-        Oracle(BalancerSettings settings, long seed, BalancerActions out, Map<String, AppServer> servers) {
-            super(settings, seed, out);
+        Oracle(BalancerSettings settings, long seed, BalancerActions actions, Map<String, AppServer> servers) {
+            super(settings, seed, actions);
             this.servers = servers;
         }
 
         @Override
-        String choose(List<String> among) {
-            return among.stream().min(Comparator.comparingDouble(this::wait)).orElseThrow();
+        String choose(List<String> candidates) {
+            return candidates.stream()
+                    .min(Comparator.comparingDouble(this::wait))
+                    .orElseThrow();
         }
 
         private double wait(String id) {
             AppServer server = servers.get(id);
-            return (server.requestCount() + 1) / server.presentCapacity();
+            return (server.requestCount() + 1) / server.currentCapacity();
         }
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/process/DatagramLink.java
+++ b/harness/src/main/java/loadbalancer/harness/process/DatagramLink.java
@@ -22,18 +22,18 @@
  */
 public final class DatagramLink implements AutoCloseable {
     /** Maximum number of datagrams in flight; further datagrams are dropped, as by a full buffer. */
-    private static final int MAX_QUEUED = 10_000;
+    private static final int MAX_IN_FLIGHT = 10_000;
 
     /**
      * The faults of the link.
      *
-     * @param lost share of datagrams that are dropped
-     * @param doubled share of datagrams that are delivered twice
+     * @param dropShare share of datagrams that are dropped
+     * @param duplicateShare share of datagrams that are delivered twice
      * @param delayUs additional delay
      * @param jitterUs exclusive upper bound of a random delay added to each datagram; it can reorder datagrams; 0 for
      *    none
      */
-    public record Faults(double lost, double doubled, long delayUs, long jitterUs) {
+    public record Faults(double dropShare, double duplicateShare, long delayUs, long jitterUs) {
         public static final Faults NONE = new Faults(0, 0, 0, 0);
     }
 
@@ -42,11 +42,11 @@
     private final SplittableRandom random;
     private final Channel channel;
     private Faults faults = Faults.NONE;
-    private Predicate<InetAddress> cut = from -> false;
-    private int held;
+    private Predicate<InetAddress> blockedSources = from -> false;
+    private int inFlight;
 
     /** Binds to this address and waits for it; must not be called on the loop. */
-    public DatagramLink(EventLoop loop, InetSocketAddress at, InetSocketAddress target, SplittableRandom random) {
+    public DatagramLink(EventLoop loop, InetSocketAddress address, InetSocketAddress target, SplittableRandom random) {
         this.loop = loop;
         this.target = target;
         this.random = random;
@@ -56,7 +56,7 @@
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-                        came(packet);
+                        onDatagram(packet);
                     }
 
                     @Override
@@ -64,31 +64,31 @@
                         // The target is not listening at the moment: datagrams to it are lost.
                     }
                 })
-                .bind(at)
+                .bind(address)
                 .syncUninterruptibly()
                 .channel();
     }
 
-    public void set(Faults to) {
-        loop.execute(() -> faults = to);
+    public void set(Faults newFaults) {
+        loop.execute(() -> faults = newFaults);
     }
 
     /** Drops datagrams from these senders from now on, and from no others. */
-    public void cut(Predicate<InetAddress> from) {
-        loop.execute(() -> cut = from);
+    public void blockFrom(Predicate<InetAddress> from) {
+        loop.execute(() -> blockedSources = from);
     }
 
-    private void came(DatagramPacket packet) {
-        if (cut.test(packet.sender().getAddress()) || random.nextDouble() < faults.lost()) {
+    private void onDatagram(DatagramPacket packet) {
+        if (blockedSources.test(packet.sender().getAddress()) || random.nextDouble() < faults.dropShare()) {
             return;
         }
-        for (int i = random.nextDouble() < faults.doubled() ? 2 : 1; i > 0 && held < MAX_QUEUED; i--) {
+        for (int i = random.nextDouble() < faults.duplicateShare() ? 2 : 1; i > 0 && inFlight < MAX_IN_FLIGHT; i--) {
             ByteBuf bytes = packet.content().copy();
             long jitterUs = faults.jitterUs() == 0 ? 0 : random.nextLong(faults.jitterUs());
-            held++;
+            inFlight++;
             loop.schedule(
                     () -> {
-                        held--;
+                        inFlight--;
                         channel.writeAndFlush(new DatagramPacket(bytes, target));
                     },
                     faults.delayUs() + jitterUs,
--- a/harness/src/main/java/loadbalancer/harness/process/FakeEndpointList.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeEndpointList.java
@@ -31,13 +31,13 @@
 
 /** A fake of discovery's agent on the machine of one node: serves the list of the model in the platform's format. */
 final class FakeEndpointList implements ListModel.Follower {
-    private static final long BEAT_US = 2_000_000;
+    private static final long HEARTBEAT_INTERVAL_US = 2_000_000;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final RealTimeline time;
     private final List<String> zones;
     private final Function<String, String> endpoints;
-    private final Map<String, ServerEntry> known = new LinkedHashMap<>();
+    private final Map<String, ServerEntry> servers = new LinkedHashMap<>();
     private final Set<Watch> watches = new HashSet<>();
     private final Listener listener;
     private long version;
@@ -63,24 +63,24 @@
     public void listed(long newVersion, ListKind kind, List<ServerEntry> entries) {
         version = newVersion;
         if (kind != ListKind.CHANGES) {
-            known.clear();
+            servers.clear();
         }
         for (ServerEntry entry : entries) {
             if (entry.state() == ServerState.GONE) {
-                known.remove(entry.id());
+                servers.remove(entry.id());
             } else {
-                known.put(entry.id(), entry);
+                servers.put(entry.id(), entry);
             }
         }
         if (kind == ListKind.CHANGES) {
             String line = json(false, entries) + "\n";
-            watches.forEach(watch -> watch.say(line));
+            watches.forEach(watch -> watch.sendText(line));
         }
     }
 
     /** Returns the full list, as a configuration file contains it. */
-    ObjectNode whole() {
-        return tree(true, List.copyOf(known.values()));
+    ObjectNode fullList() {
+        return tree(true, List.copyOf(servers.values()));
     }
 
     private String json(boolean all, List<ServerEntry> entries) {
@@ -116,20 +116,20 @@
         protected void channelRead0(ChannelHandlerContext from, FullHttpRequest request) {
             context = from;
             if (!request.uri().startsWith("/discovery/hosts")) {
-                end(HttpResponseStatus.NOT_FOUND, "");
+                respond(HttpResponseStatus.NOT_FOUND, "");
             } else if (!request.uri().contains("watch=1")) {
-                end(HttpResponseStatus.OK, json(true, List.copyOf(known.values())));
+                respond(HttpResponseStatus.OK, json(true, List.copyOf(servers.values())));
             } else {
                 DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 HttpUtil.setTransferEncodingChunked(head, true);
                 context.write(head);
                 watches.add(this);
-                say(json(true, List.copyOf(known.values())) + "\n");
-                beat();
+                sendText(json(true, List.copyOf(servers.values())) + "\n");
+                scheduleHeartbeat();
             }
         }
 
-        private void end(HttpResponseStatus status, String body) {
+        private void respond(HttpResponseStatus status, String body) {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
             response.headers()
@@ -137,16 +137,16 @@
             context.writeAndFlush(response);
         }
 
-        private void beat() {
-            time.after(BEAT_US, () -> {
+        private void scheduleHeartbeat() {
+            time.after(HEARTBEAT_INTERVAL_US, () -> {
                 if (watches.contains(this)) {
-                    say("\n");
-                    beat();
+                    sendText("\n");
+                    scheduleHeartbeat();
                 }
             });
         }
 
-        private void say(String line) {
+        private void sendText(String line) {
             context.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8)));
         }
 
--- a/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
@@ -50,7 +50,7 @@
     }
 
     /** Applies the state of the model: an unreachable machine keeps its connections, a dead process resets them. */
-    void follow() {
+    void syncWithModel() {
         if (isOpen()) {
             listener.open();
         } else {
@@ -66,12 +66,12 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private RequestRegistry.Attempt attempt;
         private AppServer.Job job;
-        private boolean counted;
+        private boolean connectionCounted;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            counted = server.isUnreachable() || server.connect("any");
-            if (!counted) {
+            connectionCounted = server.isUnreachable() || server.connect("any");
+            if (!connectionCounted) {
                 context.close();
             }
         }
@@ -109,18 +109,23 @@
         }
 
         private void onReply(
-                ChannelHandlerContext context, RequestRegistry.Attempt of, AttemptResult result, LoadReport report) {
-            int nodeZone = of.node().zone();
-            if (attempt != of || server.isUnreachable() || world.links().isCut(server.zone(), nodeZone)) {
+                ChannelHandlerContext context,
+                RequestRegistry.Attempt repliedAttempt,
+                AttemptResult result,
+                LoadReport report) {
+            int nodeZone = repliedAttempt.node().zone();
+            if (attempt != repliedAttempt
+                    || server.isUnreachable()
+                    || world.links().isCut(server.zone(), nodeZone)) {
                 return;
             }
             time.after(world.links().delay(random, server.zone(), nodeZone), () -> {
-                if (attempt != of) {
+                if (attempt != repliedAttempt) {
                     return;
                 }
                 end(result);
                 switch (result) {
-                    case OK -> respond(context, HttpResponseStatus.OK, of.txn(), false, report);
+                    case OK -> respond(context, HttpResponseStatus.OK, repliedAttempt.txn(), false, report);
                     case ERROR -> respond(context, HttpResponseStatus.INTERNAL_SERVER_ERROR, "error", false, report);
                     case FULL -> respond(context, HttpResponseStatus.SERVICE_UNAVAILABLE, "full", true, report);
                     default -> context.close();
@@ -166,7 +171,7 @@
                 server.abandon(job);
                 end(server.isUp() || server.isUnreachable() ? AttemptResult.CANCELLED : AttemptResult.RESET);
             }
-            if (counted) {
+            if (connectionCounted) {
                 server.disconnect("any");
             }
         }
--- a/harness/src/main/java/loadbalancer/harness/process/FaultLink.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FaultLink.java
@@ -37,7 +37,7 @@
     /** Maximum number of bytes that a direction buffers; at this limit it stops reading. */
     private static final int MAX_QUEUED_BYTES = 1 << 20;
     /** Number of chunks per second in which a rate-limited direction forwards bytes. */
-    private static final int PIECES_PER_S = 50;
+    private static final int CHUNKS_PER_S = 50;
 
     /** The direction of bytes, as seen from the link. */
     public enum Direction {
@@ -53,24 +53,23 @@
      * @param delayUs additional delay
      * @param jitterUs exclusive upper bound of a random delay added to {@code delayUs}; order is kept; 0 for none
      * @param bytesPerSecond rate limit; 0 for none
-     * @param resetAfter number of forwarded bytes after which the connection is reset, even within a message; 0 for
-     *    never
+     * @param resetAfterBytes number of bytes after which the connection is reset, even within a message; 0 for never
      * @param halfOpen whether a close or reset of one side is not passed on to the other
      */
     public record Faults(
-            boolean blocked, long delayUs, long jitterUs, long bytesPerSecond, long resetAfter, boolean halfOpen) {
+            boolean blocked, long delayUs, long jitterUs, long bytesPerSecond, long resetAfterBytes, boolean halfOpen) {
         public static final Faults NONE = new Faults(false, 0, 0, 0, 0, false);
         public static final Faults BLOCKED = new Faults(true, 0, 0, 0, 0, true);
 
-        public static Faults delayed(long us, long jitterUs) {
-            return new Faults(false, us, jitterUs, 0, 0, false);
+        public static Faults delayed(long delayUs, long jitterUs) {
+            return new Faults(false, delayUs, jitterUs, 0, 0, false);
         }
 
-        public static Faults trickling(long bytesPerSecond) {
+        public static Faults rateLimited(long bytesPerSecond) {
             return new Faults(false, 0, 0, bytesPerSecond, 0, false);
         }
 
-        public static Faults breakingAfter(long bytes) {
+        public static Faults resettingAfter(long bytes) {
             return new Faults(false, 0, 0, 0, bytes, false);
         }
     }
@@ -79,13 +78,13 @@
     private final InetSocketAddress target;
     private final SplittableRandom random;
     private final Map<Direction, Faults> faults = new EnumMap<>(Direction.class);
-    private final Set<Tunnel> tunnels = new HashSet<>();
-    private final InetAddress at;
+    private final Set<Relay> relays = new HashSet<>();
+    private final InetAddress bindAddress;
     private final int port;
-    private Channel listening;
-    private Predicate<InetAddress> cut = from -> false;
-    private UnaryOperator<ByteBuf> tampered = UnaryOperator.identity();
-    private Direction tamperedDirection = Direction.FROM_TARGET;
+    private Channel serverChannel;
+    private Predicate<InetAddress> blockedSources = from -> false;
+    private UnaryOperator<ByteBuf> transform = UnaryOperator.identity();
+    private Direction transformedDirection = Direction.FROM_TARGET;
 
     /** Listens at this address, on a port that the system chooses, and waits for it; must not be called on the loop. */
     public FaultLink(EventLoop loop, String address, InetSocketAddress target, SplittableRandom random) {
@@ -95,12 +94,12 @@
         for (Direction direction : Direction.values()) {
             faults.put(direction, Faults.NONE);
         }
-        at = new InetSocketAddress(address, 0).getAddress();
-        listening = listen(0).syncUninterruptibly().channel();
-        port = ((InetSocketAddress) listening.localAddress()).getPort();
+        bindAddress = new InetSocketAddress(address, 0).getAddress();
+        serverChannel = listen(0).syncUninterruptibly().channel();
+        port = ((InetSocketAddress) serverChannel.localAddress()).getPort();
     }
 
-    private ChannelFuture listen(int on) {
+    private ChannelFuture listen(int listenPort) {
         return new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -114,23 +113,23 @@
                         connect(channel);
                     }
                 })
-                .bind(at, on);
+                .bind(bindAddress, listenPort);
     }
 
     public InetSocketAddress address() {
-        return new InetSocketAddress(at, port);
+        return new InetSocketAddress(bindAddress, port);
     }
 
     /**
      * Starts or stops accepting connections, to match whether the target does. The port is kept, and established
      * connections stay open.
      */
-    public void setOpen(boolean to) {
+    public void setOpen(boolean isOpen) {
         loop.execute(() -> {
-            if (!to) {
-                listening.close();
-            } else if (!listening.isOpen()) {
-                listening = listen(port)
+            if (!isOpen) {
+                serverChannel.close();
+            } else if (!serverChannel.isOpen()) {
+                serverChannel = listen(port)
                         .addListener(opened -> {
                             if (!opened.isSuccess()) {
                                 throw new IllegalStateException("cannot listen at " + address(), opened.cause());
@@ -141,49 +140,46 @@
         });
     }
 
-    /**
-     * Transforms the bytes of one direction from now on; the other direction is unchanged. The function takes ownership
-     * of its argument, and the caller that of the result.
-     */
-    public void tamper(Direction direction, UnaryOperator<ByteBuf> by) {
+    /** Transforms the bytes of one direction from now on. The function owns its argument, the caller its result. */
+    public void tamper(Direction direction, UnaryOperator<ByteBuf> function) {
         loop.execute(() -> {
-            tamperedDirection = direction;
-            tampered = by;
+            transformedDirection = direction;
+            transform = function;
         });
     }
 
     /** Sets the faults of one direction of all connections, present and new. */
-    public void set(Direction direction, Faults to) {
+    public void set(Direction direction, Faults newFaults) {
         loop.execute(() -> {
-            faults.put(direction, to);
-            tunnels.stream().filter(tunnel -> tunnel.direction == direction).forEach(Tunnel::pass);
+            faults.put(direction, newFaults);
+            relays.stream().filter(relay -> relay.direction == direction).forEach(Relay::forward);
         });
     }
 
     /** Sets the faults of both directions. */
-    public void set(Faults to) {
+    public void set(Faults newFaults) {
         for (Direction direction : Direction.values()) {
-            set(direction, to);
+            set(direction, newFaults);
         }
     }
 
     /** Blocks both directions of connections from these sources from now on, present and new, and of no others. */
-    public void cut(Predicate<InetAddress> from) {
+    public void blockFrom(Predicate<InetAddress> from) {
         loop.execute(() -> {
-            cut = from;
-            tunnels.forEach(Tunnel::pass);
+            blockedSources = from;
+            relays.forEach(Relay::forward);
         });
     }
 
     /** Resets all connections. */
     public void reset() {
-        loop.execute(() -> Set.copyOf(tunnels).forEach(Tunnel::reset));
+        loop.execute(() -> Set.copyOf(relays).forEach(Relay::reset));
     }
 
     private void connect(SocketChannel from) {
         InetAddress source = from.remoteAddress().getAddress();
-        Tunnel there = new Tunnel(Direction.TO_TARGET, from, source);
-        from.pipeline().addLast(there);
+        Relay outbound = new Relay(Direction.TO_TARGET, from, source);
+        from.pipeline().addLast(outbound);
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -192,19 +188,19 @@
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel to) {
-                        Tunnel back = new Tunnel(Direction.FROM_TARGET, to, source);
-                        to.pipeline().addLast(back);
-                        there.to = to;
-                        back.to = from;
-                        tunnels.add(back);
+                        Relay inbound = new Relay(Direction.FROM_TARGET, to, source);
+                        to.pipeline().addLast(inbound);
+                        outbound.to = to;
+                        inbound.to = from;
+                        relays.add(inbound);
                     }
                 })
                 .connect(target)
                 .addListener(done -> {
                     if (done.isSuccess()) {
-                        tunnels.add(there);
-                        there.pass();
-                        there.to.pipeline().get(Tunnel.class).pass();
+                        relays.add(outbound);
+                        outbound.forward();
+                        outbound.to.pipeline().get(Relay.class).forward();
                     } else {
                         from.close();
                     }
@@ -212,7 +208,7 @@
     }
 
     /** One direction of one connection. */
-    private final class Tunnel extends ChannelInboundHandlerAdapter {
+    private final class Relay extends ChannelInboundHandlerAdapter {
         private final Direction direction;
         private final SocketChannel from;
         /** The address that the connection was opened from. */
@@ -220,91 +216,95 @@
 
         private SocketChannel to;
         /** Bytes that have been received and not forwarded yet, with the earliest time to forward them. */
-        private final ArrayDeque<Piece> held = new ArrayDeque<>();
+        private final ArrayDeque<Chunk> queued = new ArrayDeque<>();
 
-        private int heldBytes;
+        private int queuedBytes;
         private long lastDueNanos;
-        private long passed;
-        private boolean ended;
-        private boolean planned;
+        private long forwardedBytes;
+        private boolean inactive;
+        private boolean scheduled;
 
-        private record Piece(long dueNanos, ByteBuf bytes) {}
+        private record Chunk(long dueNanos, ByteBuf bytes) {}
 
-        Tunnel(Direction direction, SocketChannel from, InetAddress source) {
+        Relay(Direction direction, SocketChannel from, InetAddress source) {
             this.direction = direction;
             this.from = from;
             this.source = source;
         }
 
-        private Faults now() {
-            return cut.test(source) ? Faults.BLOCKED : faults.get(direction);
+        private Faults faults() {
+            return blockedSources.test(source) ? Faults.BLOCKED : faults.get(direction);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
-            ByteBuf bytes = direction == tamperedDirection ? tampered.apply((ByteBuf) message) : (ByteBuf) message;
-            long jitter = now().jitterUs() == 0 ? 0 : random.nextLong(now().jitterUs());
-            lastDueNanos =
-                    Math.max(lastDueNanos, System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(now().delayUs() + jitter));
-            heldBytes += bytes.readableBytes();
-            held.add(new Piece(lastDueNanos, bytes));
-            pass();
+            ByteBuf bytes = direction == transformedDirection ? transform.apply((ByteBuf) message) : (ByteBuf) message;
+            long jitter = faults().jitterUs() == 0 ? 0 : random.nextLong(faults().jitterUs());
+            lastDueNanos = Math.max(
+                    lastDueNanos, System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(faults().delayUs() + jitter));
+            queuedBytes += bytes.readableBytes();
+            queued.add(new Chunk(lastDueNanos, bytes));
+            forward();
         }
 
         /** Forwards the bytes that are due, and schedules the next call for the rest. */
-        void pass() {
+        void forward() {
             if (to == null) {
                 return;
             }
-            from.config().setAutoRead(!now().blocked() && heldBytes < MAX_QUEUED_BYTES);
+            from.config().setAutoRead(!faults().blocked() && queuedBytes < MAX_QUEUED_BYTES);
             long nowNanos = System.nanoTime();
-            int budget = now().bytesPerSecond() == 0
+            int budget = faults().bytesPerSecond() == 0
                     ? Integer.MAX_VALUE
-                    : (int) Math.max(1, now().bytesPerSecond() / PIECES_PER_S);
-            while (!now().blocked() && !planned && budget > 0 && !held.isEmpty() && held.peek().dueNanos <= nowNanos) {
-                budget -= passSome(budget);
+                    : (int) Math.max(1, faults().bytesPerSecond() / CHUNKS_PER_S);
+            while (!faults().blocked()
+                    && !scheduled
+                    && budget > 0
+                    && !queued.isEmpty()
+                    && queued.peek().dueNanos <= nowNanos) {
+                budget -= forwardChunk(budget);
             }
-            if (!held.isEmpty() && !planned && !now().blocked()) {
-                planned = true;
+            if (!queued.isEmpty() && !scheduled && !faults().blocked()) {
+                scheduled = true;
                 long waitNanos = Math.max(
-                        held.peek().dueNanos - nowNanos, budget > 0 ? 0 : TimeUnit.SECONDS.toNanos(1) / PIECES_PER_S);
+                        queued.peek().dueNanos - nowNanos, budget > 0 ? 0 : TimeUnit.SECONDS.toNanos(1) / CHUNKS_PER_S);
                 loop.schedule(
                         () -> {
-                            planned = false;
-                            pass();
+                            scheduled = false;
+                            forward();
                         },
                         waitNanos,
                         TimeUnit.NANOSECONDS);
             }
-            if (ended && held.isEmpty() && !now().halfOpen()) {
+            if (inactive && queued.isEmpty() && !faults().halfOpen()) {
                 to.close();
             }
         }
 
-        private int passSome(int most) {
-            ByteBuf bytes = held.peek().bytes;
-            int length = Math.min(most, bytes.readableBytes());
-            boolean breaks = now().resetAfter() > 0 && passed + length >= now().resetAfter();
-            length = breaks ? (int) Math.max(0, now().resetAfter() - passed) : length;
-            passed += length;
-            heldBytes -= length;
+        private int forwardChunk(int maxBytes) {
+            ByteBuf bytes = queued.peek().bytes;
+            int length = Math.min(maxBytes, bytes.readableBytes());
+            boolean resets = faults().resetAfterBytes() > 0 && forwardedBytes + length >= faults().resetAfterBytes();
+            length = resets ? (int) Math.max(0, faults().resetAfterBytes() - forwardedBytes) : length;
+            forwardedBytes += length;
+            queuedBytes -= length;
             to.writeAndFlush(bytes.readRetainedSlice(length)).addListener(written -> {
-                if (breaks) {
+                if (resets) {
                     reset();
                 }
             });
-            if (breaks) {
+            if (resets) {
                 releaseAll();
             } else if (!bytes.isReadable()) {
-                held.poll().bytes.release();
+                queued.poll().bytes.release();
             }
             return Math.max(1, length);
         }
 
         private void releaseAll() {
-            held.forEach(piece -> piece.bytes.release());
-            held.clear();
-            heldBytes = 0;
+            queued.forEach(chunk -> chunk.bytes.release());
+            queued.clear();
+            queuedBytes = 0;
         }
 
         void reset() {
@@ -318,14 +318,14 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            ended = true;
-            pass();
+            inactive = true;
+            forward();
             if (to == null) {
                 releaseAll();
             } else {
                 to.closeFuture().addListener(closed -> {
                     releaseAll();
-                    tunnels.remove(this);
+                    relays.remove(this);
                 });
             }
         }
@@ -333,7 +333,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             // One side has reset the connection: the reset is passed on, unless the link is half open.
-            if (to != null && !now().halfOpen()) {
+            if (to != null && !faults().halfOpen()) {
                 reset();
             }
         }
--- a/harness/src/main/java/loadbalancer/harness/process/Listener.java
+++ b/harness/src/main/java/loadbalancer/harness/process/Listener.java
@@ -24,10 +24,10 @@
     private static final int MAX_BODY_BYTES = 32 << 20;
 
     private final EventLoop loop;
-    private final InetAddress at;
+    private final InetAddress bindAddress;
     private final Supplier<ChannelHandler> handler;
     private final Set<SocketChannel> connections = new HashSet<>();
-    private Channel listening;
+    private Channel serverChannel;
     private int port;
 
     /**
@@ -36,7 +36,7 @@
      */
     Listener(EventLoop loop, String address, Supplier<ChannelHandler> handler) {
         this.loop = loop;
-        at = new InetSocketAddress(address, 0).getAddress();
+        bindAddress = new InetSocketAddress(address, 0).getAddress();
         this.handler = handler;
     }
 
@@ -45,7 +45,7 @@
      * later calls use the same port.
      */
     void open() {
-        if (listening != null) {
+        if (serverChannel != null) {
             return;
         }
         var opening = new ServerBootstrap()
@@ -64,29 +64,29 @@
                                         new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), handler.get());
                     }
                 })
-                .bind(at, port);
-        listening = opening.channel();
+                .bind(bindAddress, port);
+        serverChannel = opening.channel();
         if (loop.inEventLoop()) {
             opening.addListener(opened -> {
                 if (!opened.isSuccess()) {
-                    throw new IllegalStateException("cannot listen at " + at + ":" + port, opened.cause());
+                    throw new IllegalStateException("cannot listen at " + bindAddress + ":" + port, opened.cause());
                 }
             });
         } else {
             opening.syncUninterruptibly();
         }
         if (port == 0) {
-            port = ((InetSocketAddress) listening.localAddress()).getPort();
+            port = ((InetSocketAddress) serverChannel.localAddress()).getPort();
         }
     }
 
     /** Closes it and resets all of its connections. */
     void close() {
-        if (listening == null) {
+        if (serverChannel == null) {
             return;
         }
-        listening.close();
-        listening = null;
+        serverChannel.close();
+        serverChannel = null;
         for (SocketChannel channel : Set.copyOf(connections)) {
             if (channel.isActive()) {
                 channel.config().setSoLinger(0);
@@ -96,18 +96,18 @@
     }
 
     InetSocketAddress address() {
-        return new InetSocketAddress(at, port);
+        return new InetSocketAddress(bindAddress, port);
     }
 
     /** Returns a free port at this address. It stays free as long as only the caller uses the address. */
-    static InetSocketAddress free(String address) throws IOException {
-        try (ServerSocket any = new ServerSocket(0, 1, new InetSocketAddress(address, 0).getAddress())) {
-            return (InetSocketAddress) any.getLocalSocketAddress();
+    static InetSocketAddress freeAddress(String address) throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, new InetSocketAddress(address, 0).getAddress())) {
+            return (InetSocketAddress) socket.getLocalSocketAddress();
         }
     }
 
     /** Formats an address as host:port. */
-    static String text(InetSocketAddress address) {
+    static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/process/MemberFleet.java
+++ b/harness/src/main/java/loadbalancer/harness/process/MemberFleet.java
@@ -95,11 +95,12 @@
      * Blocks datagrams from the first to the second member of each pair that matches, from now on. Connections are
      * blocked if either direction is, as they need both.
      */
-    void partition(BiPredicate<MemberProcess, MemberProcess> isCut) {
+    void partition(BiPredicate<MemberProcess, MemberProcess> isBlocked) {
         for (MemberProcess to : members) {
-            Predicate<InetAddress> isCutFrom = from -> memberAt(from) != null && isCut.test(memberAt(from), to);
-            Predicate<InetAddress> isCutTowards = from -> memberAt(from) != null && isCut.test(to, memberAt(from));
-            to.cut(isCutFrom, isCutFrom.or(isCutTowards));
+            Predicate<InetAddress> blockedFrom = from -> memberAt(from) != null && isBlocked.test(memberAt(from), to);
+            Predicate<InetAddress> blockedTowards =
+                    from -> memberAt(from) != null && isBlocked.test(to, memberAt(from));
+            to.blockFrom(blockedFrom, blockedFrom.or(blockedTowards));
         }
     }
 
@@ -139,9 +140,9 @@
      *
      * @throws IllegalStateException if it is not true in time; the message lists the live members in each member's view
      */
-    void await(String condition, long withinMillis, BooleanSupplier holds) throws InterruptedException {
+    void await(String condition, long withinMillis, BooleanSupplier isMet) throws InterruptedException {
         long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
-        while (!holds.getAsBoolean()) {
+        while (!isMet.getAsBoolean()) {
             if (System.nanoTime() > endNanos) {
                 throw new IllegalStateException(
                         "condition not met within " + withinMillis + " ms: " + condition + liveNames());
@@ -156,7 +157,7 @@
             List<String> live = member.liveNames();
             lines.append('\n').append(member.name()).append(member.isUp() ? " " + live : " is not running");
             if (live.isEmpty()) {
-                lines.append(member.lastLogged());
+                lines.append(member.logTail());
             }
         }
         return lines.toString();
--- a/harness/src/main/java/loadbalancer/harness/process/MemberProcess.java
+++ b/harness/src/main/java/loadbalancer/harness/process/MemberProcess.java
@@ -38,7 +38,7 @@
     private static final String FLEET_NAME = "rig";
     private static final int CLIENT_TIMEOUT_MILLIS = 2_000;
     private static final long IDLE_TIMEOUT_US = 15_000_000;
-    private static final int LAST_LINES = 12;
+    private static final int LOG_TAIL_LINES = 12;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final MemberFleet fleet;
@@ -58,7 +58,7 @@
         this.number = number;
         this.name = name;
         host = MEMBER_NETWORK + (1 + number);
-        bind = Listener.free(host);
+        bind = Listener.freeAddress(host);
         connections = new FaultLink(loop, LINK_NETWORK + (1 + number), bind, random.split());
         datagrams = new DatagramLink(loop, connections.address(), bind, random.split());
     }
@@ -69,7 +69,7 @@
 
     /** Returns the address that it advertises to the other members: that of its links. */
     String advertisedAddress() {
-        return Listener.text(connections.address());
+        return Listener.format(connections.address());
     }
 
     boolean hasAddress(InetAddress address) {
@@ -77,9 +77,9 @@
     }
 
     /** Blocks datagrams and connections from these addresses, and from no others. */
-    void cut(Predicate<InetAddress> datagramsFrom, Predicate<InetAddress> connectionsFrom) {
-        datagrams.cut(datagramsFrom);
-        connections.cut(connectionsFrom);
+    void blockFrom(Predicate<InetAddress> datagramsFrom, Predicate<InetAddress> connectionsFrom) {
+        datagrams.blockFrom(datagramsFrom);
+        connections.blockFrom(connectionsFrom);
     }
 
     // ---------------------------------------------------------------- process
@@ -101,7 +101,7 @@
 
     private void start(ObjectNode fleetConfig, Map<String, String> environment) throws IOException {
         starts++;
-        listen = Listener.free(host);
+        listen = Listener.freeAddress(host);
         Path config = fleet.folder().resolve(number + "-config.json");
         writeConfig(config, fleetConfig);
         Map<String, String> variables = new HashMap<>(environment);
@@ -118,9 +118,9 @@
         NodeConfigFile.write(
                 config,
                 name,
-                Listener.text(listen),
+                Listener.format(listen),
                 unusedAddress,
-                Listener.text(Listener.free(host)),
+                Listener.format(Listener.freeAddress(host)),
                 fleet.nextSeed(),
                 noServers,
                 balancerSettings(),
@@ -132,7 +132,7 @@
         ObjectNode config = JSON.createObjectNode()
                 .put("name", FLEET_NAME)
                 .put("member", name)
-                .put("bind", Listener.text(bind))
+                .put("bind", Listener.format(bind))
                 .put("advertise", advertisedAddress())
                 .put("periodMs", fleet.periodMillis());
         ArrayNode seeds = config.putArray("seeds");
@@ -187,11 +187,11 @@
     }
 
     /** Returns the end of its log for the message of a failed test: why the process ended or does not respond. */
-    String lastLogged() {
+    String logTail() {
         try {
             List<String> lines = Files.readAllLines(log());
             return "\n    "
-                    + String.join("\n    ", lines.subList(Math.max(0, lines.size() - LAST_LINES), lines.size()));
+                    + String.join("\n    ", lines.subList(Math.max(0, lines.size() - LOG_TAIL_LINES), lines.size()));
         } catch (IOException e) {
             return " and its log cannot be read: " + e;
         }
--- a/harness/src/main/java/loadbalancer/harness/process/NodeClients.java
+++ b/harness/src/main/java/loadbalancer/harness/process/NodeClients.java
@@ -71,9 +71,9 @@
     }
 
     void send(ClientRequest request, ResponseHandler handler) {
-        Connection free = idle.poll();
-        if (free != null) {
-            free.send(request, handler);
+        Connection idleConnection = idle.poll();
+        if (idleConnection != null) {
+            idleConnection.send(request, handler);
             return;
         }
         bootstrap.connect(nodeAddress).addListener(done -> {
@@ -91,10 +91,10 @@
 
     /** Closes the connection of this request, as a client that disconnects does. */
     void disconnect(long id) {
-        Connection on = busy.remove(id);
-        if (on != null) {
-            on.handler = null;
-            on.channel.close();
+        Connection connection = busy.remove(id);
+        if (connection != null) {
+            connection.handler = null;
+            connection.channel.close();
         }
     }
 
--- a/harness/src/main/java/loadbalancer/harness/process/NodeProcess.java
+++ b/harness/src/main/java/loadbalancer/harness/process/NodeProcess.java
@@ -22,7 +22,7 @@
     /** Size at which an output file is rotated. One older file is kept, so at most twice this much is kept. */
     static final long MAX_OUTPUT_BYTES = 8L << 20;
 
-    private static final long GRACE_MS = 5_000;
+    private static final long TERMINATION_GRACE_MS = 5_000;
     /**
      * Starts the command ($0) and kills it when standard input closes; its exit code is the command's. The first line
      * is the command's process id. A shell prints its own id and then execs the command: if the id were printed by
@@ -37,8 +37,8 @@
     private final Process guard;
     private final ProcessHandle process;
     private final Path output;
-    private long printed;
-    private boolean cut;
+    private long outputBytes;
+    private boolean rotated;
 
     /**
      * Starts the process and waits for its id.
@@ -47,9 +47,15 @@
      * @param environment variables that are added to the environment of the harness
      * @param folder working directory
      * @param output file for standard output and standard error
-     * @param ended called on a separate thread after the process has ended
+     * @param exitListener called on a separate thread after the process has ended
      */
-    NodeProcess(String name, String command, Map<String, String> environment, Path folder, Path output, Ended ended)
+    NodeProcess(
+            String name,
+            String command,
+            Map<String, String> environment,
+            Path folder,
+            Path output,
+            ExitListener exitListener)
             throws IOException {
         this.name = name;
         this.output = output;
@@ -64,41 +70,41 @@
             throw new IOException(name + " did not start: no process id was read");
         }
         process = ProcessHandle.of(Long.parseLong(id)).orElse(null);
-        Thread pump = new Thread(() -> pump(from, ended), "output of " + name);
-        pump.setDaemon(true);
-        pump.start();
+        Thread outputThread = new Thread(() -> copyOutput(from, exitListener), "output of " + name);
+        outputThread.setDaemon(true);
+        outputThread.start();
     }
 
     /** Called after the process has ended, with its exit code. */
-    interface Ended {
-        void ended(int code);
+    interface ExitListener {
+        void onExit(int exitCode);
     }
 
-    private void pump(BufferedReader from, Ended ended) {
+    private void copyOutput(BufferedReader from, ExitListener exitListener) {
         try (from) {
             OutputStream to = Files.newOutputStream(output);
             try {
                 String line = from.readLine();
                 while (line != null) {
                     byte[] bytes = (line + "\n").getBytes(StandardCharsets.UTF_8);
-                    if (printed + bytes.length > MAX_OUTPUT_BYTES) {
+                    if (outputBytes + bytes.length > MAX_OUTPUT_BYTES) {
                         to.close();
                         Files.move(
                                 output,
                                 output.resolveSibling(output.getFileName() + ".1"),
                                 StandardCopyOption.REPLACE_EXISTING);
                         to = Files.newOutputStream(output);
-                        printed = 0;
-                        cut = true;
+                        outputBytes = 0;
+                        rotated = true;
                     }
                     to.write(bytes);
-                    printed += bytes.length;
+                    outputBytes += bytes.length;
                     line = from.readLine();
                 }
             } finally {
                 to.close();
             }
-            ended.ended(guard.waitFor());
+            exitListener.onExit(guard.waitFor());
         } catch (IOException e) {
             System.err.println("harness: output of " + name + " cannot be written: " + e);
             kill();
@@ -108,8 +114,8 @@
     }
 
     /** Whether its output has been rotated. */
-    boolean isCut() {
-        return cut;
+    boolean isRotated() {
+        return rotated;
     }
 
     boolean isAlive() {
@@ -156,7 +162,7 @@
         terminate();
         try {
             if (process != null && isAlive()) {
-                process.onExit().get(GRACE_MS, TimeUnit.MILLISECONDS);
+                process.onExit().get(TERMINATION_GRACE_MS, TimeUnit.MILLISECONDS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/harness/src/main/java/loadbalancer/harness/process/RealNode.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealNode.java
@@ -67,8 +67,8 @@
         this.folder = Files.createDirectories(folder.resolve(name()));
         this.blockingTasks = blockingTasks;
         random = time.stream("node " + name());
-        listen = Listener.free(address);
-        control = Listener.free(address);
+        listen = Listener.freeAddress(address);
+        control = Listener.freeAddress(address);
     }
 
     /** Returns the id of its process, or -1 if it was never started. */
@@ -82,7 +82,7 @@
         terminating = false;
         history().started();
         world().list().follow(name(), list);
-        ObjectNode known = list.whole();
+        ObjectNode known = list.fullList();
         long seed = random.nextLong();
         blockingTasks.execute(() -> {
             try {
@@ -91,9 +91,9 @@
                 NodeConfigFile.write(
                         config,
                         name(),
-                        Listener.text(listen),
+                        Listener.format(listen),
                         discovery,
-                        Listener.text(control),
+                        Listener.format(control),
                         seed,
                         known,
                         settings(),
@@ -108,44 +108,44 @@
                                 "PROXY_CONFIG",
                                 config.toString(),
                                 "PROXY_LISTEN",
-                                Listener.text(listen),
+                                Listener.format(listen),
                                 "PROXY_DISCOVERY",
                                 discovery,
                                 "TMPDIR",
                                 temporary.toString()),
                         deploy.root(),
                         folder.resolve("log" + started),
-                        code -> time.soon(() -> onExit(started, code)));
-                time.soon(() -> onStarted(started, process));
+                        code -> time.runSoon(() -> onExit(started, code)));
+                time.runSoon(() -> onStarted(started, process));
             } catch (IOException e) {
-                time.soon(() -> {
+                time.runSoon(() -> {
                     throw new IllegalStateException(name() + " cannot be started", e);
                 });
             }
         });
     }
 
-    private void onStarted(int startedAs, NodeProcess process) {
-        if (startedAs != incarnation()) {
+    private void onStarted(int startedIncarnation, NodeProcess process) {
+        if (startedIncarnation != incarnation()) {
             process.kill();
             return;
         }
         child = process;
         running = true;
         clients = new NodeClients(time.loop(), listen, world().scenario().classes());
-        pollUntilUp(startedAs);
+        pollUntilUp(startedIncarnation);
     }
 
     /** Polls {@code GET /up} until it responds 200; the front sends requests to the node from then on. */
-    private void pollUntilUp(int startedAs) {
+    private void pollUntilUp(int startedIncarnation) {
         blockingTasks.execute(() -> {
             boolean up = call(listen, "GET /up HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n")
                     .startsWith("HTTP/1.1 200");
-            time.soon(() -> {
-                if (startedAs == incarnation() && up) {
+            time.runSoon(() -> {
+                if (startedIncarnation == incarnation() && up) {
                     setReady(true);
-                } else if (startedAs == incarnation()) {
-                    time.after(READY_POLL_INTERVAL_US, () -> pollUntilUp(startedAs));
+                } else if (startedIncarnation == incarnation()) {
+                    time.after(READY_POLL_INTERVAL_US, () -> pollUntilUp(startedIncarnation));
                 }
             });
         });
@@ -164,8 +164,8 @@
         }
     }
 
-    private void onExit(int startedAs, int exitCode) {
-        if (startedAs == incarnation()) {
+    private void onExit(int startedIncarnation, int exitCode) {
+        if (startedIncarnation == incarnation()) {
             recordExit(!terminating, exitCode);
         }
     }
@@ -223,7 +223,7 @@
             return;
         }
         requests.add(request, this);
-        time.after(2 * request.remainingUs() + MAX_SHUTDOWN_US, () -> requests.forget(request.id()));
+        time.after(2 * request.remainingUs() + MAX_SHUTDOWN_US, () -> requests.remove(request.id()));
         int current = incarnation();
         clients.send(request, new NodeClients.ResponseHandler() {
             private boolean written;
@@ -268,7 +268,7 @@
         blockingTasks.execute(() -> {
             boolean accepted = call(control, (cordoned ? "cordon " : "uncordon ") + server + "\n")
                     .startsWith("YES");
-            time.soon(() -> {
+            time.runSoon(() -> {
                 if (cordoned && accepted && cordoned().contains(server)) {
                     history().setCordoned(server, true);
                 }
--- a/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
@@ -34,15 +34,15 @@
     /** Maximum number of nodes, which all run on one machine. */
     public static final int MAX_NODES = 128;
 
-    private static final long READY_WITHIN_MS = 60_000;
+    private static final long READY_TIMEOUT_MS = 60_000;
     /** Time by which the harness may observe an event late; checkers tolerate this much. */
-    private static final long SLACK_US = 100_000;
+    private static final long OBSERVATION_DELAY_US = 100_000;
 
     private final Scenario scenario;
     private final long seed;
     private final RealTimeline time;
     private final EventLoop loop;
-    private final ExecutorService outside = Executors.newFixedThreadPool(8);
+    private final ExecutorService blockingTasks = Executors.newFixedThreadPool(8);
     private final List<Checker> checkers;
     private final History history;
     private final World world;
@@ -73,10 +73,10 @@
         time = new RealTimeline(loop, seed);
         linkLoop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         links = new ServerLinks(linkLoop, time.stream("links"));
-        checkers = new ArrayList<>(Checkers.of(scenario, SLACK_US));
+        checkers = new ArrayList<>(Checkers.of(scenario, OBSERVATION_DELAY_US));
         checkers.add(new NoCrash());
         List<History.Reader> readers = new ArrayList<>(checkers);
-        readers.add(this::follow);
+        readers.add(this::onEvent);
         readers.add(reader);
         history = new History(time, readers, file, false);
         world = new World(scenario, time, history);
@@ -95,13 +95,13 @@
             number++;
         }
         for (int i = 0; i < scenario.fleet().nodes(); i++) {
-            int of = i;
-            servers.forEach((id, server) -> links.add(of, id, server.address()));
+            int nodeIndex = i;
+            servers.forEach((id, server) -> links.add(nodeIndex, id, server.address()));
             FakeEndpointList list = new FakeEndpointList(
                     "127.3.0." + (1 + i),
                     time,
                     scenario.fleet().zones(),
-                    id -> Listener.text(links.link(of, id).address()));
+                    id -> Listener.format(links.link(nodeIndex, id).address()));
             lists.add(list);
             FaultLink listLink =
                     new FaultLink(linkLoop, "127.5.0." + (1 + i), list.address(), time.stream("list link " + i));
@@ -113,23 +113,23 @@
                     time,
                     requests,
                     list,
-                    Listener.text(listLink.address()),
+                    Listener.format(listLink.address()),
                     deploy,
                     folder,
-                    outside);
+                    blockingTasks);
             nodes.add(node);
             world.add(node);
         }
     }
 
     /** Opens or closes the listener and the links of an app server when its model starts or ends. */
-    private void follow(Event event) {
+    private void onEvent(Event event) {
         FakeServer server = servers.get(event.process());
         if (server != null && (event.kind() == Event.Kind.STARTED || event.kind() == Event.Kind.KILLED)) {
             // Deferred, as the model of a server that becomes unreachable is killed first.
             time.after(0, () -> {
-                server.follow();
-                links.follow(event.process(), server.isOpen());
+                server.syncWithModel();
+                links.setOpen(event.process(), server.isOpen());
             });
         }
     }
@@ -141,22 +141,22 @@
             world.start();
             return null;
         });
-        await("all nodes are up", READY_WITHIN_MS, () -> world.nodes().stream().allMatch(NodePort::isReady));
+        await("all nodes are up", READY_TIMEOUT_MS, () -> world.nodes().stream().allMatch(NodePort::isReady));
         long startedUs = onLoop(() -> {
             world.startClients();
             SimulatedRun.scheduleFaults(world, time);
             return time.nowUs();
         });
         long endUs = startedUs + world.endUs();
-        long lastUs = startedUs + scenario.lengthUs();
+        long stopUs = startedUs + scenario.lengthUs();
         for (long second = 1; time.nowUs() < endUs && time.failure() == null; second++) {
-            if (time.nowUs() > lastUs && onLoop(world::openRequests) == 0) {
+            if (time.nowUs() > stopUs && onLoop(world::openRequests) == 0) {
                 break;
             }
             TimeUnit.MICROSECONDS.sleep(Math.max(1, Math.min(endUs, startedUs + second * 1_000_000) - time.nowUs()));
-            long played = second;
+            long elapsedSeconds = second;
             onLoop(() -> {
-                progress.onSecond(played * 1_000_000, world);
+                progress.onSecond(elapsedSeconds * 1_000_000, world);
                 return null;
             });
         }
@@ -166,22 +166,23 @@
         return onLoop(() -> Outcome.of(seed, world, history, checkers, time.nowUs(), false));
     }
 
-    private <T> T onLoop(Callable<T> what) throws IOException, InterruptedException {
+    private <T> T onLoop(Callable<T> task) throws IOException, InterruptedException {
         try {
-            return loop.submit(what).get();
+            return loop.submit(task).get();
         } catch (ExecutionException e) {
             throw new IOException("the run failed", e.getCause());
         }
     }
 
-    private void await(String what, long withinMs, Callable<Boolean> holds) throws IOException, InterruptedException {
+    private void await(String condition, long withinMs, Callable<Boolean> isMet)
+            throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
-        while (!onLoop(holds)) {
+        while (!onLoop(isMet)) {
             if (time.failure() != null) {
                 throw new IOException("the run failed", time.failure());
             }
             if (System.nanoTime() > end) {
-                throw new IOException("condition not met within " + withinMs + " ms: " + what);
+                throw new IOException("condition not met within " + withinMs + " ms: " + condition);
             }
             TimeUnit.MILLISECONDS.sleep(10);
         }
@@ -205,10 +206,10 @@
     /** Ends all processes and closes all sockets. */
     @Override
     public void close() {
-        outside.shutdownNow();
+        blockingTasks.shutdownNow();
         try {
             // A start in progress has to complete first, or its process would never be ended.
-            outside.awaitTermination(READY_WITHIN_MS, TimeUnit.MILLISECONDS);
+            blockingTasks.awaitTermination(READY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/harness/src/main/java/loadbalancer/harness/process/RealTimeline.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealTimeline.java
@@ -32,19 +32,19 @@
     }
 
     @Override
-    public Timer at(long atUs, Runnable what) {
-        Future<?> planned = loop.schedule(() -> run(what), Math.max(0, atUs - nowUs()), TimeUnit.MICROSECONDS);
-        return () -> planned.cancel(false);
+    public Timer at(long atUs, Runnable task) {
+        Future<?> scheduled = loop.schedule(() -> run(task), Math.max(0, atUs - nowUs()), TimeUnit.MICROSECONDS);
+        return () -> scheduled.cancel(false);
     }
 
     /** Runs a task on the loop as soon as possible; may be called from any thread. */
-    void soon(Runnable what) {
-        loop.execute(() -> run(what));
+    void runSoon(Runnable task) {
+        loop.execute(() -> run(task));
     }
 
-    private void run(Runnable what) {
+    private void run(Runnable task) {
         try {
-            what.run();
+            task.run();
         } catch (RuntimeException e) {
             // The future would swallow the exception, but the run has to fail.
             failure.compareAndSet(null, e);
--- a/harness/src/main/java/loadbalancer/harness/process/RequestRegistry.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RequestRegistry.java
@@ -45,7 +45,7 @@
     }
 
     /** Removes a request. Called long after its end, when no attempt of it can arrive any more. */
-    void forget(long id) {
+    void remove(long id) {
         requests.remove(txn(id));
     }
 
--- a/harness/src/main/java/loadbalancer/harness/process/ServerLinks.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ServerLinks.java
@@ -17,8 +17,8 @@
     private final EventLoop loop;
     private final SplittableRandom random;
     private final Map<String, Map<Integer, FaultLink>> byServer = new LinkedHashMap<>();
-    private final Map<String, Long> slower = new HashMap<>();
-    private final Set<String> mute = new HashSet<>();
+    private final Map<String, Long> extraDelaysUs = new HashMap<>();
+    private final Set<String> mutedServers = new HashSet<>();
 
     ServerLinks(EventLoop loop, SplittableRandom random) {
         this.loop = loop;
@@ -40,32 +40,32 @@
     }
 
     /** Makes the links accept connections only while the server does, so that no node can connect to a dead server. */
-    void follow(String server, boolean open) {
+    void setOpen(String server, boolean open) {
         to(server).forEach(link -> link.setOpen(open));
     }
 
     @Override
     public void slow(String server, long us) {
-        slower.put(server, us);
-        hurt(server);
+        extraDelaysUs.put(server, us);
+        applyFaults(server);
     }
 
     @Override
     public void mute(String server, boolean to) {
         if (to) {
-            mute.add(server);
+            mutedServers.add(server);
         } else {
-            mute.remove(server);
+            mutedServers.remove(server);
         }
-        hurt(server);
+        applyFaults(server);
     }
 
     /** Applies all present faults of a server's links together, so that the end of one fault does not end another. */
-    private void hurt(String server) {
-        Faults slow = Faults.delayed(slower.getOrDefault(server, 0L), 0);
+    private void applyFaults(String server) {
+        Faults delayed = Faults.delayed(extraDelaysUs.getOrDefault(server, 0L), 0);
         for (FaultLink link : to(server)) {
-            link.set(Direction.TO_TARGET, slow);
-            link.set(Direction.FROM_TARGET, mute.contains(server) ? Faults.BLOCKED : slow);
+            link.set(Direction.TO_TARGET, delayed);
+            link.set(Direction.FROM_TARGET, mutedServers.contains(server) ? Faults.BLOCKED : delayed);
         }
     }
 
--- a/harness/src/main/java/loadbalancer/harness/scale/ModuleScale.java
+++ b/harness/src/main/java/loadbalancer/harness/scale/ModuleScale.java
@@ -31,10 +31,10 @@
 
     private static final int ZONES = 19;
     /** Share of failing attempts in rounds with failures; each failure changes the weights of all draws. */
-    private static final double FAILING = 0.01;
+    private static final double FAILURE_SHARE = 0.01;
 
     /** Interval between requests in the time given to the module. */
-    private static final long GAP_US = 8_000;
+    private static final long REQUEST_INTERVAL_US = 8_000;
 
     private ModuleScale() {}
 
@@ -62,18 +62,18 @@
     public static Cost measure(int nodes, int servers, int requests) {
         long before = usedBytes();
         Driver driver = new Driver(nodes, servers);
-        driver.list();
-        driver.ask(requests, 0);
+        driver.sendFullList();
+        driver.sendRequests(requests, 0);
         long stateBytes = usedBytes() - before;
         double[] lists = new double[ROUNDS];
         double[] decisions = new double[ROUNDS];
         double[] failing = new double[ROUNDS];
         for (int i = 0; i < ROUNDS; i++) {
-            lists[i] = cpuUs(driver::list);
-            decisions[i] = cpuUs(() -> driver.ask(requests, 0)) / requests;
-            failing[i] = cpuUs(() -> driver.ask(requests, FAILING)) / requests;
+            lists[i] = cpuUs(driver::sendFullList);
+            decisions[i] = cpuUs(() -> driver.sendRequests(requests, 0)) / requests;
+            failing[i] = cpuUs(() -> driver.sendRequests(requests, FAILURE_SHARE)) / requests;
         }
-        double change = cpuUs(() -> driver.change(CHANGES)) / CHANGES;
+        double change = cpuUs(() -> driver.sendChanges(CHANGES)) / CHANGES;
         return new Cost(nodes, servers, stateBytes, median(lists), change, median(decisions), median(failing));
     }
 
@@ -129,12 +129,12 @@
             module = new ServiceQBalancer(settings, 1, this);
         }
 
-        void list() {
+        void sendFullList() {
             module.onServers(nowUs, ListKind.FULL, entries);
         }
 
         /** Sends list changes of one server, alternately to draining and back to ready. */
-        void change(int changes) {
+        void sendChanges(int changes) {
             for (int i = 0; i < changes; i++) {
                 ServerEntry entry = entries.get(0);
                 ServerState state = i % 2 == 0 ? ServerState.DRAINING : ServerState.READY;
@@ -145,9 +145,9 @@
             }
         }
 
-        void ask(int requests, double failing) {
+        void sendRequests(int requests, double failing) {
             for (int i = 0; i < requests; i++) {
-                nowUs += GAP_US;
+                nowUs += REQUEST_INTERVAL_US;
                 long id = ++lastRequest;
                 attempts = 0;
                 sent = false;
--- a/harness/src/main/java/loadbalancer/harness/simulation/AppServer.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/AppServer.java
@@ -25,11 +25,11 @@
  */
 public final class AppServer {
     /** Interval at which a cold server's speed is recomputed, as it rises continuously. */
-    private static final long WARMING_STEP_US = 50_000;
+    private static final long WARM_UP_STEP_US = 50_000;
     /** Latency of an error response, which costs no work. */
-    private static final long ERROR_US = 1_000;
+    private static final long ERROR_LATENCY_US = 1_000;
     /** Remaining work at which a job counts as completed, as times are rounded to microseconds. */
-    private static final double DONE_US = 0.5;
+    private static final double COMPLETION_TOLERANCE_US = 0.5;
 
     private final String id;
     private final int zone;
@@ -37,7 +37,7 @@
     private final Scenario.Rules rules;
     private final Scenario.Net net;
     private final double meanWorkUs;
-    private final Runnable onCollapse;
+    private final Runnable onOverloadCrash;
     private final double speed;
     private final Timeline time;
     private final History history;
@@ -50,24 +50,24 @@
     private long startedUs;
     private boolean cold;
     /** Work done so far for a job that has run since the beginning, as of {@code progressAtUs}. */
-    private double progress;
+    private double progressUs;
 
     private long progressAtUs;
     private boolean paused;
     private final PriorityQueue<Job> running = new PriorityQueue<>(
-            Comparator.comparingDouble((Job job) -> job.doneAtProgress).thenComparingLong(job -> job.number));
+            Comparator.comparingDouble((Job job) -> job.doneAtProgressUs).thenComparingLong(job -> job.number));
     private final ArrayDeque<Job> queued = new ArrayDeque<>();
-    private long jobs;
+    private long jobCount;
     private Timer nextStep;
     /** Incremented on each start and end: a task scheduled by one incarnation must not run in another. */
     private int incarnation;
 
     private final LinkedHashMap<String, Long> cachedKeys = new LinkedHashMap<>(16, 0.75f, true);
-    private final ArrayDeque<Arrival> pressure = new ArrayDeque<>();
-    private double pressureUs;
+    private final ArrayDeque<Arrival> recentWork = new ArrayDeque<>();
+    private double recentWorkUs;
     private final Map<String, Integer> connections = new HashMap<>();
     private int connected;
-    private double[] reported = {0, 0};
+    private double[] visibleReport = {0, 0};
     private long reportedAtUs = Long.MIN_VALUE / 2;
     private double workDoneUs;
     private double workWastedUs;
@@ -83,7 +83,7 @@
         private final Work work;
         private final double workUs;
         private final Reply reply;
-        private double doneAtProgress;
+        private double doneAtProgressUs;
         private boolean abandoned;
 
         private Job(long number, Work work, double workUs, Reply reply) {
@@ -94,8 +94,8 @@
         }
     }
 
-    /** @param onCollapse called after a crash by overload; the caller restarts the server */
-    AppServer(int number, String id, Scenario scenario, Timeline time, History history, Runnable onCollapse) {
+    /** @param onOverloadCrash called after a crash by overload; the caller restarts the server */
+    AppServer(int number, String id, Scenario scenario, Timeline time, History history, Runnable onOverloadCrash) {
         this.id = id;
         Scenario.Fleet fleet = scenario.fleet();
         zone = fleet.zoneOfServer(number);
@@ -103,12 +103,12 @@
         this.rules = scenario.rules();
         net = scenario.net();
         meanWorkUs = scenario.meanWorkUs();
-        this.onCollapse = onCollapse;
+        this.onOverloadCrash = onOverloadCrash;
         this.time = time;
         this.history = history;
         random = time.stream("server " + id);
-        double drawn = kind.speed() * Distributions.spread(random, kind.speedCv());
-        speed = fleet.speeds().isEmpty() ? drawn : fleet.speeds().get(number);
+        double randomSpeed = kind.speed() * Distributions.spread(random, kind.speedCv());
+        speed = fleet.speeds().isEmpty() ? randomSpeed : fleet.speeds().get(number);
     }
 
     public String id() {
@@ -148,8 +148,8 @@
     }
 
     /** Returns the capacity reduced by warm-up, slowdown and errors; nearly 0 while the server is down. */
-    public double presentCapacity() {
-        return up ? Math.max(1e-9, capacity() * warmth() / slowdown * (1 - errorShare)) : 1e-9;
+    public double currentCapacity() {
+        return up ? Math.max(1e-9, capacity() * warmUpFactor() / slowdown * (1 - errorShare)) : 1e-9;
     }
 
     /** Returns the work whose result nobody received: its attempt was abandoned, or the process ended. */
@@ -179,27 +179,27 @@
         incarnation++;
         history.add(id, Kind.KILLED);
         while (!running.isEmpty()) {
-            Job broken = running.poll();
-            workWastedUs += broken.workUs - Math.max(0, broken.doneAtProgress - progress);
-            end(broken, AttemptResult.RESET);
+            Job interrupted = running.poll();
+            workWastedUs += interrupted.workUs - Math.max(0, interrupted.doneAtProgressUs - progressUs);
+            end(interrupted, AttemptResult.RESET);
         }
         while (!queued.isEmpty()) {
             end(queued.poll(), AttemptResult.RESET);
         }
         cachedKeys.clear();
-        pressure.clear();
-        pressureUs = 0;
+        recentWork.clear();
+        recentWorkUs = 0;
         connections.clear();
         connected = 0;
         paused = false;
     }
 
     /** Resets all of its connections. Jobs in its slots continue, but their results are discarded. */
-    void breakConnections() {
-        List<Job> broken = new ArrayList<>(running);
-        broken.addAll(queued);
+    void resetConnections() {
+        List<Job> interrupted = new ArrayList<>(running);
+        interrupted.addAll(queued);
         queued.clear();
-        for (Job job : broken) {
+        for (Job job : interrupted) {
             end(job, AttemptResult.RESET);
             job.abandoned = true;
         }
@@ -231,8 +231,8 @@
                 return;
             }
             setPaused(true);
-            double grown = 1 + kind.pauseGrow() * requestCount() / Math.max(1, kind.slots());
-            time.after(Math.round(kind.pauseUs() * grown * Distributions.spread(random, 0.3)), () -> {
+            double pauseFactor = 1 + kind.pauseGrow() * requestCount() / Math.max(1, kind.slots());
+            time.after(Math.round(kind.pauseUs() * pauseFactor * Distributions.spread(random, 0.3)), () -> {
                 if (scheduledBy == incarnation) {
                     setPaused(false);
                     schedulePause(scheduledBy);
@@ -241,9 +241,9 @@
         });
     }
 
-    private void setPaused(boolean to) {
+    private void setPaused(boolean isPaused) {
         updateProgress();
-        paused = to;
+        paused = isPaused;
         scheduleNextStep();
     }
 
@@ -256,7 +256,7 @@
         }
         connected++;
         connections.merge(node, 1, Integer::sum);
-        recordPressure(net.handshakeWorkUs());
+        recordWork(net.handshakeWorkUs());
         return true;
     }
 
@@ -284,7 +284,7 @@
             time.after(0, () -> reply.accept(AttemptResult.CONNECT_FAILED, null));
             return null;
         }
-        recordPressure(work.workUs());
+        recordWork(work.workUs());
         if (!up) {
             time.after(0, () -> reply.accept(AttemptResult.RESET, null));
             return null;
@@ -292,7 +292,7 @@
         if (random.nextDouble() < Math.max(errorShare, kind.errorRate())) {
             int scheduledBy = incarnation;
             time.after(
-                    ERROR_US,
+                    ERROR_LATENCY_US,
                     () -> reply.accept(
                             scheduledBy == incarnation ? AttemptResult.ERROR : AttemptResult.RESET, report()));
             return null;
@@ -301,7 +301,7 @@
             time.after(0, () -> reply.accept(AttemptResult.FULL, report()));
             return null;
         }
-        Job job = new Job(jobs++, work, work.workUs() * (hasCached(work.key()) ? 1 - kind.keyGain() : 1), reply);
+        Job job = new Job(jobCount++, work, work.workUs() * (hasCached(work.key()) ? 1 - kind.keyGain() : 1), reply);
         updateProgress();
         if (running.size() < kind.slots() * kind.cores()) {
             startJob(job);
@@ -321,7 +321,7 @@
     }
 
     private void startJob(Job job) {
-        job.doneAtProgress = progress + job.workUs;
+        job.doneAtProgressUs = progressUs + job.workUs;
         running.add(job);
     }
 
@@ -340,26 +340,27 @@
      * Records arriving work, and crashes a cold server if the work of the last {@code overloadUs} exceeds its capacity
      * by more than the overload multiple. The limit allows for random variation of the arrivals.
      */
-    private void recordPressure(double workUs) {
+    private void recordWork(double workUs) {
         if (!cold) {
             return;
         }
         long now = time.nowUs();
-        pressure.add(new Arrival(now, workUs));
-        pressureUs += workUs;
-        while (pressure.peek().atUs < now - rules.overloadUs()) {
-            pressureUs -= pressure.poll().workUs;
+        recentWork.add(new Arrival(now, workUs));
+        recentWorkUs += workUs;
+        while (recentWork.peek().atUs < now - rules.overloadUs()) {
+            recentWorkUs -= recentWork.poll().workUs;
         }
-        cold = warmth() < 1;
-        double bearable = rules.overloadMultiple() * capacity() * warmth() * rules.overloadUs() / meanWorkUs;
-        if (cold && pressureUs > (bearable + 2 * Math.sqrt(bearable) + 2) * meanWorkUs) {
-            history.add(id, Kind.FELL, "work", pressureUs);
+        cold = warmUpFactor() < 1;
+        double sustainableRequests =
+                rules.overloadMultiple() * capacity() * warmUpFactor() * rules.overloadUs() / meanWorkUs;
+        if (cold && recentWorkUs > (sustainableRequests + 2 * Math.sqrt(sustainableRequests) + 2) * meanWorkUs) {
+            history.add(id, Kind.FELL, "work", recentWorkUs);
             kill();
-            onCollapse.run();
+            onOverloadCrash.run();
         }
     }
 
-    private double warmth() {
+    private double warmUpFactor() {
         return !cold
                 ? 1
                 : Math.min(
@@ -371,18 +372,18 @@
     }
 
     /** Returns the work done for each running job per microsecond. */
-    private double pace() {
+    private double ratePerJob() {
         if (paused || running.isEmpty()) {
             return 0;
         }
         double efficiency =
                 1 / (1 + kind.thrash() * Math.max(0, requestCount() - kind.thrashAt() * kind.cores()) / kind.cores());
-        return speed * warmth() * efficiency / slowdown * Math.min(1, (double) kind.cores() / running.size());
+        return speed * warmUpFactor() * efficiency / slowdown * Math.min(1, (double) kind.cores() / running.size());
     }
 
     private void updateProgress() {
         long now = time.nowUs();
-        progress += pace() * (now - progressAtUs);
+        progressUs += ratePerJob() * (now - progressAtUs);
         progressAtUs = now;
     }
 
@@ -391,14 +392,14 @@
             nextStep.cancel();
             nextStep = null;
         }
-        double pace = pace();
-        if (pace == 0) {
+        double ratePerJob = ratePerJob();
+        if (ratePerJob == 0) {
             return;
         }
-        double remainingUs = Math.max(0, running.peek().doneAtProgress - progress) / pace;
+        double remainingUs = Math.max(0, running.peek().doneAtProgressUs - progressUs) / ratePerJob;
         long atUs = time.nowUs() + (long) Math.ceil(Math.min(remainingUs, 1e12));
         int scheduledBy = incarnation;
-        nextStep = time.at(cold ? Math.min(atUs, time.nowUs() + WARMING_STEP_US) : atUs, () -> {
+        nextStep = time.at(cold ? Math.min(atUs, time.nowUs() + WARM_UP_STEP_US) : atUs, () -> {
             if (scheduledBy == incarnation) {
                 completeDue();
             }
@@ -407,8 +408,8 @@
 
     private void completeDue() {
         updateProgress();
-        cold = cold && warmth() < 1;
-        while (!running.isEmpty() && running.peek().doneAtProgress <= progress + DONE_US) {
+        cold = cold && warmUpFactor() < 1;
+        while (!running.isEmpty() && running.peek().doneAtProgressUs <= progressUs + COMPLETION_TOLERANCE_US) {
             Job done = running.poll();
             workDoneUs += done.workUs;
             if (done.abandoned) {
@@ -452,13 +453,13 @@
         long now = time.nowUs();
         if (now - reportedAtUs >= kind.reportEveryUs()) {
             reportedAtUs = now;
-            double[] fresh = {noisy(queued.size()), noisy(requestCount())};
-            time.after(kind.reportDelayUs(), () -> reported = fresh);
+            double[] sampled = {withNoise(queued.size()), withNoise(requestCount())};
+            time.after(kind.reportDelayUs(), () -> visibleReport = sampled);
         }
-        return LoadReport.of(reported);
+        return LoadReport.of(visibleReport);
     }
 
-    private double noisy(int count) {
+    private double withNoise(int count) {
         return Math.max(0, count * (1 + kind.reportNoise() * Distributions.gaussian(random)));
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
@@ -22,14 +22,14 @@
     private final World world;
     private final Timeline time;
     private final double[] zipfCumulative;
-    private double burstFactor = 1;
-    private int heavyClass = -1;
-    private double heavyShare;
-    private double heavyFactor;
+    private double loadFactor = 1;
+    private int heavyTailClass = -1;
+    private double heavyTailShare;
+    private double heavyTailFactor;
     private long lastId;
     private long openRequests;
     private boolean stopped;
-    private long openedUs;
+    private long startedUs;
 
     Clients(World world) {
         this.world = world;
@@ -44,7 +44,7 @@
     }
 
     void start() {
-        openedUs = time.nowUs();
+        startedUs = time.nowUs();
         for (int c = 0; c < scenario.classes().size(); c++) {
             for (int zone = 0; zone < scenario.fleet().zones().size(); zone++) {
                 new ArrivalStream(c, zone).scheduleNext();
@@ -64,21 +64,21 @@
 
     /** Multiplies the rate of arrivals from now on. */
     void setLoadFactor(double factor) {
-        burstFactor = factor;
+        loadFactor = factor;
     }
 
     /** Multiplies the work of a share of one class from now on; class -1 for none. */
     void setHeavyTail(int classIndex, double share, double factor) {
-        heavyClass = classIndex;
-        heavyShare = share;
-        heavyFactor = factor;
+        heavyTailClass = classIndex;
+        heavyTailShare = share;
+        heavyTailFactor = factor;
     }
 
     /** Returns the current rate over the mean rate. */
     private double rateFactor() {
         List<Double> shape = scenario.load().shape();
-        int second = (int) Math.min((time.nowUs() - openedUs) / 1_000_000, shape.size() - 1);
-        return burstFactor * (shape.isEmpty() ? 1 : shape.get(second));
+        int second = (int) Math.min((time.nowUs() - startedUs) / 1_000_000, shape.size() - 1);
+        return loadFactor * (shape.isEmpty() ? 1 : shape.get(second));
     }
 
     /** Returns the zone's share of the load: as listed, or falling linearly with the zone's index by the zone skew. */
@@ -87,8 +87,8 @@
             return scenario.load().zoneShares().get(zone);
         }
         int zones = scenario.fleet().zones().size();
-        double place = zones == 1 ? 0 : 2.0 * zone / (zones - 1) - 1;
-        return (1 - scenario.load().zoneSkew() * place) / zones;
+        double position = zones == 1 ? 0 : 2.0 * zone / (zones - 1) - 1;
+        return (1 - scenario.load().zoneSkew() * position) / zones;
     }
 
     private final class ArrivalStream {
@@ -111,8 +111,8 @@
             if (stopped || perUs == 0) {
                 return;
             }
-            double now = perUs * rateFactor();
-            long waitUs = now == 0 ? Long.MAX_VALUE : Distributions.exponential(random, 1 / now);
+            double ratePerUs = perUs * rateFactor();
+            long waitUs = ratePerUs == 0 ? Long.MAX_VALUE : Distributions.exponential(random, 1 / ratePerUs);
             // The exponential distribution is memoryless, so an arrival beyond this step may be redrawn in the next
             // step.
             boolean arrives = waitUs <= STEP_US;
@@ -129,8 +129,8 @@
                 return null;
             }
             double at = random.nextDouble() * zipfCumulative[zipfCumulative.length - 1];
-            int found = Arrays.binarySearch(zipfCumulative, at);
-            return "k" + (found < 0 ? -1 - found : found);
+            int index = Arrays.binarySearch(zipfCumulative, at);
+            return "k" + (index < 0 ? -1 - index : index);
         }
     }
 
@@ -142,9 +142,9 @@
         private final double workUs;
         private final long firstSentAtUs = time.nowUs();
         private final long deadlineUs;
-        private final boolean leaves;
+        private final boolean abandons;
         private int tries;
-        private int current;
+        private int currentAttempt;
         private NodePort node;
         private long id;
         private Timer timeout;
@@ -153,41 +153,42 @@
             this.stream = stream;
             cls = scenario.classes().get(stream.classIndex);
             key = stream.key();
-            double heavier =
-                    stream.classIndex == heavyClass && stream.random.nextDouble() < heavyShare ? heavyFactor : 1;
-            workUs = cls.workUs() * Distributions.spread(stream.random, cls.cv()) * heavier;
+            double workFactor = stream.classIndex == heavyTailClass && stream.random.nextDouble() < heavyTailShare
+                    ? heavyTailFactor
+                    : 1;
+            workUs = cls.workUs() * Distributions.spread(stream.random, cls.cv()) * workFactor;
             deadlineUs = firstSentAtUs + cls.deadlineUs();
-            leaves = stream.random.nextDouble() < scenario.clients().abandonShare();
+            abandons = stream.random.nextDouble() < scenario.clients().abandonShare();
             openRequests++;
         }
 
         void send() {
             long remainingUs = deadlineUs - time.nowUs();
             boolean last = ++tries >= scenario.clients().tries();
-            long patienceUs = last
+            long attemptTimeoutUs = last
                     ? remainingUs
                     : (long) (remainingUs * scenario.clients().tryShare());
-            if (patienceUs < 1_000) {
+            if (attemptTimeoutUs < 1_000) {
                 end(Answer.FAILED);
                 return;
             }
             world.score().onClientAttempt(tries == 1, workUs);
             id = ++lastId;
             node = world.front().choose(stream.zone, stream.random);
-            int attempt = ++current;
-            boolean leavesNow = leaves && tries == 1;
+            int attempt = ++currentAttempt;
+            boolean abandonsNow = abandons && tries == 1;
             // A client waits a little beyond its deadline so that the checkers see late responses.
-            long waitsUs = leavesNow
-                    ? (long) (patienceUs * stream.random.nextDouble())
-                    : patienceUs + 2 * scenario.rules().responseGraceUs();
-            timeout = time.after(waitsUs, () -> {
-                current++;
+            long disconnectAfterUs = abandonsNow
+                    ? (long) (attemptTimeoutUs * stream.random.nextDouble())
+                    : attemptTimeoutUs + 2 * scenario.rules().responseGraceUs();
+            timeout = time.after(disconnectAfterUs, () -> {
+                currentAttempt++;
                 NodePort target = node;
                 long requestId = id;
                 if (target != null) {
                     time.after(world.links().clientDelay(stream.random), () -> target.clientGone(requestId));
                 }
-                if (leavesNow) {
+                if (abandonsNow) {
                     openRequests--;
                     world.score().onClientGone();
                 } else {
@@ -199,7 +200,7 @@
                 return;
             }
             NodePort target = node;
-            ClientRequest request = new ClientRequest(id, stream.classIndex, key, workUs, patienceUs, tries > 1);
+            ClientRequest request = new ClientRequest(id, stream.classIndex, key, workUs, attemptTimeoutUs, tries > 1);
             time.after(
                     world.links().clientDelay(stream.random),
                     () -> target.send(
@@ -209,13 +210,13 @@
         }
 
         private void onAnswer(int attempt, Answer answer) {
-            if (attempt == current) {
+            if (attempt == currentAttempt) {
                 onAnswer(answer);
             }
         }
 
         private void onAnswer(Answer answer) {
-            current++;
+            currentAttempt++;
             timeout.cancel();
             if (answer == Answer.OK) {
                 end(answer);
--- a/harness/src/main/java/loadbalancer/harness/simulation/Front.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Front.java
@@ -8,12 +8,12 @@
 final class Front {
     private final List<NodePort> nodes;
     private final Timeline time;
-    private final long noticeUs;
+    private final long detectionDelayUs;
 
-    Front(List<NodePort> nodes, Timeline time, long noticeUs) {
+    Front(List<NodePort> nodes, Timeline time, long detectionDelayUs) {
         this.nodes = nodes;
         this.time = time;
-        this.noticeUs = noticeUs;
+        this.detectionDelayUs = detectionDelayUs;
     }
 
     /** Returns a node of this zone, or of any zone if this one has none considered alive; null if there is none. */
@@ -29,6 +29,7 @@
 
     /** The front notices only after a delay that a node is not ready any more. */
     private boolean isPresumedAlive(NodePort node) {
-        return node.isReady() || node.stateChangedAtUs() > 0 && time.nowUs() - node.stateChangedAtUs() < noticeUs;
+        return node.isReady()
+                || node.stateChangedAtUs() > 0 && time.nowUs() - node.stateChangedAtUs() < detectionDelayUs;
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/Links.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Links.java
@@ -10,7 +10,7 @@
 /** The network between zones: delays of messages, and links that are blocked. */
 public final class Links {
     private final Scenario.Net net;
-    private final Set<String> cutWays = new HashSet<>();
+    private final Set<String> blockedDirections = new HashSet<>();
     private final Map<String, Long> extraDelaysUs = new HashMap<>();
     private final Set<String> mutedServers = new HashSet<>();
     private Carrier carrier;
@@ -72,7 +72,7 @@
     /** Resets all connections to this server, including those with open requests. */
     public void reset(AppServer server) {
         if (carrier == null) {
-            server.breakConnections();
+            server.resetConnections();
         } else {
             carrier.reset(server.id());
         }
@@ -91,13 +91,13 @@
     /** Blocks or unblocks all messages in one direction between two zones. Connections stay open. */
     public void setCut(int from, int to, boolean isCut) {
         if (isCut) {
-            cutWays.add(from + ">" + to);
+            blockedDirections.add(from + ">" + to);
         } else {
-            cutWays.remove(from + ">" + to);
+            blockedDirections.remove(from + ">" + to);
         }
     }
 
     public boolean isCut(int from, int to) {
-        return !cutWays.isEmpty() && cutWays.contains(from + ">" + to);
+        return !blockedDirections.isEmpty() && blockedDirections.contains(from + ">" + to);
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/ListModel.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/ListModel.java
@@ -21,7 +21,7 @@
     private final Timeline time;
     private final History history;
     private final Scenario.ServerList delays;
-    private final Map<String, ServerEntry> known = new LinkedHashMap<>();
+    private final Map<String, ServerEntry> servers = new LinkedHashMap<>();
     private final Map<String, Agent> agents = new LinkedHashMap<>();
     private long version = 1;
     private boolean down;
@@ -95,14 +95,14 @@
 
     /** Adds an app server that is on the list of every node from the start. */
     public void addInitial(ServerEntry entry) {
-        known.put(entry.id(), entry);
+        servers.put(entry.id(), entry);
     }
 
     /** Delivers the list to this follower from now on, beginning with the full list that its node's agent has. */
     public void follow(String node, Follower follower) {
         Agent agent = agents.computeIfAbsent(node, name -> {
             Agent added = new Agent(name);
-            added.delivered.putAll(known);
+            added.delivered.putAll(servers);
             added.version = version;
             return added;
         });
@@ -122,37 +122,37 @@
 
     /** Announces that a server is draining: it takes no new requests. */
     public void startDraining(String id) {
-        ServerEntry entry = known.get(id);
+        ServerEntry entry = servers.get(id);
         if (entry != null) {
-            change(inState(entry, ServerState.DRAINING), delays.changeUs());
+            change(withState(entry, ServerState.DRAINING), delays.changeUs());
         }
     }
 
     /** Removes a server that has ended. The delay until discovery notices depends on how it ended. */
     public void remove(String id, boolean planned, boolean unreachable) {
-        ServerEntry entry = known.get(id);
+        ServerEntry entry = servers.get(id);
         if (entry != null) {
             change(
-                    inState(entry, ServerState.GONE),
+                    withState(entry, ServerState.GONE),
                     planned ? delays.changeUs() : unreachable ? delays.unreachableUs() : delays.deathUs());
         }
     }
 
-    private static ServerEntry inState(ServerEntry entry, ServerState state) {
+    private static ServerEntry withState(ServerEntry entry, ServerState state) {
         return new ServerEntry(entry.id(), entry.zone(), entry.cell(), state, entry.weight(), entry.startedAtUs());
     }
 
     private void change(ServerEntry entry, long delayUs) {
         time.after(delayUs, () -> {
-            ServerEntry before = known.get(entry.id());
+            ServerEntry before = servers.get(entry.id());
             // A removal that arrives after a restart is obsolete.
             if (before != null && before.startedAtUs() > entry.startedAtUs()) {
                 return;
             }
             if (entry.state() == ServerState.GONE) {
-                known.remove(entry.id());
+                servers.remove(entry.id());
             } else {
-                known.put(entry.id(), entry);
+                servers.put(entry.id(), entry);
             }
             version++;
             Change change = new Change(version, entry);
@@ -165,9 +165,9 @@
         down = isDown;
         if (!down) {
             for (Agent agent : agents.values()) {
-                List<Change> late = List.copyOf(agent.queuedWhileDown);
+                List<Change> queued = List.copyOf(agent.queuedWhileDown);
                 agent.queuedWhileDown.clear();
-                late.forEach(agent::send);
+                queued.forEach(agent::send);
             }
         }
     }
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimAttempt.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimAttempt.java
@@ -39,11 +39,11 @@
             server.abandon(job);
             end(connected ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, null);
         });
-        long tripUs = links().delay(node.random(), node.zone(), server);
+        long oneWayUs = links().delay(node.random(), node.zone(), server);
         if (node.connections().acquireIdle(server)) {
-            sendRequest(tripUs, untilUs);
+            sendRequest(oneWayUs, untilUs);
         } else {
-            connect(tripUs, untilUs);
+            connect(oneWayUs, untilUs);
         }
     }
 
@@ -51,33 +51,33 @@
         return node.world().links();
     }
 
-    private boolean isCutOff() {
+    private boolean isServerUnreachable() {
         return server.isUnreachable()
                 || links().isCut(node.zone(), server.zone())
                 || links().isCut(server.zone(), node.zone());
     }
 
-    private void connect(long tripUs, long untilUs) {
-        if (isCutOff()) {
+    private void connect(long oneWayUs, long untilUs) {
+        if (isServerUnreachable()) {
             node.schedule(links().net().connectTimeoutUs(), () -> end(AttemptResult.CONNECT_FAILED, null));
         } else if (!server.connect(node.name())) {
-            node.schedule(2 * tripUs, () -> end(AttemptResult.CONNECT_FAILED, null));
+            node.schedule(2 * oneWayUs, () -> end(AttemptResult.CONNECT_FAILED, null));
         } else {
-            node.schedule(2 * tripUs * links().net().handshakeTrips(), () -> sendRequest(tripUs, untilUs));
+            node.schedule(2 * oneWayUs * links().net().handshakeTrips(), () -> sendRequest(oneWayUs, untilUs));
         }
     }
 
-    private void sendRequest(long tripUs, long untilUs) {
+    private void sendRequest(long oneWayUs, long untilUs) {
         if (ended) {
             server.disconnect(node.name());
             return;
         }
         connected = true;
-        if (isCutOff()) {
+        if (isServerUnreachable()) {
             return;
         }
         double workUs = node.world().attemptWork(request.request, node.random());
-        node.schedule(tripUs, () -> {
+        node.schedule(oneWayUs, () -> {
             if (!ended) {
                 job = server.submit(work(workUs, untilUs), this::onReply);
             }
@@ -96,7 +96,7 @@
     }
 
     private void onReply(AttemptResult result, LoadReport report) {
-        if (isCutOff() || links().isMuted(server)) {
+        if (isServerUnreachable() || links().isMuted(server)) {
             return;
         }
         node.schedule(links().delay(node.random(), node.zone(), server), () -> {
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimConnections.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimConnections.java
@@ -7,13 +7,13 @@
 final class SimConnections {
     private final String node;
     private final World world;
-    private final Map<String, ToServer> byServer = new HashMap<>();
+    private final Map<String, ServerPool> byServer = new HashMap<>();
 
     /** Connections to one incarnation of a server, which is identified by its start time. */
-    private static final class ToServer {
+    private static final class ServerPool {
         private long serverStartedUs = -1;
         private int idle;
-        private long usedAtUs;
+        private long lastUsedUs;
     }
 
     SimConnections(String node, World world) {
@@ -23,9 +23,9 @@
 
     /** Takes an idle connection to this server; returns false if there is none and a new one has to be opened. */
     boolean acquireIdle(AppServer server) {
-        ToServer connections = byServer.computeIfAbsent(server.id(), id -> new ToServer());
+        ServerPool connections = byServer.computeIfAbsent(server.id(), id -> new ServerPool());
         boolean restarted = connections.serverStartedUs != server.startedUs();
-        boolean expired = world.time().nowUs() - connections.usedAtUs
+        boolean expired = world.time().nowUs() - connections.lastUsedUs
                 > world.links().net().idleUs();
         if (restarted || expired) {
             connections.serverStartedUs = server.startedUs();
@@ -40,13 +40,13 @@
 
     /** Returns a connection to the pool after its response. */
     void release(AppServer server) {
-        ToServer connections = byServer.get(server.id());
+        ServerPool connections = byServer.get(server.id());
         connections.idle += connections.serverStartedUs == server.startedUs() ? 1 : 0;
-        connections.usedAtUs = world.time().nowUs();
+        connections.lastUsedUs = world.time().nowUs();
     }
 
     void closeIdle(String serverId) {
-        ToServer connections = byServer.remove(serverId);
+        ServerPool connections = byServer.remove(serverId);
         for (int i = 0; connections != null && i < connections.idle; i++) {
             world.servers().get(serverId).disconnect(node);
         }
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimNode.java
@@ -150,7 +150,7 @@
             request.ended = true;
             history().clientGone(requestId);
             balancer.onClientGone(time.nowUs(), requestId);
-            removeIfOver(request);
+            removeIfFinished(request);
         }
     }
 
@@ -170,17 +170,17 @@
         if (!request.ended) {
             request.ended = true;
             time.after(0, () -> request.listener.onAnswer(answer));
-            removeIfOver(request);
+            removeIfFinished(request);
         }
     }
 
     void reportOutcome(SimRequest request, AttemptOutcome outcome) {
         balancer.onOutcome(time.nowUs(), outcome);
-        removeIfOver(request);
+        removeIfFinished(request);
     }
 
-    private void removeIfOver(SimRequest request) {
-        if (request.isOver()) {
+    private void removeIfFinished(SimRequest request) {
+        if (request.isFinished()) {
             requests.remove(request.id());
         }
     }
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimRequest.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimRequest.java
@@ -24,7 +24,7 @@
     }
 
     /** Whether the request has ended and has no attempt in flight. */
-    boolean isOver() {
+    boolean isFinished() {
         return ended && attemptsInFlight == 0;
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/World.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/World.java
@@ -21,7 +21,7 @@
  */
 public final class World {
     /** Number of app servers in a cell, the group of servers that share a record of the idempotency keys seen. */
-    private static final int CELL = 8;
+    private static final int SERVERS_PER_CELL = 8;
 
     private final Scenario scenario;
     private final Timeline time;
@@ -46,7 +46,7 @@
         clients = new Clients(this);
         for (int i = 0; i < scenario.fleet().servers(); i++) {
             String id = "s" + i;
-            servers.put(id, new AppServer(i, id, scenario, time, history, () -> onCollapse(id)));
+            servers.put(id, new AppServer(i, id, scenario, time, history, () -> onOverloadCrash(id)));
         }
     }
 
@@ -148,14 +148,14 @@
 
     /** Returns a random share of these elements, at least one unless there are none, in random order. */
     public static <T> List<T> randomShare(List<T> all, double share, SplittableRandom random) {
-        List<T> mixed = new ArrayList<>(all);
-        for (int i = mixed.size() - 1; i > 0; i--) {
+        List<T> shuffled = new ArrayList<>(all);
+        for (int i = shuffled.size() - 1; i > 0; i--) {
             int j = random.nextInt(i + 1);
-            T moved = mixed.get(i);
-            mixed.set(i, mixed.get(j));
-            mixed.set(j, moved);
+            T swapped = shuffled.get(i);
+            shuffled.set(i, shuffled.get(j));
+            shuffled.set(j, swapped);
         }
-        return mixed.subList(0, Math.min(mixed.size(), Math.max(1, (int) Math.round(share * mixed.size()))));
+        return shuffled.subList(0, Math.min(shuffled.size(), Math.max(1, (int) Math.round(share * shuffled.size()))));
     }
 
     /** Returns the servers that a fault applies to: those it names, or a random share. */
@@ -191,7 +191,7 @@
         clients.setHeavyTail(classIndex, share, factor);
     }
 
-    private void onCollapse(String id) {
+    private void onOverloadCrash(String id) {
         AppServer server = servers.get(id);
         list.remove(id, false, false);
         time.after(scenario.rules().downUs(), () -> {
@@ -203,7 +203,8 @@
 
     private ServerEntry entry(AppServer server) {
         int number = Integer.parseInt(server.id().substring(1));
-        return new ServerEntry(server.id(), server.zone(), number / CELL, ServerState.READY, 1, server.startedUs());
+        return new ServerEntry(
+                server.id(), server.zone(), number / SERVERS_PER_CELL, ServerState.READY, 1, server.startedUs());
     }
 
     /** Returns the settings that a node's configuration file contains. */
--- a/harness/src/test/java/loadbalancer/harness/process/FaultLinkTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/FaultLinkTest.java
@@ -30,24 +30,24 @@
     private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private ServerSocket target;
     private FaultLink link;
-    private Socket near;
-    private Socket far;
+    private Socket clientSocket;
+    private Socket targetSocket;
 
     @BeforeEach
     void connect() throws IOException {
         target = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         link = new FaultLink(
                 loop, "127.0.0.78", (InetSocketAddress) target.getLocalSocketAddress(), new SplittableRandom(1));
-        near = new Socket(link.address().getAddress(), link.address().getPort());
-        far = target.accept();
-        near.setSoTimeout(20_000);
-        far.setSoTimeout(20_000);
+        clientSocket = new Socket(link.address().getAddress(), link.address().getPort());
+        targetSocket = target.accept();
+        clientSocket.setSoTimeout(20_000);
+        targetSocket.setSoTimeout(20_000);
     }
 
     @AfterEach
     void close() throws IOException {
-        near.close();
-        far.close();
+        clientSocket.close();
+        targetSocket.close();
         link.close();
         target.close();
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -68,9 +68,9 @@
     @Test
     void withoutFaultsBothDirectionsAndTheCloseComeThrough() throws Exception {
         byte[] sent = bytes(MEGABYTE);
-        CompletableFuture<byte[]> read = CompletableFuture.supplyAsync(() -> readAll(far));
-        near.getOutputStream().write(sent);
-        near.close();
+        CompletableFuture<byte[]> read = CompletableFuture.supplyAsync(() -> readAll(targetSocket));
+        clientSocket.getOutputStream().write(sent);
+        clientSocket.close();
         assertArrayEquals(sent, read.get(20, TimeUnit.SECONDS));
     }
 
@@ -85,14 +85,16 @@
     @Test
     void blockedDirectionQueuesUntilItHealsWhileTheOtherGoesOn() throws Exception {
         set(Direction.TO_TARGET, Faults.BLOCKED);
-        near.getOutputStream().write(7);
-        far.getOutputStream().write(8);
-        assertEquals(8, near.getInputStream().read());
-        far.setSoTimeout(100);
-        assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
+        clientSocket.getOutputStream().write(7);
+        targetSocket.getOutputStream().write(8);
+        assertEquals(8, clientSocket.getInputStream().read());
+        targetSocket.setSoTimeout(100);
+        assertThrows(
+                SocketTimeoutException.class,
+                () -> targetSocket.getInputStream().read());
         set(Direction.TO_TARGET, Faults.NONE);
-        far.setSoTimeout(20_000);
-        assertEquals(7, far.getInputStream().read());
+        targetSocket.setSoTimeout(20_000);
+        assertEquals(7, targetSocket.getInputStream().read());
     }
 
     @Test
@@ -101,24 +103,24 @@
         long start = System.nanoTime();
         byte[] sent = bytes(200);
         for (byte b : sent) {
-            near.getOutputStream().write(b);
+            clientSocket.getOutputStream().write(b);
         }
-        assertArrayEquals(sent, far.getInputStream().readNBytes(200));
+        assertArrayEquals(sent, targetSocket.getInputStream().readNBytes(200));
         assertTrue(System.nanoTime() - start >= 50_000_000L);
-        set(Direction.TO_TARGET, Faults.trickling(5_000));
+        set(Direction.TO_TARGET, Faults.rateLimited(5_000));
         start = System.nanoTime();
-        near.getOutputStream().write(bytes(1_000));
-        far.getInputStream().readNBytes(1_000);
+        clientSocket.getOutputStream().write(bytes(1_000));
+        targetSocket.getInputStream().readNBytes(1_000);
         assertTrue(System.nanoTime() - start >= 150_000_000L, "a thousand bytes at five thousand a second");
     }
 
     @Test
     void linkThatBreaksAfterSomeBytesForwardsJustThose() throws Exception {
-        set(Direction.TO_TARGET, Faults.breakingAfter(300_000));
+        set(Direction.TO_TARGET, Faults.resettingAfter(300_000));
         CompletableFuture<Integer> read = CompletableFuture.supplyAsync(() -> {
             int count = 0;
             try {
-                while (far.getInputStream().read() >= 0) {
+                while (targetSocket.getInputStream().read() >= 0) {
                     count++;
                 }
             } catch (IOException e) {
@@ -128,7 +130,7 @@
         });
         assertThrows(IOException.class, () -> {
             for (int i = 0; i < 100; i++) {
-                near.getOutputStream().write(bytes(MEGABYTE));
+                clientSocket.getOutputStream().write(bytes(MEGABYTE));
             }
         });
         // A reset may discard bytes that were not read yet, but no byte beyond the limit can arrive.
@@ -138,13 +140,13 @@
     @Test
     void secondFaultOnALinkReplacesTheFirst() throws Exception {
         set(Direction.FROM_TARGET, Faults.BLOCKED);
-        far.getOutputStream().write(1);
+        targetSocket.getOutputStream().write(1);
         set(Direction.FROM_TARGET, Faults.delayed(1_000, 0));
-        assertEquals(1, near.getInputStream().read());
+        assertEquals(1, clientSocket.getInputStream().read());
         link.reset();
         assertThrows(IOException.class, () -> {
-            while (near.getInputStream().read() < 0) {
-                near.getOutputStream().write(1);
+            while (clientSocket.getInputStream().read() < 0) {
+                clientSocket.getOutputStream().write(1);
             }
         });
     }
--- a/harness/src/test/java/loadbalancer/harness/process/NodeProcessTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/NodeProcessTest.java
@@ -26,15 +26,15 @@
                 "child", command, Map.of("GREETING", "hello"), folder, folder.resolve("log"), codes::add);
     }
 
-    private static void await(BooleanSupplier holds) {
+    private static void await(BooleanSupplier isMet) {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (!holds.getAsBoolean()) {
+        while (!isMet.getAsBoolean()) {
             assertTrue(System.nanoTime() < end, "waited in vain");
             Thread.onSpinWait();
         }
     }
 
-    private String printed() {
+    private String output() {
         try {
             return Files.readString(folder.resolve("log"));
         } catch (IOException e) {
@@ -46,7 +46,7 @@
     void exitCodeAndOutputAreThoseOfTheProcess() throws Exception {
         try (NodeProcess child = start("echo $GREETING; echo again >&2; exit 7")) {
             assertEquals(7, codes.poll(20, TimeUnit.SECONDS));
-            assertEquals("hello\nagain\n", printed());
+            assertEquals("hello\nagain\n", output());
             assertFalse(child.isAlive());
         }
     }
@@ -60,7 +60,7 @@
         for (int i = 0; i < 200; i++) {
             try (NodeProcess child = start("echo quick")) {
                 assertEquals(0, codes.poll(20, TimeUnit.SECONDS));
-                assertEquals("quick\n", printed());
+                assertEquals("quick\n", output());
                 assertFalse(child.isAlive());
             }
         }
@@ -69,7 +69,7 @@
     @Test
     void processThatIgnoresSigtermIsKilled() throws Exception {
         NodeProcess child = start("exec sh -c 'trap \"\" TERM; echo up; while :; do read x; done </dev/zero'");
-        await(() -> printed().startsWith("up"));
+        await(() -> output().startsWith("up"));
         child.terminate();
         assertTrue(child.isAlive());
         child.close();
@@ -82,7 +82,7 @@
         // The guard's pipe closes with the process that holds its other end, here a shell in the role of the
         // harness.
         Path id = folder.resolve("id");
-        Process rig = new ProcessBuilder(
+        Process harness = new ProcessBuilder(
                         "sh",
                         "-c",
                         "sleep 1000 | sh -c \"$0\" 'exec sleep 999' >" + id + " & exec sleep 1000",
@@ -92,17 +92,17 @@
         long pid = Long.parseLong(Files.readString(id).strip());
         assertTrue(ProcessHandle.of(pid).orElseThrow().isAlive());
         // The write end closes as that of the harness does when the harness is killed.
-        rig.descendants()
+        harness.descendants()
                 .filter(p -> p.info().commandLine().orElse("").endsWith("sleep 1000"))
                 .forEach(ProcessHandle::destroyForcibly);
-        rig.destroyForcibly();
+        harness.destroyForcibly();
         await(() -> ProcessHandle.of(pid).map(p -> !p.isAlive()).orElse(true));
     }
 
     @Test
     void newestOutputOfAProcessThatPrintsEndlesslyIsRetained() throws Exception {
         try (NodeProcess child = start("exec yes 0123456789012345678901234567890123456789")) {
-            await(child::isCut);
+            await(child::isRotated);
             child.kill();
             assertEquals(137, codes.poll(20, TimeUnit.SECONDS));
             assertTrue(Files.size(folder.resolve("log")) <= NodeProcess.MAX_OUTPUT_BYTES);
@@ -113,14 +113,14 @@
     @Test
     void pausedProcessDoesNothingUntilItIsResumed() throws Exception {
         try (NodeProcess child = start("exec sh -c 'i=0; while :; do i=$((i+1)); echo $i; sleep 0.01; done'")) {
-            await(() -> printed().contains("3\n"));
+            await(() -> output().contains("3\n"));
             child.pause(true);
             String state = "State:\tT";
             await(() -> status(child).contains(state));
             child.pause(false);
             await(() -> !status(child).contains(state));
-            String before = printed();
-            await(() -> printed().length() > before.length());
+            String before = output();
+            await(() -> output().length() > before.length());
         }
     }
 
