--- a/cli/src/main/java/loadbalancer/cli/Fleet.java
+++ b/cli/src/main/java/loadbalancer/cli/Fleet.java
@@ -28,7 +28,7 @@
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.scenario.ScenarioFile;
 import loadbalancer.harness.simulation.Policy;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
@@ -133,7 +133,7 @@
         if (real && policy != Policy.MODULE) {
             throw new UsageException("--policy " + policyName + ": must be module with --real");
         }
-        SimulatedRun.Progress progress = isTerminal() && !json ? this::showSecond : (nowUs, world) -> {};
+        SimulatedRun.Progress progress = isTerminal() && !json ? this::showSecond : (nowUs, testbed) -> {};
         Outcome outcome;
         try (OutputStream to = file == null ? null : new BufferedOutputStream(Files.newOutputStream(file))) {
             outcome = real
@@ -150,8 +150,8 @@
         return outcome.keepsRules() ? ExitCode.OK : ExitCode.BROKEN;
     }
 
-    private void showSecond(long nowUs, World world) {
-        err().printf(Locale.ROOT, "\r%4d s  %5d requests open", nowUs / 1_000_000, world.openRequests());
+    private void showSecond(long nowUs, Testbed testbed) {
+        err().printf(Locale.ROOT, "\r%4d s  %5d requests open", nowUs / 1_000_000, testbed.openRequests());
         err().flush();
     }
 
--- a/cli/src/main/java/loadbalancer/cli/FleetDemo.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetDemo.java
@@ -24,7 +24,7 @@
 import loadbalancer.harness.scenario.ScenarioFile;
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.NodePort;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
@@ -84,7 +84,8 @@
         out.println("starting 3 nodes; 5 s in a server turns slow, 12 s in one fails all," + " 19 s in one is killed");
         out.println("each second, by node and by server: requests served; +n more in hand; ! is down");
         out.flush();
-        Outcome outcome = play(scenario, 1, null, event -> told(out, event), (nowUs, world) -> show(out, nowUs, world));
+        Outcome outcome =
+                play(scenario, 1, null, event -> told(out, event), (nowUs, testbed) -> show(out, nowUs, testbed));
         out.println(outcome.score());
         outcome.violations().forEach(violation -> out.println("BROKEN " + violation));
         out.println(outcome.keepsRules() ? "rules kept" : "rules broken");
@@ -130,13 +131,13 @@
         }
     }
 
-    private void show(PrintWriter out, long nowUs, World world) {
+    private void show(PrintWriter out, long nowUs, Testbed testbed) {
         StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%3d s ", nowUs / 1_000_000));
-        for (NodePort node : world.nodes()) {
+        for (NodePort node : testbed.nodes()) {
             line.append(String.format(Locale.ROOT, " %s%3d", node.name(), handled.getOrDefault(node.name(), 0)));
         }
         line.append(" |");
-        for (AppServer server : world.servers().values()) {
+        for (AppServer server : testbed.servers().values()) {
             line.append(String.format(
                     Locale.ROOT,
                     " %s%s%d+%d",
--- a/harness/src/main/java/loadbalancer/harness/fault/Cordoned.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Cordoned.java
@@ -4,18 +4,18 @@
 import java.util.SplittableRandom;
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.AppServer;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 
 /** Cordons a part of the app servers at every node; healing ends the cordons. */
 final class Cordoned implements Fault {
     @Override
-    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
-        List<AppServer> targets = world.faultTargets(spec, random);
-        setCordoned(world, targets, true);
-        return ActiveFault.servers(targets, () -> setCordoned(world, targets, false));
+    public ActiveFault inject(Testbed testbed, Scenario.FaultSpec spec, SplittableRandom random) {
+        List<AppServer> targets = testbed.faultTargets(spec, random);
+        setCordoned(testbed, targets, true);
+        return ActiveFault.servers(targets, () -> setCordoned(testbed, targets, false));
     }
 
-    private static void setCordoned(World world, List<AppServer> targets, boolean cordoned) {
-        world.nodes().forEach(node -> targets.forEach(server -> node.setCordoned(server.id(), cordoned)));
+    private static void setCordoned(Testbed testbed, List<AppServer> targets, boolean cordoned) {
+        testbed.nodes().forEach(node -> targets.forEach(server -> node.setCordoned(server.id(), cordoned)));
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/fault/FastErrors.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/FastErrors.java
@@ -4,13 +4,13 @@
 import java.util.SplittableRandom;
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.AppServer;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 
 /** Makes a part of the app servers fail the share {@code size} of their requests immediately. */
 final class FastErrors implements Fault {
     @Override
-    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
-        List<AppServer> targets = world.faultTargets(spec, random);
+    public ActiveFault inject(Testbed testbed, Scenario.FaultSpec spec, SplittableRandom random) {
+        List<AppServer> targets = testbed.faultTargets(spec, random);
         targets.forEach(server -> server.setErrorShare(Math.min(1, spec.size())));
         return ActiveFault.servers(targets, () -> targets.forEach(server -> server.setErrorShare(0)));
     }
--- a/harness/src/main/java/loadbalancer/harness/fault/Fault.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Fault.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 import loadbalancer.harness.scenario.Scenario;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 
 /** A kind of fault that can be injected into a run. {@link Faults} maps the names of the kinds. */
 public interface Fault {
@@ -14,5 +14,5 @@
      * @param random the random numbers of this fault only
      * @return the targets and the action that ends the fault
      */
-    ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random);
+    ActiveFault inject(Testbed testbed, Scenario.FaultSpec spec, SplittableRandom random);
 }
--- a/harness/src/main/java/loadbalancer/harness/fault/Release.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Release.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.AppServer;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 
 /** Restarts a part of the app servers one after the other: each drains, is killed, and starts again cold. */
 final class Release implements Fault {
@@ -15,21 +15,21 @@
     private static final long RESTART_DELAY_US = 500_000;
 
     @Override
-    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
-        List<AppServer> targets = world.faultTargets(spec, random);
+    public ActiveFault inject(Testbed testbed, Scenario.FaultSpec spec, SplittableRandom random) {
+        List<AppServer> targets = testbed.faultTargets(spec, random);
         long intervalUs = spec.lengthUs() / Math.max(1, targets.size());
-        Scenario scenario = world.scenario();
+        Scenario scenario = testbed.scenario();
         long drainedAfterUs = scenario.list().changeUs()
                 + scenario.list().spreadUs()
                 + scenario.rules().drainGraceUs();
         for (int i = 0; i < targets.size(); i++) {
             AppServer server = targets.get(i);
-            world.time().after(i * intervalUs, () -> {
-                world.list().startDraining(server.id());
-                world.time().after(drainedAfterUs + SHUTDOWN_DELAY_US, () -> {
+            testbed.time().after(i * intervalUs, () -> {
+                testbed.list().startDraining(server.id());
+                testbed.time().after(drainedAfterUs + SHUTDOWN_DELAY_US, () -> {
                     server.kill();
-                    world.list().remove(server.id(), true, false);
-                    world.time().after(RESTART_DELAY_US, () -> world.startServer(server));
+                    testbed.list().remove(server.id(), true, false);
+                    testbed.time().after(RESTART_DELAY_US, () -> testbed.startServer(server));
                 });
             });
         }
--- a/harness/src/main/java/loadbalancer/harness/fault/Vanish.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Vanish.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.AppServer;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 
 /**
  * Makes the machines of a part of the app servers unreachable while their connections stay open; healing starts the
@@ -12,16 +12,16 @@
  */
 final class Vanish implements Fault {
     @Override
-    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
-        return makeUnreachable(world, world.faultTargets(spec, random));
+    public ActiveFault inject(Testbed testbed, Scenario.FaultSpec spec, SplittableRandom random) {
+        return makeUnreachable(testbed, testbed.faultTargets(spec, random));
     }
 
-    static ActiveFault makeUnreachable(World world, List<AppServer> targets) {
+    static ActiveFault makeUnreachable(Testbed testbed, List<AppServer> targets) {
         for (AppServer server : targets) {
             server.becomeUnreachable();
-            world.list().remove(server.id(), false, true);
+            testbed.list().remove(server.id(), false, true);
         }
         return ActiveFault.servers(
-                targets, () -> targets.stream().filter(AppServer::isUnreachable).forEach(world::startServer));
+                targets, () -> targets.stream().filter(AppServer::isUnreachable).forEach(testbed::startServer));
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/fault/ZoneLost.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/ZoneLost.java
@@ -2,15 +2,17 @@
 
 import java.util.SplittableRandom;
 import loadbalancer.harness.scenario.Scenario;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 
 /** Makes all app servers of one zone unreachable, as {@link Vanish} does; healing starts them again, cold. */
 final class ZoneLost implements Fault {
     @Override
-    public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
-        int zone = random.nextInt(world.zones());
+    public ActiveFault inject(Testbed testbed, Scenario.FaultSpec spec, SplittableRandom random) {
+        int zone = random.nextInt(testbed.zones());
         return Vanish.makeUnreachable(
-                world,
-                world.servers().values().stream().filter(s -> s.zone() == zone).toList());
+                testbed,
+                testbed.servers().values().stream()
+                        .filter(s -> s.zone() == zone)
+                        .toList());
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
@@ -14,23 +14,23 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 import loadbalancer.harness.simulation.AppServer;
+import loadbalancer.harness.simulation.Testbed;
 import loadbalancer.harness.simulation.Work;
-import loadbalancer.harness.simulation.World;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.LoadReport;
 
 /** A fake app server: serves HTTP on loopback with the timing and the results of its model. */
 final class FakeServer {
     private final AppServer server;
-    private final World world;
+    private final Testbed testbed;
     private final RealTimeline time;
     private final RequestRegistry requests;
     private final SplittableRandom random;
     private final Listener listener;
 
-    FakeServer(AppServer server, String address, World world, RealTimeline time, RequestRegistry requests) {
+    FakeServer(AppServer server, String address, Testbed testbed, RealTimeline time, RequestRegistry requests) {
         this.server = server;
-        this.world = world;
+        this.testbed = testbed;
         this.time = time;
         this.requests = requests;
         // The stream's seed is derived from its name, so this literal must not change.
@@ -86,13 +86,13 @@
             }
             attempt = sent;
             int nodeZone = sent.node().zone();
-            if (server.isUnreachable() || world.links().isCut(nodeZone, server.zone())) {
+            if (server.isUnreachable() || testbed.links().isCut(nodeZone, server.zone())) {
                 return;
             }
             long remainingUs =
                     Long.parseLong(request.headers().get("X-Remaining").replace("u", ""));
             long untilUs = time.nowUs() + remainingUs;
-            time.after(world.links().delay(random, nodeZone, server.zone()), () -> {
+            time.after(testbed.links().delay(random, nodeZone, server.zone()), () -> {
                 if (attempt == sent) {
                     job = server.submit(
                             new Work(
@@ -101,7 +101,7 @@
                                     sent.number(),
                                     sent.request().classIndex(),
                                     sent.request().key(),
-                                    world.attemptWork(sent.request(), random),
+                                    testbed.attemptWork(sent.request(), random),
                                     untilUs),
                             (result, report) -> onReply(context, sent, result, report));
                 }
@@ -116,10 +116,10 @@
             int nodeZone = repliedAttempt.node().zone();
             if (attempt != repliedAttempt
                     || server.isUnreachable()
-                    || world.links().isCut(server.zone(), nodeZone)) {
+                    || testbed.links().isCut(server.zone(), nodeZone)) {
                 return;
             }
-            time.after(world.links().delay(random, server.zone(), nodeZone), () -> {
+            time.after(testbed.links().delay(random, server.zone(), nodeZone), () -> {
                 if (attempt != repliedAttempt) {
                     return;
                 }
--- a/harness/src/main/java/loadbalancer/harness/process/RealNode.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealNode.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ExecutorService;
 import loadbalancer.harness.simulation.BaseNode;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 
 /**
  * A node that runs as a process, started by the command of the deploy file. Starts and calls that block run on an
@@ -49,7 +49,7 @@
     RealNode(
             int number,
             String address,
-            World world,
+            Testbed testbed,
             RealTimeline time,
             RequestRegistry requests,
             FakeEndpointList list,
@@ -58,7 +58,7 @@
             Path folder,
             ExecutorService blockingTasks)
             throws IOException {
-        super(number, world);
+        super(number, testbed);
         this.time = time;
         this.requests = requests;
         this.list = list;
@@ -81,7 +81,7 @@
         int started = nextIncarnation();
         terminating = false;
         history().started();
-        world().list().follow(name(), list);
+        testbed().list().follow(name(), list);
         ObjectNode known = list.fullList();
         long seed = random.nextLong();
         blockingTasks.execute(() -> {
@@ -97,7 +97,7 @@
                         seed,
                         known,
                         settings(),
-                        world().scenario().net().idleUs(),
+                        testbed().scenario().net().idleUs(),
                         null);
                 NodeProcess process = new NodeProcess(
                         name(),
@@ -132,7 +132,7 @@
         }
         child = process;
         running = true;
-        clients = new NodeClients(time.loop(), listen, world().scenario().classes());
+        clients = new NodeClients(time.loop(), listen, testbed().scenario().classes());
         pollUntilUp(startedIncarnation);
     }
 
@@ -174,7 +174,7 @@
         nextIncarnation();
         running = false;
         setReady(false);
-        world().list().unfollow(name());
+        testbed().list().unfollow(name());
         history().exited(crashed, exitCode);
     }
 
--- a/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
@@ -24,7 +24,7 @@
 import loadbalancer.harness.run.SimulatedRun;
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.NodePort;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 
 /**
  * Runs a scenario with node processes, which the command of the deploy file starts. App servers, endpoint lists and
@@ -45,7 +45,7 @@
     private final ExecutorService blockingTasks = Executors.newFixedThreadPool(8);
     private final List<Checker> checkers;
     private final History history;
-    private final World world;
+    private final Testbed testbed;
     private final EventLoop linkLoop;
     private final ServerLinks links;
     private final Map<String, FakeServer> servers = new LinkedHashMap<>();
@@ -79,17 +79,17 @@
         readers.add(this::onEvent);
         readers.add(reader);
         history = new History(time, readers, file, false);
-        world = new World(scenario, time, history);
-        world.links().setCarrier(links);
-        RequestRegistry requests = new RequestRegistry(world);
+        testbed = new Testbed(scenario, time, history);
+        testbed.links().setCarrier(links);
+        RequestRegistry requests = new RequestRegistry(testbed);
         int number = 0;
-        for (String id : world.servers().keySet()) {
+        for (String id : testbed.servers().keySet()) {
             servers.put(
                     id,
                     new FakeServer(
-                            world.servers().get(id),
+                            testbed.servers().get(id),
                             "127.2." + number / 250 + "." + (1 + number % 250),
-                            world,
+                            testbed,
                             time,
                             requests));
             number++;
@@ -109,7 +109,7 @@
             RealNode node = new RealNode(
                     i,
                     "127.1.0." + (1 + i),
-                    world,
+                    testbed,
                     time,
                     requests,
                     list,
@@ -118,7 +118,7 @@
                     folder,
                     blockingTasks);
             nodes.add(node);
-            world.add(node);
+            testbed.add(node);
         }
     }
 
@@ -138,32 +138,35 @@
     public Outcome play(SimulatedRun.Progress progress) throws IOException, InterruptedException {
         onLoop(() -> {
             history.add("rig", Event.Kind.RUN, "scenario", scenario.name(), "seed", seed, "real", true);
-            world.start();
+            testbed.start();
             return null;
         });
-        await("all nodes are up", READY_TIMEOUT_MS, () -> world.nodes().stream().allMatch(NodePort::isReady));
+        await(
+                "all nodes are up",
+                READY_TIMEOUT_MS,
+                () -> testbed.nodes().stream().allMatch(NodePort::isReady));
         long startedUs = onLoop(() -> {
-            world.startClients();
-            SimulatedRun.scheduleFaults(world, time);
+            testbed.startClients();
+            SimulatedRun.scheduleFaults(testbed, time);
             return time.nowUs();
         });
-        long endUs = startedUs + world.endUs();
+        long endUs = startedUs + testbed.endUs();
         long stopUs = startedUs + scenario.lengthUs();
         for (long second = 1; time.nowUs() < endUs && time.failure() == null; second++) {
-            if (time.nowUs() > stopUs && onLoop(world::openRequests) == 0) {
+            if (time.nowUs() > stopUs && onLoop(testbed::openRequests) == 0) {
                 break;
             }
             TimeUnit.MICROSECONDS.sleep(Math.max(1, Math.min(endUs, startedUs + second * 1_000_000) - time.nowUs()));
             long elapsedSeconds = second;
             onLoop(() -> {
-                progress.onSecond(elapsedSeconds * 1_000_000, world);
+                progress.onSecond(elapsedSeconds * 1_000_000, testbed);
                 return null;
             });
         }
         if (time.failure() != null) {
             throw new IOException("the run failed", time.failure());
         }
-        return onLoop(() -> Outcome.of(seed, world, history, checkers, time.nowUs(), false));
+        return onLoop(() -> Outcome.of(seed, testbed, history, checkers, time.nowUs(), false));
     }
 
     private <T> T onLoop(Callable<T> task) throws IOException, InterruptedException {
--- a/harness/src/main/java/loadbalancer/harness/process/RequestRegistry.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RequestRegistry.java
@@ -5,7 +5,7 @@
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.BaseNode;
 import loadbalancer.harness.simulation.NodePort.ClientRequest;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 import loadbalancer.policy.AttemptResult;
 
 /**
@@ -14,7 +14,7 @@
  * <p>Used on the event loop of the run only.
  */
 final class RequestRegistry {
-    private final World world;
+    private final Testbed testbed;
     private final Map<String, OpenRequest> requests = new HashMap<>();
 
     private static final class OpenRequest {
@@ -31,8 +31,8 @@
     /** One attempt of a node at a request. */
     record Attempt(String txn, int number, ClientRequest request, BaseNode node) {}
 
-    RequestRegistry(World world) {
-        this.world = world;
+    RequestRegistry(Testbed testbed) {
+        this.testbed = testbed;
     }
 
     static String txn(long id) {
@@ -57,7 +57,7 @@
         }
         boolean crossesZones = server.zone() != open.node.zone();
         Attempt attempt = new Attempt(txn, open.attempts++, open.request, open.node);
-        world.score().onAttempt(crossesZones);
+        testbed.score().onAttempt(crossesZones);
         open.node.history().attempt(open.request.id(), attempt.number(), server.id(), crossesZones);
         return attempt;
     }
--- a/harness/src/main/java/loadbalancer/harness/run/Outcome.java
+++ b/harness/src/main/java/loadbalancer/harness/run/Outcome.java
@@ -6,7 +6,7 @@
 import loadbalancer.harness.check.Violation;
 import loadbalancer.harness.history.History;
 import loadbalancer.harness.simulation.Score;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 
 /**
  * Result of one run.
@@ -22,7 +22,7 @@
      * @param withDigest whether to include the digest of the history
      */
     public static Outcome of(
-            long seed, World world, History history, List<Checker> checkers, long nowUs, boolean withDigest) {
+            long seed, Testbed testbed, History history, List<Checker> checkers, long nowUs, boolean withDigest) {
         List<Violation> violations = new ArrayList<>();
         for (Checker checker : checkers) {
             checker.end(nowUs);
@@ -30,7 +30,7 @@
         }
         return new Outcome(
                 seed,
-                world.score().result(List.copyOf(world.servers().values())),
+                testbed.score().result(List.copyOf(testbed.servers().values())),
                 violations,
                 history.events(),
                 withDigest ? history.digest() : null);
--- a/harness/src/main/java/loadbalancer/harness/run/SimulatedRun.java
+++ b/harness/src/main/java/loadbalancer/harness/run/SimulatedRun.java
@@ -11,7 +11,7 @@
 import loadbalancer.harness.history.History;
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.Policy;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 import loadbalancer.harness.time.Simulator;
 import loadbalancer.harness.time.Timeline;
 
@@ -28,12 +28,12 @@
 
     /** Receives the progress of a run, once per simulated second. */
     public interface Progress {
-        void onSecond(long nowUs, World world);
+        void onSecond(long nowUs, Testbed testbed);
     }
 
     /** Runs a scenario without a history file, a digest or a progress listener. */
     public static Outcome run(Scenario scenario, long seed, Policy policy) {
-        return run(scenario, seed, policy, null, false, (nowUs, world) -> {});
+        return run(scenario, seed, policy, null, false, (nowUs, testbed) -> {});
     }
 
     /**
@@ -48,34 +48,34 @@
         List<Checker> checkers = Checkers.of(scenario, 0);
         History history = new History(time, checkers, file, withDigest);
         history.add("rig", Kind.RUN, "scenario", scenario.name(), "seed", seed, "real", false);
-        World world = World.simulated(scenario, time, history, policy);
-        world.start();
-        world.startClients();
-        scheduleFaults(world, time);
-        for (long second = SECOND_US; second < world.endUs(); second += SECOND_US) {
+        Testbed testbed = Testbed.simulated(scenario, time, history, policy);
+        testbed.start();
+        testbed.startClients();
+        scheduleFaults(testbed, time);
+        for (long second = SECOND_US; second < testbed.endUs(); second += SECOND_US) {
             time.runUntil(second);
-            progress.onSecond(second, world);
+            progress.onSecond(second, testbed);
         }
-        time.runUntil(world.endUs());
-        return Outcome.of(seed, world, history, checkers, time.nowUs(), withDigest);
+        time.runUntil(testbed.endUs());
+        return Outcome.of(seed, testbed, history, checkers, time.nowUs(), withDigest);
     }
 
-    /** Schedules the faults of a world's scenario; their times count from now, when clients begin to send. */
-    public static void scheduleFaults(World world, Timeline time) {
+    /** Schedules the faults of a testbed's scenario; their times count from now, when clients begin to send. */
+    public static void scheduleFaults(Testbed testbed, Timeline time) {
         int number = 0;
-        for (Scenario.FaultSpec spec : world.scenario().faults()) {
+        for (Scenario.FaultSpec spec : testbed.scenario().faults()) {
             SplittableRandom random = time.stream(STREAM_PREFIX + number++ + " " + spec.kind());
-            time.after(spec.atUs(), () -> inject(spec, world, time, random));
+            time.after(spec.atUs(), () -> inject(spec, testbed, time, random));
         }
     }
 
-    private static void inject(Scenario.FaultSpec spec, World world, Timeline time, SplittableRandom random) {
-        ActiveFault active = Faults.named(spec.kind()).inject(world, spec, random);
+    private static void inject(Scenario.FaultSpec spec, Testbed testbed, Timeline time, SplittableRandom random) {
+        ActiveFault active = Faults.named(spec.kind()).inject(testbed, spec, random);
         String targets = String.join(" ", active.targets());
-        world.history().add("rig", Kind.FAULT, "kind", spec.kind(), "who", targets, "size", spec.size());
+        testbed.history().add("rig", Kind.FAULT, "kind", spec.kind(), "who", targets, "size", spec.size());
         time.after(spec.lengthUs(), () -> {
             active.heal().run();
-            world.history().add("rig", Kind.HEALED, "kind", spec.kind());
+            testbed.history().add("rig", Kind.HEALED, "kind", spec.kind());
         });
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/BaseNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/BaseNode.java
@@ -9,7 +9,7 @@
     private final String name;
     private final int zone;
     private final BalancerSettings settings;
-    private final World world;
+    private final Testbed testbed;
     private final NodeHistory history;
     private final Set<String> cordoned = new TreeSet<>();
     private boolean ready;
@@ -17,12 +17,12 @@
     private int incarnation;
 
     /** Creates node {@code number} of the scenario. */
-    protected BaseNode(int number, World world) {
+    protected BaseNode(int number, Testbed testbed) {
         name = "n" + number;
-        zone = world.scenario().fleet().zoneOfNode(number);
-        settings = world.settings(number);
-        this.world = world;
-        history = new NodeHistory(name, world.history());
+        zone = testbed.scenario().fleet().zoneOfNode(number);
+        settings = testbed.settings(number);
+        this.testbed = testbed;
+        history = new NodeHistory(name, testbed.history());
     }
 
     @Override
@@ -50,8 +50,8 @@
         return history;
     }
 
-    protected final World world() {
-        return world;
+    protected final Testbed testbed() {
+        return testbed;
     }
 
     protected final BalancerSettings settings() {
@@ -70,7 +70,7 @@
 
     protected final void setReady(boolean ready) {
         this.ready = ready;
-        stateChangedAtUs = world.time().nowUs();
+        stateChangedAtUs = testbed.time().nowUs();
     }
 
     /** Incremented on each start and end: a task scheduled by one incarnation must not run in another. */
--- a/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
@@ -19,7 +19,7 @@
     private static final long STEP_US = 20_000;
 
     private final Scenario scenario;
-    private final World world;
+    private final Testbed testbed;
     private final Timeline time;
     private final double[] zipfCumulative;
     private double loadFactor = 1;
@@ -31,10 +31,10 @@
     private boolean stopped;
     private long startedUs;
 
-    Clients(World world) {
-        this.world = world;
-        scenario = world.scenario();
-        time = world.time();
+    Clients(Testbed testbed) {
+        this.testbed = testbed;
+        scenario = testbed.scenario();
+        time = testbed.time();
         zipfCumulative = new double[scenario.load().keys()];
         double sum = 0;
         for (int i = 0; i < zipfCumulative.length; i++) {
@@ -172,9 +172,9 @@
                 end(Answer.FAILED);
                 return;
             }
-            world.score().onClientAttempt(tries == 1, workUs);
+            testbed.score().onClientAttempt(tries == 1, workUs);
             id = ++lastId;
-            node = world.front().choose(stream.zone, stream.random);
+            node = testbed.front().choose(stream.zone, stream.random);
             int attempt = ++currentAttempt;
             boolean abandonsNow = abandons && tries == 1;
             // A client waits a little beyond its deadline so that the checkers see late responses.
@@ -186,11 +186,11 @@
                 NodePort target = node;
                 long requestId = id;
                 if (target != null) {
-                    time.after(world.links().clientDelay(stream.random), () -> target.clientGone(requestId));
+                    time.after(testbed.links().clientDelay(stream.random), () -> target.clientGone(requestId));
                 }
                 if (abandonsNow) {
                     openRequests--;
-                    world.score().onClientGone();
+                    testbed.score().onClientGone();
                 } else {
                     retryOrEnd(Answer.FAILED);
                 }
@@ -202,11 +202,11 @@
             NodePort target = node;
             ClientRequest request = new ClientRequest(id, stream.classIndex, key, workUs, attemptTimeoutUs, tries > 1);
             time.after(
-                    world.links().clientDelay(stream.random),
+                    testbed.links().clientDelay(stream.random),
                     () -> target.send(
                             request,
                             answer -> time.after(
-                                    world.links().clientDelay(stream.random), () -> onAnswer(attempt, answer))));
+                                    testbed.links().clientDelay(stream.random), () -> onAnswer(attempt, answer))));
         }
 
         private void onAnswer(int attempt, Answer answer) {
@@ -239,7 +239,7 @@
 
         private void end(Answer answer) {
             openRequests--;
-            world.score().onRequestEnd(stream.classIndex, firstSentAtUs, time.nowUs() - firstSentAtUs, answer);
+            testbed.score().onRequestEnd(stream.classIndex, firstSentAtUs, time.nowUs() - firstSentAtUs, answer);
         }
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimAttempt.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimAttempt.java
@@ -22,7 +22,7 @@
         this.request = request;
         this.server = server;
         number = request.attempts.size();
-        sentAtUs = node.world().time().nowUs();
+        sentAtUs = node.testbed().time().nowUs();
     }
 
     int number() {
@@ -48,7 +48,7 @@
     }
 
     private Links links() {
-        return node.world().links();
+        return node.testbed().links();
     }
 
     private boolean isServerUnreachable() {
@@ -76,7 +76,7 @@
         if (isServerUnreachable()) {
             return;
         }
-        double workUs = node.world().attemptWork(request.request, node.random());
+        double workUs = node.testbed().attemptWork(request.request, node.random());
         node.schedule(oneWayUs, () -> {
             if (!ended) {
                 job = server.submit(work(workUs, untilUs), this::onReply);
@@ -147,7 +147,7 @@
     }
 
     private AttemptOutcome outcome(AttemptResult result, LoadReport report) {
-        long latencyUs = node.world().time().nowUs() - sentAtUs;
+        long latencyUs = node.testbed().time().nowUs() - sentAtUs;
         return new AttemptOutcome(request.id(), number, result, latencyUs, request.ended, report);
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimNode.java
@@ -34,12 +34,12 @@
     private List<ServerEntry> lastFullList = List.of();
     private Timer wakeTimer;
 
-    SimNode(int number, World world, Policy policy) {
-        super(number, world);
+    SimNode(int number, Testbed testbed, Policy policy) {
+        super(number, testbed);
         this.policy = policy;
-        time = world.time();
+        time = testbed.time();
         random = time.stream("node " + name());
-        connections = new SimConnections(name(), world);
+        connections = new SimConnections(name(), testbed);
     }
 
     SplittableRandom random() {
@@ -65,16 +65,16 @@
         nextIncarnation();
         terminating = false;
         history().started();
-        balancer = policy.make(settings(), random.nextLong(), this, world().servers());
+        balancer = policy.make(settings(), random.nextLong(), this, testbed().servers());
         balancer.onServers(time.nowUs(), ListKind.CACHED, lastFullList);
-        world().list().follow(name(), (version, kind, entries) -> {
+        testbed().list().follow(name(), (version, kind, entries) -> {
             balancer.onServers(time.nowUs(), kind, entries);
             lastFullList = kind == ListKind.FULL ? entries : lastFullList;
         });
         if (!cordoned().isEmpty()) {
             balancer.onCordoned(time.nowUs(), Set.copyOf(cordoned()));
         }
-        long readyAfterUs = time.nowUs() == 0 ? 0 : world().scenario().fleet().readyAfterUs();
+        long readyAfterUs = time.nowUs() == 0 ? 0 : testbed().scenario().fleet().readyAfterUs();
         schedule(readyAfterUs, () -> setReady(true));
     }
 
@@ -87,7 +87,7 @@
         setReady(false);
         balancer = null;
         wakeTimer = null;
-        world().list().unfollow(name());
+        testbed().list().unfollow(name());
         history().killed();
         for (SimRequest request : requests.values()) {
             request.attempts.forEach(SimAttempt::abandon);
@@ -130,7 +130,7 @@
         requests.put(request.id(), new SimRequest(request, listener, time.nowUs() + request.remainingUs()));
         recordRequest(request);
         boolean markedAsRepeat =
-                request.repeat() && world().scenario().clients().marksRepeats();
+                request.repeat() && testbed().scenario().clients().marksRepeats();
         balancer.onRequest(
                 time.nowUs(),
                 new BalancerRequest(
@@ -188,12 +188,12 @@
     @Override
     public void send(long requestId, String serverId, long beginByUs, long untilUs) {
         SimRequest request = requests.get(requestId);
-        AppServer server = world().servers().get(serverId);
+        AppServer server = testbed().servers().get(serverId);
         SimAttempt attempt = new SimAttempt(this, request, server);
         request.attempts.add(attempt);
         boolean crossesZones = server.zone() != zone();
         history().attempt(requestId, attempt.number(), serverId, crossesZones);
-        world().score().onAttempt(crossesZones);
+        testbed().score().onAttempt(crossesZones);
         attempt.start(untilUs == 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs));
     }
 
--- a/harness/src/main/java/loadbalancer/harness/simulation/World.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Testbed.java
@@ -16,10 +16,10 @@
 import loadbalancer.policy.ServerState;
 
 /**
- * The complete environment of one run: app servers, nodes, clients and their front, the endpoint list and the network.
- * It runs on the given timeline, simulated or real. Faults are injected by the caller.
+ * The testbed of one run: app servers, nodes, clients and their front, the endpoint list and the network. It runs on
+ * the given timeline, simulated or real. Faults are injected by the caller.
  */
-public final class World {
+public final class Testbed {
     /** Number of app servers in a cell, the group of servers that share a record of the idempotency keys seen. */
     private static final int SERVERS_PER_CELL = 8;
 
@@ -34,8 +34,8 @@
     private final Clients clients;
     private final Score score;
 
-    /** Creates the environment that the scenario describes, without nodes. All events are written to the history. */
-    public World(Scenario scenario, Timeline time, History history) {
+    /** Creates the testbed that the scenario describes, without nodes. All events are written to the history. */
+    public Testbed(Scenario scenario, Timeline time, History history) {
         this.scenario = scenario;
         this.time = time;
         this.history = history;
@@ -55,13 +55,13 @@
         nodes.add(node);
     }
 
-    /** Creates the environment with simulated nodes, all of which use this policy. */
-    public static World simulated(Scenario scenario, Timeline time, History history, Policy policy) {
-        World world = new World(scenario, time, history);
+    /** Creates the testbed with simulated nodes, all of which use this policy. */
+    public static Testbed simulated(Scenario scenario, Timeline time, History history, Policy policy) {
+        Testbed testbed = new Testbed(scenario, time, history);
         for (int i = 0; i < scenario.fleet().nodes(); i++) {
-            world.add(new SimNode(i, world, policy));
+            testbed.add(new SimNode(i, testbed, policy));
         }
-        return world;
+        return testbed;
     }
 
     /** Starts the servers, warmed up and on every node's list, and then the nodes. */
--- a/harness/src/test/java/loadbalancer/harness/process/RealPlayTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/RealPlayTest.java
@@ -55,7 +55,7 @@
         Scenario scenario = ScenarioFile.parse(FLEET + more, Map.of(), Faults.names());
         try (RealPlay play = new RealPlay(scenario, 1, DeployFile.find(Path.of("")), folder, null, this::count)) {
             prepare.accept(play);
-            return play.play((nowUs, world) -> {
+            return play.play((nowUs, testbed) -> {
                 if (processes.isEmpty()) {
                     processes.addAll(play.processes());
                 }
--- a/harness/src/test/java/loadbalancer/harness/run/SimulatedRunTest.java
+++ b/harness/src/test/java/loadbalancer/harness/run/SimulatedRunTest.java
@@ -18,7 +18,7 @@
                 1,
                 8,
                 cores,
-                seed -> SimulatedRun.run(scenario, seed, Policy.MODULE, null, true, (nowUs, world) -> {})
+                seed -> SimulatedRun.run(scenario, seed, Policy.MODULE, null, true, (nowUs, testbed) -> {})
                         .digest(),
                 digest -> {});
     }
