--- a/cli/src/main/java/loadbalancer/cli/FleetDemo.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetDemo.java
@@ -16,7 +16,7 @@
 import loadbalancer.harness.history.Event;
 import loadbalancer.harness.history.History;
 import loadbalancer.harness.process.DeployFile;
-import loadbalancer.harness.process.RealPlay;
+import loadbalancer.harness.process.ProcessRun;
 import loadbalancer.harness.run.Outcome;
 import loadbalancer.harness.run.SimulatedRun;
 import loadbalancer.harness.scenario.BadScenarioException;
@@ -98,13 +98,13 @@
             throws IOException, InterruptedException {
         DeployFile deploy = DeployFile.find(Path.of(""));
         Path folder = Files.createTempDirectory("lb-fleet");
-        RealPlay play = new RealPlay(scenario, seed, deploy, folder, history, reader);
-        Thread onEnd = new Thread(play::close, "end of the fleet");
+        ProcessRun run = new ProcessRun(scenario, seed, deploy, folder, history, reader);
+        Thread onEnd = new Thread(run::close, "end of the fleet");
         Runtime.getRuntime().addShutdownHook(onEnd);
         try {
-            return play.play(progress);
+            return run.run(progress);
         } finally {
-            play.close();
+            run.close();
             Runtime.getRuntime().removeShutdownHook(onEnd);
             delete(folder);
         }
--- a/harness/src/main/java/loadbalancer/harness/process/NodeProcess.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ChildProcess.java
@@ -18,7 +18,7 @@
  * A process that the harness has started. It never outlives the harness, however the harness ends: a guard shell
  * reads a pipe from the harness, and kills the process when the pipe closes.
  */
-final class NodeProcess implements AutoCloseable {
+final class ChildProcess implements AutoCloseable {
     /** Size at which an output file is rotated. One older file is kept, so at most twice this much is kept. */
     static final long MAX_OUTPUT_BYTES = 8L << 20;
 
@@ -49,7 +49,7 @@
      * @param output file for standard output and standard error
      * @param exitListener called on a separate thread after the process has ended
      */
-    NodeProcess(
+    ChildProcess(
             String name,
             String command,
             Map<String, String> environment,
--- a/harness/src/main/java/loadbalancer/harness/process/FakeEndpointList.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeEndpointList.java
@@ -34,7 +34,7 @@
     private static final long HEARTBEAT_INTERVAL_US = 2_000_000;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final RealTimeline time;
+    private final SystemTimeline time;
     private final List<String> zones;
     private final Function<String, String> endpoints;
     private final Map<String, ServerEntry> servers = new LinkedHashMap<>();
@@ -43,7 +43,7 @@
     private long version;
 
     /** @param endpoints returns the address of an app server by its id */
-    FakeEndpointList(String address, RealTimeline time, List<String> zones, Function<String, String> endpoints) {
+    FakeEndpointList(String address, SystemTimeline time, List<String> zones, Function<String, String> endpoints) {
         this.time = time;
         this.zones = zones;
         this.endpoints = endpoints;
--- a/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
@@ -23,12 +23,12 @@
 final class FakeServer {
     private final AppServer server;
     private final Testbed testbed;
-    private final RealTimeline time;
+    private final SystemTimeline time;
     private final RequestRegistry requests;
     private final SplittableRandom random;
     private final Listener listener;
 
-    FakeServer(AppServer server, String address, Testbed testbed, RealTimeline time, RequestRegistry requests) {
+    FakeServer(AppServer server, String address, Testbed testbed, SystemTimeline time, RequestRegistry requests) {
         this.server = server;
         this.testbed = testbed;
         this.time = time;
--- a/harness/src/main/java/loadbalancer/harness/process/MemberProcess.java
+++ b/harness/src/main/java/loadbalancer/harness/process/MemberProcess.java
@@ -48,7 +48,7 @@
     private final InetSocketAddress bind;
     private final FaultLink connections;
     private final DatagramLink datagrams;
-    private NodeProcess process;
+    private ChildProcess process;
     private InetSocketAddress listen;
     private int starts;
 
@@ -108,7 +108,7 @@
         variables.put("PROXY_NAME", name);
         variables.put("PROXY_CONFIG", config.toString());
         DeployFile deploy = fleet.deploy();
-        process = new NodeProcess(name, deploy.run(), variables, deploy.root(), log(), exitCode -> {});
+        process = new ChildProcess(name, deploy.run(), variables, deploy.root(), log(), exitCode -> {});
     }
 
     private void writeConfig(Path config, ObjectNode fleetConfig) throws IOException {
--- a/harness/src/main/java/loadbalancer/harness/process/RealNode.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ProcessNode.java
@@ -17,7 +17,7 @@
  * A node that runs as a process, started by the command of the deploy file. Starts and calls that block run on an
  * executor, everything else runs on the event loop of the run.
  */
-final class RealNode extends BaseNode {
+final class ProcessNode extends BaseNode {
     /** Interval at which a starting node is polled until it is up. */
     private static final long READY_POLL_INTERVAL_US = 50_000;
 
@@ -26,7 +26,7 @@
     /** Result in the history for a response that belongs to another request. */
     private static final String MISDIRECTED = "ALIEN";
 
-    private final RealTimeline time;
+    private final SystemTimeline time;
     private final RequestRegistry requests;
     private final FakeEndpointList list;
     private final String discovery;
@@ -37,7 +37,7 @@
     private final InetSocketAddress listen;
     private final InetSocketAddress control;
     private NodeClients clients;
-    private NodeProcess child;
+    private ChildProcess child;
     private boolean running;
     private boolean terminating;
 
@@ -46,11 +46,11 @@
      * @param discovery address at which the node reaches its endpoint list
      * @param blockingTasks runs blocking tasks: starts, and calls to the node
      */
-    RealNode(
+    ProcessNode(
             int number,
             String address,
             Testbed testbed,
-            RealTimeline time,
+            SystemTimeline time,
             RequestRegistry requests,
             FakeEndpointList list,
             String discovery,
@@ -99,7 +99,7 @@
                         settings(),
                         testbed().scenario().net().idleUs(),
                         null);
-                NodeProcess process = new NodeProcess(
+                ChildProcess process = new ChildProcess(
                         name(),
                         deploy.run(),
                         Map.of(
@@ -125,7 +125,7 @@
         });
     }
 
-    private void onStarted(int startedIncarnation, NodeProcess process) {
+    private void onStarted(int startedIncarnation, ChildProcess process) {
         if (startedIncarnation != incarnation()) {
             process.kill();
             return;
--- a/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ProcessRun.java
@@ -30,7 +30,7 @@
  * Runs a scenario with node processes, which the command of the deploy file starts. App servers, endpoint lists and
  * clients are HTTP peers in this process; each app server and list has its own loopback address.
  */
-public final class RealPlay implements AutoCloseable {
+public final class ProcessRun implements AutoCloseable {
     /** Maximum number of nodes, which all run on one machine. */
     public static final int MAX_NODES = 128;
 
@@ -40,7 +40,7 @@
 
     private final Scenario scenario;
     private final long seed;
-    private final RealTimeline time;
+    private final SystemTimeline time;
     private final EventLoop loop;
     private final ExecutorService blockingTasks = Executors.newFixedThreadPool(8);
     private final List<Checker> checkers;
@@ -51,7 +51,7 @@
     private final Map<String, FakeServer> servers = new LinkedHashMap<>();
     private final List<FakeEndpointList> lists = new ArrayList<>();
     private final List<FaultLink> listLinks = new ArrayList<>();
-    private final List<RealNode> nodes = new ArrayList<>();
+    private final List<ProcessNode> nodes = new ArrayList<>();
 
     /**
      * Prepares the run. Opens the fakes and links, and starts no node.
@@ -60,7 +60,7 @@
      * @param file receives the history, or null
      * @param reader receives each event of the history
      */
-    public RealPlay(
+    public ProcessRun(
             Scenario scenario, long seed, DeployFile deploy, Path folder, OutputStream file, History.Reader reader)
             throws IOException {
         if (scenario.fleet().nodes() > MAX_NODES || scenario.fleet().servers() > 60_000) {
@@ -70,7 +70,7 @@
         this.scenario = scenario;
         this.seed = seed;
         loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        time = new RealTimeline(loop, seed);
+        time = new SystemTimeline(loop, seed);
         linkLoop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         links = new ServerLinks(linkLoop, time.stream("links"));
         checkers = new ArrayList<>(Checkers.of(scenario, OBSERVATION_DELAY_US));
@@ -106,7 +106,7 @@
             FaultLink listLink =
                     new FaultLink(linkLoop, "127.5.0." + (1 + i), list.address(), time.stream("list link " + i));
             listLinks.add(listLink);
-            RealNode node = new RealNode(
+            ProcessNode node = new ProcessNode(
                     i,
                     "127.1.0." + (1 + i),
                     testbed,
@@ -135,7 +135,7 @@
     }
 
     /** Runs the scenario from start to end. */
-    public Outcome play(SimulatedRun.Progress progress) throws IOException, InterruptedException {
+    public Outcome run(SimulatedRun.Progress progress) throws IOException, InterruptedException {
         onLoop(() -> {
             history.add("rig", Event.Kind.RUN, "scenario", scenario.name(), "seed", seed, "real", true);
             testbed.start();
@@ -202,8 +202,8 @@
     }
 
     /** Returns the process ids of the nodes. */
-    public List<Long> processes() {
-        return nodes.stream().map(RealNode::pid).toList();
+    public List<Long> pids() {
+        return nodes.stream().map(ProcessNode::pid).toList();
     }
 
     /** Ends all processes and closes all sockets. */
@@ -217,7 +217,7 @@
             Thread.currentThread().interrupt();
         }
         loop.submit(() -> {}).awaitUninterruptibly();
-        nodes.parallelStream().forEach(RealNode::close);
+        nodes.parallelStream().forEach(ProcessNode::close);
         loop.submit(() -> {
                     servers.values().forEach(FakeServer::close);
                     lists.forEach(FakeEndpointList::close);
--- a/harness/src/main/java/loadbalancer/harness/process/RealTimeline.java
+++ b/harness/src/main/java/loadbalancer/harness/process/SystemTimeline.java
@@ -9,14 +9,14 @@
 import loadbalancer.harness.time.Timeline;
 
 /** A timeline that follows the system's clock and runs all tasks on one event loop. */
-final class RealTimeline implements Timeline {
+final class SystemTimeline implements Timeline {
     private final EventLoop loop;
     private final long seed;
     private final long originNanos = System.nanoTime();
     private final long originMs = System.currentTimeMillis();
     private final AtomicReference<Throwable> failure = new AtomicReference<>();
 
-    RealTimeline(EventLoop loop, long seed) {
+    SystemTimeline(EventLoop loop, long seed) {
         this.loop = loop;
         this.seed = seed;
     }
--- a/harness/src/test/java/loadbalancer/harness/process/NodeProcessTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/ChildProcessTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class NodeProcessTest {
+class ChildProcessTest {
     @TempDir
     private Path folder;
 
     private final BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
 
-    private NodeProcess start(String command) throws IOException {
-        return new NodeProcess(
+    private ChildProcess start(String command) throws IOException {
+        return new ChildProcess(
                 "child", command, Map.of("GREETING", "hello"), folder, folder.resolve("log"), codes::add);
     }
 
@@ -44,7 +44,7 @@
 
     @Test
     void exitCodeAndOutputAreThoseOfTheProcess() throws Exception {
-        try (NodeProcess child = start("echo $GREETING; echo again >&2; exit 7")) {
+        try (ChildProcess child = start("echo $GREETING; echo again >&2; exit 7")) {
             assertEquals(7, codes.poll(20, TimeUnit.SECONDS));
             assertEquals("hello\nagain\n", output());
             assertFalse(child.isAlive());
@@ -58,7 +58,7 @@
     @Test
     void processIdPrecedesAllOutputOfTheProcess() throws Exception {
         for (int i = 0; i < 200; i++) {
-            try (NodeProcess child = start("echo quick")) {
+            try (ChildProcess child = start("echo quick")) {
                 assertEquals(0, codes.poll(20, TimeUnit.SECONDS));
                 assertEquals("quick\n", output());
                 assertFalse(child.isAlive());
@@ -68,7 +68,7 @@
 
     @Test
     void processThatIgnoresSigtermIsKilled() throws Exception {
-        NodeProcess child = start("exec sh -c 'trap \"\" TERM; echo up; while :; do read x; done </dev/zero'");
+        ChildProcess child = start("exec sh -c 'trap \"\" TERM; echo up; while :; do read x; done </dev/zero'");
         await(() -> output().startsWith("up"));
         child.terminate();
         assertTrue(child.isAlive());
@@ -86,7 +86,7 @@
                         "sh",
                         "-c",
                         "sleep 1000 | sh -c \"$0\" 'exec sleep 999' >" + id + " & exec sleep 1000",
-                        NodeProcess.GUARD)
+                        ChildProcess.GUARD)
                 .start();
         await(() -> Files.exists(id) && id.toFile().length() > 1);
         long pid = Long.parseLong(Files.readString(id).strip());
@@ -101,18 +101,18 @@
 
     @Test
     void newestOutputOfAProcessThatPrintsEndlesslyIsRetained() throws Exception {
-        try (NodeProcess child = start("exec yes 0123456789012345678901234567890123456789")) {
+        try (ChildProcess child = start("exec yes 0123456789012345678901234567890123456789")) {
             await(child::isRotated);
             child.kill();
             assertEquals(137, codes.poll(20, TimeUnit.SECONDS));
-            assertTrue(Files.size(folder.resolve("log")) <= NodeProcess.MAX_OUTPUT_BYTES);
-            assertTrue(Files.size(folder.resolve("log.1")) <= NodeProcess.MAX_OUTPUT_BYTES);
+            assertTrue(Files.size(folder.resolve("log")) <= ChildProcess.MAX_OUTPUT_BYTES);
+            assertTrue(Files.size(folder.resolve("log.1")) <= ChildProcess.MAX_OUTPUT_BYTES);
         }
     }
 
     @Test
     void pausedProcessDoesNothingUntilItIsResumed() throws Exception {
-        try (NodeProcess child = start("exec sh -c 'i=0; while :; do i=$((i+1)); echo $i; sleep 0.01; done'")) {
+        try (ChildProcess child = start("exec sh -c 'i=0; while :; do i=$((i+1)); echo $i; sleep 0.01; done'")) {
             await(() -> output().contains("3\n"));
             child.pause(true);
             String state = "State:\tT";
@@ -124,7 +124,7 @@
         }
     }
 
-    private static String status(NodeProcess child) {
+    private static String status(ChildProcess child) {
         try {
             return Files.readString(Path.of("/proc/" + child.pid() + "/status"));
         } catch (IOException e) {
--- a/harness/src/test/java/loadbalancer/harness/process/RealPlayTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/ProcessRunTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Runs small fleets of node processes. Requires the packaged jar of the node. */
-class RealPlayTest {
+class ProcessRunTest {
     private static final String FLEET = """
             name = "small"
             length_s = 5
@@ -45,23 +45,23 @@
 
     private final Map<Kind, Integer> counts = new ConcurrentHashMap<>();
     private final Set<String> outcomes = ConcurrentHashMap.newKeySet();
-    private final List<Long> processes = new ArrayList<>();
+    private final List<Long> pids = new ArrayList<>();
 
-    private Outcome play(String more) throws Exception {
-        return play(more, begun -> {});
+    private Outcome run(String more) throws Exception {
+        return run(more, begun -> {});
     }
 
-    private Outcome play(String more, Consumer<RealPlay> prepare) throws Exception {
+    private Outcome run(String more, Consumer<ProcessRun> prepare) throws Exception {
         Scenario scenario = ScenarioFile.parse(FLEET + more, Map.of(), Faults.names());
-        try (RealPlay play = new RealPlay(scenario, 1, DeployFile.find(Path.of("")), folder, null, this::count)) {
-            prepare.accept(play);
-            return play.play((nowUs, testbed) -> {
-                if (processes.isEmpty()) {
-                    processes.addAll(play.processes());
+        try (ProcessRun run = new ProcessRun(scenario, 1, DeployFile.find(Path.of("")), folder, null, this::count)) {
+            prepare.accept(run);
+            return run.run((nowUs, testbed) -> {
+                if (pids.isEmpty()) {
+                    pids.addAll(run.pids());
                 }
             });
         } finally {
-            for (long pid : processes) {
+            for (long pid : pids) {
                 assertFalse(ProcessHandle.of(pid).map(ProcessHandle::isAlive).orElse(false), "left: " + pid);
             }
         }
@@ -76,7 +76,7 @@
 
     @Test
     void fleetOfProcessesRoutesAroundFaultsAndKeepsTheRules() throws Exception {
-        Outcome outcome = play("""
+        Outcome outcome = run("""
                 [[fault]]
                 kind = "fast_errors"
                 at_s = 1
@@ -90,7 +90,7 @@
                 part = 0.17
                 """);
         assertEquals(List.of(), outcome.violations());
-        assertEquals(2, processes.size());
+        assertEquals(2, pids.size());
         assertTrue(outcome.score().inTime() > 0.5 * outcome.score().firstTries(), outcome.toString());
         assertEquals(2, counts.get(Kind.CORDON));
         assertTrue(counts.get(Kind.SEND) >= counts.get(Kind.SERVED));
@@ -98,7 +98,7 @@
 
     @Test
     void killedNodesAndCrashedServersComeBack() throws Exception {
-        Outcome outcome = play("""
+        Outcome outcome = run("""
                 [[fault]]
                 kind = "herd"
                 at_s = 1
@@ -118,7 +118,7 @@
 
     @Test
     void lostResponsesAndResetLinksBreakNoRule() throws Exception {
-        Outcome outcome = play("""
+        Outcome outcome = run("""
                 [[fault]]
                 kind = "slow_links"
                 at_s = 0.5
@@ -154,9 +154,9 @@
     /** A corrupted response of a fake must be reported: the checkers must not trust the harness itself. */
     @Test
     void misdirectedResponseIsDetected() throws Exception {
-        Outcome outcome = play(
+        Outcome outcome = run(
                 "",
-                play -> play.link(0, "s0")
+                run -> run.link(0, "s0")
                         .tamper(
                                 FaultLink.Direction.FROM_TARGET,
                                 changing(text -> text.startsWith("HTTP/1.1 200")
@@ -169,7 +169,7 @@
 
     @Test
     void listThatDoesNotAnnounceDrainsIsDetected() throws Exception {
-        Outcome outcome = play(
+        Outcome outcome = run(
                 """
                 [rules]
                 drain_grace_ms = 50
@@ -179,7 +179,7 @@
                 length_s = 4
                 part = 0.5
                 """,
-                play -> play.listLink(0)
+                run -> run.listLink(0)
                         .tamper(
                                 FaultLink.Direction.FROM_TARGET,
                                 changing(text -> text.replace("\"Terminating\"", "\"Ready\"      "))));
@@ -190,7 +190,7 @@
 
     @Test
     void nodesThatShutDownLoseNoRequest() throws Exception {
-        Outcome outcome = play("""
+        Outcome outcome = run("""
                 [[fault]]
                 kind = "rolling_restart"
                 at_s = 0.5
