--- a/harness/src/main/java/loadbalancer/harness/process/NodeClients.java
+++ b/harness/src/main/java/loadbalancer/harness/process/NodeClients.java
@@ -27,8 +27,8 @@
 import java.util.List;
 import java.util.Map;
 import loadbalancer.harness.scenario.Scenario;
-import loadbalancer.harness.simulation.NodePort.Answer;
 import loadbalancer.harness.simulation.NodePort.ClientRequest;
+import loadbalancer.harness.simulation.NodePort.RequestResult;
 import loadbalancer.policy.Idempotency;
 
 /** The connections of clients to one node. Connections are kept alive, and more are opened when all are busy. */
@@ -48,7 +48,7 @@
         void onWritten();
 
         /** The request has ended; {@code misdirected} if the response belongs to another request. */
-        void onEnd(Answer answer, boolean misdirected);
+        void onEnd(RequestResult result, boolean misdirected);
     }
 
     NodeClients(EventLoop loop, InetSocketAddress nodeAddress, List<Scenario.RequestClass> classes) {
@@ -84,7 +84,7 @@
                         .get(Connection.class)
                         .send(request, handler);
             } else {
-                handler.onEnd(Answer.UNREACHABLE, false);
+                handler.onEnd(RequestResult.UNREACHABLE, false);
             }
         });
     }
@@ -167,7 +167,10 @@
             }
             if (sender != null) {
                 sender.onEnd(
-                        ok ? Answer.OK : status == 429 || status == 503 ? Answer.REFUSED : Answer.FAILED, misdirected);
+                        ok
+                                ? RequestResult.OK
+                                : status == 429 || status == 503 ? RequestResult.REFUSED : RequestResult.FAILED,
+                        misdirected);
             }
         }
 
@@ -178,7 +181,7 @@
             handler = null;
             if (sender != null) {
                 busy.remove(request.id());
-                sender.onEnd(written ? Answer.BROKEN : Answer.UNREACHABLE, false);
+                sender.onEnd(written ? RequestResult.BROKEN : RequestResult.UNREACHABLE, false);
             }
         }
 
--- a/harness/src/main/java/loadbalancer/harness/process/ProcessNode.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ProcessNode.java
@@ -219,7 +219,7 @@
     @Override
     public void send(ClientRequest request, ResponseListener listener) {
         if (child == null || clients == null) {
-            time.after(0, () -> listener.onAnswer(Answer.UNREACHABLE));
+            time.after(0, () -> listener.onResult(RequestResult.UNREACHABLE));
             return;
         }
         requests.add(request, this);
@@ -239,11 +239,11 @@
             }
 
             @Override
-            public void onEnd(Answer answer, boolean misdirected) {
-                if (written && answer != Answer.BROKEN) {
-                    history().response(request.id(), misdirected ? MISDIRECTED : answer.name());
+            public void onEnd(RequestResult result, boolean misdirected) {
+                if (written && result != RequestResult.BROKEN) {
+                    history().response(request.id(), misdirected ? MISDIRECTED : result.name());
                 }
-                listener.onAnswer(answer);
+                listener.onResult(result);
             }
         });
     }
--- a/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import loadbalancer.harness.scenario.Scenario;
-import loadbalancer.harness.simulation.NodePort.Answer;
 import loadbalancer.harness.simulation.NodePort.ClientRequest;
+import loadbalancer.harness.simulation.NodePort.RequestResult;
 import loadbalancer.harness.time.Timeline;
 import loadbalancer.harness.time.Timeline.Timer;
 import loadbalancer.policy.Idempotency;
@@ -169,7 +169,7 @@
                     ? remainingUs
                     : (long) (remainingUs * scenario.clients().tryShare());
             if (attemptTimeoutUs < 1_000) {
-                end(Answer.FAILED);
+                end(RequestResult.FAILED);
                 return;
             }
             testbed.score().onClientAttempt(tries == 1, workUs);
@@ -192,11 +192,11 @@
                     openRequests--;
                     testbed.score().onClientGone();
                 } else {
-                    retryOrEnd(Answer.FAILED);
+                    retryOrEnd(RequestResult.FAILED);
                 }
             });
             if (node == null) {
-                time.after(0, () -> onAnswer(attempt, Answer.UNREACHABLE));
+                time.after(0, () -> onResult(attempt, RequestResult.UNREACHABLE));
                 return;
             }
             NodePort target = node;
@@ -205,41 +205,41 @@
                     testbed.links().clientDelay(stream.random),
                     () -> target.send(
                             request,
-                            answer -> time.after(
-                                    testbed.links().clientDelay(stream.random), () -> onAnswer(attempt, answer))));
+                            result -> time.after(
+                                    testbed.links().clientDelay(stream.random), () -> onResult(attempt, result))));
         }
 
-        private void onAnswer(int attempt, Answer answer) {
+        private void onResult(int attempt, RequestResult result) {
             if (attempt == currentAttempt) {
-                onAnswer(answer);
+                onResult(result);
             }
         }
 
-        private void onAnswer(Answer answer) {
+        private void onResult(RequestResult result) {
             currentAttempt++;
             timeout.cancel();
-            if (answer == Answer.OK) {
-                end(answer);
+            if (result == RequestResult.OK) {
+                end(result);
             } else {
-                retryOrEnd(answer);
+                retryOrEnd(result);
             }
         }
 
-        private void retryOrEnd(Answer answer) {
+        private void retryOrEnd(RequestResult result) {
             boolean mayRetry = cls.idempotency() == Idempotency.IDEMPOTENT
-                    || answer == Answer.REFUSED
-                    || answer == Answer.UNREACHABLE;
+                    || result == RequestResult.REFUSED
+                    || result == RequestResult.UNREACHABLE;
             long backoffUs = scenario.clients().backoffUs();
             if (mayRetry && tries < scenario.clients().tries() && time.nowUs() + backoffUs < deadlineUs) {
                 time.after(backoffUs, this::send);
             } else {
-                end(answer);
+                end(result);
             }
         }
 
-        private void end(Answer answer) {
+        private void end(RequestResult result) {
             openRequests--;
-            testbed.score().onRequestEnd(stream.classIndex, firstSentAtUs, time.nowUs() - firstSentAtUs, answer);
+            testbed.score().onRequestEnd(stream.classIndex, firstSentAtUs, time.nowUs() - firstSentAtUs, result);
         }
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/NodeHistory.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/NodeHistory.java
@@ -44,8 +44,8 @@
     }
 
     /** The node has sent a response. */
-    public void response(long requestId, String answer) {
-        history.add(node, Kind.ANSWER, "request", requestId, "answer", answer);
+    public void response(long requestId, String result) {
+        history.add(node, Kind.ANSWER, "request", requestId, "answer", result);
     }
 
     /** The client of a request has disconnected. */
--- a/harness/src/main/java/loadbalancer/harness/simulation/NodePort.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/NodePort.java
@@ -8,7 +8,7 @@
     long MAX_SHUTDOWN_US = 3_700_000;
 
     /** The result of one attempt of a client. Stored histories contain these names. */
-    enum Answer {
+    enum RequestResult {
         OK,
         /** The node rejected the request; a retry is safe. */
         REFUSED,
@@ -31,7 +31,7 @@
 
     /** Receives the result, exactly once. */
     interface ResponseListener {
-        void onAnswer(Answer answer);
+        void onResult(RequestResult result);
     }
 
     String name();
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimNode.java
@@ -92,7 +92,7 @@
         for (SimRequest request : requests.values()) {
             request.attempts.forEach(SimAttempt::abandon);
             if (!request.ended) {
-                time.after(0, () -> request.listener.onAnswer(Answer.BROKEN));
+                time.after(0, () -> request.listener.onResult(RequestResult.BROKEN));
             }
         }
         requests.clear();
@@ -124,7 +124,7 @@
     @Override
     public void send(ClientRequest request, ResponseListener listener) {
         if (!isReady() || balancer == null) {
-            time.after(0, () -> listener.onAnswer(Answer.UNREACHABLE));
+            time.after(0, () -> listener.onResult(RequestResult.UNREACHABLE));
             return;
         }
         requests.put(request.id(), new SimRequest(request, listener, time.nowUs() + request.remainingUs()));
@@ -165,11 +165,11 @@
     }
 
     /** Responds to a request. A second response is also written to the history, so that the checkers can detect it. */
-    void respond(SimRequest request, Answer answer) {
-        history().response(request.id(), answer.name());
+    void respond(SimRequest request, RequestResult result) {
+        history().response(request.id(), result.name());
         if (!request.ended) {
             request.ended = true;
-            time.after(0, () -> request.listener.onAnswer(answer));
+            time.after(0, () -> request.listener.onResult(result));
             removeIfFinished(request);
         }
     }
@@ -207,18 +207,18 @@
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        respondIfPresent(requestId, Answer.REFUSED);
+        respondIfPresent(requestId, RequestResult.REFUSED);
     }
 
     @Override
     public void fail(long requestId) {
-        respondIfPresent(requestId, Answer.FAILED);
+        respondIfPresent(requestId, RequestResult.FAILED);
     }
 
-    private void respondIfPresent(long requestId, Answer answer) {
+    private void respondIfPresent(long requestId, RequestResult result) {
         SimRequest request = requests.get(requestId);
         if (request != null) {
-            respond(request, answer);
+            respond(request, result);
         }
     }
 
