--- a/harness/src/main/java/loadbalancer/harness/fault/Partition.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Partition.java
@@ -22,9 +22,9 @@
     private static void setPartitioned(Testbed testbed, int zone, boolean outboundOnly, boolean partitioned) {
         for (int other = 0; other < testbed.zones(); other++) {
             if (other != zone) {
-                testbed.links().setCut(zone, other, partitioned);
+                testbed.links().setBlocked(zone, other, partitioned);
                 if (!outboundOnly) {
-                    testbed.links().setCut(other, zone, partitioned);
+                    testbed.links().setBlocked(other, zone, partitioned);
                 }
             }
         }
--- a/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
@@ -86,7 +86,7 @@
             }
             attempt = sent;
             int nodeZone = sent.node().zone();
-            if (server.isUnreachable() || testbed.links().isCut(nodeZone, server.zone())) {
+            if (server.isUnreachable() || testbed.links().isBlocked(nodeZone, server.zone())) {
                 return;
             }
             long remainingUs =
@@ -116,7 +116,7 @@
             int nodeZone = repliedAttempt.node().zone();
             if (attempt != repliedAttempt
                     || server.isUnreachable()
-                    || testbed.links().isCut(server.zone(), nodeZone)) {
+                    || testbed.links().isBlocked(server.zone(), nodeZone)) {
                 return;
             }
             time.after(testbed.links().delay(random, server.zone(), nodeZone), () -> {
--- a/harness/src/main/java/loadbalancer/harness/simulation/Links.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Links.java
@@ -89,15 +89,15 @@
     }
 
     /** Blocks or unblocks all messages in one direction between two zones. Connections stay open. */
-    public void setCut(int from, int to, boolean isCut) {
-        if (isCut) {
+    public void setBlocked(int from, int to, boolean isBlocked) {
+        if (isBlocked) {
             blockedDirections.add(from + ">" + to);
         } else {
             blockedDirections.remove(from + ">" + to);
         }
     }
 
-    public boolean isCut(int from, int to) {
+    public boolean isBlocked(int from, int to) {
         return !blockedDirections.isEmpty() && blockedDirections.contains(from + ">" + to);
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimAttempt.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimAttempt.java
@@ -53,8 +53,8 @@
 
     private boolean isServerUnreachable() {
         return server.isUnreachable()
-                || links().isCut(node.zone(), server.zone())
-                || links().isCut(server.zone(), node.zone());
+                || links().isBlocked(node.zone(), server.zone())
+                || links().isBlocked(server.zone(), node.zone());
     }
 
     private void connect(long oneWayUs, long untilUs) {
