--- a/harness/src/main/java/loadbalancer/harness/process/FakeEndpointList.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeEndpointList.java
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void listed(long newVersion, ListKind kind, List<ServerEntry> entries) {
+    public void onUpdate(long newVersion, ListKind kind, List<ServerEntry> entries) {
         version = newVersion;
         if (kind != ListKind.CHANGES) {
             servers.clear();
--- a/harness/src/main/java/loadbalancer/harness/process/ProcessRun.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ProcessRun.java
@@ -80,7 +80,7 @@
         readers.add(reader);
         history = new History(time, readers, file, false);
         testbed = new Testbed(scenario, time, history);
-        testbed.links().setCarrier(links);
+        testbed.links().setFaultInjector(links);
         RequestRegistry requests = new RequestRegistry(testbed);
         int number = 0;
         for (String id : testbed.servers().keySet()) {
--- a/harness/src/main/java/loadbalancer/harness/process/ServerLinks.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ServerLinks.java
@@ -13,7 +13,7 @@
 import loadbalancer.harness.simulation.Links;
 
 /** The links of nodes to app servers: a fault link for each pair, all on one event loop. */
-final class ServerLinks implements Links.Carrier {
+final class ServerLinks implements Links.FaultInjector {
     private final EventLoop loop;
     private final SplittableRandom random;
     private final Map<String, Map<Integer, FaultLink>> byServer = new LinkedHashMap<>();
@@ -35,24 +35,24 @@
         return byServer.get(server).get(node);
     }
 
-    private Iterable<FaultLink> to(String server) {
+    private Iterable<FaultLink> linksTo(String server) {
         return byServer.getOrDefault(server, Map.of()).values();
     }
 
     /** Makes the links accept connections only while the server does, so that no node can connect to a dead server. */
     void setOpen(String server, boolean open) {
-        to(server).forEach(link -> link.setOpen(open));
+        linksTo(server).forEach(link -> link.setOpen(open));
     }
 
     @Override
-    public void slow(String server, long us) {
-        extraDelaysUs.put(server, us);
+    public void setExtraDelay(String server, long delayUs) {
+        extraDelaysUs.put(server, delayUs);
         applyFaults(server);
     }
 
     @Override
-    public void mute(String server, boolean to) {
-        if (to) {
+    public void setMuted(String server, boolean muted) {
+        if (muted) {
             mutedServers.add(server);
         } else {
             mutedServers.remove(server);
@@ -63,7 +63,7 @@
     /** Applies all present faults of a server's links together, so that the end of one fault does not end another. */
     private void applyFaults(String server) {
         Faults delayed = Faults.delayed(extraDelaysUs.getOrDefault(server, 0L), 0);
-        for (FaultLink link : to(server)) {
+        for (FaultLink link : linksTo(server)) {
             link.set(Direction.TO_TARGET, delayed);
             link.set(Direction.FROM_TARGET, mutedServers.contains(server) ? Faults.BLOCKED : delayed);
         }
@@ -71,7 +71,7 @@
 
     @Override
     public void reset(String server) {
-        to(server).forEach(FaultLink::reset);
+        linksTo(server).forEach(FaultLink::reset);
     }
 
     void close() {
--- a/harness/src/main/java/loadbalancer/harness/simulation/AppServer.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/AppServer.java
@@ -73,7 +73,7 @@
     private double workWastedUs;
 
     /** Receives the result of an attempt and a load report, or null; called on the timeline. */
-    public interface Reply extends BiConsumer<AttemptResult, LoadReport> {}
+    public interface ResultListener extends BiConsumer<AttemptResult, LoadReport> {}
 
     private record Arrival(long atUs, double workUs) {}
 
@@ -82,15 +82,15 @@
         private final long number;
         private final Work work;
         private final double workUs;
-        private final Reply reply;
+        private final ResultListener listener;
         private double doneAtProgressUs;
         private boolean abandoned;
 
-        private Job(long number, Work work, double workUs, Reply reply) {
+        private Job(long number, Work work, double workUs, ResultListener listener) {
             this.number = number;
             this.work = work;
             this.workUs = workUs;
-            this.reply = reply;
+            this.listener = listener;
         }
     }
 
@@ -276,32 +276,32 @@
      *
      * @return the job, for {@link #abandon}, or null if the attempt was not accepted
      */
-    public Job submit(Work work, Reply reply) {
+    public Job submit(Work work, ResultListener listener) {
         if (unreachable) {
             return null;
         }
         if (!up) {
-            time.after(0, () -> reply.accept(AttemptResult.CONNECT_FAILED, null));
+            time.after(0, () -> listener.accept(AttemptResult.CONNECT_FAILED, null));
             return null;
         }
         recordWork(work.workUs());
         if (!up) {
-            time.after(0, () -> reply.accept(AttemptResult.RESET, null));
+            time.after(0, () -> listener.accept(AttemptResult.RESET, null));
             return null;
         }
         if (random.nextDouble() < Math.max(errorShare, kind.errorRate())) {
             int scheduledBy = incarnation;
             time.after(
                     ERROR_LATENCY_US,
-                    () -> reply.accept(
+                    () -> listener.accept(
                             scheduledBy == incarnation ? AttemptResult.ERROR : AttemptResult.RESET, report()));
             return null;
         }
         if (running.size() >= kind.slots() * kind.cores() && queued.size() >= kind.queue() * kind.cores()) {
-            time.after(0, () -> reply.accept(AttemptResult.FULL, report()));
+            time.after(0, () -> listener.accept(AttemptResult.FULL, report()));
             return null;
         }
-        Job job = new Job(jobCount++, work, work.workUs() * (hasCached(work.key()) ? 1 - kind.keyGain() : 1), reply);
+        Job job = new Job(jobCount++, work, work.workUs() * (hasCached(work.key()) ? 1 - kind.keyGain() : 1), listener);
         updateProgress();
         if (running.size() < kind.slots() * kind.cores()) {
             startJob(job);
@@ -441,7 +441,7 @@
     private void end(Job job, AttemptResult result) {
         if (!job.abandoned) {
             LoadReport report = result == AttemptResult.RESET ? null : report();
-            time.after(0, () -> job.reply.accept(result, report));
+            time.after(0, () -> job.listener.accept(result, report));
         }
     }
 
--- a/harness/src/main/java/loadbalancer/harness/simulation/Links.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Links.java
@@ -13,15 +13,15 @@
     private final Set<String> blockedDirections = new HashSet<>();
     private final Map<String, Long> extraDelaysUs = new HashMap<>();
     private final Set<String> mutedServers = new HashSet<>();
-    private Carrier carrier;
+    private FaultInjector faultInjector;
 
     /** Applies faults to the real connections of app servers in a run with processes. */
-    public interface Carrier {
+    public interface FaultInjector {
         /** Delays messages to and from this server by this much more. */
-        void slow(String server, long us);
+        void setExtraDelay(String server, long delayUs);
 
         /** Blocks or unblocks everything that this server sends. */
-        void mute(String server, boolean to);
+        void setMuted(String server, boolean muted);
 
         /** Resets all connections to this server, including those with open requests. */
         void reset(String server);
@@ -36,8 +36,8 @@
     }
 
     /** From now on applies faults of single servers' links there instead of in the model. */
-    public void setCarrier(Carrier carrier) {
-        this.carrier = carrier;
+    public void setFaultInjector(FaultInjector faultInjector) {
+        this.faultInjector = faultInjector;
     }
 
     /** Draws the one-way delay of a message between a node and an app server. */
@@ -46,18 +46,18 @@
     }
 
     /** Delays messages to and from this server by this much more from now on. */
-    public void setExtraDelay(AppServer server, long us) {
-        if (carrier == null) {
-            extraDelaysUs.put(server.id(), us);
+    public void setExtraDelay(AppServer server, long delayUs) {
+        if (faultInjector == null) {
+            extraDelaysUs.put(server.id(), delayUs);
         } else {
-            carrier.slow(server.id(), us);
+            faultInjector.setExtraDelay(server.id(), delayUs);
         }
     }
 
     /** Drops everything that this server sends, or ends that. The server still receives and processes requests. */
     public void setMuted(AppServer server, boolean muted) {
-        if (carrier != null) {
-            carrier.mute(server.id(), muted);
+        if (faultInjector != null) {
+            faultInjector.setMuted(server.id(), muted);
         } else if (muted) {
             mutedServers.add(server.id());
         } else {
@@ -71,10 +71,10 @@
 
     /** Resets all connections to this server, including those with open requests. */
     public void reset(AppServer server) {
-        if (carrier == null) {
+        if (faultInjector == null) {
             server.resetConnections();
         } else {
-            carrier.reset(server.id());
+            faultInjector.reset(server.id());
         }
     }
 
--- a/harness/src/main/java/loadbalancer/harness/simulation/ListModel.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/ListModel.java
@@ -28,7 +28,7 @@
 
     /** Receives the list at one node. */
     public interface Follower {
-        void listed(long version, ListKind kind, List<ServerEntry> entries);
+        void onUpdate(long version, ListKind kind, List<ServerEntry> entries);
     }
 
     /** Discovery's agent on the machine of one node. */
@@ -63,7 +63,7 @@
             }
             version = change.version;
             if (follower != null) {
-                follower.listed(version, ListKind.CHANGES, List.of(change.entry));
+                follower.onUpdate(version, ListKind.CHANGES, List.of(change.entry));
             }
             // A change counts as delivered once the agent has it, whether or not a node follows the list.
             recordDelivery(change.entry);
@@ -107,7 +107,7 @@
             return added;
         });
         agent.follower = follower;
-        follower.listed(agent.version, ListKind.FULL, List.copyOf(agent.delivered.values()));
+        follower.onUpdate(agent.version, ListKind.FULL, List.copyOf(agent.delivered.values()));
         agent.delivered.values().forEach(agent::recordDelivery);
     }
 
