--- a/harness/src/main/java/loadbalancer/harness/process/FakeEndpointList.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeEndpointList.java
@@ -39,7 +39,7 @@
     private final Function<String, String> endpoints;
     private final Map<String, ServerEntry> servers = new LinkedHashMap<>();
     private final Set<Watch> watches = new HashSet<>();
-    private final Listener listener;
+    private final HttpListener listener;
     private long version;
 
     /** @param endpoints returns the address of an app server by its id */
@@ -47,7 +47,7 @@
         this.time = time;
         this.zones = zones;
         this.endpoints = endpoints;
-        listener = new Listener(time.loop(), address, Watch::new);
+        listener = new HttpListener(time.loop(), address, Watch::new);
         listener.open();
     }
 
--- a/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
@@ -26,7 +26,7 @@
     private final SystemTimeline time;
     private final RequestRegistry requests;
     private final SplittableRandom random;
-    private final Listener listener;
+    private final HttpListener listener;
 
     FakeServer(AppServer server, String address, Testbed testbed, SystemTimeline time, RequestRegistry requests) {
         this.server = server;
@@ -35,7 +35,7 @@
         this.requests = requests;
         // The stream's seed is derived from its name, so this literal must not change.
         random = time.stream("stand-in " + server.id());
-        listener = new Listener(time.loop(), address, Connection::new);
+        listener = new HttpListener(time.loop(), address, Connection::new);
         // The first call runs outside the loop, so it waits until the port is known.
         listener.open();
     }
--- a/harness/src/main/java/loadbalancer/harness/process/Listener.java
+++ b/harness/src/main/java/loadbalancer/harness/process/HttpListener.java
@@ -19,7 +19,7 @@
 import java.util.function.Supplier;
 
 /** The HTTP listener of a fake on loopback. It keeps its port when it is closed and opened again. */
-final class Listener {
+final class HttpListener {
     /** The largest body that a node forwards. */
     private static final int MAX_BODY_BYTES = 32 << 20;
 
@@ -34,7 +34,7 @@
      * @param address used by this fake only, so that no other process takes the port while the listener is closed
      * @param handler creates the handler of one connection, which receives aggregated requests
      */
-    Listener(EventLoop loop, String address, Supplier<ChannelHandler> handler) {
+    HttpListener(EventLoop loop, String address, Supplier<ChannelHandler> handler) {
         this.loop = loop;
         bindAddress = new InetSocketAddress(address, 0).getAddress();
         this.handler = handler;
--- a/harness/src/main/java/loadbalancer/harness/process/MemberProcess.java
+++ b/harness/src/main/java/loadbalancer/harness/process/MemberProcess.java
@@ -58,7 +58,7 @@
         this.number = number;
         this.name = name;
         host = MEMBER_NETWORK + (1 + number);
-        bind = Listener.freeAddress(host);
+        bind = HttpListener.freeAddress(host);
         connections = new FaultLink(loop, LINK_NETWORK + (1 + number), bind, random.split());
         datagrams = new DatagramLink(loop, connections.address(), bind, random.split());
     }
@@ -69,7 +69,7 @@
 
     /** Returns the address that it advertises to the other members: that of its links. */
     String advertisedAddress() {
-        return Listener.format(connections.address());
+        return HttpListener.format(connections.address());
     }
 
     boolean hasAddress(InetAddress address) {
@@ -101,7 +101,7 @@
 
     private void start(ObjectNode fleetConfig, Map<String, String> environment) throws IOException {
         starts++;
-        listen = Listener.freeAddress(host);
+        listen = HttpListener.freeAddress(host);
         Path config = fleet.folder().resolve(number + "-config.json");
         writeConfig(config, fleetConfig);
         Map<String, String> variables = new HashMap<>(environment);
@@ -118,9 +118,9 @@
         NodeConfigFile.write(
                 config,
                 name,
-                Listener.format(listen),
+                HttpListener.format(listen),
                 unusedAddress,
-                Listener.format(Listener.freeAddress(host)),
+                HttpListener.format(HttpListener.freeAddress(host)),
                 fleet.nextSeed(),
                 noServers,
                 balancerSettings(),
@@ -132,7 +132,7 @@
         ObjectNode config = JSON.createObjectNode()
                 .put("name", FLEET_NAME)
                 .put("member", name)
-                .put("bind", Listener.format(bind))
+                .put("bind", HttpListener.format(bind))
                 .put("advertise", advertisedAddress())
                 .put("periodMs", fleet.periodMillis());
         ArrayNode seeds = config.putArray("seeds");
--- a/harness/src/main/java/loadbalancer/harness/process/ProcessNode.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ProcessNode.java
@@ -67,8 +67,8 @@
         this.folder = Files.createDirectories(folder.resolve(name()));
         this.blockingTasks = blockingTasks;
         random = time.stream("node " + name());
-        listen = Listener.freeAddress(address);
-        control = Listener.freeAddress(address);
+        listen = HttpListener.freeAddress(address);
+        control = HttpListener.freeAddress(address);
     }
 
     /** Returns the id of its process, or -1 if it was never started. */
@@ -91,9 +91,9 @@
                 NodeConfigFile.write(
                         config,
                         name(),
-                        Listener.format(listen),
+                        HttpListener.format(listen),
                         discovery,
-                        Listener.format(control),
+                        HttpListener.format(control),
                         seed,
                         known,
                         settings(),
@@ -108,7 +108,7 @@
                                 "PROXY_CONFIG",
                                 config.toString(),
                                 "PROXY_LISTEN",
-                                Listener.format(listen),
+                                HttpListener.format(listen),
                                 "PROXY_DISCOVERY",
                                 discovery,
                                 "TMPDIR",
--- a/harness/src/main/java/loadbalancer/harness/process/ProcessRun.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ProcessRun.java
@@ -101,7 +101,7 @@
                     "127.3.0." + (1 + i),
                     time,
                     scenario.fleet().zones(),
-                    id -> Listener.format(links.link(nodeIndex, id).address()));
+                    id -> HttpListener.format(links.link(nodeIndex, id).address()));
             lists.add(list);
             FaultLink listLink =
                     new FaultLink(linkLoop, "127.5.0." + (1 + i), list.address(), time.stream("list link " + i));
@@ -113,7 +113,7 @@
                     time,
                     requests,
                     list,
-                    Listener.format(listLink.address()),
+                    HttpListener.format(listLink.address()),
                     deploy,
                     folder,
                     blockingTasks);
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimAttempt.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimulatedAttempt.java
@@ -6,9 +6,9 @@
 import loadbalancer.policy.LoadReport;
 
 /** One attempt of a simulated node: connects, sends the request, and waits for the reply or the timeout. */
-final class SimAttempt {
-    private final SimNode node;
-    private final SimRequest request;
+final class SimulatedAttempt {
+    private final SimulatedNode node;
+    private final SimulatedRequest request;
     private final int number;
     private final AppServer server;
     private final long sentAtUs;
@@ -17,7 +17,7 @@
     private boolean ended;
     private Timer timeout;
 
-    SimAttempt(SimNode node, SimRequest request, AppServer server) {
+    SimulatedAttempt(SimulatedNode node, SimulatedRequest request, AppServer server) {
         this.node = node;
         this.request = request;
         this.server = server;
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimConnections.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimulatedConnections.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** The model of a node's pool of connections to the app servers: idle connections and their last use. */
-final class SimConnections {
+final class SimulatedConnections {
     private final String node;
     private final Testbed testbed;
     private final Map<String, ServerPool> byServer = new HashMap<>();
@@ -16,7 +16,7 @@
         private long lastUsedUs;
     }
 
-    SimConnections(String node, Testbed testbed) {
+    SimulatedConnections(String node, Testbed testbed) {
         this.node = node;
         this.testbed = testbed;
     }
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimulatedNode.java
@@ -19,14 +19,14 @@
  * A node in simulated time: the real balancer with models of its connections. It does what the program does around the
  * balancer, and that processing takes no simulated time.
  */
-final class SimNode extends BaseNode implements BalancerActions {
+final class SimulatedNode extends BaseNode implements BalancerActions {
     private static final long DRAINED_POLL_INTERVAL_US = 10_000;
 
     private final Timeline time;
     private final SplittableRandom random;
     private final Policy policy;
-    private final SimConnections connections;
-    private final Map<Long, SimRequest> requests = new HashMap<>();
+    private final SimulatedConnections connections;
+    private final Map<Long, SimulatedRequest> requests = new HashMap<>();
     /** Null while its process does not run. */
     private Balancer balancer;
 
@@ -34,19 +34,19 @@
     private List<ServerEntry> lastFullList = List.of();
     private Timer wakeTimer;
 
-    SimNode(int number, Testbed testbed, Policy policy) {
+    SimulatedNode(int number, Testbed testbed, Policy policy) {
         super(number, testbed);
         this.policy = policy;
         time = testbed.time();
         random = time.stream("node " + name());
-        connections = new SimConnections(name(), testbed);
+        connections = new SimulatedConnections(name(), testbed);
     }
 
     SplittableRandom random() {
         return random;
     }
 
-    SimConnections connections() {
+    SimulatedConnections connections() {
         return connections;
     }
 
@@ -89,8 +89,8 @@
         wakeTimer = null;
         testbed().list().unfollow(name());
         history().killed();
-        for (SimRequest request : requests.values()) {
-            request.attempts.forEach(SimAttempt::abandon);
+        for (SimulatedRequest request : requests.values()) {
+            request.attempts.forEach(SimulatedAttempt::abandon);
             if (!request.ended) {
                 time.after(0, () -> request.listener.onResult(RequestResult.BROKEN));
             }
@@ -127,7 +127,7 @@
             time.after(0, () -> listener.onResult(RequestResult.UNREACHABLE));
             return;
         }
-        requests.put(request.id(), new SimRequest(request, listener, time.nowUs() + request.remainingUs()));
+        requests.put(request.id(), new SimulatedRequest(request, listener, time.nowUs() + request.remainingUs()));
         recordRequest(request);
         boolean markedAsRepeat =
                 request.repeat() && testbed().scenario().clients().marksRepeats();
@@ -145,7 +145,7 @@
 
     @Override
     public void clientGone(long requestId) {
-        SimRequest request = requests.get(requestId);
+        SimulatedRequest request = requests.get(requestId);
         if (request != null && !request.ended) {
             request.ended = true;
             history().clientGone(requestId);
@@ -165,7 +165,7 @@
     }
 
     /** Responds to a request. A second response is also written to the history, so that the checkers can detect it. */
-    void respond(SimRequest request, RequestResult result) {
+    void respond(SimulatedRequest request, RequestResult result) {
         history().response(request.id(), result.name());
         if (!request.ended) {
             request.ended = true;
@@ -174,12 +174,12 @@
         }
     }
 
-    void reportOutcome(SimRequest request, AttemptOutcome outcome) {
+    void reportOutcome(SimulatedRequest request, AttemptOutcome outcome) {
         balancer.onOutcome(time.nowUs(), outcome);
         removeIfFinished(request);
     }
 
-    private void removeIfFinished(SimRequest request) {
+    private void removeIfFinished(SimulatedRequest request) {
         if (request.isFinished()) {
             requests.remove(request.id());
         }
@@ -187,9 +187,9 @@
 
     @Override
     public void send(long requestId, String serverId, long beginByUs, long untilUs) {
-        SimRequest request = requests.get(requestId);
+        SimulatedRequest request = requests.get(requestId);
         AppServer server = testbed().servers().get(serverId);
-        SimAttempt attempt = new SimAttempt(this, request, server);
+        SimulatedAttempt attempt = new SimulatedAttempt(this, request, server);
         request.attempts.add(attempt);
         boolean crossesZones = server.zone() != zone();
         history().attempt(requestId, attempt.number(), serverId, crossesZones);
@@ -199,7 +199,7 @@
 
     @Override
     public void cancel(long requestId, int attempt) {
-        SimRequest request = requests.get(requestId);
+        SimulatedRequest request = requests.get(requestId);
         if (request != null) {
             request.attempts.get(attempt).cancel();
         }
@@ -216,7 +216,7 @@
     }
 
     private void respondIfPresent(long requestId, RequestResult result) {
-        SimRequest request = requests.get(requestId);
+        SimulatedRequest request = requests.get(requestId);
         if (request != null) {
             respond(request, result);
         }
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimRequest.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimulatedRequest.java
@@ -4,16 +4,16 @@
 import java.util.List;
 
 /** A request at a simulated node, from its arrival until its last attempt ends. */
-final class SimRequest {
+final class SimulatedRequest {
     final NodePort.ClientRequest request;
     final NodePort.ResponseListener listener;
     final long deadlineUs;
-    final List<SimAttempt> attempts = new ArrayList<>(1);
+    final List<SimulatedAttempt> attempts = new ArrayList<>(1);
     int attemptsInFlight;
     /** Whether the client has received its response or has disconnected. */
     boolean ended;
 
-    SimRequest(NodePort.ClientRequest request, NodePort.ResponseListener listener, long deadlineUs) {
+    SimulatedRequest(NodePort.ClientRequest request, NodePort.ResponseListener listener, long deadlineUs) {
         this.request = request;
         this.listener = listener;
         this.deadlineUs = deadlineUs;
--- a/harness/src/main/java/loadbalancer/harness/simulation/Testbed.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Testbed.java
@@ -59,7 +59,7 @@
     public static Testbed simulated(Scenario scenario, Timeline time, History history, Policy policy) {
         Testbed testbed = new Testbed(scenario, time, history);
         for (int i = 0; i < scenario.fleet().nodes(); i++) {
-            testbed.add(new SimNode(i, testbed, policy));
+            testbed.add(new SimulatedNode(i, testbed, policy));
         }
         return testbed;
     }
