--- a/cli/src/main/java/loadbalancer/cli/FleetDemo.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetDemo.java
@@ -23,7 +23,7 @@
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.scenario.ScenarioFile;
 import loadbalancer.harness.simulation.AppServer;
-import loadbalancer.harness.simulation.NodePort;
+import loadbalancer.harness.simulation.FleetNode;
 import loadbalancer.harness.simulation.Testbed;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -133,7 +133,7 @@
 
     private void show(PrintWriter out, long nowUs, Testbed testbed) {
         StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%3d s ", nowUs / 1_000_000));
-        for (NodePort node : testbed.nodes()) {
+        for (FleetNode node : testbed.nodes()) {
             line.append(String.format(Locale.ROOT, " %s%3d", node.name(), handled.getOrDefault(node.name(), 0)));
         }
         line.append(" |");
--- a/harness/src/main/java/loadbalancer/harness/fault/ActiveFault.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/ActiveFault.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import loadbalancer.harness.simulation.AppServer;
-import loadbalancer.harness.simulation.NodePort;
+import loadbalancer.harness.simulation.FleetNode;
 
 /**
  * A fault that has been injected and is active.
@@ -16,7 +16,7 @@
         return new ActiveFault(targets.stream().map(AppServer::id).toList(), heal);
     }
 
-    static ActiveFault nodes(List<NodePort> targets) {
-        return new ActiveFault(targets.stream().map(NodePort::name).toList(), () -> {});
+    static ActiveFault nodes(List<FleetNode> targets) {
+        return new ActiveFault(targets.stream().map(FleetNode::name).toList(), () -> {});
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/process/NodeClients.java
+++ b/harness/src/main/java/loadbalancer/harness/process/NodeClients.java
@@ -27,8 +27,8 @@
 import java.util.List;
 import java.util.Map;
 import loadbalancer.harness.scenario.Scenario;
-import loadbalancer.harness.simulation.NodePort.ClientRequest;
-import loadbalancer.harness.simulation.NodePort.RequestResult;
+import loadbalancer.harness.simulation.FleetNode.ClientRequest;
+import loadbalancer.harness.simulation.FleetNode.RequestResult;
 import loadbalancer.policy.Idempotency;
 
 /** The connections of clients to one node. Connections are kept alive, and more are opened when all are busy. */
--- a/harness/src/main/java/loadbalancer/harness/process/ProcessRun.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ProcessRun.java
@@ -23,7 +23,7 @@
 import loadbalancer.harness.run.Outcome;
 import loadbalancer.harness.run.SimulatedRun;
 import loadbalancer.harness.scenario.Scenario;
-import loadbalancer.harness.simulation.NodePort;
+import loadbalancer.harness.simulation.FleetNode;
 import loadbalancer.harness.simulation.Testbed;
 
 /**
@@ -144,7 +144,7 @@
         await(
                 "all nodes are up",
                 READY_TIMEOUT_MS,
-                () -> testbed.nodes().stream().allMatch(NodePort::isReady));
+                () -> testbed.nodes().stream().allMatch(FleetNode::isReady));
         long startedUs = onLoop(() -> {
             testbed.startClients();
             SimulatedRun.scheduleFaults(testbed, time);
--- a/harness/src/main/java/loadbalancer/harness/process/RequestRegistry.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RequestRegistry.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.BaseNode;
-import loadbalancer.harness.simulation.NodePort.ClientRequest;
+import loadbalancer.harness.simulation.FleetNode.ClientRequest;
 import loadbalancer.harness.simulation.Testbed;
 import loadbalancer.policy.AttemptResult;
 
--- a/harness/src/main/java/loadbalancer/harness/simulation/BaseNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/BaseNode.java
@@ -5,7 +5,7 @@
 import loadbalancer.policy.BalancerSettings;
 
 /** Base of simulated nodes and node processes: name, zone, settings, readiness, cordons and history. */
-public abstract class BaseNode implements NodePort {
+public abstract class BaseNode implements FleetNode {
     private final String name;
     private final int zone;
     private final BalancerSettings settings;
--- a/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import loadbalancer.harness.scenario.Scenario;
-import loadbalancer.harness.simulation.NodePort.ClientRequest;
-import loadbalancer.harness.simulation.NodePort.RequestResult;
+import loadbalancer.harness.simulation.FleetNode.ClientRequest;
+import loadbalancer.harness.simulation.FleetNode.RequestResult;
 import loadbalancer.harness.time.Timeline;
 import loadbalancer.harness.time.Timeline.Timer;
 import loadbalancer.policy.Idempotency;
@@ -145,7 +145,7 @@
         private final boolean abandons;
         private int tries;
         private int currentAttempt;
-        private NodePort node;
+        private FleetNode node;
         private long id;
         private Timer timeout;
 
@@ -183,7 +183,7 @@
                     : attemptTimeoutUs + 2 * scenario.rules().responseGraceUs();
             timeout = time.after(disconnectAfterUs, () -> {
                 currentAttempt++;
-                NodePort target = node;
+                FleetNode target = node;
                 long requestId = id;
                 if (target != null) {
                     time.after(testbed.links().clientDelay(stream.random), () -> target.clientGone(requestId));
@@ -199,7 +199,7 @@
                 time.after(0, () -> onResult(attempt, RequestResult.UNREACHABLE));
                 return;
             }
-            NodePort target = node;
+            FleetNode target = node;
             ClientRequest request = new ClientRequest(id, stream.classIndex, key, workUs, attemptTimeoutUs, tries > 1);
             time.after(
                     testbed.links().clientDelay(stream.random),
--- a/harness/src/main/java/loadbalancer/harness/simulation/NodePort.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/FleetNode.java
@@ -1,7 +1,7 @@
 package loadbalancer.harness.simulation;
 
-/** The interface of clients, the front and faults to one node, which is simulated or a process. */
-public interface NodePort {
+/** One node of the fleet, simulated or a process, as clients, the front and faults use it. */
+public interface FleetNode {
     /** Time after SIGTERM during which the front still sends new requests, until it notices. */
     long REQUESTS_AFTER_SIGTERM_US = 300_000;
     /** Time after SIGTERM at which the node is killed if it has not ended by then. */
--- a/harness/src/main/java/loadbalancer/harness/simulation/Front.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Front.java
@@ -6,19 +6,19 @@
 
 /** The front of all zones: sends each request to a random node that it considers alive. */
 final class Front {
-    private final List<NodePort> nodes;
+    private final List<FleetNode> nodes;
     private final Timeline time;
     private final long detectionDelayUs;
 
-    Front(List<NodePort> nodes, Timeline time, long detectionDelayUs) {
+    Front(List<FleetNode> nodes, Timeline time, long detectionDelayUs) {
         this.nodes = nodes;
         this.time = time;
         this.detectionDelayUs = detectionDelayUs;
     }
 
     /** Returns a node of this zone, or of any zone if this one has none considered alive; null if there is none. */
-    NodePort choose(int zone, SplittableRandom random) {
-        List<NodePort> alive = nodes.stream()
+    FleetNode choose(int zone, SplittableRandom random) {
+        List<FleetNode> alive = nodes.stream()
                 .filter(n -> n.zone() == zone && isPresumedAlive(n))
                 .toList();
         if (alive.isEmpty()) {
@@ -28,7 +28,7 @@
     }
 
     /** The front notices only after a delay that a node is not ready any more. */
-    private boolean isPresumedAlive(NodePort node) {
+    private boolean isPresumedAlive(FleetNode node) {
         return node.isReady()
                 || node.stateChangedAtUs() > 0 && time.nowUs() - node.stateChangedAtUs() < detectionDelayUs;
     }
--- a/harness/src/main/java/loadbalancer/harness/simulation/Score.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Score.java
@@ -65,22 +65,22 @@
     }
 
     /** Records the end of a request whose client has not disconnected. Only served requests enter the histogram. */
-    void onRequestEnd(int classIndex, long firstSentAtUs, long latencyUs, NodePort.RequestResult result) {
+    void onRequestEnd(int classIndex, long firstSentAtUs, long latencyUs, FleetNode.RequestResult result) {
         Scenario.RequestClass cls = scenario.classes().get(classIndex);
         int second = (int) Math.min((firstSentAtUs - startedUs) / SECOND_US, offeredBySecond.length - 1);
         offeredBySecond[second] += cls.priorityWeight();
         offeredByClass[classIndex] += cls.priorityWeight();
-        if (result == NodePort.RequestResult.OK) {
+        if (result == FleetNode.RequestResult.OK) {
             latency.recordValue(Math.min(latencyUs, MAX_LATENCY_US));
         }
-        if (result == NodePort.RequestResult.OK && latencyUs <= cls.latencyObjectiveUs()) {
+        if (result == FleetNode.RequestResult.OK && latencyUs <= cls.latencyObjectiveUs()) {
             earnedBySecond[second] += cls.priorityWeight();
             earnedByClass[classIndex] += cls.priorityWeight();
             inTime++;
         } else {
             lateWeight += latencyUs > cls.latencyObjectiveUs() ? cls.priorityWeight() : 0;
-            refused += result == NodePort.RequestResult.REFUSED ? 1 : 0;
-            failed += result == NodePort.RequestResult.OK || result == NodePort.RequestResult.REFUSED ? 0 : 1;
+            refused += result == FleetNode.RequestResult.REFUSED ? 1 : 0;
+            failed += result == FleetNode.RequestResult.OK || result == FleetNode.RequestResult.REFUSED ? 0 : 1;
         }
     }
 
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimulatedAttempt.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimulatedAttempt.java
@@ -140,7 +140,7 @@
         }
         node.history().outcome(request.id(), number, server.id(), result);
         if (result == AttemptResult.OK && !request.ended) {
-            node.respond(request, NodePort.RequestResult.OK);
+            node.respond(request, FleetNode.RequestResult.OK);
         }
         // The balancer may have cancelled this attempt while it handles an event: report the outcome after that event.
         node.schedule(0, () -> node.reportOutcome(request, outcome(result, report)));
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimulatedRequest.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimulatedRequest.java
@@ -5,15 +5,15 @@
 
 /** A request at a simulated node, from its arrival until its last attempt ends. */
 final class SimulatedRequest {
-    final NodePort.ClientRequest request;
-    final NodePort.ResponseListener listener;
+    final FleetNode.ClientRequest request;
+    final FleetNode.ResponseListener listener;
     final long deadlineUs;
     final List<SimulatedAttempt> attempts = new ArrayList<>(1);
     int attemptsInFlight;
     /** Whether the client has received its response or has disconnected. */
     boolean ended;
 
-    SimulatedRequest(NodePort.ClientRequest request, NodePort.ResponseListener listener, long deadlineUs) {
+    SimulatedRequest(FleetNode.ClientRequest request, FleetNode.ResponseListener listener, long deadlineUs) {
         this.request = request;
         this.listener = listener;
         this.deadlineUs = deadlineUs;
--- a/harness/src/main/java/loadbalancer/harness/simulation/Testbed.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Testbed.java
@@ -27,7 +27,7 @@
     private final Timeline time;
     private final History history;
     private final Map<String, AppServer> servers = new LinkedHashMap<>();
-    private final List<NodePort> nodes = new ArrayList<>();
+    private final List<FleetNode> nodes = new ArrayList<>();
     private final Links links;
     private final ListModel list;
     private final Front front;
@@ -51,7 +51,7 @@
     }
 
     /** Adds a node. Must be called before {@link #start}. */
-    public void add(NodePort node) {
+    public void add(FleetNode node) {
         nodes.add(node);
     }
 
@@ -70,7 +70,7 @@
             server.start(true);
             list.addInitial(entry(server));
         }
-        nodes.forEach(NodePort::start);
+        nodes.forEach(FleetNode::start);
     }
 
     /** Starts the clients, which send requests for the scenario's duration. */
@@ -124,7 +124,7 @@
         return servers;
     }
 
-    public List<NodePort> nodes() {
+    public List<FleetNode> nodes() {
         return nodes;
     }
 
@@ -138,7 +138,7 @@
     }
 
     /** Draws the work of one attempt; it varies between attempts of the same request. */
-    public double attemptWork(NodePort.ClientRequest request, SplittableRandom random) {
+    public double attemptWork(FleetNode.ClientRequest request, SplittableRandom random) {
         return request.workUs()
                 * Distributions.spread(
                         random, scenario.classes().get(request.classIndex()).attemptNoise());
