--- a/cli/src/main/java/loadbalancer/cli/FleetDemo.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetDemo.java
@@ -16,15 +16,15 @@
 import loadbalancer.harness.history.Event;
 import loadbalancer.harness.history.History;
 import loadbalancer.harness.process.DeployFile;
-import loadbalancer.harness.process.RealPlay;
+import loadbalancer.harness.process.ProcessRun;
 import loadbalancer.harness.run.Outcome;
 import loadbalancer.harness.run.SimulatedRun;
 import loadbalancer.harness.scenario.BadScenarioException;
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.scenario.ScenarioFile;
 import loadbalancer.harness.simulation.AppServer;
-import loadbalancer.harness.simulation.NodePort;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.FleetNode;
+import loadbalancer.harness.simulation.Testbed;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
@@ -84,7 +84,8 @@
         out.println("starting 3 nodes; 5 s in a server turns slow, 12 s in one fails all," + " 19 s in one is killed");
         out.println("each second, by node and by server: requests served; +n more in hand; ! is down");
         out.flush();
-        Outcome outcome = play(scenario, 1, null, event -> told(out, event), (nowUs, world) -> show(out, nowUs, world));
+        Outcome outcome =
+                play(scenario, 1, null, event -> told(out, event), (nowUs, testbed) -> show(out, nowUs, testbed));
         out.println(outcome.score());
         outcome.violations().forEach(violation -> out.println("BROKEN " + violation));
         out.println(outcome.keepsRules() ? "rules kept" : "rules broken");
@@ -97,13 +98,13 @@
             throws IOException, InterruptedException {
         DeployFile deploy = DeployFile.find(Path.of(""));
         Path folder = Files.createTempDirectory("lb-fleet");
-        RealPlay play = new RealPlay(scenario, seed, deploy, folder, history, reader);
-        Thread onEnd = new Thread(play::close, "end of the fleet");
+        ProcessRun run = new ProcessRun(scenario, seed, deploy, folder, history, reader);
+        Thread onEnd = new Thread(run::close, "end of the fleet");
         Runtime.getRuntime().addShutdownHook(onEnd);
         try {
-            return play.play(progress);
+            return run.run(progress);
         } finally {
-            play.close();
+            run.close();
             Runtime.getRuntime().removeShutdownHook(onEnd);
             delete(folder);
         }
@@ -130,13 +131,13 @@
         }
     }
 
-    private void show(PrintWriter out, long nowUs, World world) {
+    private void show(PrintWriter out, long nowUs, Testbed testbed) {
         StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%3d s ", nowUs / 1_000_000));
-        for (NodePort node : world.nodes()) {
+        for (FleetNode node : testbed.nodes()) {
             line.append(String.format(Locale.ROOT, " %s%3d", node.name(), handled.getOrDefault(node.name(), 0)));
         }
         line.append(" |");
-        for (AppServer server : world.servers().values()) {
+        for (AppServer server : testbed.servers().values()) {
             line.append(String.format(
                     Locale.ROOT,
                     " %s%s%d+%d",
--- a/harness/src/main/java/loadbalancer/harness/process/DatagramLink.java
+++ b/harness/src/main/java/loadbalancer/harness/process/DatagramLink.java
@@ -15,22 +15,25 @@
 import java.util.function.Predicate;
 
 /**
- * The way to one party over UDP, which can be hurt: it listens in place of that party and passes on what
- * comes. Who has sent is told by the address that it sent from, so each party needs one of its own.
+ * A UDP proxy that injects faults: it listens in place of its target and forwards each datagram. Senders are
+ * distinguished by their source address, so each member needs an address of its own.
+ *
+ * <p>Faults are applied on the event loop; the setters may be called from any thread.
  */
 public final class DatagramLink implements AutoCloseable {
-    /** Datagrams under way; what comes beyond is lost, as in a full buffer. */
-    private static final int MAX_QUEUED = 10_000;
+    /** Maximum number of datagrams in flight; further datagrams are dropped, as by a full buffer. */
+    private static final int MAX_IN_FLIGHT = 10_000;
 
     /**
-     * What is wrong.
+     * The faults of the link.
      *
-     * @param lost this share does not come through
-     * @param doubled this share comes twice
-     * @param delayUs how much longer it takes
-     * @param jitterUs and up to so much more, each datagram by itself: order is lost
+     * @param dropShare share of datagrams that are dropped
+     * @param duplicateShare share of datagrams that are delivered twice
+     * @param delayUs additional delay
+     * @param jitterUs exclusive upper bound of a random delay added to each datagram; it can reorder datagrams; 0 for
+     *    none
      */
-    public record Faults(double lost, double doubled, long delayUs, long jitterUs) {
+    public record Faults(double dropShare, double duplicateShare, long delayUs, long jitterUs) {
         public static final Faults NONE = new Faults(0, 0, 0, 0);
     }
 
@@ -39,11 +42,11 @@
     private final SplittableRandom random;
     private final Channel channel;
     private Faults faults = Faults.NONE;
-    private Predicate<InetAddress> cut = from -> false;
-    private int held;
+    private Predicate<InetAddress> blockedSources = from -> false;
+    private int inFlight;
 
-    /** Listens at this address; called from outside the loop. */
-    public DatagramLink(EventLoop loop, InetSocketAddress at, InetSocketAddress target, SplittableRandom random) {
+    /** Binds to this address and waits for it; must not be called on the loop. */
+    public DatagramLink(EventLoop loop, InetSocketAddress address, InetSocketAddress target, SplittableRandom random) {
         this.loop = loop;
         this.target = target;
         this.random = random;
@@ -53,39 +56,39 @@
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-                        came(packet);
+                        onDatagram(packet);
                     }
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                        // Nobody listens at the target just now: what is sent there is lost.
+                        // The target is not listening at the moment: datagrams to it are lost.
                     }
                 })
-                .bind(at)
+                .bind(address)
                 .syncUninterruptibly()
                 .channel();
     }
 
-    public void set(Faults to) {
-        loop.execute(() -> faults = to);
+    public void set(Faults newFaults) {
+        loop.execute(() -> faults = newFaults);
     }
 
-    /** From now on nothing comes through from these. */
-    public void cut(Predicate<InetAddress> from) {
-        loop.execute(() -> cut = from);
+    /** Drops datagrams from these senders from now on, and from no others. */
+    public void blockFrom(Predicate<InetAddress> from) {
+        loop.execute(() -> blockedSources = from);
     }
 
-    private void came(DatagramPacket packet) {
-        if (cut.test(packet.sender().getAddress()) || random.nextDouble() < faults.lost()) {
+    private void onDatagram(DatagramPacket packet) {
+        if (blockedSources.test(packet.sender().getAddress()) || random.nextDouble() < faults.dropShare()) {
             return;
         }
-        for (int i = random.nextDouble() < faults.doubled() ? 2 : 1; i > 0 && held < MAX_QUEUED; i--) {
+        for (int i = random.nextDouble() < faults.duplicateShare() ? 2 : 1; i > 0 && inFlight < MAX_IN_FLIGHT; i--) {
             ByteBuf bytes = packet.content().copy();
             long jitterUs = faults.jitterUs() == 0 ? 0 : random.nextLong(faults.jitterUs());
-            held++;
+            inFlight++;
             loop.schedule(
                     () -> {
-                        held--;
+                        inFlight--;
                         channel.writeAndFlush(new DatagramPacket(bytes, target));
                     },
                     faults.delayUs() + jitterUs,
--- a/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
+++ b/harness/src/main/java/loadbalancer/harness/process/FakeServer.java
@@ -14,29 +14,29 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 import loadbalancer.harness.simulation.AppServer;
+import loadbalancer.harness.simulation.Testbed;
 import loadbalancer.harness.simulation.Work;
-import loadbalancer.harness.simulation.World;
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.LoadReport;
 
-/** A fake app server: HTTP on loopback, whose timing and results are those of the model. */
+/** A fake app server: serves HTTP on loopback with the timing and the results of its model. */
 final class FakeServer {
     private final AppServer server;
-    private final World world;
-    private final RealTimeline time;
+    private final Testbed testbed;
+    private final SystemTimeline time;
     private final RequestRegistry requests;
     private final SplittableRandom random;
-    private final Listener listener;
+    private final HttpListener listener;
 
-    FakeServer(AppServer server, String address, World world, RealTimeline time, RequestRegistry requests) {
+    FakeServer(AppServer server, String address, Testbed testbed, SystemTimeline time, RequestRegistry requests) {
         this.server = server;
-        this.world = world;
+        this.testbed = testbed;
         this.time = time;
         this.requests = requests;
-        // The name of the stream stays, as it makes the stream's seed.
+        // The stream's seed is derived from its name, so this literal must not change.
         random = time.stream("stand-in " + server.id());
-        listener = new Listener(time.loop(), address, Connection::new);
-        // Once from outside the loop, so that its port is known.
+        listener = new HttpListener(time.loop(), address, Connection::new);
+        // The first call runs outside the loop, so it waits until the port is known.
         listener.open();
     }
 
@@ -44,13 +44,13 @@
         return listener.address();
     }
 
-    /** Whether connections to it are taken: by its process, or by a machine that says nothing. */
+    /** Whether connections to it are accepted: its process runs, or its machine is unreachable but accepts them. */
     boolean isOpen() {
         return server.isUp() || server.isUnreachable();
     }
 
-    /** Follows the model: a silent machine's connections stay open, a dead process's are reset. */
-    void follow() {
+    /** Applies the state of the model: an unreachable machine keeps its connections, a dead process resets them. */
+    void syncWithModel() {
         if (isOpen()) {
             listener.open();
         } else {
@@ -62,16 +62,16 @@
         listener.close();
     }
 
-    /** One connection of a node: one request at a time. */
+    /** One connection of a node, with one request at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private RequestRegistry.Attempt attempt;
         private AppServer.Job job;
-        private boolean counted;
+        private boolean connectionCounted;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            counted = server.isUnreachable() || server.connect("any");
-            if (!counted) {
+            connectionCounted = server.isUnreachable() || server.connect("any");
+            if (!connectionCounted) {
                 context.close();
             }
         }
@@ -86,13 +86,13 @@
             }
             attempt = sent;
             int nodeZone = sent.node().zone();
-            if (server.isUnreachable() || world.links().isCut(nodeZone, server.zone())) {
+            if (server.isUnreachable() || testbed.links().isBlocked(nodeZone, server.zone())) {
                 return;
             }
             long remainingUs =
                     Long.parseLong(request.headers().get("X-Remaining").replace("u", ""));
             long untilUs = time.nowUs() + remainingUs;
-            time.after(world.links().delay(random, nodeZone, server.zone()), () -> {
+            time.after(testbed.links().delay(random, nodeZone, server.zone()), () -> {
                 if (attempt == sent) {
                     job = server.submit(
                             new Work(
@@ -101,7 +101,7 @@
                                     sent.number(),
                                     sent.request().classIndex(),
                                     sent.request().key(),
-                                    world.attemptWork(sent.request(), random),
+                                    testbed.attemptWork(sent.request(), random),
                                     untilUs),
                             (result, report) -> onReply(context, sent, result, report));
                 }
@@ -109,18 +109,23 @@
         }
 
         private void onReply(
-                ChannelHandlerContext context, RequestRegistry.Attempt of, AttemptResult result, LoadReport report) {
-            int nodeZone = of.node().zone();
-            if (attempt != of || server.isUnreachable() || world.links().isCut(server.zone(), nodeZone)) {
+                ChannelHandlerContext context,
+                RequestRegistry.Attempt repliedAttempt,
+                AttemptResult result,
+                LoadReport report) {
+            int nodeZone = repliedAttempt.node().zone();
+            if (attempt != repliedAttempt
+                    || server.isUnreachable()
+                    || testbed.links().isBlocked(server.zone(), nodeZone)) {
                 return;
             }
-            time.after(world.links().delay(random, server.zone(), nodeZone), () -> {
-                if (attempt != of) {
+            time.after(testbed.links().delay(random, server.zone(), nodeZone), () -> {
+                if (attempt != repliedAttempt) {
                     return;
                 }
                 end(result);
                 switch (result) {
-                    case OK -> respond(context, HttpResponseStatus.OK, of.txn(), false, report);
+                    case OK -> respond(context, HttpResponseStatus.OK, repliedAttempt.txn(), false, report);
                     case ERROR -> respond(context, HttpResponseStatus.INTERNAL_SERVER_ERROR, "error", false, report);
                     case FULL -> respond(context, HttpResponseStatus.SERVICE_UNAVAILABLE, "full", true, report);
                     default -> context.close();
@@ -166,7 +171,7 @@
                 server.abandon(job);
                 end(server.isUp() || server.isUnreachable() ? AttemptResult.CANCELLED : AttemptResult.RESET);
             }
-            if (counted) {
+            if (connectionCounted) {
                 server.disconnect("any");
             }
         }
--- a/harness/src/main/java/loadbalancer/harness/process/ServerLinks.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ServerLinks.java
@@ -12,20 +12,20 @@
 import loadbalancer.harness.process.FaultLink.Faults;
 import loadbalancer.harness.simulation.Links;
 
-/** The ways of nodes to app servers, a fault link for each pair, on a loop of their own. */
-final class ServerLinks implements Links.Carrier {
+/** The links of nodes to app servers: a fault link for each pair, all on one event loop. */
+final class ServerLinks implements Links.FaultInjector {
     private final EventLoop loop;
     private final SplittableRandom random;
     private final Map<String, Map<Integer, FaultLink>> byServer = new LinkedHashMap<>();
-    private final Map<String, Long> slower = new HashMap<>();
-    private final Set<String> mute = new HashSet<>();
+    private final Map<String, Long> extraDelaysUs = new HashMap<>();
+    private final Set<String> mutedServers = new HashSet<>();
 
     ServerLinks(EventLoop loop, SplittableRandom random) {
         this.loop = loop;
         this.random = random;
     }
 
-    /** One more; called from outside the loop. */
+    /** Adds the link of a node to an app server; must not be called on the loop. */
     void add(int node, String server, InetSocketAddress target) {
         byServer.computeIfAbsent(server, id -> new LinkedHashMap<>())
                 .put(node, new FaultLink(loop, "127.4.0." + (1 + node), target, random.split()));
@@ -35,43 +35,43 @@
         return byServer.get(server).get(node);
     }
 
-    private Iterable<FaultLink> to(String server) {
+    private Iterable<FaultLink> linksTo(String server) {
         return byServer.getOrDefault(server, Map.of()).values();
     }
 
-    /** The server takes connections, or none any more: a link that still did would tell another story. */
-    void follow(String server, boolean open) {
-        to(server).forEach(link -> link.setOpen(open));
+    /** Makes the links accept connections only while the server does, so that no node can connect to a dead server. */
+    void setOpen(String server, boolean open) {
+        linksTo(server).forEach(link -> link.setOpen(open));
     }
 
     @Override
-    public void slow(String server, long us) {
-        slower.put(server, us);
-        hurt(server);
+    public void setExtraDelay(String server, long delayUs) {
+        extraDelaysUs.put(server, delayUs);
+        applyFaults(server);
     }
 
     @Override
-    public void mute(String server, boolean to) {
-        if (to) {
-            mute.add(server);
+    public void setMuted(String server, boolean muted) {
+        if (muted) {
+            mutedServers.add(server);
         } else {
-            mute.remove(server);
+            mutedServers.remove(server);
         }
-        hurt(server);
+        applyFaults(server);
     }
 
-    /** From all that is wrong with a server's links: the end of one fault must not end another. */
-    private void hurt(String server) {
-        Faults slow = Faults.delayed(slower.getOrDefault(server, 0L), 0);
-        for (FaultLink link : to(server)) {
-            link.set(Direction.TO_TARGET, slow);
-            link.set(Direction.FROM_TARGET, mute.contains(server) ? Faults.BLOCKED : slow);
+    /** Applies all present faults of a server's links together, so that the end of one fault does not end another. */
+    private void applyFaults(String server) {
+        Faults delayed = Faults.delayed(extraDelaysUs.getOrDefault(server, 0L), 0);
+        for (FaultLink link : linksTo(server)) {
+            link.set(Direction.TO_TARGET, delayed);
+            link.set(Direction.FROM_TARGET, mutedServers.contains(server) ? Faults.BLOCKED : delayed);
         }
     }
 
     @Override
     public void reset(String server) {
-        to(server).forEach(FaultLink::reset);
+        linksTo(server).forEach(FaultLink::reset);
     }
 
     void close() {
--- a/harness/src/main/java/loadbalancer/harness/simulation/AppServer.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/AppServer.java
@@ -19,18 +19,17 @@
 import loadbalancer.policy.LoadReport;
 
 /**
- * The model of one app server. Its cores are shared evenly by the jobs in its slots; further jobs wait
- * in a queue, and beyond that are rejected. It is less efficient the more it holds, pauses now and then, starts
- * cold, falls over when it gets far too much while it is, and does a request with a key that it remembers in
- * less time.
+ * The model of one app server. The jobs in its slots share its cores evenly; further jobs wait in a queue and are
+ * rejected once the queue is full. Its efficiency falls with the number of jobs, and it pauses from time to time. It
+ * starts cold and crashes if it is overloaded while cold. A request with a cached key takes less work.
  */
 public final class AppServer {
-    /** How often a cold server's pace is worked out anew, as it rises all the time. */
-    private static final long WARMING_STEP_US = 50_000;
-    /** An error comes back this quickly, and costs no work. */
-    private static final long ERROR_US = 1_000;
-    /** What is left of a request at which it counts as done: rounding of times to microseconds. */
-    private static final double DONE_US = 0.5;
+    /** Interval at which a cold server's speed is recomputed, as it rises continuously. */
+    private static final long WARM_UP_STEP_US = 50_000;
+    /** Latency of an error response, which costs no work. */
+    private static final long ERROR_LATENCY_US = 1_000;
+    /** Remaining work at which a job counts as completed, as times are rounded to microseconds. */
+    private static final double COMPLETION_TOLERANCE_US = 0.5;
 
     private final String id;
     private final int zone;
@@ -38,7 +37,7 @@
     private final Scenario.Rules rules;
     private final Scenario.Net net;
     private final double meanWorkUs;
-    private final Runnable onCollapse;
+    private final Runnable onOverloadCrash;
     private final double speed;
     private final Timeline time;
     private final History history;
@@ -50,53 +49,53 @@
     private double errorShare;
     private long startedUs;
     private boolean cold;
-    /** The work that a job has had that runs since the beginning, and when that was computed. */
-    private double progress;
+    /** Work done so far for a job that has run since the beginning, as of {@code progressAtUs}. */
+    private double progressUs;
 
     private long progressAtUs;
     private boolean paused;
     private final PriorityQueue<Job> running = new PriorityQueue<>(
-            Comparator.comparingDouble((Job job) -> job.doneAtProgress).thenComparingLong(job -> job.number));
+            Comparator.comparingDouble((Job job) -> job.doneAtProgressUs).thenComparingLong(job -> job.number));
     private final ArrayDeque<Job> queued = new ArrayDeque<>();
-    private long jobs;
+    private long jobCount;
     private Timer nextStep;
-    /** Counts starts and ends: what one incarnation has scheduled must not run in another. */
+    /** Incremented on each start and end: a task scheduled by one incarnation must not run in another. */
     private int incarnation;
 
     private final LinkedHashMap<String, Long> cachedKeys = new LinkedHashMap<>(16, 0.75f, true);
-    private final ArrayDeque<Arrival> pressure = new ArrayDeque<>();
-    private double pressureUs;
+    private final ArrayDeque<Arrival> recentWork = new ArrayDeque<>();
+    private double recentWorkUs;
     private final Map<String, Integer> connections = new HashMap<>();
     private int connected;
-    private double[] reported = {0, 0};
+    private double[] visibleReport = {0, 0};
     private long reportedAtUs = Long.MIN_VALUE / 2;
     private double workDoneUs;
     private double workWastedUs;
 
-    /** How an attempt at it ends; called on the timeline. */
-    public interface Reply extends BiConsumer<AttemptResult, LoadReport> {}
+    /** Receives the result of an attempt and a load report, or null; called on the timeline. */
+    public interface ResultListener extends BiConsumer<AttemptResult, LoadReport> {}
 
     private record Arrival(long atUs, double workUs) {}
 
-    /** Something that it has taken. */
+    /** An attempt that the server has accepted. */
     public static final class Job {
         private final long number;
         private final Work work;
         private final double workUs;
-        private final Reply reply;
-        private double doneAtProgress;
+        private final ResultListener listener;
+        private double doneAtProgressUs;
         private boolean abandoned;
 
-        private Job(long number, Work work, double workUs, Reply reply) {
+        private Job(long number, Work work, double workUs, ResultListener listener) {
             this.number = number;
             this.work = work;
             this.workUs = workUs;
-            this.reply = reply;
+            this.listener = listener;
         }
     }
 
-    /** @param onCollapse called once it has fallen over; starting it again is the caller's */
-    AppServer(int number, String id, Scenario scenario, Timeline time, History history, Runnable onCollapse) {
+    /** @param onOverloadCrash called after a crash by overload; the caller restarts the server */
+    AppServer(int number, String id, Scenario scenario, Timeline time, History history, Runnable onOverloadCrash) {
         this.id = id;
         Scenario.Fleet fleet = scenario.fleet();
         zone = fleet.zoneOfServer(number);
@@ -104,12 +103,12 @@
         this.rules = scenario.rules();
         net = scenario.net();
         meanWorkUs = scenario.meanWorkUs();
-        this.onCollapse = onCollapse;
+        this.onOverloadCrash = onOverloadCrash;
         this.time = time;
         this.history = history;
         random = time.stream("server " + id);
-        double drawn = kind.speed() * Distributions.spread(random, kind.speedCv());
-        speed = fleet.speeds().isEmpty() ? drawn : fleet.speeds().get(number);
+        double randomSpeed = kind.speed() * Distributions.spread(random, kind.speedCv());
+        speed = fleet.speeds().isEmpty() ? randomSpeed : fleet.speeds().get(number);
     }
 
     public String id() {
@@ -120,7 +119,7 @@
         return zone;
     }
 
-    /** Whether its process runs; a silent machine's does. */
+    /** Whether its process runs; false while it is unreachable. */
     public boolean isUp() {
         return up;
     }
@@ -129,17 +128,17 @@
         return unreachable;
     }
 
-    /** When it last started; 0 if it was up and warm as the run began. */
+    /** Returns the time of its last start, or 0 if it was started warm, before the run. */
     public long startedUs() {
         return startedUs;
     }
 
-    /** Requests in its slots and its queue. */
+    /** Returns the number of requests in its slots and its queue. */
     public int requestCount() {
         return running.size() + queued.size();
     }
 
-    /** Work on a standard core that it can do in a second when warm and not crowded. */
+    /** Returns the work of a standard core that it can do per unit of time when it is warm and not congested. */
     public double capacity() {
         return kind.cores() * speed;
     }
@@ -148,17 +147,17 @@
         return workDoneUs;
     }
 
-    /** The same as it is now, with what a cold start, slowness and errors take off it. */
-    public double presentCapacity() {
-        return up ? Math.max(1e-9, capacity() * warmth() / slowdown * (1 - errorShare)) : 1e-9;
+    /** Returns the capacity reduced by warm-up, slowdown and errors; nearly 0 while the server is down. */
+    public double currentCapacity() {
+        return up ? Math.max(1e-9, capacity() * warmUpFactor() / slowdown * (1 - errorShare)) : 1e-9;
     }
 
-    /** Work that it did for nobody: abandoned before it was done, or lost with the process. */
+    /** Returns the work whose result nobody received: its attempt was abandoned, or the process ended. */
     public double workWastedUs() {
         return workWastedUs;
     }
 
-    /** Starts it; a warm start is for what ran before the run began. */
+    /** Starts it; {@code warm} for a server that already ran before the run began. */
     public void start(boolean warm) {
         up = true;
         unreachable = false;
@@ -170,7 +169,7 @@
         schedulePause(incarnation);
     }
 
-    /** Ends its process at once: what it holds is reset. */
+    /** Ends its process at once and resets all of its jobs. */
     public void kill() {
         if (!up) {
             return;
@@ -180,39 +179,39 @@
         incarnation++;
         history.add(id, Kind.KILLED);
         while (!running.isEmpty()) {
-            Job broken = running.poll();
-            workWastedUs += broken.workUs - Math.max(0, broken.doneAtProgress - progress);
-            end(broken, AttemptResult.RESET);
+            Job interrupted = running.poll();
+            workWastedUs += interrupted.workUs - Math.max(0, interrupted.doneAtProgressUs - progressUs);
+            end(interrupted, AttemptResult.RESET);
         }
         while (!queued.isEmpty()) {
             end(queued.poll(), AttemptResult.RESET);
         }
         cachedKeys.clear();
-        pressure.clear();
-        pressureUs = 0;
+        recentWork.clear();
+        recentWorkUs = 0;
         connections.clear();
         connected = 0;
         paused = false;
     }
 
-    /** All its connections break: what is in its slots goes on, for nobody. */
-    void breakConnections() {
-        List<Job> broken = new ArrayList<>(running);
-        broken.addAll(queued);
+    /** Resets all of its connections. Jobs in its slots continue, but their results are discarded. */
+    void resetConnections() {
+        List<Job> interrupted = new ArrayList<>(running);
+        interrupted.addAll(queued);
         queued.clear();
-        for (Job job : broken) {
+        for (Job job : interrupted) {
             end(job, AttemptResult.RESET);
             job.abandoned = true;
         }
     }
 
-    /** Its machine says nothing any more, though connections stay open; ended by {@link #start}. */
+    /** Makes its machine stop responding while connections stay open, until {@link #start}. */
     public void becomeUnreachable() {
         kill();
         unreachable = true;
     }
 
-    /** Makes all work from now on take this many times as long. */
+    /** Makes all work take this many times as long from now on. */
     public void setSlowdown(double factor) {
         updateProgress();
         slowdown = factor;
@@ -232,8 +231,8 @@
                 return;
             }
             setPaused(true);
-            double grown = 1 + kind.pauseGrow() * requestCount() / Math.max(1, kind.slots());
-            time.after(Math.round(kind.pauseUs() * grown * Distributions.spread(random, 0.3)), () -> {
+            double pauseFactor = 1 + kind.pauseGrow() * requestCount() / Math.max(1, kind.slots());
+            time.after(Math.round(kind.pauseUs() * pauseFactor * Distributions.spread(random, 0.3)), () -> {
                 if (scheduledBy == incarnation) {
                     setPaused(false);
                     schedulePause(scheduledBy);
@@ -242,26 +241,26 @@
         });
     }
 
-    private void setPaused(boolean to) {
+    private void setPaused(boolean isPaused) {
         updateProgress();
-        paused = to;
+        paused = isPaused;
         scheduleNextStep();
     }
 
     // ---------------------------------------------------------------- connections
 
-    /** Whether one more connection from this node is taken; it costs work. */
+    /** Accepts one more connection from this node, unless it is down or at its limit. A handshake costs work. */
     public boolean connect(String node) {
         if (!up || connected >= kind.cores() * net.connectionsPerCore()) {
             return false;
         }
         connected++;
         connections.merge(node, 1, Integer::sum);
-        recordPressure(net.handshakeWorkUs());
+        recordWork(net.handshakeWorkUs());
         return true;
     }
 
-    /** A connection has been closed by the node. */
+    /** The node has closed a connection. */
     public void disconnect(String node) {
         if (connections.getOrDefault(node, 0) > 0) {
             connections.merge(node, -1, Integer::sum);
@@ -272,37 +271,37 @@
     // ---------------------------------------------------------------- work
 
     /**
-     * Takes an attempt, all of which has arrived. The reply comes later, never from inside this call; a
-     * silent machine gives none.
+     * Submits an attempt that has arrived completely. The reply is delivered later, never from within this call; an
+     * unreachable server sends none.
      *
-     * @return what to abandon by {@link #abandon}, or null
+     * @return the job, for {@link #abandon}, or null if the attempt was not accepted
      */
-    public Job submit(Work work, Reply reply) {
+    public Job submit(Work work, ResultListener listener) {
         if (unreachable) {
             return null;
         }
         if (!up) {
-            time.after(0, () -> reply.accept(AttemptResult.CONNECT_FAILED, null));
+            time.after(0, () -> listener.accept(AttemptResult.CONNECT_FAILED, null));
             return null;
         }
-        recordPressure(work.workUs());
+        recordWork(work.workUs());
         if (!up) {
-            time.after(0, () -> reply.accept(AttemptResult.RESET, null));
+            time.after(0, () -> listener.accept(AttemptResult.RESET, null));
             return null;
         }
         if (random.nextDouble() < Math.max(errorShare, kind.errorRate())) {
             int scheduledBy = incarnation;
             time.after(
-                    ERROR_US,
-                    () -> reply.accept(
+                    ERROR_LATENCY_US,
+                    () -> listener.accept(
                             scheduledBy == incarnation ? AttemptResult.ERROR : AttemptResult.RESET, report()));
             return null;
         }
         if (running.size() >= kind.slots() * kind.cores() && queued.size() >= kind.queue() * kind.cores()) {
-            time.after(0, () -> reply.accept(AttemptResult.FULL, report()));
+            time.after(0, () -> listener.accept(AttemptResult.FULL, report()));
             return null;
         }
-        Job job = new Job(jobs++, work, work.workUs() * (hasCached(work.key()) ? 1 - kind.keyGain() : 1), reply);
+        Job job = new Job(jobCount++, work, work.workUs() * (hasCached(work.key()) ? 1 - kind.keyGain() : 1), listener);
         updateProgress();
         if (running.size() < kind.slots() * kind.cores()) {
             startJob(job);
@@ -313,7 +312,7 @@
         return job;
     }
 
-    /** Nobody waits for it any more; what waits is dropped, what is in work goes on, for nothing. */
+    /** Marks the result as no longer needed: a queued job is dropped, a running job continues and is wasted. */
     public void abandon(Job job) {
         if (job != null && !job.abandoned) {
             job.abandoned = true;
@@ -322,7 +321,7 @@
     }
 
     private void startJob(Job job) {
-        job.doneAtProgress = progress + job.workUs;
+        job.doneAtProgressUs = progressUs + job.workUs;
         running.add(job);
     }
 
@@ -337,27 +336,31 @@
         return at != null && time.nowUs() - at <= kind.keyCacheUs();
     }
 
-    /** A cold server that gets far more than it can do for too long falls over. */
-    private void recordPressure(double workUs) {
+    /**
+     * Records arriving work, and crashes a cold server if the work of the last {@code overloadUs} exceeds its capacity
+     * by more than the overload multiple. The limit allows for random variation of the arrivals.
+     */
+    private void recordWork(double workUs) {
         if (!cold) {
             return;
         }
         long now = time.nowUs();
-        pressure.add(new Arrival(now, workUs));
-        pressureUs += workUs;
-        while (pressure.peek().atUs < now - rules.overloadUs()) {
-            pressureUs -= pressure.poll().workUs;
+        recentWork.add(new Arrival(now, workUs));
+        recentWorkUs += workUs;
+        while (recentWork.peek().atUs < now - rules.overloadUs()) {
+            recentWorkUs -= recentWork.poll().workUs;
         }
-        cold = warmth() < 1;
-        double bearable = rules.overloadMultiple() * capacity() * warmth() * rules.overloadUs() / meanWorkUs;
-        if (cold && pressureUs > (bearable + 2 * Math.sqrt(bearable) + 2) * meanWorkUs) {
-            history.add(id, Kind.FELL, "work", pressureUs);
+        cold = warmUpFactor() < 1;
+        double sustainableRequests =
+                rules.overloadMultiple() * capacity() * warmUpFactor() * rules.overloadUs() / meanWorkUs;
+        if (cold && recentWorkUs > (sustainableRequests + 2 * Math.sqrt(sustainableRequests) + 2) * meanWorkUs) {
+            history.add(id, Kind.FELL, "work", recentWorkUs);
             kill();
-            onCollapse.run();
+            onOverloadCrash.run();
         }
     }
 
-    private double warmth() {
+    private double warmUpFactor() {
         return !cold
                 ? 1
                 : Math.min(
@@ -368,19 +371,19 @@
                                         / Math.max(1, kind.warmUpUs()));
     }
 
-    /** By how much work each running job progresses in a microsecond. */
-    private double pace() {
+    /** Returns the work done for each running job per microsecond. */
+    private double ratePerJob() {
         if (paused || running.isEmpty()) {
             return 0;
         }
         double efficiency =
                 1 / (1 + kind.thrash() * Math.max(0, requestCount() - kind.thrashAt() * kind.cores()) / kind.cores());
-        return speed * warmth() * efficiency / slowdown * Math.min(1, (double) kind.cores() / running.size());
+        return speed * warmUpFactor() * efficiency / slowdown * Math.min(1, (double) kind.cores() / running.size());
     }
 
     private void updateProgress() {
         long now = time.nowUs();
-        progress += pace() * (now - progressAtUs);
+        progressUs += ratePerJob() * (now - progressAtUs);
         progressAtUs = now;
     }
 
@@ -389,14 +392,14 @@
             nextStep.cancel();
             nextStep = null;
         }
-        double pace = pace();
-        if (pace == 0) {
+        double ratePerJob = ratePerJob();
+        if (ratePerJob == 0) {
             return;
         }
-        double remainingUs = Math.max(0, running.peek().doneAtProgress - progress) / pace;
+        double remainingUs = Math.max(0, running.peek().doneAtProgressUs - progressUs) / ratePerJob;
         long atUs = time.nowUs() + (long) Math.ceil(Math.min(remainingUs, 1e12));
         int scheduledBy = incarnation;
-        nextStep = time.at(cold ? Math.min(atUs, time.nowUs() + WARMING_STEP_US) : atUs, () -> {
+        nextStep = time.at(cold ? Math.min(atUs, time.nowUs() + WARM_UP_STEP_US) : atUs, () -> {
             if (scheduledBy == incarnation) {
                 completeDue();
             }
@@ -405,8 +408,8 @@
 
     private void completeDue() {
         updateProgress();
-        cold = cold && warmth() < 1;
-        while (!running.isEmpty() && running.peek().doneAtProgress <= progress + DONE_US) {
+        cold = cold && warmUpFactor() < 1;
+        while (!running.isEmpty() && running.peek().doneAtProgressUs <= progressUs + COMPLETION_TOLERANCE_US) {
             Job done = running.poll();
             workDoneUs += done.workUs;
             if (done.abandoned) {
@@ -438,22 +441,25 @@
     private void end(Job job, AttemptResult result) {
         if (!job.abandoned) {
             LoadReport report = result == AttemptResult.RESET ? null : report();
-            time.after(0, () -> job.reply.accept(result, report));
+            time.after(0, () -> job.listener.accept(result, report));
         }
     }
 
-    /** Its load report, requests in its queue and in all: refreshed now and then, late and noisy. */
+    /**
+     * Returns its load report: requests in the queue and in total. It is refreshed at an interval, becomes visible
+     * after a delay, and contains noise.
+     */
     private LoadReport report() {
         long now = time.nowUs();
         if (now - reportedAtUs >= kind.reportEveryUs()) {
             reportedAtUs = now;
-            double[] fresh = {noisy(queued.size()), noisy(requestCount())};
-            time.after(kind.reportDelayUs(), () -> reported = fresh);
+            double[] sampled = {withNoise(queued.size()), withNoise(requestCount())};
+            time.after(kind.reportDelayUs(), () -> visibleReport = sampled);
         }
-        return LoadReport.of(reported);
+        return LoadReport.of(visibleReport);
     }
 
-    private double noisy(int count) {
+    private double withNoise(int count) {
         return Math.max(0, count * (1 + kind.reportNoise() * Distributions.gaussian(random)));
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/BaseNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/BaseNode.java
@@ -4,25 +4,25 @@
 import java.util.TreeSet;
 import loadbalancer.policy.BalancerSettings;
 
-/** What a simulated node and a process have in common: place, settings, readiness, cordons and history. */
-public abstract class BaseNode implements NodePort {
+/** Base of simulated nodes and node processes: name, zone, settings, readiness, cordons and history. */
+public abstract class BaseNode implements FleetNode {
     private final String name;
     private final int zone;
     private final BalancerSettings settings;
-    private final World world;
+    private final Testbed testbed;
     private final NodeHistory history;
     private final Set<String> cordoned = new TreeSet<>();
     private boolean ready;
     private long stateChangedAtUs;
     private int incarnation;
 
-    /** Node {@code number} of the world's scenario. */
-    protected BaseNode(int number, World world) {
+    /** Creates node {@code number} of the scenario. */
+    protected BaseNode(int number, Testbed testbed) {
         name = "n" + number;
-        zone = world.scenario().fleet().zoneOfNode(number);
-        settings = world.settings(number);
-        this.world = world;
-        history = new NodeHistory(name, world.history());
+        zone = testbed.scenario().fleet().zoneOfNode(number);
+        settings = testbed.settings(number);
+        this.testbed = testbed;
+        history = new NodeHistory(name, testbed.history());
     }
 
     @Override
@@ -45,35 +45,35 @@
         return stateChangedAtUs;
     }
 
-    /** Where its events are written. */
+    /** Returns the writer of its events. */
     public final NodeHistory history() {
         return history;
     }
 
-    protected final World world() {
-        return world;
+    protected final Testbed testbed() {
+        return testbed;
     }
 
     protected final BalancerSettings settings() {
         return settings;
     }
 
-    /** The servers that operators have cordoned at it. */
+    /** Returns the servers that operators have cordoned at this node. */
     protected final Set<String> cordoned() {
         return cordoned;
     }
 
-    /** Adds or removes a cordon; false if nothing changes by that. */
+    /** Adds or removes a cordon; returns false if that changes nothing. */
     protected final boolean updateCordon(String serverId, boolean add) {
         return add ? cordoned.add(serverId) : cordoned.remove(serverId);
     }
 
     protected final void setReady(boolean ready) {
         this.ready = ready;
-        stateChangedAtUs = world.time().nowUs();
+        stateChangedAtUs = testbed.time().nowUs();
     }
 
-    /** Counts its starts and ends: what one incarnation has scheduled must not run in another. */
+    /** Incremented on each start and end: a task scheduled by one incarnation must not run in another. */
     protected final int incarnation() {
         return incarnation;
     }
@@ -82,7 +82,7 @@
         return ++incarnation;
     }
 
-    /** The request has reached it. */
+    /** Records that the node has received the request. */
     protected final void recordRequest(ClientRequest request) {
         String className = settings.classes.get(request.classIndex()).name();
         history.request(request.id(), className, request.remainingUs());
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimAttempt.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimulatedAttempt.java
@@ -5,10 +5,10 @@
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.policy.LoadReport;
 
-/** One attempt of a simulated node at a request: connect, send, and wait for the reply or the time-out. */
-final class SimAttempt {
-    private final SimNode node;
-    private final SimRequest request;
+/** One attempt of a simulated node: connects, sends the request, and waits for the reply or the timeout. */
+final class SimulatedAttempt {
+    private final SimulatedNode node;
+    private final SimulatedRequest request;
     private final int number;
     private final AppServer server;
     private final long sentAtUs;
@@ -17,12 +17,12 @@
     private boolean ended;
     private Timer timeout;
 
-    SimAttempt(SimNode node, SimRequest request, AppServer server) {
+    SimulatedAttempt(SimulatedNode node, SimulatedRequest request, AppServer server) {
         this.node = node;
         this.request = request;
         this.server = server;
         number = request.attempts.size();
-        sentAtUs = node.world().time().nowUs();
+        sentAtUs = node.testbed().time().nowUs();
     }
 
     int number() {
@@ -39,45 +39,45 @@
             server.abandon(job);
             end(connected ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, null);
         });
-        long tripUs = links().delay(node.random(), node.zone(), server);
+        long oneWayUs = links().delay(node.random(), node.zone(), server);
         if (node.connections().acquireIdle(server)) {
-            sendRequest(tripUs, untilUs);
+            sendRequest(oneWayUs, untilUs);
         } else {
-            connect(tripUs, untilUs);
+            connect(oneWayUs, untilUs);
         }
     }
 
     private Links links() {
-        return node.world().links();
+        return node.testbed().links();
     }
 
-    private boolean isCutOff() {
+    private boolean isServerUnreachable() {
         return server.isUnreachable()
-                || links().isCut(node.zone(), server.zone())
-                || links().isCut(server.zone(), node.zone());
+                || links().isBlocked(node.zone(), server.zone())
+                || links().isBlocked(server.zone(), node.zone());
     }
 
-    private void connect(long tripUs, long untilUs) {
-        if (isCutOff()) {
+    private void connect(long oneWayUs, long untilUs) {
+        if (isServerUnreachable()) {
             node.schedule(links().net().connectTimeoutUs(), () -> end(AttemptResult.CONNECT_FAILED, null));
         } else if (!server.connect(node.name())) {
-            node.schedule(2 * tripUs, () -> end(AttemptResult.CONNECT_FAILED, null));
+            node.schedule(2 * oneWayUs, () -> end(AttemptResult.CONNECT_FAILED, null));
         } else {
-            node.schedule(2 * tripUs * links().net().handshakeTrips(), () -> sendRequest(tripUs, untilUs));
+            node.schedule(2 * oneWayUs * links().net().handshakeTrips(), () -> sendRequest(oneWayUs, untilUs));
         }
     }
 
-    private void sendRequest(long tripUs, long untilUs) {
+    private void sendRequest(long oneWayUs, long untilUs) {
         if (ended) {
             server.disconnect(node.name());
             return;
         }
         connected = true;
-        if (isCutOff()) {
+        if (isServerUnreachable()) {
             return;
         }
-        double workUs = node.world().attemptWork(request.request, node.random());
-        node.schedule(tripUs, () -> {
+        double workUs = node.testbed().attemptWork(request.request, node.random());
+        node.schedule(oneWayUs, () -> {
             if (!ended) {
                 job = server.submit(work(workUs, untilUs), this::onReply);
             }
@@ -96,7 +96,7 @@
     }
 
     private void onReply(AttemptResult result, LoadReport report) {
-        if (isCutOff() || links().isMuted(server)) {
+        if (isServerUnreachable() || links().isMuted(server)) {
             return;
         }
         node.schedule(links().delay(node.random(), node.zone(), server), () -> {
@@ -119,7 +119,7 @@
         }
     }
 
-    /** The node's process has ended; nothing is reported any more. */
+    /** Abandons the attempt when the node's process ends, without reporting an outcome. */
     void abandon() {
         if (!ended) {
             server.abandon(job);
@@ -140,14 +140,14 @@
         }
         node.history().outcome(request.id(), number, server.id(), result);
         if (result == AttemptResult.OK && !request.ended) {
-            node.respond(request, NodePort.Answer.OK);
+            node.respond(request, FleetNode.RequestResult.OK);
         }
-        // The balancer may be in the middle of an event: the outcome of what it cancelled is reported afterwards.
+        // The balancer may have cancelled this attempt while it handles an event: report the outcome after that event.
         node.schedule(0, () -> node.reportOutcome(request, outcome(result, report)));
     }
 
     private AttemptOutcome outcome(AttemptResult result, LoadReport report) {
-        long latencyUs = node.world().time().nowUs() - sentAtUs;
+        long latencyUs = node.testbed().time().nowUs() - sentAtUs;
         return new AttemptOutcome(request.id(), number, result, latencyUs, request.ended, report);
     }
 }
