--- a/harness/src/main/java/loadbalancer/harness/simulation/AppServer.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/AppServer.java
@@ -152,7 +152,7 @@
         return up ? Math.max(1e-9, capacity() * warmUpFactor() / slowdown * (1 - errorShare)) : 1e-9;
     }
 
-    /** Returns the work whose result nobody received: its attempt was abandoned, or the process ended. */
+    /** Returns the work whose result was not used: its attempt was abandoned, or the process ended. */
     public double workWastedUs() {
         return workWastedUs;
     }
--- a/harness/src/main/java/loadbalancer/harness/simulation/ListModel.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/ListModel.java
@@ -15,7 +15,7 @@
 
 /**
  * The endpoint list in discovery, and the state of the list at each node's agent. Every change reaches each agent in
- * order, after a delay of its own. While discovery is down no change reaches any agent.
+ * order, after a random delay. While discovery is down no change reaches any agent.
  */
 public final class ListModel {
     private final Timeline time;
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimulatedNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimulatedNode.java
@@ -16,8 +16,8 @@
 import loadbalancer.policy.ServerEntry;
 
 /**
- * A node in simulated time: the real balancer with models of its connections. It does what the program does around the
- * balancer, and that processing takes no simulated time.
+ * A node in simulated time: the real balancer with models of its connections. It also models what the program does
+ * around the balancer, which takes no simulated time.
  */
 final class SimulatedNode extends BaseNode implements BalancerActions {
     private static final long DRAINED_POLL_INTERVAL_US = 10_000;
--- a/harness/src/test/java/loadbalancer/harness/process/FaultLinkTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/FaultLinkTest.java
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void withoutFaultsBothDirectionsAndTheCloseComeThrough() throws Exception {
+    void withoutFaultsBytesAndCloseAreForwarded() throws Exception {
         byte[] sent = bytes(MEGABYTE);
         CompletableFuture<byte[]> read = CompletableFuture.supplyAsync(() -> readAll(targetSocket));
         clientSocket.getOutputStream().write(sent);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void blockedDirectionQueuesUntilItHealsWhileTheOtherGoesOn() throws Exception {
+    void blockedDirectionQueuesUntilUnblockedWhileOtherDirectionForwards() throws Exception {
         set(Direction.TO_TARGET, Faults.BLOCKED);
         clientSocket.getOutputStream().write(7);
         targetSocket.getOutputStream().write(8);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void delayAndRateLimitTakeTimeAndKeepOrder() throws Exception {
+    void delayAndRateLimitSlowBytesDownAndKeepOrder() throws Exception {
         set(Direction.TO_TARGET, Faults.delayed(50_000, 20_000));
         long start = System.nanoTime();
         byte[] sent = bytes(200);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void linkThatBreaksAfterSomeBytesForwardsJustThose() throws Exception {
+    void linkThatResetsAfterByteLimitForwardsNoMoreBytes() throws Exception {
         set(Direction.TO_TARGET, Faults.resettingAfter(300_000));
         CompletableFuture<Integer> read = CompletableFuture.supplyAsync(() -> {
             int count = 0;
--- a/harness/src/test/java/loadbalancer/harness/process/MemberFleetTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/MemberFleetTest.java
@@ -48,7 +48,7 @@
      * as left, never as failed. The killed one restarts and rejoins.
      */
     @Test
-    void membersFindEachOtherAndLogFailuresAndLeaves() throws Exception {
+    void membersDiscoverEachOtherAndLogFailuresAndLeaves() throws Exception {
         try (MemberFleet fleet = fleet().startMembers(6)) {
             fleet.await("all six converged", TIMEOUT_MILLIS, fleet::isConverged);
             // On an overloaded machine a running member may be considered dead for a while. The counts are taken by
@@ -73,7 +73,7 @@
 
     /** A member receives nothing: it and the others consider each other dead, and all converge after the partition. */
     @Test
-    void memberThatReceivesNothingFailsAndComesBack() throws Exception {
+    void memberThatReceivesNothingFailsAndRejoins() throws Exception {
         try (MemberFleet fleet = fleet().startMembers(5)) {
             fleet.await("all five converged", TIMEOUT_MILLIS, fleet::isConverged);
             fleet.partition((from, to) -> to.name().equals("m3"));
@@ -94,7 +94,7 @@
 
     /** A process is paused until the others consider it dead. It rejoins, and has not considered any other dead. */
     @Test
-    void pausedMemberComesBackAndHoldsNobodyForDead() throws Exception {
+    void pausedMemberRejoinsAndConsidersNoMemberDead() throws Exception {
         try (MemberFleet fleet = fleet().startMembers(5)) {
             fleet.await("all five converged", TIMEOUT_MILLIS, fleet::isConverged);
             MemberProcess paused = fleet.member(2);
@@ -111,9 +111,9 @@
         }
     }
 
-    /** A node without a fleet in its configuration has no cost by membership: it loads none of its classes. */
+    /** Membership must cost nothing on a node without a fleet in its configuration: none of its classes is loaded. */
     @Test
-    void nodeWithoutFleetLoadsNoClassOfMembership() throws Exception {
+    void nodeWithoutFleetLoadsNoMembershipClass() throws Exception {
         try (MemberFleet fleet = fleet()) {
             assertTrue(
                     classesLoaded(fleet, true).contains("loadbalancer.membership.MembershipService"),
@@ -148,7 +148,7 @@
      * and the others regard the second one as that member.
      */
     @Test
-    void earlierProcessYieldsItsNameAndServesOn() throws Exception {
+    void earlierProcessYieldsItsNameAndContinuesToServe() throws Exception {
         try (MemberFleet fleet = fleet().startMembers(4)) {
             fleet.await("all four converged", TIMEOUT_MILLIS, fleet::isConverged);
             MemberProcess earlier = fleet.member(3);
--- a/harness/src/test/java/loadbalancer/harness/process/ProcessRunTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/ProcessRunTest.java
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void killedNodesAndCrashedServersComeBack() throws Exception {
+    void killedNodesAndCrashedServersAreRestarted() throws Exception {
         Outcome outcome = run("""
                 [[fault]]
                 kind = "herd"
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void lostResponsesAndResetLinksBreakNoRule() throws Exception {
+    void lostResponsesAndResetLinksViolateNoRule() throws Exception {
         Outcome outcome = run("""
                 [[fault]]
                 kind = "slow_links"
