--- a/cli/src/main/java/loadbalancer/cli/FleetStudy.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetStudy.java
@@ -8,11 +8,11 @@
 import java.util.function.LongFunction;
 import java.util.function.ToDoubleFunction;
 import java.util.function.UnaryOperator;
+import loadbalancer.harness.membership.MembershipStudy;
+import loadbalancer.harness.membership.MembershipStudy.FalsePositives;
+import loadbalancer.harness.membership.MembershipStudy.Result;
+import loadbalancer.harness.run.SeedSweep;
 import loadbalancer.membership.core.MembershipSettings;
-import loadbalancer.rig.members.MembershipStudy;
-import loadbalancer.rig.members.MembershipStudy.FalsePositives;
-import loadbalancer.rig.members.MembershipStudy.Result;
-import loadbalancer.rig.play.Seeds;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -84,7 +84,7 @@
     }
 
     private <T> List<T> forEachSeed(LongFunction<T> play) throws InterruptedException {
-        return Seeds.play(
+        return SeedSweep.run(
                 1, seeds, cores == null ? Runtime.getRuntime().availableProcessors() : cores, play, done -> {});
     }
 
--- a/rig/src/main/java/loadbalancer/rig/fault/Burst.java
+++ b/harness/src/main/java/loadbalancer/harness/fault/Burst.java
@@ -1,11 +1,11 @@
-package loadbalancer.rig.fault;
+package loadbalancer.harness.fault;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import loadbalancer.rig.scenario.Scenario;
-import loadbalancer.rig.world.World;
+import loadbalancer.harness.scenario.Scenario;
+import loadbalancer.harness.simulation.World;
 
-/** Clients ask {@code size} times as much. */
+/** Multiplies the load of the clients by {@code size}. */
 final class Burst implements Fault {
     @Override
     public ActiveFault inject(World world, Scenario.FaultSpec spec, SplittableRandom random) {
--- a/rig/src/main/java/loadbalancer/rig/real/RealTimeline.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RealTimeline.java
@@ -1,12 +1,12 @@
-package loadbalancer.rig.real;
+package loadbalancer.harness.process;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import loadbalancer.rig.time.Streams;
-import loadbalancer.rig.time.Timeline;
+import loadbalancer.harness.time.RandomStreams;
+import loadbalancer.harness.time.Timeline;
 
 /** The system's time, on one event loop: what is scheduled runs there one after the other. */
 final class RealTimeline implements Timeline {
@@ -62,6 +62,6 @@
 
     @Override
     public SplittableRandom stream(String actor) {
-        return Streams.stream(seed, actor);
+        return RandomStreams.stream(seed, actor);
     }
 }
--- a/rig/src/test/java/loadbalancer/rig/ArchitectureTest.java
+++ b/harness/src/test/java/loadbalancer/harness/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.rig;
+package loadbalancer.harness;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
@@ -11,9 +11,9 @@
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
-import loadbalancer.rig.fault.Fault;
+import loadbalancer.harness.fault.Fault;
 
-/** What may know of what; that a module's jar holds nothing of those above it, the compiler sees to. */
+/** Rules for the dependencies of packages. Dependencies between modules are checked by the compiler. */
 @AnalyzeClasses(packages = "loadbalancer", importOptions = DoNotIncludeTests.class)
 class ArchitectureTest {
     private static final DescribedPredicate<JavaClass> CORES = DescribedPredicate.describe(
@@ -21,9 +21,12 @@
             c -> c.getPackageName().startsWith("loadbalancer.membership.core")
                     || c.getPackageName().equals("loadbalancer.policy"));
 
-    /** A core is told the time, its chance and all that happens; what it wants done it says. */
+    /**
+     * A core receives the time, its random seed and all events as arguments, and requests actions through an interface.
+     * It must do no I/O and must not read the clock.
+     */
     @ArchTest
-    static final ArchRule CORES_DO_NOT_REACH_OUT = noClasses()
+    static final ArchRule CORES_DO_NO_IO_AND_READ_NO_CLOCK = noClasses()
             .that(CORES)
             .should()
             .dependOnClassesThat()
@@ -62,50 +65,50 @@
             .areAssignableTo(Thread.class);
 
     @ArchTest
-    static final ArchRule THE_RIG_POINTS_ONE_WAY = layeredArchitecture()
+    static final ArchRule HARNESS_DEPENDS_IN_ONE_DIRECTION = layeredArchitecture()
             .consideringOnlyDependenciesInLayers()
             .layer("time")
-            .definedBy("loadbalancer.rig.time..")
+            .definedBy("loadbalancer.harness.time..")
             .layer("history")
-            .definedBy("loadbalancer.rig.history..")
+            .definedBy("loadbalancer.harness.history..")
             .layer("scenario")
-            .definedBy("loadbalancer.rig.scenario..")
+            .definedBy("loadbalancer.harness.scenario..")
             .layer("check")
-            .definedBy("loadbalancer.rig.check..")
-            .layer("world")
-            .definedBy("loadbalancer.rig.world..")
+            .definedBy("loadbalancer.harness.check..")
+            .layer("simulation")
+            .definedBy("loadbalancer.harness.simulation..")
             .layer("fault")
-            .definedBy("loadbalancer.rig.fault..")
+            .definedBy("loadbalancer.harness.fault..")
             .layer("baseline")
-            .definedBy("loadbalancer.rig.baseline..")
-            .layer("play")
-            .definedBy("loadbalancer.rig.play..")
-            .whereLayer("play")
+            .definedBy("loadbalancer.harness.baseline..")
+            .layer("run")
+            .definedBy("loadbalancer.harness.run..")
+            .whereLayer("run")
             .mayNotBeAccessedByAnyLayer()
             .whereLayer("fault")
-            .mayOnlyBeAccessedByLayers("play")
+            .mayOnlyBeAccessedByLayers("run")
             .whereLayer("baseline")
             .mayNotBeAccessedByAnyLayer()
-            .whereLayer("world")
-            .mayOnlyBeAccessedByLayers("fault", "baseline", "play")
+            .whereLayer("simulation")
+            .mayOnlyBeAccessedByLayers("fault", "baseline", "run")
             .whereLayer("check")
-            .mayOnlyBeAccessedByLayers("play")
+            .mayOnlyBeAccessedByLayers("run")
             .whereLayer("history")
-            .mayOnlyBeAccessedByLayers("check", "world", "fault", "play");
+            .mayOnlyBeAccessedByLayers("check", "simulation", "fault", "run");
 
     @ArchTest
-    static final ArchRule NO_PACKAGES_IN_A_RING =
-            slices().matching("loadbalancer.rig.(*)..").should().beFreeOfCycles();
+    static final ArchRule HARNESS_HAS_NO_PACKAGE_CYCLES =
+            slices().matching("loadbalancer.harness.(*)..").should().beFreeOfCycles();
 
-    /** Virtual time is the only one: a run that looked at the clock could not be played again. */
+    /** A simulated run uses virtual time only. A run that read the clock could not be repeated. */
     @ArchTest
-    static final ArchRule THE_WORLD_HAS_NO_CLOCK = noClasses()
+    static final ArchRule SIMULATION_READS_NO_CLOCK = noClasses()
             .that()
             .resideInAnyPackage(
-                    "loadbalancer.rig.world..",
-                    "loadbalancer.rig.fault..",
-                    "loadbalancer.rig.check..",
-                    "loadbalancer.rig.baseline..")
+                    "loadbalancer.harness.simulation..",
+                    "loadbalancer.harness.fault..",
+                    "loadbalancer.harness.check..",
+                    "loadbalancer.harness.baseline..")
             .should()
             .callMethod(System.class, "nanoTime")
             .orShould()
@@ -114,6 +117,6 @@
             .callMethod(Math.class, "random");
 
     @ArchTest
-    static final ArchRule FAULTS_ARE_SMALL_AND_NAMED_IN_ONE_PLACE =
+    static final ArchRule FAULTS_ARE_PACKAGE_PRIVATE =
             classes().that().implement(Fault.class).should().bePackagePrivate();
 }
--- a/rig/src/main/java/loadbalancer/rig/history/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** The events of a run, one JSON line each, and sums over them. */
-package loadbalancer.rig.history;
