--- a/harness/src/main/java/loadbalancer/harness/process/Listener.java
+++ b/harness/src/main/java/loadbalancer/harness/process/Listener.java
@@ -18,31 +18,34 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** An address of a stand-in, on loopback, which keeps its port while it is closed and opened again. */
+/** The HTTP listener of a fake on loopback. It keeps its port when it is closed and opened again. */
 final class Listener {
-    /** The largest body that a node passes on. */
+    /** The largest body that a node forwards. */
     private static final int MAX_BODY_BYTES = 32 << 20;
 
     private final EventLoop loop;
-    private final InetAddress at;
+    private final InetAddress bindAddress;
     private final Supplier<ChannelHandler> handler;
     private final Set<SocketChannel> connections = new HashSet<>();
-    private Channel listening;
+    private Channel serverChannel;
     private int port;
 
     /**
-     * @param address the stand-in's own, so that nobody else takes the port while it is closed
-     * @param handler serves one connection, which brings whole requests
+     * @param address used by this fake only, so that no other process takes the port while the listener is closed
+     * @param handler creates the handler of one connection, which receives aggregated requests
      */
     Listener(EventLoop loop, String address, Supplier<ChannelHandler> handler) {
         this.loop = loop;
-        at = new InetSocketAddress(address, 0).getAddress();
+        bindAddress = new InetSocketAddress(address, 0).getAddress();
         this.handler = handler;
     }
 
-    /** Opens it; the port is the system's choice the first time, which waits for it, and then the same. */
+    /**
+     * Opens it. The system chooses the port at the first call, which must not be on the loop and waits for the result;
+     * later calls use the same port.
+     */
     void open() {
-        if (listening != null) {
+        if (serverChannel != null) {
             return;
         }
         var opening = new ServerBootstrap()
@@ -61,29 +64,29 @@
                                         new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), handler.get());
                     }
                 })
-                .bind(at, port);
-        listening = opening.channel();
+                .bind(bindAddress, port);
+        serverChannel = opening.channel();
         if (loop.inEventLoop()) {
             opening.addListener(opened -> {
                 if (!opened.isSuccess()) {
-                    throw new IllegalStateException("cannot listen at " + at + ":" + port, opened.cause());
+                    throw new IllegalStateException("cannot listen at " + bindAddress + ":" + port, opened.cause());
                 }
             });
         } else {
             opening.syncUninterruptibly();
         }
         if (port == 0) {
-            port = ((InetSocketAddress) listening.localAddress()).getPort();
+            port = ((InetSocketAddress) serverChannel.localAddress()).getPort();
         }
     }
 
-    /** Closes it, and resets what is connected. */
+    /** Closes it and resets all of its connections. */
     void close() {
-        if (listening == null) {
+        if (serverChannel == null) {
             return;
         }
-        listening.close();
-        listening = null;
+        serverChannel.close();
+        serverChannel = null;
         for (SocketChannel channel : Set.copyOf(connections)) {
             if (channel.isActive()) {
                 channel.config().setSoLinger(0);
@@ -93,18 +96,18 @@
     }
 
     InetSocketAddress address() {
-        return new InetSocketAddress(at, port);
+        return new InetSocketAddress(bindAddress, port);
     }
 
-    /** A port that nobody else takes meanwhile, where the address is somebody's own. */
-    static InetSocketAddress free(String address) throws IOException {
-        try (ServerSocket any = new ServerSocket(0, 1, new InetSocketAddress(address, 0).getAddress())) {
-            return (InetSocketAddress) any.getLocalSocketAddress();
+    /** Returns a free port at this address. It stays free as long as only the caller uses the address. */
+    static InetSocketAddress freeAddress(String address) throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, new InetSocketAddress(address, 0).getAddress())) {
+            return (InetSocketAddress) socket.getLocalSocketAddress();
         }
     }
 
-    /** As addresses are written. */
-    static String text(InetSocketAddress address) {
+    /** Formats an address as host:port. */
+    static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/process/MemberProcess.java
+++ b/harness/src/main/java/loadbalancer/harness/process/MemberProcess.java
@@ -25,18 +25,20 @@
 import loadbalancer.policy.RequestClass;
 
 /**
- * One member of a {@link MemberFleet}: an address with a faulty link for datagrams and one for connections before it,
- * and one process after the other that runs there.
+ * One member of a {@link MemberFleet}: an address, a link with injected faults in front of it for datagrams and one for
+ * connections, and the process that currently runs there.
  */
 final class MemberProcess implements AutoCloseable {
-    /** Where members run, and where their links listen; the last number tells them apart. */
+    /** Network of the addresses that members bind to; the last number identifies the member. */
     private static final String MEMBER_NETWORK = "127.6.0.";
 
+    /** Network of the addresses that the members' links listen at; the last number identifies the member. */
     private static final String LINK_NETWORK = "127.7.0.";
+
     private static final String FLEET_NAME = "rig";
     private static final int CLIENT_TIMEOUT_MILLIS = 2_000;
     private static final long IDLE_TIMEOUT_US = 15_000_000;
-    private static final int LAST_LINES = 12;
+    private static final int LOG_TAIL_LINES = 12;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final MemberFleet fleet;
@@ -46,7 +48,7 @@
     private final InetSocketAddress bind;
     private final FaultLink connections;
     private final DatagramLink datagrams;
-    private NodeProcess process;
+    private ChildProcess process;
     private InetSocketAddress listen;
     private int starts;
 
@@ -56,7 +58,7 @@
         this.number = number;
         this.name = name;
         host = MEMBER_NETWORK + (1 + number);
-        bind = Listener.free(host);
+        bind = Listener.freeAddress(host);
         connections = new FaultLink(loop, LINK_NETWORK + (1 + number), bind, random.split());
         datagrams = new DatagramLink(loop, connections.address(), bind, random.split());
     }
@@ -65,29 +67,29 @@
         return name;
     }
 
-    /** The address by which the others know it: the link's. */
+    /** Returns the address that it advertises to the other members: that of its links. */
     String advertisedAddress() {
-        return Listener.text(connections.address());
+        return Listener.format(connections.address());
     }
 
     boolean hasAddress(InetAddress address) {
         return bind.getAddress().equals(address);
     }
 
-    /** Nothing arrives from addresses of which this holds. */
-    void cut(Predicate<InetAddress> datagramsFrom, Predicate<InetAddress> connectionsFrom) {
-        datagrams.cut(datagramsFrom);
-        connections.cut(connectionsFrom);
+    /** Blocks datagrams and connections from these addresses, and from no others. */
+    void blockFrom(Predicate<InetAddress> datagramsFrom, Predicate<InetAddress> connectionsFrom) {
+        datagrams.blockFrom(datagramsFrom);
+        connections.blockFrom(connectionsFrom);
     }
 
-    // ---------------------------------------------------------------- its process
+    // ---------------------------------------------------------------- process
 
-    /** Starts a process that takes part in the fleet. */
+    /** Starts a process that joins the fleet. */
     void start() throws IOException {
         start(Map.of());
     }
 
-    /** The same with these variables in its environment. */
+    /** Starts a process that joins the fleet, with these additional environment variables. */
     void start(Map<String, String> environment) throws IOException {
         start(fleetConfig(), environment);
     }
@@ -99,14 +101,14 @@
 
     private void start(ObjectNode fleetConfig, Map<String, String> environment) throws IOException {
         starts++;
-        listen = Listener.free(host);
+        listen = Listener.freeAddress(host);
         Path config = fleet.folder().resolve(number + "-config.json");
         writeConfig(config, fleetConfig);
         Map<String, String> variables = new HashMap<>(environment);
         variables.put("PROXY_NAME", name);
         variables.put("PROXY_CONFIG", config.toString());
         DeployFile deploy = fleet.deploy();
-        process = new NodeProcess(name, deploy.run(), variables, deploy.root(), log(), exitCode -> {});
+        process = new ChildProcess(name, deploy.run(), variables, deploy.root(), log(), exitCode -> {});
     }
 
     private void writeConfig(Path config, ObjectNode fleetConfig) throws IOException {
@@ -116,9 +118,9 @@
         NodeConfigFile.write(
                 config,
                 name,
-                Listener.text(listen),
+                Listener.format(listen),
                 unusedAddress,
-                Listener.text(Listener.free(host)),
+                Listener.format(Listener.freeAddress(host)),
                 fleet.nextSeed(),
                 noServers,
                 balancerSettings(),
@@ -130,7 +132,7 @@
         ObjectNode config = JSON.createObjectNode()
                 .put("name", FLEET_NAME)
                 .put("member", name)
-                .put("bind", Listener.text(bind))
+                .put("bind", Listener.format(bind))
                 .put("advertise", advertisedAddress())
                 .put("periodMs", fleet.periodMillis());
         ArrayNode seeds = config.putArray("seeds");
@@ -138,7 +140,7 @@
         return config;
     }
 
-    /** Requests do not matter here: any valid settings do. */
+    /** Returns arbitrary valid settings, as members receive no requests. */
     private static BalancerSettings balancerSettings() {
         BalancerSettings settings = new BalancerSettings();
         settings.zones.add("a");
@@ -161,7 +163,7 @@
         process.kill();
     }
 
-    /** Stops it until {@link #resume}. */
+    /** Stops it by SIGSTOP until {@link #resume}. */
     void pause() throws IOException {
         process.pause(true);
     }
@@ -170,7 +172,7 @@
         process.pause(false);
     }
 
-    /** Sends SIGTERM, as an operator does. */
+    /** Sends SIGTERM. */
     void terminate() {
         process.terminate();
     }
@@ -179,19 +181,19 @@
         return fleet.folder().resolve(number + "-log" + starts);
     }
 
-    /** All that its present or last process has logged. */
+    /** Returns the log of its current or last process. */
     String logged() throws IOException {
         return Files.readString(log());
     }
 
-    /** The end of its log, for a test that failed: why it ended, or why it does not answer. */
-    String lastLogged() {
+    /** Returns the end of its log for the message of a failed test: why the process ended or does not respond. */
+    String logTail() {
         try {
             List<String> lines = Files.readAllLines(log());
             return "\n    "
-                    + String.join("\n    ", lines.subList(Math.max(0, lines.size() - LAST_LINES), lines.size()));
+                    + String.join("\n    ", lines.subList(Math.max(0, lines.size() - LOG_TAIL_LINES), lines.size()));
         } catch (IOException e) {
-            return " and no log: " + e;
+            return " and its log cannot be read: " + e;
         }
     }
 
@@ -208,7 +210,7 @@
         datagrams.close();
     }
 
-    // ---------------------------------------------------------------- what it shows
+    // ---------------------------------------------------------------- state
 
     /** Whether clients can connect. */
     boolean isListening() {
@@ -216,22 +218,22 @@
             socket.connect(listen, CLIENT_TIMEOUT_MILLIS);
             return true;
         } catch (IOException e) {
-            // Not yet: the caller tries again.
+            // Not listening yet: the caller tries again.
             return false;
         }
     }
 
-    /** How it sees its fleet, asked past its links; null where it does not answer. */
+    /** Fetches its membership view directly, not through its links; null if it does not respond. */
     MembershipView view() {
         try {
             return MembershipClient.fetchView(bind, CLIENT_TIMEOUT_MILLIS);
         } catch (IOException e) {
-            // It has not started, has ended, or is paused: the caller tries again.
+            // The process is starting, has ended, or is paused: the caller tries again.
             return null;
         }
     }
 
-    /** Names of all that it holds for live, itself included. */
+    /** Returns the names of the live members in its view, including itself; empty if it does not respond. */
     List<String> liveNames() {
         MembershipView view = view();
         return view == null ? List.of() : liveNames(view);
--- a/harness/src/main/java/loadbalancer/harness/process/RealNode.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ProcessNode.java
@@ -11,22 +11,22 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ExecutorService;
 import loadbalancer.harness.simulation.BaseNode;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 
 /**
- * A node that is a process, started as the deploy file says; all but its start and its calls runs on the
- * loop.
+ * A node that runs as a process, started by the command of the deploy file. Starts and calls that block run on an
+ * executor, everything else runs on the event loop of the run.
  */
-final class RealNode extends BaseNode {
-    /** How often a starting node is asked whether it is up. */
+final class ProcessNode extends BaseNode {
+    /** Interval at which a starting node is polled until it is up. */
     private static final long READY_POLL_INTERVAL_US = 50_000;
 
     private static final int CALL_TIMEOUT_MS = 2_000;
     private static final int SIGKILL_EXIT_CODE = 137;
-    /** In the history, an answer that belongs to another request. */
+    /** Result in the history for a response that belongs to another request. */
     private static final String MISDIRECTED = "ALIEN";
 
-    private final RealTimeline time;
+    private final SystemTimeline time;
     private final RequestRegistry requests;
     private final FakeEndpointList list;
     private final String discovery;
@@ -37,20 +37,20 @@
     private final InetSocketAddress listen;
     private final InetSocketAddress control;
     private NodeClients clients;
-    private NodeProcess child;
+    private ChildProcess child;
     private boolean running;
     private boolean terminating;
 
     /**
-     * @param address the node's own on loopback
-     * @param discovery the address at which it reaches the list
-     * @param blockingTasks runs what blocks: starts, and calls at the control address
+     * @param address loopback address that only this node uses
+     * @param discovery address at which the node reaches its endpoint list
+     * @param blockingTasks runs blocking tasks: starts, and calls to the node
      */
-    RealNode(
+    ProcessNode(
             int number,
             String address,
-            World world,
-            RealTimeline time,
+            Testbed testbed,
+            SystemTimeline time,
             RequestRegistry requests,
             FakeEndpointList list,
             String discovery,
@@ -58,7 +58,7 @@
             Path folder,
             ExecutorService blockingTasks)
             throws IOException {
-        super(number, world);
+        super(number, testbed);
         this.time = time;
         this.requests = requests;
         this.list = list;
@@ -67,11 +67,11 @@
         this.folder = Files.createDirectories(folder.resolve(name()));
         this.blockingTasks = blockingTasks;
         random = time.stream("node " + name());
-        listen = Listener.free(address);
-        control = Listener.free(address);
+        listen = Listener.freeAddress(address);
+        control = Listener.freeAddress(address);
     }
 
-    /** The id of its process, or -1. */
+    /** Returns the id of its process, or -1 if it was never started. */
     long pid() {
         return child == null ? -1 : child.pid();
     }
@@ -81,8 +81,8 @@
         int started = nextIncarnation();
         terminating = false;
         history().started();
-        world().list().follow(name(), list);
-        ObjectNode known = list.whole();
+        testbed().list().follow(name(), list);
+        ObjectNode known = list.fullList();
         long seed = random.nextLong();
         blockingTasks.execute(() -> {
             try {
@@ -91,15 +91,15 @@
                 NodeConfigFile.write(
                         config,
                         name(),
-                        Listener.text(listen),
+                        Listener.format(listen),
                         discovery,
-                        Listener.text(control),
+                        Listener.format(control),
                         seed,
                         known,
                         settings(),
-                        world().scenario().net().idleUs(),
+                        testbed().scenario().net().idleUs(),
                         null);
-                NodeProcess process = new NodeProcess(
+                ChildProcess process = new ChildProcess(
                         name(),
                         deploy.run(),
                         Map.of(
@@ -108,50 +108,50 @@
                                 "PROXY_CONFIG",
                                 config.toString(),
                                 "PROXY_LISTEN",
-                                Listener.text(listen),
+                                Listener.format(listen),
                                 "PROXY_DISCOVERY",
                                 discovery,
                                 "TMPDIR",
                                 temporary.toString()),
                         deploy.root(),
                         folder.resolve("log" + started),
-                        code -> time.soon(() -> onExit(started, code)));
-                time.soon(() -> onStarted(started, process));
+                        code -> time.runSoon(() -> onExit(started, code)));
+                time.runSoon(() -> onStarted(started, process));
             } catch (IOException e) {
-                time.soon(() -> {
+                time.runSoon(() -> {
                     throw new IllegalStateException(name() + " cannot be started", e);
                 });
             }
         });
     }
 
-    private void onStarted(int startedAs, NodeProcess process) {
-        if (startedAs != incarnation()) {
+    private void onStarted(int startedIncarnation, ChildProcess process) {
+        if (startedIncarnation != incarnation()) {
             process.kill();
             return;
         }
         child = process;
         running = true;
-        clients = new NodeClients(time.loop(), listen, world().scenario().classes());
-        pollUntilUp(startedAs);
+        clients = new NodeClients(time.loop(), listen, testbed().scenario().classes());
+        pollUntilUp(startedIncarnation);
     }
 
-    /** The front admits a node once {@code GET /up} says yes. */
-    private void pollUntilUp(int startedAs) {
+    /** Polls {@code GET /up} until it responds 200; the front sends requests to the node from then on. */
+    private void pollUntilUp(int startedIncarnation) {
         blockingTasks.execute(() -> {
             boolean up = call(listen, "GET /up HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n")
                     .startsWith("HTTP/1.1 200");
-            time.soon(() -> {
-                if (startedAs == incarnation() && up) {
+            time.runSoon(() -> {
+                if (startedIncarnation == incarnation() && up) {
                     setReady(true);
-                } else if (startedAs == incarnation()) {
-                    time.after(READY_POLL_INTERVAL_US, () -> pollUntilUp(startedAs));
+                } else if (startedIncarnation == incarnation()) {
+                    time.after(READY_POLL_INTERVAL_US, () -> pollUntilUp(startedIncarnation));
                 }
             });
         });
     }
 
-    /** The whole response, or an empty text if the call fails. */
+    /** Sends a call and returns the complete response, or an empty string if the call fails. */
     private static String call(InetSocketAddress address, String text) {
         try (Socket socket = new Socket()) {
             socket.connect(address, CALL_TIMEOUT_MS);
@@ -159,13 +159,13 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         } catch (IOException e) {
-            // It does not listen yet, or not any more: the caller tries again.
+            // The node does not listen yet, or has ended: the response is empty.
             return "";
         }
     }
 
-    private void onExit(int startedAs, int exitCode) {
-        if (startedAs == incarnation()) {
+    private void onExit(int startedIncarnation, int exitCode) {
+        if (startedIncarnation == incarnation()) {
             recordExit(!terminating, exitCode);
         }
     }
@@ -174,7 +174,7 @@
         nextIncarnation();
         running = false;
         setReady(false);
-        world().list().unfollow(name());
+        testbed().list().unfollow(name());
         history().exited(crashed, exitCode);
     }
 
@@ -208,7 +208,7 @@
         });
     }
 
-    /** Stops it at once and waits for its end; no event of it is written. */
+    /** Stops the process and waits for its end, without writing an event. */
     void close() {
         nextIncarnation();
         if (child != null) {
@@ -219,18 +219,18 @@
     @Override
     public void send(ClientRequest request, ResponseListener listener) {
         if (child == null || clients == null) {
-            time.after(0, () -> listener.onAnswer(Answer.UNREACHABLE));
+            time.after(0, () -> listener.onResult(RequestResult.UNREACHABLE));
             return;
         }
         requests.add(request, this);
-        time.after(2 * request.remainingUs() + MAX_SHUTDOWN_US, () -> requests.forget(request.id()));
+        time.after(2 * request.remainingUs() + MAX_SHUTDOWN_US, () -> requests.remove(request.id()));
         int current = incarnation();
         clients.send(request, new NodeClients.ResponseHandler() {
             private boolean written;
 
             @Override
             public void onWritten() {
-                // A process that has been killed has not got the request, though the system accepted its bytes.
+                // A killed process does not receive the request, although the operating system accepted its bytes.
                 written = current == incarnation() && running;
                 if (!written) {
                     return;
@@ -239,11 +239,11 @@
             }
 
             @Override
-            public void onEnd(Answer answer, boolean misdirected) {
-                if (written && answer != Answer.BROKEN) {
-                    history().response(request.id(), misdirected ? MISDIRECTED : answer.name());
+            public void onEnd(RequestResult result, boolean misdirected) {
+                if (written && result != RequestResult.BROKEN) {
+                    history().response(request.id(), misdirected ? MISDIRECTED : result.name());
                 }
-                listener.onAnswer(answer);
+                listener.onResult(result);
             }
         });
     }
@@ -262,13 +262,13 @@
             return;
         }
         if (!cordoned) {
-            // It may be used again from the call on, whatever the node answers.
+            // From this call on the node may use the server again, whatever it responds.
             history().setCordoned(server, false);
         }
         blockingTasks.execute(() -> {
             boolean accepted = call(control, (cordoned ? "cordon " : "uncordon ") + server + "\n")
                     .startsWith("YES");
-            time.soon(() -> {
+            time.runSoon(() -> {
                 if (cordoned && accepted && cordoned().contains(server)) {
                     history().setCordoned(server, true);
                 }
--- a/harness/src/main/java/loadbalancer/harness/process/RealPlay.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ProcessRun.java
@@ -24,43 +24,43 @@
 import loadbalancer.harness.run.SimulatedRun;
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.NodePort;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 
 /**
- * Plays a scenario with processes: nodes as the deploy file starts them, and app servers, list and clients as
- * real HTTP peers in this process, each at an address of its own on loopback.
+ * Runs a scenario with node processes, which the command of the deploy file starts. App servers, endpoint lists and
+ * clients are HTTP peers in this process; each app server and list has its own loopback address.
  */
-public final class RealPlay implements AutoCloseable {
-    /** The most that are started at once on one machine. */
+public final class ProcessRun implements AutoCloseable {
+    /** Maximum number of nodes, which all run on one machine. */
     public static final int MAX_NODES = 128;
 
-    private static final long READY_WITHIN_MS = 60_000;
-    /** How much later than it happened the rig may hear of something. */
-    private static final long SLACK_US = 100_000;
+    private static final long READY_TIMEOUT_MS = 60_000;
+    /** Time by which the harness may observe an event late; checkers tolerate this much. */
+    private static final long OBSERVATION_DELAY_US = 100_000;
 
     private final Scenario scenario;
     private final long seed;
-    private final RealTimeline time;
+    private final SystemTimeline time;
     private final EventLoop loop;
-    private final ExecutorService outside = Executors.newFixedThreadPool(8);
+    private final ExecutorService blockingTasks = Executors.newFixedThreadPool(8);
     private final List<Checker> checkers;
     private final History history;
-    private final World world;
+    private final Testbed testbed;
     private final EventLoop linkLoop;
     private final ServerLinks links;
     private final Map<String, FakeServer> servers = new LinkedHashMap<>();
     private final List<FakeEndpointList> lists = new ArrayList<>();
     private final List<FaultLink> listLinks = new ArrayList<>();
-    private final List<RealNode> nodes = new ArrayList<>();
+    private final List<ProcessNode> nodes = new ArrayList<>();
 
     /**
-     * Prepares it; nothing has been started yet but what stands in.
+     * Prepares the run. Opens the fakes and links, and starts no node.
      *
-     * @param folder for configuration and logs, the caller's
-     * @param file where the history goes, or null
-     * @param reader reads along
+     * @param folder for configurations and logs; owned by the caller
+     * @param file receives the history, or null
+     * @param reader receives each event of the history
      */
-    public RealPlay(
+    public ProcessRun(
             Scenario scenario, long seed, DeployFile deploy, Path folder, OutputStream file, History.Reader reader)
             throws IOException {
         if (scenario.fleet().nodes() > MAX_NODES || scenario.fleet().servers() > 60_000) {
@@ -70,153 +70,154 @@
         this.scenario = scenario;
         this.seed = seed;
         loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        time = new RealTimeline(loop, seed);
+        time = new SystemTimeline(loop, seed);
         linkLoop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         links = new ServerLinks(linkLoop, time.stream("links"));
-        checkers = new ArrayList<>(Checkers.of(scenario, SLACK_US));
+        checkers = new ArrayList<>(Checkers.of(scenario, OBSERVATION_DELAY_US));
         checkers.add(new NoCrash());
         List<History.Reader> readers = new ArrayList<>(checkers);
-        readers.add(this::follow);
+        readers.add(this::onEvent);
         readers.add(reader);
         history = new History(time, readers, file, false);
-        world = new World(scenario, time, history);
-        world.links().setCarrier(links);
-        RequestRegistry requests = new RequestRegistry(world);
+        testbed = new Testbed(scenario, time, history);
+        testbed.links().setCarrier(links);
+        RequestRegistry requests = new RequestRegistry(testbed);
         int number = 0;
-        for (String id : world.servers().keySet()) {
+        for (String id : testbed.servers().keySet()) {
             servers.put(
                     id,
                     new FakeServer(
-                            world.servers().get(id),
+                            testbed.servers().get(id),
                             "127.2." + number / 250 + "." + (1 + number % 250),
-                            world,
+                            testbed,
                             time,
                             requests));
             number++;
         }
         for (int i = 0; i < scenario.fleet().nodes(); i++) {
-            int of = i;
-            servers.forEach((id, server) -> links.add(of, id, server.address()));
+            int nodeIndex = i;
+            servers.forEach((id, server) -> links.add(nodeIndex, id, server.address()));
             FakeEndpointList list = new FakeEndpointList(
                     "127.3.0." + (1 + i),
                     time,
                     scenario.fleet().zones(),
-                    id -> Listener.text(links.link(of, id).address()));
+                    id -> Listener.format(links.link(nodeIndex, id).address()));
             lists.add(list);
             FaultLink listLink =
                     new FaultLink(linkLoop, "127.5.0." + (1 + i), list.address(), time.stream("list link " + i));
             listLinks.add(listLink);
-            RealNode node = new RealNode(
+            ProcessNode node = new ProcessNode(
                     i,
                     "127.1.0." + (1 + i),
-                    world,
+                    testbed,
                     time,
                     requests,
                     list,
-                    Listener.text(listLink.address()),
+                    Listener.format(listLink.address()),
                     deploy,
                     folder,
-                    outside);
+                    blockingTasks);
             nodes.add(node);
-            world.add(node);
+            testbed.add(node);
         }
     }
 
-    /** An app server's model has come up or gone down: so does its address. */
-    private void follow(Event event) {
+    /** Opens or closes the listener and the links of an app server when its model starts or ends. */
+    private void onEvent(Event event) {
         FakeServer server = servers.get(event.process());
         if (server != null && (event.kind() == Event.Kind.STARTED || event.kind() == Event.Kind.KILLED)) {
-            // Later, as a machine that falls silent is killed first.
+            // Deferred, as the model of a server that becomes unreachable is killed first.
             time.after(0, () -> {
-                server.follow();
-                links.follow(event.process(), server.isOpen());
+                server.syncWithModel();
+                links.setOpen(event.process(), server.isOpen());
             });
         }
     }
 
-    /** Plays it from the start to the end. */
-    public Outcome play(SimulatedRun.Progress progress) throws IOException, InterruptedException {
+    /** Runs the scenario from start to end. */
+    public Outcome run(SimulatedRun.Progress progress) throws IOException, InterruptedException {
         onLoop(() -> {
             history.add("rig", Event.Kind.RUN, "scenario", scenario.name(), "seed", seed, "real", true);
-            world.start();
+            testbed.start();
             return null;
         });
         await(
-                "all nodes to be up",
-                READY_WITHIN_MS,
-                () -> world.nodes().stream().allMatch(NodePort::isReady));
+                "all nodes are up",
+                READY_TIMEOUT_MS,
+                () -> testbed.nodes().stream().allMatch(NodePort::isReady));
         long startedUs = onLoop(() -> {
-            world.startClients();
-            SimulatedRun.scheduleFaults(world, time);
+            testbed.startClients();
+            SimulatedRun.scheduleFaults(testbed, time);
             return time.nowUs();
         });
-        long endUs = startedUs + world.endUs();
-        long lastUs = startedUs + scenario.lengthUs();
+        long endUs = startedUs + testbed.endUs();
+        long stopUs = startedUs + scenario.lengthUs();
         for (long second = 1; time.nowUs() < endUs && time.failure() == null; second++) {
-            if (time.nowUs() > lastUs && onLoop(world::openRequests) == 0) {
+            if (time.nowUs() > stopUs && onLoop(testbed::openRequests) == 0) {
                 break;
             }
             TimeUnit.MICROSECONDS.sleep(Math.max(1, Math.min(endUs, startedUs + second * 1_000_000) - time.nowUs()));
-            long played = second;
+            long elapsedSeconds = second;
             onLoop(() -> {
-                progress.onSecond(played * 1_000_000, world);
+                progress.onSecond(elapsedSeconds * 1_000_000, testbed);
                 return null;
             });
         }
         if (time.failure() != null) {
             throw new IOException("the run failed", time.failure());
         }
-        return onLoop(() -> Outcome.of(seed, world, history, checkers, time.nowUs(), false));
+        return onLoop(() -> Outcome.of(seed, testbed, history, checkers, time.nowUs(), false));
     }
 
-    private <T> T onLoop(Callable<T> what) throws IOException, InterruptedException {
+    private <T> T onLoop(Callable<T> task) throws IOException, InterruptedException {
         try {
-            return loop.submit(what).get();
+            return loop.submit(task).get();
         } catch (ExecutionException e) {
             throw new IOException("the run failed", e.getCause());
         }
     }
 
-    private void await(String what, long withinMs, Callable<Boolean> holds) throws IOException, InterruptedException {
+    private void await(String condition, long withinMs, Callable<Boolean> isMet)
+            throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
-        while (!onLoop(holds)) {
+        while (!onLoop(isMet)) {
             if (time.failure() != null) {
                 throw new IOException("the run failed", time.failure());
             }
             if (System.nanoTime() > end) {
-                throw new IOException("waited " + withinMs + " ms in vain for " + what);
+                throw new IOException("condition not met within " + withinMs + " ms: " + condition);
             }
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
 
-    /** The way of a node to an app server. */
+    /** Returns the link of a node to an app server. */
     FaultLink link(int node, String server) {
         return links.link(node, server);
     }
 
-    /** The way of a node to its list. */
+    /** Returns the link of a node to its endpoint list. */
     FaultLink listLink(int node) {
         return listLinks.get(node);
     }
 
-    /** The ids of the nodes' processes. */
-    public List<Long> processes() {
-        return nodes.stream().map(RealNode::pid).toList();
+    /** Returns the process ids of the nodes. */
+    public List<Long> pids() {
+        return nodes.stream().map(ProcessNode::pid).toList();
     }
 
-    /** Ends all processes and lets go of all sockets. */
+    /** Ends all processes and closes all sockets. */
     @Override
     public void close() {
-        outside.shutdownNow();
+        blockingTasks.shutdownNow();
         try {
-            // A start that is under way has to come to its end, or nobody would end what it started.
-            outside.awaitTermination(READY_WITHIN_MS, TimeUnit.MILLISECONDS);
+            // A start in progress has to complete first, or its process would never be ended.
+            blockingTasks.awaitTermination(READY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         loop.submit(() -> {}).awaitUninterruptibly();
-        nodes.parallelStream().forEach(RealNode::close);
+        nodes.parallelStream().forEach(ProcessNode::close);
         loop.submit(() -> {
                     servers.values().forEach(FakeServer::close);
                     lists.forEach(FakeEndpointList::close);
--- a/harness/src/main/java/loadbalancer/harness/process/RequestRegistry.java
+++ b/harness/src/main/java/loadbalancer/harness/process/RequestRegistry.java
@@ -5,16 +5,16 @@
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.BaseNode;
 import loadbalancer.harness.simulation.NodePort.ClientRequest;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 import loadbalancer.policy.AttemptResult;
 
 /**
- * The open requests of all clients, by transaction id, so that a fake app server knows what an attempt is about.
+ * The open requests of all clients by transaction id, by which a fake app server finds the request of an attempt.
  *
- * <p>Used on the loop of the run only.
+ * <p>Used on the event loop of the run only.
  */
 final class RequestRegistry {
-    private final World world;
+    private final Testbed testbed;
     private final Map<String, OpenRequest> requests = new HashMap<>();
 
     private static final class OpenRequest {
@@ -28,28 +28,28 @@
         }
     }
 
-    /** One attempt of a node. */
+    /** One attempt of a node at a request. */
     record Attempt(String txn, int number, ClientRequest request, BaseNode node) {}
 
-    RequestRegistry(World world) {
-        this.world = world;
+    RequestRegistry(Testbed testbed) {
+        this.testbed = testbed;
     }
 
     static String txn(long id) {
         return String.format("%016x", id);
     }
 
-    /** A client has begun to send this to the node. */
+    /** Adds a request that a client sends to this node. */
     void add(ClientRequest request, BaseNode node) {
         requests.put(txn(request.id()), new OpenRequest(request, node));
     }
 
-    /** Long after its end no attempt of it can come any more. */
-    void forget(long id) {
+    /** Removes a request. Called long after its end, when no attempt of it can arrive any more. */
+    void remove(long id) {
         requests.remove(txn(id));
     }
 
-    /** An attempt has come to an app server; null if no client has sent such a request. */
+    /** Records an attempt that has arrived at an app server; returns null if no client has sent such a request. */
     Attempt onAttempt(String txn, AppServer server) {
         OpenRequest open = txn == null ? null : requests.get(txn);
         if (open == null) {
@@ -57,12 +57,12 @@
         }
         boolean crossesZones = server.zone() != open.node.zone();
         Attempt attempt = new Attempt(txn, open.attempts++, open.request, open.node);
-        world.score().onAttempt(crossesZones);
+        testbed.score().onAttempt(crossesZones);
         open.node.history().attempt(open.request.id(), attempt.number(), server.id(), crossesZones);
         return attempt;
     }
 
-    /** How it ended, as the server sees it. */
+    /** Records the result of an attempt as the server observes it. */
     void onOutcome(Attempt attempt, AppServer server, AttemptResult result) {
         attempt.node().history().outcome(attempt.request().id(), attempt.number(), server.id(), result);
     }
--- a/harness/src/main/java/loadbalancer/harness/process/RealTimeline.java
+++ b/harness/src/main/java/loadbalancer/harness/process/SystemTimeline.java
@@ -8,15 +8,15 @@
 import loadbalancer.harness.time.RandomStreams;
 import loadbalancer.harness.time.Timeline;
 
-/** The system's time, on one event loop: what is scheduled runs there one after the other. */
-final class RealTimeline implements Timeline {
+/** A timeline that follows the system's clock and runs all tasks on one event loop. */
+final class SystemTimeline implements Timeline {
     private final EventLoop loop;
     private final long seed;
     private final long originNanos = System.nanoTime();
     private final long originMs = System.currentTimeMillis();
     private final AtomicReference<Throwable> failure = new AtomicReference<>();
 
-    RealTimeline(EventLoop loop, long seed) {
+    SystemTimeline(EventLoop loop, long seed) {
         this.loop = loop;
         this.seed = seed;
     }
@@ -26,32 +26,32 @@
         return (System.nanoTime() - originNanos) / 1_000;
     }
 
-    /** The same as Unix time. */
+    /** Converts a time of this timeline to Unix time in milliseconds. */
     long unixMs(long atUs) {
         return originMs + atUs / 1_000;
     }
 
     @Override
-    public Timer at(long atUs, Runnable what) {
-        Future<?> planned = loop.schedule(() -> run(what), Math.max(0, atUs - nowUs()), TimeUnit.MICROSECONDS);
-        return () -> planned.cancel(false);
+    public Timer at(long atUs, Runnable task) {
+        Future<?> scheduled = loop.schedule(() -> run(task), Math.max(0, atUs - nowUs()), TimeUnit.MICROSECONDS);
+        return () -> scheduled.cancel(false);
     }
 
-    /** Runs it on the loop, as soon as may be. */
-    void soon(Runnable what) {
-        loop.execute(() -> run(what));
+    /** Runs a task on the loop as soon as possible; may be called from any thread. */
+    void runSoon(Runnable task) {
+        loop.execute(() -> run(task));
     }
 
-    private void run(Runnable what) {
+    private void run(Runnable task) {
         try {
-            what.run();
+            task.run();
         } catch (RuntimeException e) {
-            // A future would keep it to itself; the run has to fail by it.
+            // The future would swallow the exception, but the run has to fail.
             failure.compareAndSet(null, e);
         }
     }
 
-    /** The first thing scheduled that failed, or null. */
+    /** Returns the first exception of a task, or null. */
     Throwable failure() {
         return failure.get();
     }
