--- a/node/src/main/java/loadbalancer/policy/Balancer.java
+++ b/node/src/main/java/loadbalancer/policy/Balancer.java
@@ -23,7 +23,8 @@
     void onListFailed(long nowUs);
 
     /**
-     * A client's request arrived. It gets exactly one final response, unless its client leaves first.
+     * A client's request arrived. It gets exactly one final response, from a server or by the balancer, unless it is
+     * withdrawn first (see {@link #onClientGone}).
      *
      * @throws IllegalArgumentException if its class or tenant is not in the settings, or its id is in use
      */
@@ -33,15 +34,17 @@
     void onOutcome(long nowUs, AttemptOutcome outcome);
 
     /**
-     * Binds a request to this attempt: part of its response has been sent to the client, or the request can no longer
-     * be replayed to another server. No further attempt is made, and the balancer applies no deadline to the request
+     * Binds a request to this attempt: part of its response has been sent to the client, or its body has been passed on
+     * in part and can no longer be replayed to another server. Ignored if the request is unknown or already bound, or
+     * if the attempt is not in flight. No further attempt is made, and the balancer applies no deadline to the request
      * from here on.
      */
     void onFirstByte(long nowUs, long requestId, int attempt);
 
     /**
-     * The client has left, or the node has sent the final response itself; the balancer gives none. Unknown ids are
-     * ignored.
+     * Withdraws a request: its client has left, or the node has sent the final response itself, after a failure of the
+     * balancer or at the shutdown deadline. The balancer gives no final response and makes no further attempt. Unknown
+     * ids are ignored.
      */
     void onClientGone(long nowUs, long requestId);
 
--- a/node/src/main/java/loadbalancer/policy/BalancerActions.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerActions.java
@@ -30,7 +30,10 @@
     /** Closes this node's idle connections to a server. */
     void closeIdle(String serverId);
 
-    /** Subscribes to changes of the endpoint list. */
+    /**
+     * Subscribes to changes of the endpoint list: opens a watch, which replaces an open one. Called for each poll of
+     * the list.
+     */
     void subscribe();
 
     /**
--- a/node/src/main/java/loadbalancer/policy/BalancerSettings.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerSettings.java
@@ -24,7 +24,10 @@
     public boolean weightByWork;
     /** Maximum number of attempts per request. */
     public int maxAttempts = 3;
-    /** Maximum number of open requests: clients have no connections left for more. */
+    /**
+     * Maximum number of open requests. A live node derives it from its limit on sockets if it inherits its listening
+     * socket; otherwise it sets no maximum. Beyond the maximum, clients would have no connections left.
+     */
     public int maxOpenRequests = Integer.MAX_VALUE;
     /** Whether a request may have two attempts in flight at once. */
     public boolean hedging;
@@ -34,13 +37,22 @@
     public boolean probes;
     /** Longest retry-after advice to a client; 0 if none may be given. */
     public long maxRetryAfterUs;
-    /** Shortest time between two events. */
+    /**
+     * Shortest time between two events: the resolution of the clock that drives the balancer. Waits that depend on it
+     * are lengthened by a few ticks. A live node has no ticks and uses this value only for these waits.
+     */
     public long tickUs = 1_000;
     /** Time limit for opening a connection. */
     public long connectTimeoutUs = 250_000;
-    /** Whether the endpoint list must be polled. */
+    /**
+     * Whether the balancer polls the endpoint list by {@link BalancerActions#subscribe}, instead of the node keeping a
+     * watch open.
+     */
     public boolean pollsEndpointList;
-    /** Where the endpoint list must be polled: longest time without a subscription until the next poll. */
+    /**
+     * Where the endpoint list is polled: the time within which a poll without a response must be repeated. The balancer
+     * repeats it after half of this time.
+     */
     public long pollIntervalUs = 10_000_000;
     /**
      * Time after the notification that a server drains or is gone until sends to it must stop. Part of the protocol; no
--- a/node/src/main/java/loadbalancer/policy/ClassLatency.java
+++ b/node/src/main/java/loadbalancer/policy/ClassLatency.java
@@ -8,7 +8,10 @@
     private static final double LEAST_MEAN_DRIFT = 1.0001;
     /** Share of the window of {@link RunningMean} that must be filled before the mean is considered reliable. */
     private static final double KNOWN_SHARE = 0.5;
-    /** A response of this share of the mean is slower than half of all, because the median is below the mean. */
+    /**
+     * Share of the mean above which a response counts as slow. It approximates the median, which is below the mean
+     * where a few responses take much longer than most.
+     */
     private static final double SLOW_SHARE = 0.8;
 
     private final RunningMean mean = new RunningMean();
@@ -46,7 +49,10 @@
         return mean.samples() * RunningMean.GAIN >= KNOWN_SHARE;
     }
 
-    /** Whether a response with this latency was slower than most of its class. */
+    /**
+     * Whether a response with this latency was slower than about half of its class; true for any latency before the
+     * first response.
+     */
     boolean isSlow(long latencyUs) {
         return latencyUs > SLOW_SHARE * mean.value();
     }
--- a/node/src/main/java/loadbalancer/policy/ConcurrencyLimiter.java
+++ b/node/src/main/java/loadbalancer/policy/ConcurrencyLimiter.java
@@ -4,17 +4,20 @@
  * Adaptive limits on the attempts in flight, per server and in total.
  *
  * <p>A server's limit grows (additive increase) with each response that is not slow and whose load report predicts no
- * late response, provided that an attempt at the server was held back since the request was sent. The increase is
- * smaller while many attempts are late, and the limit of a warming server grows only while it is below the mean. A
- * limit is cut (multiplicative decrease) when a response is slow or its load report predicts late responses, when a
- * client leaves after waiting as long as a slow response takes, and when an attempt is rejected or times out.
+ * late response, provided that an attempt at the server was held back since the request was sent. A response here is a
+ * successful one: error responses change no limit. Without key affinity, the increase is smaller while attempts are
+ * late. The limit of a warming server grows only while it is below the mean. A limit is cut (multiplicative decrease)
+ * when a response is slow or its load report predicts late responses, when an attempt is cancelled after as long as a
+ * slow response takes because its request was withdrawn, and when an attempt is rejected or times out.
  *
  * <p>An attempt is held back if it would exceed the server's limit or the sum of all limits. The sum matters where many
  * nodes share a server: each limit may then be below one, and an idle server still takes one attempt. Without the sum,
  * every node could have an attempt in flight at every server at once after a stall.
  *
- * <p>A limit below one is enforced by time: each attempt pauses the server for its latency / limit, counted from when
- * it was sent, so that this node uses the server for that share of the time.
+ * <p>A limit below one is enforced by time, so that this node uses the server for that share of the time: the outcome
+ * of each attempt, also of a failed one, pauses the server for the latency / limit, at most for {@link #MAX_PAUSE_US}.
+ * The pause counts from when the attempt was sent or from the end of the previous pause, whichever is later, so pauses
+ * add up. Outcomes of requests that are bound to an attempt are ignored.
  *
  * <p>Trade-off: after a short fault a server stays below its capacity until its limit has grown back.
  */
@@ -26,7 +29,10 @@
      * first cut sets the limit to the actual load.
      */
     private static final double INITIAL_LIMIT_WITH_KEYS = 64;
-    /** Added to the limit per response in good time, with one node per server. */
+    /**
+     * Added to the limit per response that may increase it, with one node per server. Reduced while attempts are late
+     * (see {@link #growthShare}), and by the relative value of the request where many nodes share each server.
+     */
     private static final double INCREASE = 0.15;
 
     /** Share cut from the limit after a slow response, with one node per server. */
@@ -34,13 +40,13 @@
     /** Share cut from the limit after a timed-out attempt, and after a rejected one where servers cache no keys. */
     private static final double STRONG_DECREASE = 0.3;
     /**
-     * Exponent of the number of nodes per server that scales the steps: with 0 nodes adapt slowly, with 0.5 limits
-     * oscillate.
+     * Exponent of the number of nodes per server that scales the steps. With an exponent of 0, nodes adapt slowly; with
+     * an exponent of 0.5, limits oscillate.
      */
     private static final double STEP_SCALE_EXPONENT = 0.25;
     /**
-     * Share of the increase that remains when half or more of the attempts are late, so that limits can grow back at
-     * all.
+     * Least share of the increase while attempts are late, so that limits can grow back at all. Applies once 45 % or
+     * more of the recent attempts are late.
      */
     private static final double MIN_GROWTH_SHARE = 0.1;
     /**
@@ -197,14 +203,18 @@
     }
 
     /**
-     * Share of the increase that applies now: while most attempts are late, a few responses in time are weak evidence,
-     * and growth would prolong the overload.
+     * Share of the increase that applies now: the on-time margin, but at least {@link #MIN_GROWTH_SHARE}. The more
+     * attempts are late, the weaker is the evidence of a response in time, and growth would prolong the overload. With
+     * key affinity the whole increase always applies.
      */
     private double growthShare() {
         return state.settings.keyAffinity ? 1 : Math.max(MIN_GROWTH_SHARE, onTimeRatio.margin());
     }
 
-    /** Cuts a limit, once for all attempts that were sent before the last cut. */
+    /**
+     * Cuts a limit, once for all attempts that were sent before the last cut, but not below this node's share of one
+     * attempt.
+     */
     private void decrease(ServerRecord server, long sentAtUs, double share, long nowUs) {
         if (sentAtUs >= server.limitDecreasedAtUs) {
             // With key affinity a limit may be far above any load that occurred, so the cut starts from the actual
--- a/node/src/main/java/loadbalancer/policy/EndpointListRefresh.java
+++ b/node/src/main/java/loadbalancer/policy/EndpointListRefresh.java
@@ -3,10 +3,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Schedules polls of the endpoint list, where the settings require polling: at once after a cached list, again after
- * half of the poll interval without a response, and with jittered exponential backoff after a failure, so that nodes
- * whose calls failed at the same time do not repeat them at the same time. A list from the discovery service ends the
- * polling.
+ * Schedules polls of the endpoint list, where the settings require polling. A poll is one call of {@link
+ * BalancerActions#subscribe}, by which the node opens a watch: the list and its later changes arrive on that watch. A
+ * poll is made at once after a cached list, again after half of the poll interval without a response, and with jittered
+ * exponential backoff after a failure, so that nodes whose calls failed at the same time do not repeat them at the same
+ * time. A list from the discovery service ends the polling until the next failure.
  */
 final class EndpointListRefresh {
     /**
--- a/node/src/main/java/loadbalancer/policy/ErrorCounter.java
+++ b/node/src/main/java/loadbalancer/policy/ErrorCounter.java
@@ -1,10 +1,12 @@
 package loadbalancer.policy;
 
 /**
- * Maintains the error counts that lower the weights of servers: a failed attempt adds one, a success clears the count.
+ * Maintains the error counts that lower the weights of servers. A failed attempt adds one. A success clears the count,
+ * unless many nodes share each server.
  *
- * <p>Where many nodes share each server, a success that was slower than most of its class adds one, and any other
- * success subtracts one. The weights then settle where all servers are about equally quick.
+ * <p>Where many nodes share each server, a success that was slower than about half of its class adds one, but raises no
+ * count above {@link #MAX_ERRORS_OF_SLOW_RESPONSES}, and any other success subtracts one. The weights then settle where
+ * all servers are about equally quick. Successes of a server that is ejected for all classes are not counted.
  *
  * <p>Trade-off: a server that is slow because of the kind of requests it serves receives fewer of them.
  */
--- a/node/src/main/java/loadbalancer/policy/FirstAttemptPicker.java
+++ b/node/src/main/java/loadbalancer/policy/FirstAttemptPicker.java
@@ -1,8 +1,9 @@
 package loadbalancer.policy;
 
 /**
- * Picks the server for a first attempt, or for a request that has been queued. An ejected server that is due for a
- * trial request comes first, then the choice by weight, then an ejected server as a fallback.
+ * Picks the server for a first attempt, or for any attempt of a request from the queue, which may be a retry. An
+ * ejected server that is due for a trial request comes first, then the choice by weight, then an ejected server as a
+ * fallback.
  *
  * <p>Where crossing zones has a cost, the choice by weight is made among local servers. If it finds none, or one with
  * errors or with {@link #SPILL_IN_FLIGHT} requests in flight, a second choice is made among all servers. The second one
--- a/node/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/node/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -5,7 +5,7 @@
 
 /**
  * Finds attempts that have had no response for {@link #LATENCY_FACTOR} times the mean latency of their class, and
- * decides whether to make a second attempt in parallel (a hedged request, within a retry budget). Guards against a
+ * decides whether to make a second attempt in parallel (a hedged request, within a hedging budget). Guards against a
  * server, or a network path, that drops requests or responses while clients leave before a timeout reveals it.
  *
  * <p>Not used after a pause of the node itself, when responses that have arrived are still unread.
@@ -21,7 +21,7 @@
     private static final int EXTRA_TICKS = 2;
     /** Used until the mean latency is known. Far in the future, but small enough to be added to a time. */
     private static final long UNKNOWN_LATENCY_US = Long.MAX_VALUE / 4;
-    /** Hedged requests that each first attempt adds to the retry budget. */
+    /** Hedged requests that each first attempt adds to the hedging budget. */
     private static final double BUDGET_PER_REQUEST = 0.2;
 
     /** Most hedged requests that the budget saves up. */
--- a/node/src/main/java/loadbalancer/policy/KeyAffinityPicker.java
+++ b/node/src/main/java/loadbalancer/policy/KeyAffinityPicker.java
@@ -1,9 +1,10 @@
 package loadbalancer.policy;
 
 /**
- * Draws servers by a hash of the request's key, as in rendezvous hashing. Used where servers cache keys: all nodes draw
- * the same servers for a key, in the same order. A server with errors loses some keys to the servers drawn next, while
- * all other keys stay on the servers that have cached them.
+ * Draws servers by a hash of the request's key, as in rendezvous hashing. Used where servers cache keys: nodes that use
+ * the same servers draw the same ones for a key, in the same order, apart from draws that they reject because of their
+ * own error counts. A server with errors loses some keys to the servers drawn next, while all other keys stay on the
+ * servers that have cached them.
  *
  * <p>If none of the drawn servers may be sent to, the request waits. On any other server it would cost the work that
  * caching saves, and an overload would reinforce itself.
@@ -19,8 +20,9 @@
     /** Draws per choice. Some are rejected by weight, and a burst of one key must spread over several servers. */
     private static final int MAX_DRAWS = 8;
     /**
-     * Entries of the table per server if the number of servers is a power of two, else down to half of it. The table
-     * grows only when the number of servers doubles, because a change of its length moves all keys.
+     * Entries of the table per server if the number of servers is a power of two. Between two powers of two the table
+     * keeps its length, and the entries per server fall to just over half of this. A change of the length would move
+     * all keys, so it happens only at powers of two.
      */
     private static final int ENTRIES_PER_SERVER = 16;
     /** Increment of SplitMix64, which gives each draw of a key a different hash. */
--- a/node/src/main/java/loadbalancer/policy/ListKind.java
+++ b/node/src/main/java/loadbalancer/policy/ListKind.java
@@ -6,6 +6,6 @@
     CHANGES,
     /** All entries. */
     FULL,
-    /** All entries as this node last received them, possibly outdated; delivered once, at the start. */
+    /** All entries as this node last received them, possibly outdated. A live node delivers it once, at the start. */
     CACHED
 }
--- a/node/src/main/java/loadbalancer/policy/OnTimeRatio.java
+++ b/node/src/main/java/loadbalancer/policy/OnTimeRatio.java
@@ -2,7 +2,7 @@
 
 /**
  * The share of recent attempts whose response came within the latency objective, over all classes. Rejected, timed-out
- * and abandoned attempts count as late.
+ * and abandoned attempts count as late. Attempts that are no load signal (see {@link LoadSignal#NONE}) do not count.
  */
 final class OnTimeRatio {
     /** Weight of a new value: the ratio follows an overload within about eight attempts. */
@@ -23,7 +23,9 @@
         return value;
     }
 
-    /** The share of attempts on time minus the share of the others: from -1 if all are late to 1 if none is. */
+    /**
+     * Balance of attempts on time against late ones: 1 if all are on time, 0 if half of them are, -1 if all are late.
+     */
     double margin() {
         return 2 * value - 1;
     }
--- a/node/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/node/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -7,11 +7,14 @@
 /**
  * Ejects servers that fail. A server with {@link #MIN_FAILURES} failures among its last {@link
  * ServerHealth#HISTORY_LENGTH} outcomes, of all classes or of one, is ejected for all classes or for that one. Of these
- * classes it then receives only single trial requests, at longer intervals after each one that fails, until several in
- * a row succeed, and fallback requests if no other server is found (see {@link TrialRequests}). Each class is also
- * judged on its own, because successes of one class would hide failures of another.
+ * classes it then receives only single trial requests, at longer intervals after each further failure, and fallback
+ * requests if no other server is found (see {@link TrialRequests}). The ejection ends after several successes in a row.
+ * Each class is also judged on its own, because successes of one class would hide failures of another.
  *
- * <p>Never more than half of the servers are ejected: when most servers fail, the cause is elsewhere.
+ * <p>A server is ejected only if at most half of the servers in use are ejected with it: when most servers fail, the
+ * cause is elsewhere. Ejections for all classes and those for each class are counted separately, so for one class more
+ * than half of the servers may be unusable. The share may also exceed half when servers are removed from the list,
+ * because that ends no ejection.
  *
  * <p>Trade-off: a server whose failures are random receives no ordinary requests while it is ejected.
  */
@@ -19,13 +22,16 @@
     /** Failures among the last outcomes at which a server is ejected. */
     private static final int MIN_FAILURES = 4;
     /**
-     * Successful trial requests in a row that end an ejection: one success may be random, three are very unlikely to
-     * be.
+     * Successes in a row that end an ejection: one success may be random, three are very unlikely to be. Any success at
+     * the server counts, also one of a fallback request or of an attempt that was in flight at the ejection.
      */
     private static final int SUCCESSES_TO_RESTORE = 3;
-    /** Mean time from an ejection to the first trial request. */
+    /** Mean time from an ejection until the first trial request is due. */
     private static final long BASE_TRIAL_INTERVAL_US = 250_000;
-    /** Upper bound of the mean time between trial requests, which doubles with each one that fails. */
+    /**
+     * Upper bound of the mean time between trial requests, which doubles with each further failure of any attempt at
+     * the server, except failures that only indicate load.
+     */
     private static final long MAX_TRIAL_INTERVAL_US = 4_000_000;
 
     /** The effect of a success on an ejection. */
@@ -115,7 +121,10 @@
         refresh();
     }
 
-    /** At most half of the servers may be ejected: when most servers fail, the cause is elsewhere. */
+    /**
+     * Whether at most half of the servers in use are ejected for this class after one more ejection; -1 means for all
+     * classes.
+     */
     private boolean mayEjectOneMore(int classIndex) {
         return 2 * (countEjectedFor(classIndex) + 1) <= state.servers.length;
     }
--- a/node/src/main/java/loadbalancer/policy/PendingQueue.java
+++ b/node/src/main/java/loadbalancer/policy/PendingQueue.java
@@ -9,13 +9,16 @@
  * tries to send them: after each outcome, after each change of servers, cordons or settings, after an arrival that had
  * to wait, and at each wake-up.
  *
- * <p>A request leaves the queue when it is sent to a server, or when its client leaves. It gets a final response when
- * its deadline is near, when it is late and a late response to its class has no value, or when it may no longer be sent
- * (see {@link RetryPolicy}). That response is a rejection if the client may safely retry, else a failure. A late
- * request whose class gives late responses some value stays, with its value reduced once.
+ * <p>A request leaves the queue when it is sent to a server. A request that is withdrawn, for example because its
+ * client left, leaves it at the next pass. A queued request gets a final response when its deadline is near, when it is
+ * late and a late response to its class has no value, or when it may no longer be sent (see {@link RetryPolicy}). That
+ * response is a rejection if the client may safely retry, else a failure. A late request whose class gives late
+ * responses some value stays, with its value reduced once.
  *
- * <p>Queued requests and attempts in flight together are bounded by the maximum of open requests, because clients have
- * no connections for more. Beyond that the queued request with the lowest value gets its final response.
+ * <p>Queued requests and attempts in flight together are bounded by {@link BalancerSettings#maxOpenRequests}, because
+ * clients have no connections for more. Beyond that the queued request with the lowest value gets its final response.
+ * Withdrawn requests count until the next pass removes them, so a request may be displaced although the bound is not
+ * reached.
  */
 final class PendingQueue {
     /**
@@ -88,8 +91,8 @@
     }
 
     /**
-     * Adds a request. Returns the request with the lowest value if there is no room for it, which may be the one added,
-     * else null.
+     * Adds a request. If the bound is exceeded, counting entries that have already ended, returns the request with the
+     * lowest value, which may be the one added. Returns null if the bound holds, or if the last entry has ended.
      */
     PendingRequest add(PendingRequest request) {
         request.enqueue();
--- a/node/src/main/java/loadbalancer/policy/PendingRequest.java
+++ b/node/src/main/java/loadbalancer/policy/PendingRequest.java
@@ -6,7 +6,10 @@
  */
 final class PendingRequest {
     private enum State {
-        /** Has attempts in flight, or is about to be sent, queued or ended. */
+        /**
+         * Has attempts in flight. Also the state while the balancer handles the arrival or an outcome, before it sends,
+         * queues or ends the request.
+         */
         IN_PROGRESS,
         /** Waits in the {@link PendingQueue}. */
         QUEUED,
@@ -46,6 +49,7 @@
     /** Whether {@link #value} has been reduced to that of a response after the latency objective. */
     boolean valuedAsLate;
 
+    /** Whether the client has left or the node has sent the final response itself. */
     boolean clientGone;
     /** The attempt that the request is bound to, see {@link Balancer#onFirstByte}. */
     int boundAttempt = UNBOUND;
--- a/node/src/main/java/loadbalancer/policy/RetryPolicy.java
+++ b/node/src/main/java/loadbalancer/policy/RetryPolicy.java
@@ -1,12 +1,16 @@
 package loadbalancer.policy;
 
 /**
- * Decides whether, until when and where a request may be sent again, and whether its client may safely retry. A request
- * may have run unless it is certain for each of its attempts that it did not. If it may have run, a request with an
- * idempotency key may only be sent to servers that recognize the duplicate, within their deduplication window, and a
- * non-idempotent request may not be sent again.
+ * Decides whether, until when and where a request may be sent again, and whether its client may safely retry. No
+ * further attempt is made when no attempts are left, when the deadline has passed, or when the request is bound to an
+ * attempt.
  *
- * <p>Stateless. Applies before each attempt and each final response.
+ * <p>A request may have run unless it is certain for each of its attempts that it did not. If it may have run, a
+ * request with an idempotency key may only be sent to servers that recognize the duplicate, within their deduplication
+ * window, and a non-idempotent request may not be sent again.
+ *
+ * <p>Stateless. {@link #mayRetry} applies to retries, hedged requests and all requests in the queue, but not to a first
+ * attempt that is sent on arrival. The other rules apply to each attempt and to each final response of the balancer.
  */
 final class RetryPolicy {
 
--- a/node/src/main/java/loadbalancer/policy/ServerHealth.java
+++ b/node/src/main/java/loadbalancer/policy/ServerHealth.java
@@ -14,7 +14,9 @@
     boolean ejected;
     /** When the next trial request of an ejected server is due. */
     long trialAtUs;
-    /** Mean time until the next trial request of an ejected server; doubles with each one that fails. */
+    /**
+     * Mean time until the next trial request of an ejected server; doubles with each recorded failure, up to a maximum.
+     */
     long trialIntervalUs;
     /** Successes in a row since the ejection or the last failure; enough of them end the ejection. */
     int trialsSucceeded;
--- a/node/src/main/java/loadbalancer/policy/ServerRecord.java
+++ b/node/src/main/java/loadbalancer/policy/ServerRecord.java
@@ -46,10 +46,10 @@
 
     /** When its limit was last cut. */
     long limitDecreasedAtUs;
-    /** With a limit below one: the length of the pause after the last attempt. */
+    /** With a limit below one: the length of the pause that the last outcome added. */
     long pauseUs;
 
-    /** The end of that pause. */
+    /** The end of the pauses, which add up. */
     long pausedUntilUs;
 
     // Written by SlowStart.
--- a/node/src/main/java/loadbalancer/policy/ServerRegistry.java
+++ b/node/src/main/java/loadbalancer/policy/ServerRegistry.java
@@ -9,7 +9,8 @@
 
 /**
  * All servers that this node knows: those of the endpoint list, with the cordons of the operators, and those that were
- * removed while attempts were still in flight.
+ * removed while attempts were still in flight. A removed server is forgotten at the first endpoint list event after the
+ * end of these attempts; those that their request is bound to do not count.
  */
 final class ServerRegistry {
     private final Map<String, ServerRecord> byId = new HashMap<>();
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -10,12 +10,12 @@
  * Implements the path of a request through the balancer; each rule on that path is a separate class (see {@link
  * BalancerRules}).
  *
- * <p>The path is that of ServiceQ, a published load balancer that weights servers by their errors. A first attempt goes
- * to the better of two servers, drawn with weights that fall with their errors ({@link FirstAttemptPicker}). A failed
- * attempt is retried at the next server in list order ({@link RetryPolicy}, {@link RetryPicker}). If the request may
- * not be sent to any server, it waits within its client's deadline ({@link PendingQueue}); if it may not be sent again,
- * it gets a final response. This node adds load shedding on arrival ({@link AdmissionController}) and hedged requests
- * ({@link HedgingPolicy}).
+ * <p>The path is that of ServiceQ, a published load balancer: it draws two servers, with weights that fall with their
+ * errors, and sends a first attempt to the one with fewer requests in flight ({@link FirstAttemptPicker}). A failed
+ * attempt is retried at the next server in list order ({@link RetryPolicy}, {@link RetryPicker}); with a key, a request
+ * that certainly has not run goes to the key's next server instead. If the request may not be sent to any server, it
+ * waits within its client's deadline ({@link PendingQueue}); if it may not be sent again, it gets a final response.
+ * This node adds load shedding on arrival ({@link AdmissionController}) and hedged requests ({@link HedgingPolicy}).
  */
 public final class ServiceQBalancer implements Balancer {
     private final BalancerActions actions;
--- a/node/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/node/src/main/java/loadbalancer/policy/SlowStart.java
@@ -3,13 +3,16 @@
 import java.util.SplittableRandom;
 
 /**
- * Limits the rate of requests to warming servers. The interval between two requests is that of an even share of this
- * node's responses, divided by the minimum share of its capacity that the server has reached and by the multiple that
- * the settings allow. The rate of arrivals is not used, because it grows while responses stall.
+ * Limits the rate of requests to warming servers. A server is warm once {@link BalancerSettings#warmUpUs} have passed
+ * since its start; nothing that it reports ends the warm-up earlier. The interval between two requests is that of an
+ * even share of this node's responses, divided by the minimum share of its capacity that the server has reached and by
+ * the multiple that the settings allow. With key affinity it is three times as long while the server reports more than
+ * the mean load, or has reported none, because requests with keys that it has not cached cost more. The rate of
+ * arrivals is not used, because it grows while responses stall.
  *
  * <p>All nodes together may send the settings' multiple of the server's capacity. Each node uses half of it, or all of
- * it while the server reports less than half of the mean load. The concurrency limit restricts a server that is even
- * slower.
+ * it while the server reports at most half of the mean load; the multiple used is never below 1. The concurrency limit
+ * restricts a server that is even slower.
  *
  * <p>Trade-off: a server that warms up faster than assumed is partly idle.
  */
--- a/node/src/main/java/loadbalancer/policy/TrialRequests.java
+++ b/node/src/main/java/loadbalancer/policy/TrialRequests.java
@@ -5,17 +5,19 @@
 /**
  * Picks requests that are sent to ejected servers.
  *
- * <p>A trial request shows whether an ejected server has recovered. A server that is due receives one at a time. Failed
- * trial requests share a budget over all servers, because trials of a whole failed zone, from every node, would
- * otherwise take most idempotent requests. Non-idempotent requests are used as trials only where no others could show a
- * recovery: if the server is ejected only for their class.
+ * <p>A trial request shows whether an ejected server has recovered. A server that is due receives one only while this
+ * node has no other attempt in flight there; attempts that their request is bound to do not count. Failed trial
+ * requests share a budget over all servers, because trials of a whole failed zone, from every node, would otherwise
+ * take most idempotent requests. Non-idempotent requests are used as trials only where no others could show a recovery:
+ * if the server is ejected only for their class.
  *
  * <p>As a fallback, if no other server is found, an ejected server that still responds, even with errors, receives
- * idempotent requests that have a further attempt left. Error responses cost no work, so each request that it serves is
- * a gain. The longer it only fails, the longer it gets none, because a server that fails immediately would otherwise
- * attract most requests.
+ * idempotent requests that have a further attempt left. This assumes that an error response costs a server little work,
+ * so that each request that it does serve is a gain. The longer the server only fails, the longer it gets none, up to
+ * 1.5 mean latencies, because a server that fails immediately would otherwise attract most requests.
  *
- * <p>Trade-off: a trial request to a server that still fails costs the request one of its attempts.
+ * <p>Trade-off: a trial request to a server that still fails costs the request one of its attempts. If that was its
+ * last one, the request itself fails: unlike a fallback, a trial does not require that a further attempt is left.
  */
 final class TrialRequests {
     /** Trial requests that each first attempt adds to the budget. */
@@ -27,8 +29,9 @@
     private static final int NON_IDEMPOTENT_WAIT_FACTOR = 4;
     /**
      * Failures in a row above which a fallback server is paused after its last response: for 1/16 of the mean latency
-     * of the request's class per further failure, at most for 1.5 mean latencies. A server that serves three of ten
-     * requests reaches this number in one of seventeen runs; one that serves none always does.
+     * of the request's class per further failure, at most for 1.5 mean latencies. For a server that serves three of ten
+     * requests at random, the probability that this many outcomes in a row fail is 0.7 to the power of 8, about one in
+     * seventeen; a server that serves none always reaches the number.
      */
     private static final int FALLBACK_FAILURES = ServerHealth.HISTORY_LENGTH / 2;
 
@@ -49,7 +52,10 @@
         budget = Math.min(MAX_BUDGET, budget + BUDGET_PER_REQUEST);
     }
 
-    /** Refunds the cost of a trial request that an ejected server has served. */
+    /**
+     * Refunds the cost of a trial request that an ejected server has served. Any success at an ejected server refunds
+     * as much, although fallback requests and attempts sent before the ejection were not charged.
+     */
     void onSuccess(ServerRecord server, ServerHealth classHealth) {
         if (server.health.ejected || classHealth.ejected) {
             budget = Math.min(MAX_BUDGET, budget + 1);
@@ -58,7 +64,7 @@
 
     /**
      * Returns an ejected server that is due for a trial with this request, and charges the budget; null if there is
-     * none.
+     * none or the budget is below 1.
      */
     ServerRecord pickDue(PendingRequest request, long nowUs) {
         if (ejected.isEmpty() || budget < 1) {
