--- a/node/src/main/java/loadbalancer/admin/CordonFile.java
+++ b/node/src/main/java/loadbalancer/admin/CordonFile.java
@@ -12,8 +12,8 @@
 
 /**
  * The file with the ids of the cordoned servers, one per line in UTF-8. All processes of a node share it. During an
- * upgrade, two versions of the program read and write it concurrently, so the file names and the format must not
- * change.
+ * upgrade, two versions of the program read and write it concurrently, so the format and the file names, with the
+ * prefix {@code kitemux}, must not change.
  *
  * <p>Any process of the node may write the file, but only to execute an operator's call to cordon or uncordon a server,
  * and only while it holds the lock on the lock file. The file is replaced atomically by a rename, so readers need no
--- a/node/src/main/java/loadbalancer/admin/CordonStore.java
+++ b/node/src/main/java/loadbalancer/admin/CordonStore.java
@@ -94,11 +94,12 @@
     }
 
     /**
-     * Cordons or uncordons a server. The file is written before the cordons in memory change, so that an accepted call
-     * remains in force after this process has ended.
+     * Cordons or uncordons a server. The file, if cordons are shared, is written before the cordon in memory changes,
+     * so that an accepted call remains in force after this process has ended.
      *
      * @throws RejectedCallException if the server has never been listed, another process holds the lock, or the file
-     *     cannot be written; the cordon of the server is unchanged
+     *     cannot be written; this call has changed no cordon, but {@link #cordonedIds} may already contain changes of
+     *     another process that were read under the lock, which a later {@link #refresh} does not report
      */
     public void setCordoned(String serverId, boolean cordoned) throws RejectedCallException {
         if (!listedIds.containsKey(serverId) && !cordonedIds.contains(serverId)) {
@@ -110,7 +111,8 @@
         }
         try {
             file.withLock(() -> {
-                // Another process may have written the file since the last refresh; its change must not be lost.
+                // Another process may have written the file since the last refresh; its change must not be lost. If the
+                // file cannot be read now, it is replaced by the cordons in memory and the change is lost.
                 refresh();
                 List<String> lines = idsWith(serverId, cordoned);
                 file.write(lines);
--- a/node/src/main/java/loadbalancer/admin/NodeOperations.java
+++ b/node/src/main/java/loadbalancer/admin/NodeOperations.java
@@ -9,10 +9,12 @@
     String metrics();
 
     /**
-     * Cordons or uncordons a server. A cordoned server receives no new requests from any process of the node.
+     * Cordons or uncordons a server. A cordoned server receives no new requests from any process of the node, once each
+     * of them has read the change.
      *
-     * @return the delay in milliseconds after which all processes of the node follow the change
-     * @throws RejectedCallException if the change is rejected; the cordon of the server is unchanged
+     * @return the delay in milliseconds after which all processes of the node normally respect a new cordon; 0 if
+     *     cordons are not shared, and 0 if a cordon ends, although the other processes follow that later too
+     * @throws RejectedCallException if the change is rejected; nothing is passed on to the balancer
      */
     long setCordoned(String serverId, boolean cordoned) throws RejectedCallException;
 }
