--- a/node/src/main/java/loadbalancer/process/GracefulShutdown.java
+++ b/node/src/main/java/loadbalancer/process/GracefulShutdown.java
@@ -7,28 +7,32 @@
 import loadbalancer.request.RequestTable;
 
 /**
- * Drains a node after SIGTERM.
+ * Drains a node after SIGTERM. The drain begins once the process has left the membership, if there is one. That may
+ * take up to a second, in which the node serves as usual; the times below count from the beginning of the drain.
  *
  * <p>A request that waits for a server, or for a server's response, is still sent, retried and hedged as usual. Only
  * the following changes:
  *
  * <ul>
- *   <li>A response that starts after SIGTERM has {@code Connection: close}, and the node closes the connection after
+ *   <li>A response that starts during the drain has {@code Connection: close}, and the node closes the connection after
  *       it. If requests are pipelined behind it, this applies to the last of their responses instead.
- *   <li>A request that arrives after SIGTERM gets the shutdown deadline if its own deadline is later.
- *   <li>At the shutdown deadline, each request without a response fails: with 503 if no attempt was started, with 502
- *       otherwise, because a server may have run it. A response that is being streamed goes on.
+ *   <li>A request that arrives during the drain gets the shutdown deadline if its own deadline is later.
+ *   <li>At the shutdown deadline, each request without a response fails. It gets 503 if the balancer never requested an
+ *       attempt, else 502, because a server may have run it. Attempts that certainly did not run count as well: those
+ *       that were never sent, that found no connection, or that a full server rejected. A response that is being
+ *       streamed goes on.
  * </ul>
  *
- * <p>The shutdown deadline ends shortly before the platform sends SIGKILL. A request that is still open at SIGKILL ends
- * with a reset connection, and its client cannot tell whether a retry is safe.
+ * <p>The shutdown deadline is shortly before the platform sends SIGKILL, if the drain begins promptly after SIGTERM. A
+ * request that is still open at SIGKILL ends with a reset connection, and its client cannot tell whether a retry is
+ * safe.
  *
- * <p>Without a handover ({@link ClientServer#drain}), the node accepts connections for a short time after SIGTERM. It
- * then closes the listening socket and all idle client connections. With a handover ({@link
- * ClientServer#drainForHandover}), the next process of the node accepts on the same listening socket, so this process
- * stops accepting at once. It keeps idle client connections open until shortly before the shutdown deadline, because a
- * request that crosses the close of its connection is dropped. In both cases a connection on which a request has partly
- * arrived stays open until the response.
+ * <p>Without a handover ({@link ClientServer#drain}), the node accepts connections for a short time. It then closes the
+ * listening socket and all idle client connections. With a handover ({@link ClientServer#drainForHandover}), the next
+ * process of the node accepts on the same listening socket, so this process stops accepting at once. It keeps idle
+ * client connections open until shortly before the shutdown deadline, because a request that crosses the close of its
+ * connection is dropped. In both cases a connection on which a request has partly arrived stays open until the
+ * response.
  */
 final class GracefulShutdown {
     /** The platform grants a node its longest class deadline after SIGTERM, but never more than this. */
@@ -85,8 +89,8 @@
     }
 
     /**
-     * Returns the time from SIGTERM to the shutdown deadline. Like the platform, it uses the longest class deadline of
-     * the configuration file in effect.
+     * Returns the time from {@link #begin} to the shutdown deadline. Like the platform, it uses the longest class
+     * deadline of the configuration file in effect.
      */
     private long drainTimeoutUs() {
         long grantedDeadlineUs =
--- a/node/src/main/java/loadbalancer/process/ServerListUpdater.java
+++ b/node/src/main/java/loadbalancer/process/ServerListUpdater.java
@@ -16,8 +16,8 @@
  */
 final class ServerListUpdater implements EndpointWatcher.Listener {
     /**
-     * How long another process of this node takes at most to read a new cordon. Two housekeeping intervals, so that a
-     * short stall of that process is covered.
+     * Time within which another process of this node reads a new cordon. Two housekeeping intervals, so that a stall of
+     * that process of up to one interval is covered.
      */
     static final long CORDON_PROPAGATION_MILLIS = 2 * Housekeeping.INTERVAL_MILLIS;
 
@@ -68,7 +68,7 @@
      *
      * @return how many milliseconds it takes until all processes of the node respect a new cordon, because another
      *     process reads it at its next refresh; 0 if the cordon is not shared, or if a cordon ends
-     * @throws RejectedCallException if the change cannot be made; then nothing has changed
+     * @throws RejectedCallException if the change cannot be made; nothing is passed on to the pool and the balancer
      */
     long setCordoned(String serverId, boolean cordoned) throws RejectedCallException {
         cordons.setCordoned(serverId, cordoned);
