--- a/node/src/main/java/loadbalancer/membership/core/Gossiper.java
+++ b/node/src/main/java/loadbalancer/membership/core/Gossiper.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Disseminates gossip updates: piggybacked on every message that is sent, and in rounds of gossip messages to random
- * live members while the broadcast queue holds updates.
+ * Disseminates gossip updates: piggybacked on every message except the announcement of a leave, and in rounds of gossip
+ * messages to random live members while the broadcast queue holds updates.
  */
 final class Gossiper {
     /** A leave is announced at once to this many members per binary digit of the number of other live members. */
--- a/node/src/main/java/loadbalancer/membership/core/NameConflictResolver.java
+++ b/node/src/main/java/loadbalancer/membership/core/NameConflictResolver.java
@@ -3,7 +3,7 @@
 /**
  * Resolves a conflict between two processes with the same name at different addresses. The process with the higher
  * incarnation, usually the one that started later, keeps the name, and the other one yields. Guards against two
- * processes that refute each other for ever, which shows as a member that keeps changing its address. A record at
+ * processes that refute each other indefinitely, which shows as a member that keeps changing its address. A record at
  * another address may also be left over from an earlier process whose clock was ahead, so this process yields only to a
  * rival that acknowledges a ping.
  */
--- a/node/src/main/java/loadbalancer/membership/core/PartitionRepair.java
+++ b/node/src/main/java/loadbalancer/membership/core/PartitionRepair.java
@@ -5,8 +5,8 @@
 /**
  * Contacts a random dead member, or a seed whose address no record has, about once per probe period. Guards against a
  * partition that persists after the network has recovered: both halves consider each other dead, and the failure
- * detector does not probe dead members. Dead members are contacted until their tombstones are dropped, seeds without
- * end.
+ * detector does not probe dead members. Dead members are contacted until their tombstones are dropped, seeds
+ * indefinitely.
  */
 final class PartitionRepair {
     private final MembershipSettings settings;
--- a/node/src/main/java/loadbalancer/membership/core/Refutation.java
+++ b/node/src/main/java/loadbalancer/membership/core/Refutation.java
@@ -1,9 +1,11 @@
 package loadbalancer.membership.core;
 
 /**
- * Refutes wrong claims about this process at its own address. A process that learns that others consider it suspected,
- * dead or left announces itself alive in a higher incarnation, which supersedes the claim, and degrades its local
- * health by 1. A claim about an earlier incarnation is ignored, because the current one supersedes it already.
+ * Refutes wrong claims about this process at its own address by announcing this process alive in an incarnation that
+ * supersedes the claim. A claim that the process is suspected, dead or left, in the current generation, is answered in
+ * a higher incarnation and degrades the local health by 1. A claim of a later generation, also one that says alive, is
+ * answered in a generation after that and leaves the local health unchanged. A claim about an earlier incarnation is
+ * ignored, because the current one supersedes it already.
  */
 final class Refutation {
     private final LocalMember local;
--- a/node/src/main/java/loadbalancer/membership/core/Suspicion.java
+++ b/node/src/main/java/loadbalancer/membership/core/Suspicion.java
@@ -5,8 +5,10 @@
 
 /**
  * Timeout within which a suspected member has to refute. It is longest while a single member suspects it, and shrinks
- * logarithmically with each other member that confirms the suspicion. Guards against a slow process that suspects
- * everyone: no other member confirms, so each suspected member has the longest time to refute.
+ * logarithmically with each other member that confirms the suspicion, down to the minimum at the required number of
+ * confirmations. Guards against a slow process that suspects everyone: no other member confirms, so each suspected
+ * member has the longest time to refute. Where no confirmation is required, as in a fleet too small for one, the
+ * timeout is always the minimum.
  */
 final class Suspicion {
     private long startedAtUs;
--- a/node/src/main/java/loadbalancer/membership/core/UpdateMerger.java
+++ b/node/src/main/java/loadbalancer/membership/core/UpdateMerger.java
@@ -2,8 +2,9 @@
 
 /**
  * Merges updates into the member table. An update that supersedes the current record replaces it, is disseminated, and
- * leads to the notifications of {@link MemberTransition}. Updates about this process's own name go to
- * {@link Refutation} or, if they have another address, to {@link NameConflictResolver}.
+ * leads to the notifications of {@link MemberTransition}. A death that a state sync reports of a live member in its
+ * known incarnation only makes it suspected. Updates about this process's own name go to {@link Refutation} or, if they
+ * have another address, to {@link NameConflictResolver}.
  */
 final class UpdateMerger {
     /** Origin of an update. */
--- a/node/src/main/java/loadbalancer/membership/core/package-info.java
+++ b/node/src/main/java/loadbalancer/membership/core/package-info.java
@@ -20,7 +20,7 @@
  *       a late update does not bring it back: see {@link TombstoneRetention}.
  *   <li>{@link PartitionRepair} pings dead members meanwhile. A ping of a dead member carries the record of its death,
  *       as does the ack to a ping from one. A member that learns that it is considered dead refutes that like a
- *       suspicion, and joins again.
+ *       suspicion. The others then record it as alive again and notify their listeners that it has joined.
  * </ol>
  *
  * <p>Must not depend on sockets, encodings, threads, clocks, files, logs, metrics, or on randomness other than its
