--- a/node/src/main/java/loadbalancer/client/ClientConnection.java
+++ b/node/src/main/java/loadbalancer/client/ClientConnection.java
@@ -25,9 +25,10 @@
  *
  * <p>A half-closed connection is not kept open. {@code ChannelOption.ALLOW_HALF_CLOSURE} is off, so Netty closes the
  * channel when it reads the end of the client's stream, even if the client has shut down only its output and still
- * waits for a response. The end of the stream is noticed only while the channel is being read. When the channel becomes
- * inactive, the {@link CloseListener} of the open request is notified, and pipelined requests are dropped without being
- * sent to a server.
+ * waits for a response. The end of the stream is noticed only while the channel is being read. While reading is paused,
+ * because the queue of pipelined requests is full or a streamed body must wait, the connection stays open until reading
+ * resumes, a write fails or {@link ConnectionTimeouts} finds it overdue. When the channel becomes inactive, the {@link
+ * CloseListener} of the open request is notified, and pipelined requests are dropped without being sent to a server.
  *
  * <p>All methods are called on the event loop. This handler releases the inbound messages that it reads. The channel
  * releases the parts of responses that are written to it.
--- a/node/src/main/java/loadbalancer/client/ClientServer.java
+++ b/node/src/main/java/loadbalancer/client/ClientServer.java
@@ -38,7 +38,10 @@
         void onRequest(ClientConnection client, ClientRequest request);
     }
 
-    /** New connections arrive for up to 0.4 s after SIGTERM; the other 0.1 s covers those being established. */
+    /**
+     * On the platform, new connections arrive for up to 0.4 s after SIGTERM; the other 0.1 s covers those being
+     * established.
+     */
     private static final long ACCEPT_WHILE_DRAINING_MS = 500;
 
     private final MeasuredEventLoop loop;
--- a/node/src/main/java/loadbalancer/client/ConnectionTimeouts.java
+++ b/node/src/main/java/loadbalancer/client/ConnectionTimeouts.java
@@ -22,8 +22,8 @@
     private static final long FIRST_REQUEST_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
     /**
-     * Minimum rate of the first request's body once {@link #FIRST_REQUEST_NANOS} have passed: half the rate of the
-     * slowest client.
+     * Minimum rate of the first request's body once {@link #FIRST_REQUEST_NANOS} have passed: half the rate at which
+     * the slowest clients of the platform send.
      */
     private static final double FIRST_REQUEST_MIN_BYTES_PER_NANO = 32e3 / 1e9;
 
--- a/node/src/main/java/loadbalancer/eventloop/LoopLagMeter.java
+++ b/node/src/main/java/loadbalancer/eventloop/LoopLagMeter.java
@@ -21,8 +21,8 @@
  * <p>A request's remaining time counts from its arrival, but bytes do not carry an arrival time. If it counted from the
  * time at which the loop reads the request, a request that waited through a stall would be sent to a server after its
  * client has given up. The meter therefore gives the earliest possible arrival. A request whose deadline has passed by
- * this estimate is rejected instead of being sent to a server. An estimate that is too early costs such a request, but
- * no server works for a client that has given up.
+ * this estimate is rejected instead of being sent to a server. If the estimate is too early, a request that could still
+ * be served in time is rejected; in return, no server works for a client that has given up.
  *
  * <p>The meter wraps the loop's I/O handler and is its select strategy. All methods run on the loop's thread, except
  * {@link #wakeup} and {@link #isCompatible}, which any thread may call.
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -21,7 +21,8 @@
  * <p>A request whose client leaves ends without a response. If it waits for a server, the balancer drops it and starts
  * no further attempt. An attempt that has not started yet is not sent. Attempts that wait for a connection or a
  * response are cancelled by the balancer if its settings enable cancellation; otherwise they continue, and their
- * responses are dropped. An attempt that is being sent a body of which the rest has not arrived is always cancelled.
+ * responses are dropped. If the rest of the request body has not arrived yet, the attempt that sends it is cancelled
+ * whatever the settings are.
  *
  * <p>All methods are called on the event loop.
  */
--- a/node/src/main/java/loadbalancer/request/RequestTable.java
+++ b/node/src/main/java/loadbalancer/request/RequestTable.java
@@ -23,7 +23,10 @@
 public final class RequestTable implements ClientServer.RequestHandler, ProxiedRequest.Listener {
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Lateness above which a request is logged: half of the 500 ms after which clients treat a response as lost. */
+    /**
+     * Lateness above which a request is logged: half of the 500 ms after which clients on the platform treat a response
+     * as lost.
+     */
     private static final long MIN_LOGGED_LATENESS_US = 250_000;
 
     private final RequestServices services;
--- a/node/src/main/java/loadbalancer/simulator/WireNames.java
+++ b/node/src/main/java/loadbalancer/simulator/WireNames.java
@@ -1,9 +1,10 @@
 package loadbalancer.simulator;
 
 /**
- * The names of lines and fields and the values on the simulator's wire. Each constant maps a name of the protocol,
- * which never changes, to the name that the code uses. The names of events are in {@link EventType}, those of the
- * settings in a boot event in the package {@code loadbalancer.settings}.
+ * The names of lines and fields and the values of the simulator's protocol. In this package, "wire" means that protocol
+ * only. A roster is a numbered list of servers; notifications of the endpoint list refer to it by its number. Each
+ * constant maps a name of the protocol, which never changes, to the name that the code uses. The names of events are in
+ * {@link EventType}, those of the settings in a boot event in the package {@code loadbalancer.settings}.
  */
 final class WireNames {
     // Lines that start and end a batch of events, and the line that ends the response to it.
--- a/node/src/main/java/loadbalancer/upstream/LoadReportDecoder.java
+++ b/node/src/main/java/loadbalancer/upstream/LoadReportDecoder.java
@@ -15,7 +15,10 @@
     private static final String FIELD_SEPARATOR = ",";
     private static final char VALUE_SEPARATOR = '=';
 
-    /** Names on the wire. Servers use the names of the settings; the example in the protocol uses others. */
+    /**
+     * Names on the wire. Servers use the names of the settings; the example in the description of the platform's
+     * protocol uses others.
+     */
     private static final Map<String, LoadReportField> FIELDS_BY_WIRE_NAME = Map.ofEntries(
             Map.entry("concurrent", LoadReportField.IN_FLIGHT),
             Map.entry("inflight", LoadReportField.IN_FLIGHT),
