--- a/harness/src/main/java/loadbalancer/harness/process/ProcessRun.java
+++ b/harness/src/main/java/loadbalancer/harness/process/ProcessRun.java
@@ -23,7 +23,7 @@
 import loadbalancer.harness.run.Outcome;
 import loadbalancer.harness.run.SimulatedRun;
 import loadbalancer.harness.scenario.Scenario;
-import loadbalancer.harness.simulation.NodePort;
+import loadbalancer.harness.simulation.FleetNode;
 import loadbalancer.harness.simulation.Testbed;
 
 /**
@@ -80,7 +80,7 @@
         readers.add(reader);
         history = new History(time, readers, file, false);
         testbed = new Testbed(scenario, time, history);
-        testbed.links().setCarrier(links);
+        testbed.links().setFaultInjector(links);
         RequestRegistry requests = new RequestRegistry(testbed);
         int number = 0;
         for (String id : testbed.servers().keySet()) {
@@ -101,7 +101,7 @@
                     "127.3.0." + (1 + i),
                     time,
                     scenario.fleet().zones(),
-                    id -> Listener.format(links.link(nodeIndex, id).address()));
+                    id -> HttpListener.format(links.link(nodeIndex, id).address()));
             lists.add(list);
             FaultLink listLink =
                     new FaultLink(linkLoop, "127.5.0." + (1 + i), list.address(), time.stream("list link " + i));
@@ -113,7 +113,7 @@
                     time,
                     requests,
                     list,
-                    Listener.format(listLink.address()),
+                    HttpListener.format(listLink.address()),
                     deploy,
                     folder,
                     blockingTasks);
@@ -144,7 +144,7 @@
         await(
                 "all nodes are up",
                 READY_TIMEOUT_MS,
-                () -> testbed.nodes().stream().allMatch(NodePort::isReady));
+                () -> testbed.nodes().stream().allMatch(FleetNode::isReady));
         long startedUs = onLoop(() -> {
             testbed.startClients();
             SimulatedRun.scheduleFaults(testbed, time);
