--- a/harness/src/main/java/loadbalancer/harness/baseline/Baseline.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/Baseline.java
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public void onFirstByte(long nowUs, long requestId, int attempt) {
+    public void onBound(long nowUs, long requestId, int attempt) {
         // Not used by these policies.
     }
 
--- a/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
+++ b/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
@@ -84,8 +84,8 @@
     }
 
     @Override
-    public void onFirstByte(long nowUs, long requestId, int attempt) {
-        inner.onFirstByte(nowUs, requestId, attempt);
+    public void onBound(long nowUs, long requestId, int attempt) {
+        inner.onBound(nowUs, requestId, attempt);
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/policy/Balancer.java
+++ b/node/src/main/java/loadbalancer/policy/Balancer.java
@@ -39,7 +39,7 @@
      * if the attempt is not in flight. No further attempt is made, and the balancer applies no deadline to the request
      * from here on.
      */
-    void onFirstByte(long nowUs, long requestId, int attempt);
+    void onBound(long nowUs, long requestId, int attempt);
 
     /**
      * Withdraws a request: its client has left, or the node has sent the final response itself, after a failure of the
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -141,7 +141,7 @@
             services.events()
                     .submit(
                             ProxiedRequest.this,
-                            balancer -> balancer.onFirstByte(services.clock().nowUs(), id, attempt));
+                            balancer -> balancer.onBound(services.clock().nowUs(), id, attempt));
         }
 
         @Override
--- a/node/src/main/java/loadbalancer/simulator/BalancerEventDecoder.java
+++ b/node/src/main/java/loadbalancer/simulator/BalancerEventDecoder.java
@@ -100,7 +100,7 @@
     private Consumer<Balancer> decodeFirstByte(long nowUs) throws WireException {
         long requestId = reader.requiredId(WireNames.REQUEST_ID);
         int attempt = (int) reader.requiredLong(WireNames.ATTEMPT);
-        return balancer -> balancer.onFirstByte(nowUs, requestId, attempt);
+        return balancer -> balancer.onBound(nowUs, requestId, attempt);
     }
 
     private Consumer<Balancer> decodeProbe(long nowUs) throws WireException {
--- a/node/src/test/java/loadbalancer/policy/DecisionStream.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionStream.java
@@ -493,7 +493,7 @@
         if (!request.ended && !request.attempts.get(number).ended && !request.streaming) {
             request.streaming = true;
             markCovered(Covered.FIRST_BYTE);
-            balancer.onFirstByte(now, requestId, number);
+            balancer.onBound(now, requestId, number);
         }
     }
 
