--- a/harness/src/main/java/loadbalancer/harness/baseline/Baseline.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/Baseline.java
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void onClientGone(long nowUs, long requestId) {
+    public void onWithdrawn(long nowUs, long requestId) {
         RequestState state = states.get(requestId);
         if (state != null) {
             state.ended = true;
--- a/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
+++ b/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
@@ -89,9 +89,9 @@
     }
 
     @Override
-    public void onClientGone(long nowUs, long requestId) {
+    public void onWithdrawn(long nowUs, long requestId) {
         now = nowUs;
-        inner.onClientGone(nowUs, requestId);
+        inner.onWithdrawn(nowUs, requestId);
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/policy/Balancer.java
+++ b/node/src/main/java/loadbalancer/policy/Balancer.java
@@ -24,7 +24,7 @@
 
     /**
      * A client's request arrived. It gets exactly one final response, from a server or by the balancer, unless it is
-     * withdrawn first (see {@link #onClientGone}).
+     * withdrawn first (see {@link #onWithdrawn}).
      *
      * @throws IllegalArgumentException if its class or tenant is not in the settings, or its id is in use
      */
@@ -46,7 +46,7 @@
      * balancer or at the shutdown deadline. The balancer gives no final response and makes no further attempt. Unknown
      * ids are ignored.
      */
-    void onClientGone(long nowUs, long requestId);
+    void onWithdrawn(long nowUs, long requestId);
 
     /** A probe ended; {@code report} as in {@link AttemptOutcome}. */
     default void onProbe(long nowUs, String serverId, AttemptResult result, long latencyUs, LoadReport report) {
--- a/node/src/main/java/loadbalancer/policy/LoadSignal.java
+++ b/node/src/main/java/loadbalancer/policy/LoadSignal.java
@@ -25,7 +25,7 @@
             case OK -> ANSWERED;
             case FULL -> REJECTED;
             case TIMEOUT -> TIMED_OUT;
-            case CANCELLED -> request.clientGone && latency.isSlow(outcome.latencyUs()) ? ABANDONED : NONE;
+            case CANCELLED -> request.withdrawn && latency.isSlow(outcome.latencyUs()) ? ABANDONED : NONE;
             default -> NONE;
         };
     }
--- a/node/src/main/java/loadbalancer/policy/PendingRequest.java
+++ b/node/src/main/java/loadbalancer/policy/PendingRequest.java
@@ -50,7 +50,7 @@
     boolean valuedAsLate;
 
     /** Whether the client has left or the node has sent the final response itself. */
-    boolean clientGone;
+    boolean withdrawn;
     /** The attempt that the request is bound to, see {@link Balancer#onBound}. */
     int boundAttempt = UNBOUND;
 
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -193,10 +193,10 @@
     }
 
     @Override
-    public void onClientGone(long nowUs, long requestId) {
+    public void onWithdrawn(long nowUs, long requestId) {
         PendingRequest request = requests.get(requestId);
         if (request != null) {
-            request.clientGone = true;
+            request.withdrawn = true;
             end(request);
         }
     }
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -163,7 +163,7 @@
     public void onClientGone() {
         services.events().submit(this, balancer -> {
             end();
-            balancer.onClientGone(services.clock().nowUs(), id);
+            balancer.onWithdrawn(services.clock().nowUs(), id);
             notifyIfFinished();
         });
     }
@@ -297,7 +297,7 @@
 
     private void withdrawFromBalancer() {
         services.events()
-                .submit(balancer -> balancer.onClientGone(services.clock().nowUs(), id));
+                .submit(balancer -> balancer.onWithdrawn(services.clock().nowUs(), id));
     }
 
     private void end() {
--- a/node/src/main/java/loadbalancer/simulator/BalancerEventDecoder.java
+++ b/node/src/main/java/loadbalancer/simulator/BalancerEventDecoder.java
@@ -94,7 +94,7 @@
 
     private Consumer<Balancer> decodeClientGone(long nowUs) throws WireException {
         long requestId = reader.requiredId(WireNames.REQUEST_ID);
-        return balancer -> balancer.onClientGone(nowUs, requestId);
+        return balancer -> balancer.onWithdrawn(nowUs, requestId);
     }
 
     private Consumer<Balancer> decodeFirstByte(long nowUs) throws WireException {
--- a/node/src/test/java/loadbalancer/policy/DecisionStream.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionStream.java
@@ -419,7 +419,7 @@
         if (request != null && !request.ended) {
             request.ended = true;
             markCovered(Covered.CLIENT_LEFT);
-            balancer.onClientGone(now, id);
+            balancer.onWithdrawn(now, id);
         }
     }
 
--- a/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -329,7 +329,7 @@
                 request.ended = true;
                 finalResponses++;
             }
-            balancer.onClientGone(now, id);
+            balancer.onWithdrawn(now, id);
         }
     }
 
