--- a/harness/src/main/java/loadbalancer/harness/scale/ModuleScale.java
+++ b/harness/src/main/java/loadbalancer/harness/scale/ModuleScale.java
@@ -169,7 +169,7 @@
         }
 
         @Override
-        public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+        public void send(long requestId, String serverId, long startByUs, long endByUs) {
             attempts++;
             sent = true;
         }
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimulatedNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimulatedNode.java
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+    public void send(long requestId, String serverId, long startByUs, long endByUs) {
         SimulatedRequest request = requests.get(requestId);
         AppServer server = testbed().servers().get(serverId);
         SimulatedAttempt attempt = new SimulatedAttempt(this, request, server);
@@ -194,7 +194,7 @@
         boolean crossesZones = server.zone() != zone();
         history().attempt(requestId, attempt.number(), serverId, crossesZones);
         testbed().score().onAttempt(crossesZones);
-        attempt.start(untilUs == 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs));
+        attempt.start(endByUs == 0 ? request.deadlineUs : Math.min(endByUs, request.deadlineUs));
     }
 
     @Override
--- a/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
+++ b/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
@@ -117,9 +117,9 @@
     }
 
     @Override
-    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+    public void send(long requestId, String serverId, long startByUs, long endByUs) {
         sentTo.put(requestId, serverId);
-        out.send(requestId, serverId, beginByUs, untilUs);
+        out.send(requestId, serverId, startByUs, endByUs);
     }
 
     @Override
--- a/harness/src/test/java/loadbalancer/harness/run/FaultyBalancerTest.java
+++ b/harness/src/test/java/loadbalancer/harness/run/FaultyBalancerTest.java
@@ -128,10 +128,10 @@
                 }),
                 new Mutant("hedged request of a non-idempotent class", "Repeats", "calm", () -> new FaultyBalancer() {
                     @Override
-                    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
-                        super.send(requestId, serverId, beginByUs, untilUs);
+                    public void send(long requestId, String serverId, long startByUs, long endByUs) {
+                        super.send(requestId, serverId, startByUs, endByUs);
                         if (isNonIdempotent(this, requestId)) {
-                            out.send(requestId, another(serverId), beginByUs, untilUs);
+                            out.send(requestId, another(serverId), startByUs, endByUs);
                         }
                     }
                 }),
@@ -153,13 +153,13 @@
                         }),
                 new Mutant("cold servers overloaded", "ColdServers", "herd", () -> new FaultyBalancer() {
                     @Override
-                    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+                    public void send(long requestId, String serverId, long startByUs, long endByUs) {
                         String coldest = listed.values().stream()
                                 .filter(e -> e.state() == ServerState.READY && e.startedAtUs() > 0)
                                 .max((a, b) -> Long.compare(a.startedAtUs(), b.startedAtUs()))
                                 .map(ServerEntry::id)
                                 .orElse(serverId);
-                        super.send(requestId, coldest, beginByUs, untilUs);
+                        super.send(requestId, coldest, startByUs, endByUs);
                     }
                 }));
     }
--- a/node/src/main/java/loadbalancer/policy/BalancerActions.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerActions.java
@@ -3,11 +3,11 @@
 /** The actions that a balancer requests from its node. Calls take effect in order, at the time of the event. */
 public interface BalancerActions {
     /**
-     * Starts the next attempt of a request (numbered 0, 1, 2 ...), which times out at {@code untilUs}. The attempt must
-     * not begin after {@code beginByUs}, whatever it waits for: while a retry waits for a connection, the time window
+     * Starts the next attempt of a request (numbered 0, 1, 2 ...), which times out at {@code endByUs}. The attempt must
+     * not start after {@code startByUs}, whatever it waits for: while a retry waits for a connection, the time window
      * in which servers recognize it as a duplicate may end.
      */
-    void send(long requestId, String serverId, long beginByUs, long untilUs);
+    void send(long requestId, String serverId, long startByUs, long endByUs);
 
     /** Cancels an attempt; its outcome is still reported. */
     void cancel(long requestId, int attempt);
--- a/node/src/main/java/loadbalancer/policy/RetryPolicy.java
+++ b/node/src/main/java/loadbalancer/policy/RetryPolicy.java
@@ -24,15 +24,15 @@
         int firstThatMayHaveRun = request.earliestThatMayHaveRun();
         return firstThatMayHaveRun < 0
                 || request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT
-                        && nowUs <= beginByUs(request, firstThatMayHaveRun);
+                        && nowUs <= startByUs(request, firstThatMayHaveRun);
     }
 
-    /** The latest time at which the next attempt may begin; Long.MAX_VALUE if there is no limit. */
-    static long beginByUs(PendingRequest request) {
-        return beginByUs(request, request.earliestThatMayHaveRun());
+    /** The latest time at which the next attempt may start; Long.MAX_VALUE if there is no limit. */
+    static long startByUs(PendingRequest request) {
+        return startByUs(request, request.earliestThatMayHaveRun());
     }
 
-    private static long beginByUs(PendingRequest request, int firstThatMayHaveRun) {
+    private static long startByUs(PendingRequest request, int firstThatMayHaveRun) {
         return request.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && firstThatMayHaveRun >= 0
                 ? request.sentAtUs[firstThatMayHaveRun] + request.requestClass.deduplicationWindowUs()
                 : Long.MAX_VALUE;
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -88,7 +88,7 @@
     }
 
     private void send(PendingRequest request, ServerRecord server, long nowUs) {
-        long beginByUs = RetryPolicy.beginByUs(request);
+        long startByUs = RetryPolicy.startByUs(request);
         int attempt = request.addAttempt(server, nowUs);
         if (attempt == 0) {
             rules.trialRequests.onFirstAttemptSent();
@@ -96,7 +96,7 @@
         rules.hedgingPolicy.onSent(request, attempt);
         rules.serversInUse.acquire(server);
         rules.slowStart.onSent(server, nowUs);
-        actions.send(request.id, server.id, beginByUs, request.deadlineAtUs);
+        actions.send(request.id, server.id, startByUs, request.deadlineAtUs);
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/process/NodeActions.java
+++ b/node/src/main/java/loadbalancer/process/NodeActions.java
@@ -27,8 +27,8 @@
     }
 
     @Override
-    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
-        requests.startAttempt(requestId, serverId, beginByUs, untilUs);
+    public void send(long requestId, String serverId, long startByUs, long endByUs) {
+        requests.startAttempt(requestId, serverId, startByUs, endByUs);
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/simulator/WireLineWriter.java
+++ b/node/src/main/java/loadbalancer/simulator/WireLineWriter.java
@@ -22,7 +22,7 @@
     private static final String REQUEST_ID = " " + WireNames.REQUEST_ID + "=";
     private static final String ATTEMPT = " " + WireNames.ATTEMPT + "=";
     private static final String SERVER_ID = " " + WireNames.SERVER_ID + "=";
-    private static final String SEND_UNTIL_US = " " + WireNames.SEND_UNTIL_US + "=";
+    private static final String SEND_END_BY_US = " " + WireNames.SEND_END_BY_US + "=";
     private static final String RETRY_AFTER_US = " " + WireNames.RETRY_AFTER_US + "=";
     private static final String WAKE_AT_US = " " + WireNames.WAKE_AT_US + "=";
     private static final String WAKE_LABEL = " " + WireNames.WAKE_LABEL + "=w";
@@ -53,13 +53,13 @@
     }
 
     @Override
-    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+    public void send(long requestId, String serverId, long startByUs, long endByUs) {
         beginLine(WireNames.SEND);
         appendRequestId(requestId);
         append(SERVER_ID);
         append(serverId);
-        append(SEND_UNTIL_US);
-        append(untilUs);
+        append(SEND_END_BY_US);
+        append(endByUs);
         endLine();
     }
 
--- a/node/src/main/java/loadbalancer/simulator/WireNames.java
+++ b/node/src/main/java/loadbalancer/simulator/WireNames.java
@@ -67,7 +67,7 @@
 
     // Actions.
     static final String SEND = "route";
-    static final String SEND_UNTIL_US = "untilUs";
+    static final String SEND_END_BY_US = "untilUs";
     static final String CANCEL = "abort_attempt";
     static final String REJECT = "decline";
     static final String RETRY_AFTER_US = "retryInUs";
--- a/node/src/test/java/loadbalancer/policy/AllowedAttemptsTest.java
+++ b/node/src/test/java/loadbalancer/policy/AllowedAttemptsTest.java
@@ -121,7 +121,7 @@
     void attemptsEndByTheDeadline() {
         FakeNode node = new FakeNode().withServers(3);
         long id = node.request(FakeNode.IDEMPOTENT, 123_000);
-        assertEquals(node.now + 123_000, node.lastAttempt(id).untilUs());
+        assertEquals(node.now + 123_000, node.lastAttempt(id).endByUs());
     }
 
     @Test
--- a/node/src/test/java/loadbalancer/policy/DecisionStream.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionStream.java
@@ -424,19 +424,19 @@
     }
 
     @Override
-    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+    public void send(long requestId, String serverId, long startByUs, long endByUs) {
         OpenRequest request = requests.get(requestId);
         SimulatedServer server = servers.get(serverId);
         int number = request.attempts.size();
-        line("send", requestId + " " + serverId + " " + beginByUs + " " + untilUs);
-        markSendCovered(requestId, request, server, beginByUs);
+        line("send", requestId + " " + serverId + " " + startByUs + " " + endByUs);
+        markSendCovered(requestId, request, server, startByUs);
         Attempt attempt = new Attempt(server, now);
         request.attempts.add(attempt);
         server.inFlight++;
         AttemptResult result = result(server, request.classIndex);
         long durationUs = latencyUs(server, result);
-        if (result == AttemptResult.TIMEOUT || now + durationUs >= untilUs) {
-            at(untilUs, () -> finish(requestId, request, number, AttemptResult.TIMEOUT));
+        if (result == AttemptResult.TIMEOUT || now + durationUs >= endByUs) {
+            at(endByUs, () -> finish(requestId, request, number, AttemptResult.TIMEOUT));
             return;
         }
         if (result == AttemptResult.OK && random.nextInt(15) == 0) {
@@ -445,7 +445,7 @@
         at(now + durationUs, () -> finish(requestId, request, number, result));
     }
 
-    private void markSendCovered(long requestId, OpenRequest request, SimulatedServer server, long beginByUs) {
+    private void markSendCovered(long requestId, OpenRequest request, SimulatedServer server, long startByUs) {
         if (!request.attempts.isEmpty()) {
             markCovered(request.attempts.stream().allMatch(attempt -> attempt.ended) ? Covered.RETRY : Covered.HEDGE);
         } else if (arriving != requestId) {
@@ -460,7 +460,7 @@
         if (server.zone != settings.localZone) {
             markCovered(Covered.OTHER_ZONE);
         }
-        if (beginByUs != NEVER) {
+        if (startByUs != NEVER) {
             markCovered(Covered.DEDUPLICATION_BOUND);
         }
     }
--- a/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
+++ b/node/src/test/java/loadbalancer/policy/FailFastServerTest.java
@@ -67,9 +67,9 @@
             long done = from + (long) (WORK_US * (0.5 + random.nextDouble()));
             busyUntilUs.put(sent.server(), done);
             due.add(
-                    done < sent.untilUs()
+                    done < sent.endByUs()
                             ? new Due(done, sent, AttemptResult.OK)
-                            : new Due(sent.untilUs(), sent, AttemptResult.TIMEOUT));
+                            : new Due(sent.endByUs(), sent, AttemptResult.TIMEOUT));
         }
     }
 
--- a/node/src/test/java/loadbalancer/policy/FakeNode.java
+++ b/node/src/test/java/loadbalancer/policy/FakeNode.java
@@ -12,7 +12,7 @@
     static final int NON_IDEMPOTENT = 4;
 
     /** An attempt that the balancer has sent. */
-    record Sent(long atUs, long request, int attempt, String server, long untilUs) {}
+    record Sent(long atUs, long request, int attempt, String server, long endByUs) {}
 
     final BalancerSettings settings;
     final List<Sent> sent = new ArrayList<>();
@@ -159,8 +159,8 @@
     }
 
     @Override
-    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
-        sent.add(new Sent(now, requestId, attempts(requestId), serverId, untilUs));
+    public void send(long requestId, String serverId, long startByUs, long endByUs) {
+        sent.add(new Sent(now, requestId, attempts(requestId), serverId, endByUs));
     }
 
     @Override
--- a/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -83,7 +83,7 @@
         }
 
         @Override
-        public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+        public void send(long requestId, String serverId, long startByUs, long endByUs) {
             trace.append(now)
                     .append(" send ")
                     .append(requestId)
@@ -93,7 +93,7 @@
             ServerEntry server = servers.get(serverId);
             assertNotNull(request, "the request is open");
             assertFalse(request.ended, "rule 1: nothing is sent after the final response");
-            assertTrue(untilUs <= request.deadlineAtUs, "rule 1: an attempt ends by the client's deadline");
+            assertTrue(endByUs <= request.deadlineAtUs, "rule 1: an attempt ends by the client's deadline");
             assertTrue(now < request.deadlineAtUs, "rule 1: the deadline has not passed");
             assertTrue(request.attempts.size() < settings.maxAttempts);
             Attempt firstThatMayHaveRun = request.firstThatMayHaveRun();
@@ -121,12 +121,12 @@
             attempt.sentAtUs = now;
             request.attempts.add(attempt);
             boolean timesOut = random.nextInt(30) == 0;
-            long at = timesOut ? untilUs : Math.min(untilUs, now + 1_000 + random.nextInt(120_000));
+            long at = timesOut ? endByUs : Math.min(endByUs, now + 1_000 + random.nextInt(120_000));
             dueOutcomes.add(new long[] {
                 at,
                 requestId,
                 request.attempts.size() - 1,
-                timesOut || at == untilUs ? AttemptResult.TIMEOUT.ordinal() : drawResult()
+                timesOut || at == endByUs ? AttemptResult.TIMEOUT.ordinal() : drawResult()
             });
         }
 
--- a/node/src/test/java/loadbalancer/policy/RecordedActions.java
+++ b/node/src/test/java/loadbalancer/policy/RecordedActions.java
@@ -8,7 +8,7 @@
     final List<String> calls = new ArrayList<>();
 
     @Override
-    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+    public void send(long requestId, String serverId, long startByUs, long endByUs) {
         calls.add("send " + requestId + " " + serverId);
     }
 
--- a/node/src/test/java/loadbalancer/policy/RetryPolicyTest.java
+++ b/node/src/test/java/loadbalancer/policy/RetryPolicyTest.java
@@ -42,10 +42,10 @@
     @Test
     void retryWithAKeyMustBeginWithinTheDeduplicationWindow() {
         PendingRequest request = afterAttempt(FakeNode.KEYED_ALL, AttemptResult.ERROR);
-        assertEquals(SENT_US + WINDOW_US, RetryPolicy.beginByUs(request));
+        assertEquals(SENT_US + WINDOW_US, RetryPolicy.startByUs(request));
         assertTrue(RetryPolicy.mayRetry(request, SENT_US + WINDOW_US));
         assertFalse(RetryPolicy.mayRetry(request, SENT_US + WINDOW_US + 1));
-        assertEquals(Long.MAX_VALUE, RetryPolicy.beginByUs(afterAttempt(FakeNode.KEYED_ALL, AttemptResult.FULL)));
+        assertEquals(Long.MAX_VALUE, RetryPolicy.startByUs(afterAttempt(FakeNode.KEYED_ALL, AttemptResult.FULL)));
     }
 
     @Test
