--- a/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
+++ b/node/src/main/java/loadbalancer/process/ProcessLifecycle.java
@@ -86,9 +86,9 @@
     }
 
     private void warmUp() {
-        long served = WarmUp.run(config, loop);
-        if (served < WarmUp.REQUESTS) {
-            Log.warn("warm_up_incomplete", "requests", served, "of", WarmUp.REQUESTS);
+        long served = ProcessWarmUp.run(config, loop);
+        if (served < ProcessWarmUp.REQUESTS) {
+            Log.warn("warm_up_incomplete", "requests", served, "of", ProcessWarmUp.REQUESTS);
         }
     }
 
--- a/node/src/main/java/loadbalancer/process/WarmUp.java
+++ b/node/src/main/java/loadbalancer/process/ProcessWarmUp.java
@@ -53,7 +53,7 @@
  *
  * <p>{@link #run} blocks the calling thread, which must not be the event loop. The handlers run on the event loop.
  */
-final class WarmUp {
+final class ProcessWarmUp {
     /**
      * Number of requests: enough to get the methods compiled that every request calls. 600 requests make a restart over
      * a second longer.
@@ -74,14 +74,14 @@
     private final List<RequestClass> classes;
     private final CountDownLatch remainingResponses = new CountDownLatch(REQUESTS);
 
-    private WarmUp(MeasuredEventLoop loop, List<RequestClass> classes) {
+    private ProcessWarmUp(MeasuredEventLoop loop, List<RequestClass> classes) {
         this.loop = loop;
         this.classes = classes;
     }
 
     /** Serves {@link #REQUESTS} requests, or fewer if the time is up first. Returns the number of requests served. */
     static long run(NodeConfig config, MeasuredEventLoop loop) {
-        return new WarmUp(loop, config.settings().classes).run(config);
+        return new ProcessWarmUp(loop, config.settings().classes).run(config);
     }
 
     private long run(NodeConfig config) {
--- a/node/src/test/java/loadbalancer/process/WarmUpTest.java
+++ b/node/src/test/java/loadbalancer/process/ProcessWarmUpTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 /** The warm-up of a starting process. */
-class WarmUpTest {
+class ProcessWarmUpTest {
 
     @Test
     void warmUpServesRequestsWithoutDiscovery() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
-            assertTrue(WarmUp.run(harness.config(NodeHarness.endpointList(1, true)), harness.loop) > 0);
+            assertTrue(ProcessWarmUp.run(harness.config(NodeHarness.endpointList(1, true)), harness.loop) > 0);
             assertEquals(0, harness.discovery.connectionCount.get());
         }
     }
@@ -27,7 +27,9 @@
     void warmUpIsCompleteWithLittleProcessorTime() throws Exception {
         try (NodeHarness harness = NodeHarness.withSilentDiscovery()) {
             harness.loop.scheduleWithFixedDelay(() -> LockSupport.parkNanos(2_000_000), 0, 1, TimeUnit.MICROSECONDS);
-            assertEquals(WarmUp.REQUESTS, WarmUp.run(harness.config(NodeHarness.endpointList(1, true)), harness.loop));
+            assertEquals(
+                    ProcessWarmUp.REQUESTS,
+                    ProcessWarmUp.run(harness.config(NodeHarness.endpointList(1, true)), harness.loop));
         }
     }
 
