--- a/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
+++ b/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
@@ -84,14 +84,14 @@
     }
 
     @Override
-    public void onFirstByte(long nowUs, long requestId, int attempt) {
-        inner.onFirstByte(nowUs, requestId, attempt);
+    public void onBound(long nowUs, long requestId, int attempt) {
+        inner.onBound(nowUs, requestId, attempt);
     }
 
     @Override
-    public void onClientGone(long nowUs, long requestId) {
+    public void onWithdrawn(long nowUs, long requestId) {
         now = nowUs;
-        inner.onClientGone(nowUs, requestId);
+        inner.onWithdrawn(nowUs, requestId);
     }
 
     @Override
@@ -117,9 +117,9 @@
     }
 
     @Override
-    public void send(long requestId, String serverId, long beginByUs, long untilUs) {
+    public void send(long requestId, String serverId, long startByUs, long endByUs) {
         sentTo.put(requestId, serverId);
-        out.send(requestId, serverId, beginByUs, untilUs);
+        out.send(requestId, serverId, startByUs, endByUs);
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -10,12 +10,12 @@
  * Implements the path of a request through the balancer; each rule on that path is a separate class (see {@link
  * BalancerRules}).
  *
- * <p>The path is that of ServiceQ, a published load balancer that weights servers by their errors. A first attempt goes
- * to the better of two servers, drawn with weights that fall with their errors ({@link FirstAttemptPicker}). A failed
- * attempt is retried at the next server in list order ({@link RetryPolicy}, {@link RetryPicker}). If the request may
- * not be sent to any server, it waits within its client's deadline ({@link PendingQueue}); if it may not be sent again,
- * it gets a final response. This node adds load shedding on arrival ({@link AdmissionController}) and hedged requests
- * ({@link HedgingPolicy}).
+ * <p>The path is that of ServiceQ, a published load balancer: it draws two servers, with weights that fall with their
+ * errors, and sends a first attempt to the one with fewer requests in flight ({@link FirstAttemptPicker}). A failed
+ * attempt is retried at the next server in list order ({@link RetryPolicy}, {@link RetryPicker}); with a key, a request
+ * that certainly has not run goes to the key's next server instead. If the request may not be sent to any server, it
+ * waits within its client's deadline ({@link PendingQueue}); if it may not be sent again, it gets a final response.
+ * This node adds load shedding on arrival ({@link AdmissionController}) and hedged requests ({@link HedgingPolicy}).
  */
 public final class ServiceQBalancer implements Balancer {
     private final BalancerActions actions;
@@ -88,7 +88,7 @@
     }
 
     private void send(PendingRequest request, ServerRecord server, long nowUs) {
-        long beginByUs = RetryPolicy.beginByUs(request);
+        long startByUs = RetryPolicy.startByUs(request);
         int attempt = request.addAttempt(server, nowUs);
         if (attempt == 0) {
             rules.trialRequests.onFirstAttemptSent();
@@ -96,7 +96,7 @@
         rules.hedgingPolicy.onSent(request, attempt);
         rules.serversInUse.acquire(server);
         rules.slowStart.onSent(server, nowUs);
-        actions.send(request.id, server.id, beginByUs, request.deadlineAtUs);
+        actions.send(request.id, server.id, startByUs, request.deadlineAtUs);
     }
 
     @Override
@@ -181,7 +181,7 @@
     // ---------------------------------------------------------------- other events of a request
 
     @Override
-    public void onFirstByte(long nowUs, long requestId, int attempt) {
+    public void onBound(long nowUs, long requestId, int attempt) {
         PendingRequest request = requests.get(requestId);
         if (request != null && !request.isBound() && request.isInFlight(attempt)) {
             // From here on the response is transferred at the client's pace, which does not depend on the server's
@@ -193,10 +193,10 @@
     }
 
     @Override
-    public void onClientGone(long nowUs, long requestId) {
+    public void onWithdrawn(long nowUs, long requestId) {
         PendingRequest request = requests.get(requestId);
         if (request != null) {
-            request.clientGone = true;
+            request.withdrawn = true;
             end(request);
         }
     }
