--- a/cli/src/main/java/loadbalancer/cli/Fleet.java
+++ b/cli/src/main/java/loadbalancer/cli/Fleet.java
@@ -36,12 +36,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Whole fleets: several nodes, what surrounds them, and what goes wrong between them. */
+/** The command {@code lb fleet}: runs scenarios of several nodes with faults, and reports rule violations. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
         subcommands = {FleetDemo.class, FleetMembers.class, FleetScale.class, FleetStudy.class},
-        description = "Plays fleets of nodes, with what goes wrong between them, before a referee.")
+        description = "Runs fleets of nodes with injected faults and checks rules; shows members of running fleets.")
 final class Fleet {
     private static final String JAR = "jar:";
 
@@ -62,7 +62,7 @@
 
     /** A scenario file and the options that override it. */
     static final class ScenarioOptions {
-        @Parameters(paramLabel = "SCENARIO", description = "A scenario file; docs/rig.md tells its keys.")
+        @Parameters(paramLabel = "SCENARIO", description = "A scenario file; docs/harness.md lists its keys.")
         private Path file;
 
         @Option(
@@ -75,10 +75,10 @@
             return read(Map.of());
         }
 
-        /** With further overrides, which win over those that are given for all. */
-        Scenario read(Map<String, String> more) {
+        /** Reads the scenario with further overrides, which take precedence over those of {@code --set}. */
+        Scenario read(Map<String, String> extra) {
             Map<String, String> all = new LinkedHashMap<>(overrides);
-            all.putAll(more);
+            all.putAll(extra);
             try {
                 return ScenarioFile.read(file, all, Faults.names());
             } catch (BadScenarioException e) {
@@ -86,12 +86,12 @@
             }
         }
 
-        /** The command line that repeats the run. */
+        /** Returns the command line that repeats the run with this seed. */
         String replayCommand(String command, long seed) {
-            String set = overrides.entrySet().stream()
+            String setOptions = overrides.entrySet().stream()
                     .map(e -> " --set " + e.getKey() + "=" + e.getValue())
                     .collect(Collectors.joining());
-            return "lb fleet " + command + " " + file + " --seed " + seed + set;
+            return "lb fleet " + command + " " + file + " --seed " + seed + setOptions;
         }
     }
 
@@ -114,31 +114,31 @@
     @Command(
             name = "run",
             mixinStandardHelpOptions = true,
-            description = "Plays a scenario once.",
+            description = "Runs a scenario once.",
             footer = {"%nExample: lb fleet run scenarios/jam.toml --seed 7 --history jam.jsonl", ExitCode.HELP})
     int run(
             @Mixin ScenarioOptions options,
-            @Option(names = "--seed", defaultValue = "1", description = "Seed of all chance; default 1.") long seed,
+            @Option(names = "--seed", defaultValue = "1", description = "Random seed; default 1.") long seed,
             @Option(
                             names = "--policy",
                             defaultValue = "module",
-                            description = "What decides: ${DEFAULT-VALUE}" + " (default), or a built-in baseline.")
+                            description = "Policy: ${DEFAULT-VALUE} (default), a built-in baseline, or jar:FILE.")
                     String policyName,
-            @Option(names = "--json", description = "The outcome as one line of JSON.") boolean json,
-            @Option(names = "--real", description = "With processes on loopback, in real time.") boolean real,
-            @Option(names = "--history", paramLabel = "FILE", description = "Writes down all that happens.") Path file)
+            @Option(names = "--json", description = "Prints the outcome as one line of JSON.") boolean json,
+            @Option(names = "--real", description = "Runs node processes on loopback, in real time.") boolean real,
+            @Option(names = "--history", paramLabel = "FILE", description = "Writes all events to FILE.") Path file)
             throws IOException, InterruptedException {
         Scenario scenario = options.read();
         Policy policy = policy(policyName);
         if (real && policy != Policy.MODULE) {
             throw new UsageException("--policy " + policyName + ": must be module with --real");
         }
-        SimulatedRun.Progress progress = isTerminal() && !json ? this::showSecond : (nowUs, world) -> {};
+        SimulatedRun.Progress progress = isTerminal() && !json ? this::printProgress : (nowUs, world) -> {};
         Outcome outcome;
-        try (OutputStream to = file == null ? null : new BufferedOutputStream(Files.newOutputStream(file))) {
+        try (OutputStream history = file == null ? null : new BufferedOutputStream(Files.newOutputStream(file))) {
             outcome = real
-                    ? FleetDemo.play(scenario, seed, to, event -> {}, progress)
-                    : SimulatedRun.run(scenario, seed, policy, to, true, progress);
+                    ? FleetDemo.runProcesses(scenario, seed, history, event -> {}, progress)
+                    : SimulatedRun.run(scenario, seed, policy, history, true, progress);
         }
         if (json) {
             out().println(Outcomes.json(scenario, outcome));
@@ -147,10 +147,10 @@
             out().println(outcome.events() + " events" + (real ? "" : ", SHA-256 " + outcome.digest()));
             printViolations(outcome, options);
         }
-        return outcome.keepsRules() ? ExitCode.OK : ExitCode.BROKEN;
+        return outcome.keepsRules() ? ExitCode.OK : ExitCode.CHECK_FAILED;
     }
 
-    private void showSecond(long nowUs, World world) {
+    private void printProgress(long nowUs, World world) {
         err().printf(Locale.ROOT, "\r%4d s  %5d requests open", nowUs / 1_000_000, world.openRequests());
         err().flush();
     }
@@ -158,7 +158,7 @@
     private void printViolations(Outcome outcome, ScenarioOptions options) {
         for (Violation violation : outcome.violations()) {
             out().println("BROKEN " + violation);
-            out().println("again: " + options.replayCommand("run", outcome.seed()));
+            out().println("replay: " + options.replayCommand("run", outcome.seed()));
         }
         if (outcome.keepsRules()) {
             out().println("rules kept");
@@ -168,113 +168,115 @@
     @Command(
             name = "hunt",
             mixinStandardHelpOptions = true,
-            description = "Plays a scenario with many seeds, looks"
-                    + " for broken rules, and makes the first that it finds as small as it can.",
+            description = "Runs a scenario with many seeds, searches"
+                    + " for violated rules, and reduces the scenario of the first violation.",
             footer = {"%nExample: lb fleet hunt scenarios/herd.toml --seeds 1000", ExitCode.HELP})
     int hunt(
             @Mixin ScenarioOptions options,
-            @Option(names = "--seeds", defaultValue = "100", description = "How many; default 100.") int seeds,
+            @Option(names = "--seeds", defaultValue = "100", description = "Number of seeds; default 100.") int seeds,
             @Option(names = "--first", defaultValue = "1", description = "The first seed; default 1.") long first,
-            @Option(names = "--cores", description = "How many at a time; default all.") Integer cores,
-            @Option(names = "--policy", defaultValue = "module", description = "What decides.") String policyName)
+            @Option(names = "--cores", description = "Number of runs at a time; default one per core.") Integer cores,
+            @Option(names = "--policy", defaultValue = "module", description = "Policy, as for run.") String policyName)
             throws InterruptedException {
         Scenario scenario = options.read();
         Policy policy = policy(policyName);
-        int[] count = {0};
-        List<Outcome> all = SeedSweep.run(
+        int[] done = {0};
+        List<Outcome> outcomes = SeedSweep.run(
                 first,
-                atLeastOne("--seeds", seeds),
-                cores(cores),
+                requireAtLeastOne("--seeds", seeds),
+                coresOrAll(cores),
                 seed -> SimulatedRun.run(scenario, seed, policy),
                 outcome -> {
                     if (isTerminal()) {
-                        err().printf("\r%d of %d seeds", ++count[0], seeds);
+                        err().printf("\r%d of %d seeds", ++done[0], seeds);
                         err().flush();
                     }
                 });
         List<Outcome> broken =
-                all.stream().filter(outcome -> !outcome.keepsRules()).toList();
-        double[] g = all.stream()
+                outcomes.stream().filter(outcome -> !outcome.keepsRules()).toList();
+        double[] scores = outcomes.stream()
                 .mapToDouble(outcome -> outcome.score().g())
                 .sorted()
                 .toArray();
         out().printf(
                         Locale.ROOT,
-                        "%d seeds, %d broken; G least %.4f, median %.4f, most %.4f%n",
-                        all.size(),
+                        "%d seeds, %d broken; G min %.4f, median %.4f, max %.4f%n",
+                        outcomes.size(),
                         broken.size(),
-                        g[0],
-                        g[g.length / 2],
-                        g[g.length - 1]);
+                        scores[0],
+                        scores[scores.length / 2],
+                        scores[scores.length - 1]);
         if (broken.isEmpty()) {
             return ExitCode.OK;
         }
-        out().println("seeds that break a rule: "
+        out().println("seeds that violate a rule: "
                 + broken.stream()
                         .limit(20)
                         .map(outcome -> Long.toString(outcome.seed()))
                         .collect(Collectors.joining(", ")));
-        Outcome worst = broken.get(0);
-        printViolations(worst, options);
-        ScenarioShrinker.Result least = ScenarioShrinker.shrink(
-                scenario, worst.violations().get(0), lesser -> SimulatedRun.run(lesser, worst.seed(), policy));
-        Scenario s = least.scenario();
+        Outcome failed = broken.get(0);
+        printViolations(failed, options);
+        ScenarioShrinker.Result smallest = ScenarioShrinker.shrink(
+                scenario, failed.violations().get(0), smaller -> SimulatedRun.run(smaller, failed.seed(), policy));
+        Scenario s = smallest.scenario();
         out().printf(
                         Locale.ROOT,
-                        "%nsmallest found in %d plays: %.3f s, %d nodes, %d servers, %.1f requests a"
+                        "%nsmallest found in %d runs: %.3f s, %d nodes, %d servers, %.1f requests per"
                                 + " second, %d keys, faults %s%n",
-                        least.runs(),
+                        smallest.runs(),
                         s.lengthUs() / 1e6,
                         s.fleet().nodes(),
                         s.fleet().servers(),
                         s.load().perSecond(),
                         s.load().keys(),
                         s.faults());
-        out().println(least.violation());
-        return ExitCode.BROKEN;
+        out().println(smallest.violation());
+        return ExitCode.CHECK_FAILED;
     }
 
     @Command(
             name = "compare",
             mixinStandardHelpOptions = true,
-            description = "Plays a scenario with two policies on" + " the same seeds.",
+            description = "Runs a scenario with two policies on the same seeds, and compares their scores.",
             footer = {
                 "%nExample: lb fleet compare scenarios/jam.toml --a module --b two-choices" + " --seeds 30",
                 ExitCode.HELP
             })
     int compare(
             @Mixin ScenarioOptions options,
-            @Option(names = "--a", defaultValue = "module", description = "Default: module.") String a,
+            @Option(names = "--a", defaultValue = "module", description = "Policy A; default module.") String a,
             @Option(
                             names = "--b",
                             defaultValue = "module",
-                            description = "module, random, round-robin,"
-                                    + " least-outstanding, two-choices, plain, oracle, or jar:FILE for another build's"
-                                    + " module.")
+                            description = "Policy B: module (default), random, round-robin,"
+                                    + " least-outstanding, two-choices, plain, oracle, or jar:FILE for the module of"
+                                    + " another build.")
                     String b,
-            @Option(names = "--set-a", paramLabel = "KEY=VALUE", description = "As --set, for A alone.")
+            @Option(names = "--set-a", paramLabel = "KEY=VALUE", description = "Like --set, but for A only.")
                     Map<String, String> setA,
-            @Option(names = "--set-b", paramLabel = "KEY=VALUE", description = "As --set, for B alone.")
+            @Option(names = "--set-b", paramLabel = "KEY=VALUE", description = "Like --set, but for B only.")
                     Map<String, String> setB,
-            @Option(names = "--seeds", defaultValue = "30", description = "How many; default 30.") int seeds,
+            @Option(names = "--seeds", defaultValue = "30", description = "Number of seeds; default 30.") int seeds,
             @Option(names = "--first", defaultValue = "1", description = "The first seed; default 1.") long first,
-            @Option(names = "--cores", description = "How many at a time; default all.") Integer cores)
+            @Option(names = "--cores", description = "Number of runs at a time; default one per core.") Integer cores)
             throws InterruptedException {
-        atLeastOne("--seeds", seeds);
-        List<Outcome> ofA = play(options.read(setA == null ? Map.of() : setA), policy(a), first, seeds, cores(cores));
-        List<Outcome> ofB = play(options.read(setB == null ? Map.of() : setB), policy(b), first, seeds, cores(cores));
+        requireAtLeastOne("--seeds", seeds);
+        List<Outcome> outcomesA =
+                runSeeds(options.read(setA == null ? Map.of() : setA), policy(a), first, seeds, coresOrAll(cores));
+        List<Outcome> outcomesB =
+                runSeeds(options.read(setB == null ? Map.of() : setB), policy(b), first, seeds, coresOrAll(cores));
         out().println("G of A = " + a + (setA == null ? "" : " " + setA) + ", B = " + b
                 + (setB == null ? "" : " " + setB) + ", " + seeds + " seeds from " + first);
         out().println(Comparison.of(
-                ofA.stream().mapToDouble(o -> o.score().g()).toArray(),
-                ofB.stream().mapToDouble(o -> o.score().g()).toArray()));
-        long brokenA = ofA.stream().filter(o -> !o.keepsRules()).count();
-        long brokenB = ofB.stream().filter(o -> !o.keepsRules()).count();
+                outcomesA.stream().mapToDouble(o -> o.score().g()).toArray(),
+                outcomesB.stream().mapToDouble(o -> o.score().g()).toArray()));
+        long brokenA = outcomesA.stream().filter(o -> !o.keepsRules()).count();
+        long brokenB = outcomesB.stream().filter(o -> !o.keepsRules()).count();
         out().println("seeds with a broken rule: A " + brokenA + ", B " + brokenB);
-        return brokenA == 0 ? ExitCode.OK : ExitCode.BROKEN;
+        return brokenA == 0 ? ExitCode.OK : ExitCode.CHECK_FAILED;
     }
 
-    private static List<Outcome> play(Scenario scenario, Policy policy, long first, int seeds, int cores)
+    private static List<Outcome> runSeeds(Scenario scenario, Policy policy, long first, int seeds, int cores)
             throws InterruptedException {
         return SeedSweep.run(first, seeds, cores, seed -> SimulatedRun.run(scenario, seed, policy), outcome -> {});
     }
@@ -282,9 +284,9 @@
     @Command(
             name = "import",
             mixinStandardHelpOptions = true,
-            description = "Makes a scenario of a day that the" + " platform's simulator has drawn, and prints it.",
+            description = "Converts a day file of the platform's simulator to a scenario and prints it.",
             footer = "%nExample: lb fleet import day.json > scenarios/day.toml")
-    int importDay(@Parameters(paramLabel = "DAY", description = "The day, as JSON.") Path day) {
+    int importDay(@Parameters(paramLabel = "DAY", description = "The day file, as JSON.") Path day) {
         try {
             out().print(DayFile.toToml(day, day.getFileName().toString().replaceFirst("\\.json$", "")));
             out().flush();
@@ -297,25 +299,26 @@
     @Command(
             name = "report",
             mixinStandardHelpOptions = true,
-            description = "Draws what histories in a folder tell," + " as one page that needs nothing else.",
+            description =
+                    "Writes tables and plots of the histories in a directory" + " as one self-contained HTML page.",
             footer = "%nExample: lb fleet report runs/ --out report.html")
     int report(
-            @Parameters(paramLabel = "DIR", description = "Where *.jsonl are, as --history writes them.") Path folder,
-            @Option(names = "--out", defaultValue = "report.html", description = "Default: report.html.") Path to)
+            @Parameters(paramLabel = "DIR", description = "Directory of histories, *.jsonl.") Path directory,
+            @Option(names = "--out", defaultValue = "report.html", description = "Default: report.html.") Path page)
             throws IOException {
         List<Path> files;
-        try (Stream<Path> all = Files.list(folder)) {
+        try (Stream<Path> all = Files.list(directory)) {
             files = all.filter(file -> file.toString().endsWith(".jsonl"))
                     .sorted()
                     .toList();
         } catch (NoSuchFileException | NotDirectoryException e) {
-            throw new UsageException(folder + ": is no folder");
+            throw new UsageException(directory + ": is not a directory");
         }
         if (files.isEmpty()) {
-            throw new UsageException(folder + ": holds no *.jsonl");
+            throw new UsageException(directory + ": contains no *.jsonl files");
         }
-        Files.writeString(to, Report.of(files));
-        out().println("wrote " + to);
+        Files.writeString(page, Report.toHtml(files));
+        out().println("wrote " + page);
         return ExitCode.OK;
     }
 
@@ -329,14 +332,14 @@
         return ExitCode.OK;
     }
 
-    private static int atLeastOne(String option, int value) {
+    private static int requireAtLeastOne(String option, int value) {
         if (value < 1) {
             throw new UsageException(option + " " + value + ": must be at least 1");
         }
         return value;
     }
 
-    private static int cores(Integer given) {
-        return given == null ? Runtime.getRuntime().availableProcessors() : atLeastOne("--cores", given);
+    private static int coresOrAll(Integer cores) {
+        return cores == null ? Runtime.getRuntime().availableProcessors() : requireAtLeastOne("--cores", cores);
     }
 }
--- a/cli/src/main/java/loadbalancer/cli/FleetDemo.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetDemo.java
@@ -29,13 +29,16 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The main job in half a minute: nodes that route round what goes wrong. */
+/**
+ * The command {@code lb fleet demo}: runs node processes for half a minute and shows that they route requests around
+ * faulty servers.
+ */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
-        description = "Starts 3 nodes, and stands in for 12 app servers"
-                + " in 3 zones, their list and clients of four classes; then a server turns slow, one fails, one is"
-                + " killed.",
+        description = "Starts 3 node processes, and simulates 12 app servers"
+                + " in 3 zones, their endpoint list and clients of four request classes. One server becomes slow, one"
+                + " returns errors and one is killed.",
         footer = {"%nExample: lb fleet demo", ExitCode.HELP})
 final class FleetDemo implements Callable<Integer> {
     private static final String SCENARIO = """
@@ -67,10 +70,11 @@
 
     @Spec
     private CommandSpec spec;
-    /** In the last second, by server and by node. */
-    private final Map<String, Integer> served = new HashMap<>();
+    /** Requests served in the current second, by server. */
+    private final Map<String, Integer> servedByServer = new HashMap<>();
 
-    private final Map<String, Integer> handled = new HashMap<>();
+    /** Requests served in the current second, by the node that sent them. */
+    private final Map<String, Integer> servedByNode = new HashMap<>();
 
     @Override
     public Integer call() throws IOException, InterruptedException {
@@ -79,39 +83,48 @@
         try {
             scenario = ScenarioFile.parse(SCENARIO, Map.of(), Faults.names());
         } catch (BadScenarioException e) {
-            throw new IllegalStateException("the demo's own scenario", e);
+            throw new IllegalStateException("the built-in scenario of the demo is invalid", e);
         }
-        out.println("starting 3 nodes; 5 s in a server turns slow, 12 s in one fails all," + " 19 s in one is killed");
-        out.println("each second, by node and by server: requests served; +n more in hand; ! is down");
+        out.println("starting 3 nodes; a server is slow from 5 s, one fails all requests from 12 s,"
+                + " one is killed at 19 s");
+        out.println(
+                "each second, by node and by server: requests served; +n: requests at the server; !: server is down");
         out.flush();
-        Outcome outcome = play(scenario, 1, null, event -> told(out, event), (nowUs, world) -> show(out, nowUs, world));
+        Outcome outcome = runProcesses(
+                scenario, 1, null, event -> onEvent(out, event), (nowUs, world) -> printSecond(out, nowUs, world));
         out.println(outcome.score());
         outcome.violations().forEach(violation -> out.println("BROKEN " + violation));
         out.println(outcome.keepsRules() ? "rules kept" : "rules broken");
-        return outcome.keepsRules() ? ExitCode.OK : ExitCode.BROKEN;
+        return outcome.keepsRules() ? ExitCode.OK : ExitCode.CHECK_FAILED;
     }
 
-    /** Plays a scenario with processes, which are gone when this returns or this process is told to end. */
-    static Outcome play(
+    /**
+     * Runs a scenario with node processes. They are stopped before this method returns, and by a shutdown hook if this
+     * process is terminated.
+     *
+     * @param history receives the history, or null; the caller closes it
+     * @param reader receives each event
+     */
+    static Outcome runProcesses(
             Scenario scenario, long seed, OutputStream history, History.Reader reader, SimulatedRun.Progress progress)
             throws IOException, InterruptedException {
         DeployFile deploy = DeployFile.find(Path.of(""));
-        Path folder = Files.createTempDirectory("lb-fleet");
-        RealPlay play = new RealPlay(scenario, seed, deploy, folder, history, reader);
-        Thread onEnd = new Thread(play::close, "end of the fleet");
-        Runtime.getRuntime().addShutdownHook(onEnd);
+        Path directory = Files.createTempDirectory("lb-fleet");
+        RealPlay run = new RealPlay(scenario, seed, deploy, directory, history, reader);
+        Thread shutdownHook = new Thread(run::close, "fleet shutdown hook");
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
-            return play.play(progress);
+            return run.play(progress);
         } finally {
-            play.close();
-            Runtime.getRuntime().removeShutdownHook(onEnd);
-            delete(folder);
+            run.close();
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
+            delete(directory);
         }
     }
 
-    private static void delete(Path folder) throws IOException {
+    private static void delete(Path directory) throws IOException {
         List<Path> all;
-        try (Stream<Path> files = Files.walk(folder)) {
+        try (Stream<Path> files = Files.walk(directory)) {
             all = files.sorted(Comparator.reverseOrder()).toList();
         }
         for (Path path : all) {
@@ -119,21 +132,21 @@
         }
     }
 
-    private void told(PrintWriter out, Event event) {
+    private void onEvent(PrintWriter out, Event event) {
         if (event.kind() == Event.Kind.SERVED) {
-            served.merge(event.process(), 1, Integer::sum);
-            handled.merge(event.text("node"), 1, Integer::sum);
+            servedByServer.merge(event.process(), 1, Integer::sum);
+            servedByNode.merge(event.text("node"), 1, Integer::sum);
         } else if (event.kind() == Event.Kind.FAULT) {
-            out.println("      " + event.text("kind") + " strikes " + event.text("who"));
+            out.println("      " + event.text("kind") + " injected into " + event.text("who"));
         } else if (event.kind() == Event.Kind.HEALED) {
-            out.println("      " + event.text("kind") + " is over");
+            out.println("      " + event.text("kind") + " ended");
         }
     }
 
-    private void show(PrintWriter out, long nowUs, World world) {
+    private void printSecond(PrintWriter out, long nowUs, World world) {
         StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%3d s ", nowUs / 1_000_000));
         for (NodePort node : world.nodes()) {
-            line.append(String.format(Locale.ROOT, " %s%3d", node.name(), handled.getOrDefault(node.name(), 0)));
+            line.append(String.format(Locale.ROOT, " %s%3d", node.name(), servedByNode.getOrDefault(node.name(), 0)));
         }
         line.append(" |");
         for (AppServer server : world.servers().values()) {
@@ -142,11 +155,11 @@
                     " %s%s%d+%d",
                     server.id(),
                     server.isUp() ? " " : "!",
-                    served.getOrDefault(server.id(), 0),
+                    servedByServer.getOrDefault(server.id(), 0),
                     server.requestCount()));
         }
-        served.clear();
-        handled.clear();
+        servedByServer.clear();
+        servedByNode.clear();
         out.println(line);
         out.flush();
     }
--- a/cli/src/main/java/loadbalancer/cli/FleetMembers.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetMembers.java
@@ -22,19 +22,20 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** How processes see their fleet. */
+/** The command {@code lb fleet members}: prints the membership views of running processes. */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
-        description = "Asks processes how they see their fleet: who is alive, suspected, dead or has left.",
+        description = "Prints the members of a fleet as running processes see them: alive, suspect, dead or left.",
         footer = {
             "%nExample: lb fleet members 127.0.0.1:7946",
             "Example: lb fleet members --diff 127.0.0.1:7946 127.0.0.2:7946",
-            "%nExit codes: 0 answered, and with --diff all alike; 1 with --diff: views differ; 2 a bad"
-                    + " command line; 3 one does not answer.%n"
+            "%nExit codes: 0 all processes responded, and with --diff all views are equal; 1 with --diff: views"
+                    + " differ; 2 the command line is invalid; 3 a process does not respond.%n"
         })
 final class FleetMembers implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
+    /** Printed for a member that a view does not contain. */
     private static final String UNKNOWN = "-";
 
     @Spec
@@ -43,16 +44,20 @@
     @Parameters(
             arity = "1..*",
             paramLabel = "ADDRESS",
-            description = "Where a process takes part: the bind" + " or advertise address of its fleet, address:port.")
+            description = "Membership address of a process, address:port: the bind"
+                    + " or advertise address of its configuration.")
     private List<String> addresses;
 
-    @Option(names = "--diff", description = "Shows only what the views differ in.")
+    @Option(names = "--diff", description = "Prints only the members on which the views differ.")
     private boolean diff;
 
-    @Option(names = "--json", description = "One line of JSON for each process.")
+    @Option(names = "--json", description = "Prints one line of JSON for each process.")
     private boolean json;
 
-    @Option(names = "--timeout-ms", defaultValue = "3000", description = "For each; default ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--timeout-ms",
+            defaultValue = "3000",
+            description = "Timeout for each process in milliseconds; default ${DEFAULT-VALUE}.")
     private int timeoutMs;
 
     @Override
@@ -86,11 +91,11 @@
         try {
             return MembershipClient.fetchView(parsed, timeoutMs);
         } catch (IOException e) {
-            throw new IOException(address + " does not answer: " + e.getMessage(), e);
+            throw new IOException(address + " does not respond: " + e.getMessage(), e);
         }
     }
 
-    /** All that a view holds, its own process first. */
+    /** Returns all members of a view, the responding process first. */
     private static List<Member> members(MembershipView view) {
         List<Member> members = new ArrayList<>(List.of(view.self()));
         members.addAll(view.others());
@@ -110,7 +115,7 @@
         long live =
                 members(view).stream().filter(member -> member.state().isLive()).count();
         out.printf(
-                "%s at %s: %d live, view version %d, digest %016x, doubts itself by %d%n",
+                "%s at %s: %d live, view version %d, digest %016x, local health score %d%n",
                 view.self().name(), address, live, view.version(), view.digest(), view.localHealth());
         for (Member member : members(view)) {
             out.printf(
@@ -120,7 +125,7 @@
         view.metrics().forEach((name, value) -> out.printf("  %s %d%n", name, value));
     }
 
-    /** The keys stay where the code's names change: scripts read them. */
+    /** Some keys differ from the names in the code. Scripts of operators read them, so they must not change. */
     private static String toJson(String address, MembershipView view) {
         ObjectNode tree = JSON.createObjectNode()
                 .put("address", address)
@@ -143,7 +148,11 @@
         return tree.toString();
     }
 
-    /** Prints each member that is not held for the same by all, and how each process holds it. */
+    /**
+     * Prints each member on which the views differ, with its state and incarnation in each view.
+     *
+     * @return the exit code
+     */
     private static int printDifferences(PrintWriter out, Map<String, MembershipView> views) {
         TreeSet<String> names = new TreeSet<>();
         views.values().forEach(view -> members(view).forEach(member -> names.add(member.name())));
@@ -157,8 +166,8 @@
                 stateByAddress.forEach((address, state) -> out.printf("  %-24s %s%n", address, state));
             }
         }
-        out.println(differing == 0 ? "all alike" : differing + " of " + names.size() + " differ");
-        return differing == 0 ? ExitCode.OK : ExitCode.BROKEN;
+        out.println(differing == 0 ? "all equal" : differing + " of " + names.size() + " differ");
+        return differing == 0 ? ExitCode.OK : ExitCode.CHECK_FAILED;
     }
 
     private static String stateOf(MembershipView view, String name) {
--- a/cli/src/main/java/loadbalancer/cli/FleetScale.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetScale.java
@@ -19,16 +19,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** What a node's decisions cost as the fleet grows. */
+/** The command {@code lb fleet scale}: measures the cost of the decision module against the number of servers. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
-        description = "Measures what the decision module of one node costs before lists of several sizes:"
-                + " memory, processor time for a list, a change and a decision, and how each grows.",
+        description = "Measures the cost of the decision module of one node with endpoint lists of several sizes:"
+                + " memory, CPU time for a full list, a change and a decision, and the growth of each.",
         footer = {"%nExample: lb fleet scale --nodes 1200 --servers 200,1000,5000,19000" + " --json scale.json%n"})
 final class FleetScale implements Callable<Integer> {
-    /** A line through fewer points tells nothing of a bend. */
-    private static final int LEAST_SIZES = 2;
+    /** A regression line needs at least two points. */
+    private static final int MIN_SIZES = 2;
 
     @Spec
     private CommandSpec spec;
@@ -36,38 +36,38 @@
     @Option(
             names = "--nodes",
             defaultValue = "1200",
-            description = "Nodes that the settings name; default"
-                    + " ${DEFAULT-VALUE}. With many, each uses a part of the servers.")
+            description = "Number of nodes in the settings; default"
+                    + " ${DEFAULT-VALUE}. With many nodes, each one uses a subset of the servers.")
     private int nodes;
 
     @Option(
             names = "--servers",
             split = ",",
             defaultValue = "24,200,1000,2000,5000,19000",
-            description = "Servers in the list; default ${DEFAULT-VALUE}.")
+            description = "Numbers of servers in the endpoint list; default ${DEFAULT-VALUE}.")
     private List<Integer> sizes;
 
     @Option(
             names = "--requests",
             defaultValue = "20000",
-            description = "Requests in each of the five rounds of a size; default ${DEFAULT-VALUE}.")
+            description = "Requests in each of the five rounds per size; default ${DEFAULT-VALUE}.")
     private int requests;
 
-    @Option(names = "--json", description = "Also writes all figures to this file.")
+    @Option(names = "--json", description = "Also writes all results to this file, as JSON.")
     private Path json;
 
-    /** A figure as a line over the number of servers. */
+    /** The linear regression of a cost over the number of servers. */
     private record Growth(double atZero, double perServer, double rSquared) {}
 
     @Override
     public Integer call() throws IOException {
-        check(nodes >= 1, "--nodes = " + nodes + ": must be at least 1");
-        check(requests >= 1, "--requests = " + requests + ": must be at least 1");
-        check(
-                sizes.size() >= LEAST_SIZES && sizes.stream().allMatch(n -> n >= 1),
+        require(nodes >= 1, "--nodes = " + nodes + ": must be at least 1");
+        require(requests >= 1, "--requests = " + requests + ": must be at least 1");
+        require(
+                sizes.size() >= MIN_SIZES && sizes.stream().allMatch(n -> n >= 1),
                 "--servers = " + sizes + ": must be two sizes or more, each at least 1");
         PrintWriter out = spec.commandLine().getOut();
-        // What is measured first would else pay for compilation.
+        // Warm-up: without it, the first measurement would include the time of just-in-time compilation.
         ModuleScale.measure(nodes, sizes.get(0), requests);
         out.println("nodes servers   state KB  list us  change us  decision us  decision with 1% errors us");
         List<Cost> costs = new ArrayList<>();
@@ -96,7 +96,7 @@
                 .sorted(Map.Entry.comparingByKey())
                 .forEach(entry -> out.printf(
                         Locale.ROOT,
-                        "%-18s %12.3f + %.5f a server, R2 %.3f%n",
+                        "%-18s %12.3f + %.5f per server, R2 %.3f%n",
                         entry.getKey(),
                         entry.getValue().atZero,
                         entry.getValue().perServer,
@@ -109,15 +109,15 @@
         return ExitCode.OK;
     }
 
-    private static void check(boolean allowed, String message) {
-        if (!allowed) {
+    private static void require(boolean valid, String message) {
+        if (!valid) {
             throw new UsageException(message);
         }
     }
 
-    private static Growth growth(List<Cost> costs, ToDoubleFunction<Cost> figure) {
-        SimpleRegression line = new SimpleRegression();
-        costs.forEach(cost -> line.addData(cost.servers(), figure.applyAsDouble(cost)));
-        return new Growth(line.getIntercept(), line.getSlope(), line.getRSquare());
+    private static Growth growth(List<Cost> costs, ToDoubleFunction<Cost> metric) {
+        SimpleRegression regression = new SimpleRegression();
+        costs.forEach(cost -> regression.addData(cost.servers(), metric.applyAsDouble(cost)));
+        return new Growth(regression.getIntercept(), regression.getSlope(), regression.getRSquare());
     }
 }
--- a/cli/src/main/java/loadbalancer/cli/FleetStudy.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetStudy.java
@@ -18,14 +18,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Membership measured in simulated time. */
+/** The command {@code lb fleet study}: measures the membership protocol in simulated time. */
 @Command(
         name = "study",
         mixinStandardHelpOptions = true,
-        description = "Measures membership in simulated time: its load, how quickly a crash is known, how quickly"
-                + " halves find each other, and how often it errs.",
+        description =
+                "Measures the membership protocol in simulated time: its network load, the time to detect a crash, the"
+                        + " time to converge after a partition, and false positives.",
         footer = {"%nExample: lb fleet study --sizes 3,30,100 --seeds 20%n"})
 final class FleetStudy implements Callable<Integer> {
+    /** Share of datagrams that are lost while false positives are counted. */
     private static final double LOSS_SHARE = 0.05;
 
     @Spec
@@ -35,21 +37,21 @@
             names = "--sizes",
             split = ",",
             defaultValue = "3,30,100",
-            description = "Members; default ${DEFAULT-VALUE}.")
+            description = "Numbers of members; default ${DEFAULT-VALUE}.")
     private List<Integer> sizes;
 
-    @Option(names = "--seeds", defaultValue = "20", description = "Fleets of each; default ${DEFAULT-VALUE}.")
+    @Option(names = "--seeds", defaultValue = "20", description = "Fleets of each size; default ${DEFAULT-VALUE}.")
     private int seeds;
 
-    @Option(names = "--cores", description = "How many at a time; default all.")
+    @Option(names = "--cores", description = "Number of fleets at a time; default one per core.")
     private Integer cores;
 
     @Option(
             names = "--false-seconds",
             defaultValue = "0",
-            description = "Also counts what living members are"
-                    + " falsely held for, over so long, with 5 in 100 datagrams lost and members that stand still;"
-                    + " once as it is and once without members that doubt themselves. Default: not.")
+            description = "Also counts false positives during this time in seconds, with 5 in 100"
+                    + " datagrams lost and members that pause: with default settings, and without local health and"
+                    + " with the shortest suspicion timeout. Default 0: does not count.")
     private int falseSeconds;
 
     @Override
@@ -61,34 +63,35 @@
                             : "--sizes = " + sizes + ": each must be at least 3");
         }
         PrintWriter out = spec.commandLine().getOut();
-        out.println("times in periods: median, 99 of 100, most; 1.58 is e/(e-1), of asking one at random");
+        out.println("times in probe periods: median, 99th percentile, max; 1.58 is e/(e-1), the mean time until a"
+                + " crashed member is probed if each member probes one member at random per period");
         for (int members : sizes) {
             List<Result> results = forEachSeed(seed -> MembershipStudy.measure(members, seed, settings -> settings));
             out.printf(
                     Locale.ROOT,
-                    "%5d members: a member sends %.2f datagrams and %.0f bytes a second%n",
+                    "%5d members: a member sends %.2f datagrams and %.0f bytes per second%n",
                     members,
                     mean(results, Result::datagramsPerSecond),
                     mean(results, Result::bytesPerSecond));
-            printLine(out, "crash suspected by one", results, Result::firstDetection);
-            printLine(out, "crash known to all", results, Result::fullDetection);
-            printLine(out, "alike after a cut", results, Result::convergence);
+            printTimes(out, "crash suspected by one", results, Result::firstDetection);
+            printTimes(out, "crash suspected by all", results, Result::fullDetection);
+            printTimes(out, "equal after a partition", results, Result::convergence);
             out.printf(Locale.ROOT, "        (3 log2 n is %.1f)%n", 3 * Math.log(members) / Math.log(2));
             if (falseSeconds > 0) {
-                printFalsePositives(out, members, "as it is", settings -> settings);
-                printFalsePositives(out, members, "without doubting itself", FleetStudy::withoutLocalHealth);
+                printFalsePositives(out, members, "with default settings", settings -> settings);
+                printFalsePositives(out, members, "without local health", FleetStudy::withoutLocalHealth);
             }
             out.flush();
         }
         return ExitCode.OK;
     }
 
-    private <T> List<T> forEachSeed(LongFunction<T> play) throws InterruptedException {
+    private <T> List<T> forEachSeed(LongFunction<T> run) throws InterruptedException {
         return SeedSweep.run(
-                1, seeds, cores == null ? Runtime.getRuntime().availableProcessors() : cores, play, done -> {});
+                1, seeds, cores == null ? Runtime.getRuntime().availableProcessors() : cores, run, done -> {});
     }
 
-    /** Local health is off, and a suspicion timeout is the shortest one at once. */
+    /** Turns local health off, and sets the longest suspicion timeout to the shortest one. */
     private static MembershipSettings withoutLocalHealth(MembershipSettings settings) {
         return settings.toBuilder().maxSuspicionFactor(1).maxLocalHealth(0).build();
     }
@@ -100,7 +103,7 @@
                 seed -> MembershipStudy.countFalsePositives(members, seed, LOSS_SHARE, falseSeconds, adapt));
         out.printf(
                 Locale.ROOT,
-                "        %s: false deaths %d, suspicions %d, in %d s of %d fleets%n",
+                "        %s: false failures %d, suspicions %d, in %d s of %d fleets%n",
                 variant,
                 results.stream().mapToLong(FalsePositives::failures).sum(),
                 results.stream().mapToLong(FalsePositives::suspicions).sum(),
@@ -112,14 +115,15 @@
         return results.stream().mapToDouble(value).average().orElseThrow();
     }
 
-    private static void printLine(PrintWriter out, String what, List<Result> results, ToDoubleFunction<Result> value) {
+    private static void printTimes(
+            PrintWriter out, String label, List<Result> results, ToDoubleFunction<Result> value) {
         List<Double> sorted = new ArrayList<>(
                 results.stream().map(value::applyAsDouble).sorted().toList());
         long missing = sorted.stream().filter(time -> time < 0).count();
         out.printf(
                 Locale.ROOT,
                 "        %-24s %6.2f %6.2f %6.2f%s%n",
-                what,
+                label,
                 sorted.get(sorted.size() / 2),
                 sorted.get((int) Math.ceil(0.99 * sorted.size()) - 1),
                 sorted.get(sorted.size() - 1),
--- a/cli/src/main/java/loadbalancer/cli/Main.java
+++ b/cli/src/main/java/loadbalancer/cli/Main.java
@@ -4,19 +4,19 @@
 import picocli.CommandLine.Command;
 
 /**
- * The command for operators and developers; the node has a program of its own, which starts without any of
- * this.
+ * Entry point of the command {@code lb} for operators and developers. The node has its own entry point and does not
+ * load these classes.
  */
 @Command(
         name = "lb",
         mixinStandardHelpOptions = true,
         version = "lb 0.1.0",
-        description = "Keeps fleets of load balancer nodes running, and proves that it does.",
+        description = "Runs, tests and inspects fleets of load balancer nodes.",
         subcommands = {Fleet.class, CommandLine.HelpCommand.class})
 public final class Main {
     private Main() {}
 
-    /** Runs one command; the exit code is documented with each. */
+    /** Runs one command and exits with its exit code, which the help text of the command documents. */
     public static void main(String[] args) {
         System.exit(commandLine().execute(args));
     }
--- a/cli/src/main/java/loadbalancer/cli/Outcomes.java
+++ b/cli/src/main/java/loadbalancer/cli/Outcomes.java
@@ -9,13 +9,13 @@
 import loadbalancer.harness.scenario.Scenario;
 import loadbalancer.harness.simulation.Score;
 
-/** Outcomes for other programs. */
+/** Writes outcomes in a format for other programs. */
 final class Outcomes {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private Outcomes() {}
 
-    /** One line. Times are microseconds, shares lie between 0 and 1. */
+    /** Returns the outcome as one line of JSON. Times are in microseconds; shares are between 0 and 1. */
     static String json(Scenario scenario, Outcome outcome) {
         Score.Result score = outcome.score();
         ObjectNode line = JSON.createObjectNode();
@@ -47,7 +47,7 @@
         try {
             return JSON.writeValueAsString(line);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a tree can always be written", e);
+            throw new IllegalStateException("cannot write the outcome as JSON", e);
         }
     }
 }
--- a/cli/src/main/java/loadbalancer/cli/Report.java
+++ b/cli/src/main/java/loadbalancer/cli/Report.java
@@ -28,18 +28,18 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** One page of HTML without outside links: what each history tells, in figures and plots. */
+/** Writes tables and plots of histories as one HTML page without external links. */
 final class Report {
     private static final int WIDTH = 1_000;
     private static final int HEIGHT = 300;
     private static final double SECOND_US = 1e6;
     private static final long MAX_LATENCY_US = 120_000_000;
-    /** Beyond so many lines a plot cannot be read: the servers with the least and the most are drawn. */
+    /** A plot with more lines is unreadable, so only the servers with the fewest and the most requests are plotted. */
     private static final int MAX_LINES = 12;
 
     private Report() {}
 
-    /** What one history tells, second by second. */
+    /** Counts of one history, per second. */
     private static final class HistorySummary implements History.Reader {
         private String title = "";
         private final Map<String, TreeMap<Integer, Integer>> answers = new TreeMap<>();
@@ -48,14 +48,14 @@
         private final TreeMap<Integer, Histogram> latencies = new TreeMap<>();
         private final TreeMap<Integer, String> faults = new TreeMap<>();
         private final Map<Long, Long> arrivedAtUs = new HashMap<>();
-        private int last;
+        private int lastSecond;
         private long events;
 
         @Override
         public void read(Event event) {
             events++;
             int second = (int) (event.atUs() / SECOND_US);
-            last = Math.max(last, second);
+            lastSecond = Math.max(lastSecond, second);
             switch (event.kind()) {
                 case RUN ->
                     title = event.text("scenario") + ", seed " + event.number("seed")
@@ -86,8 +86,8 @@
         }
     }
 
-    static String of(List<Path> files) throws IOException {
-        // Charts are drawn to memory: there is no screen to ask for.
+    static String toHtml(List<Path> files) throws IOException {
+        // Charts are drawn in memory and need no display.
         System.setProperty("java.awt.headless", "true");
         StringBuilder page = new StringBuilder("<!doctype html>\n<meta charset=\"utf-8\">\n<title>lb fleet</title>\n"
                 + "<style>body{font:14px sans-serif;max-width:" + WIDTH + "px;margin:2em auto}"
@@ -99,12 +99,12 @@
             try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
                 History.read(in, summary);
             }
-            add(page, file.getFileName().toString(), summary);
+            appendRun(page, file.getFileName().toString(), summary);
         }
         return page.toString();
     }
 
-    private static void add(StringBuilder page, String file, HistorySummary summary) throws IOException {
+    private static void appendRun(StringBuilder page, String file, HistorySummary summary) throws IOException {
         Histogram all = new Histogram(MAX_LATENCY_US, 2);
         summary.latencies.values().forEach(all::add);
         page.append("<h2>")
@@ -113,10 +113,10 @@
                 .append(escaped(file))
                 .append(", ")
                 .append(summary.events)
-                .append(" events. Latency of what was served, in" + " time or late, at the node: median ")
+                .append(" events. Latency of requests that were served, in" + " time or late, at the node: median ")
                 .append(String.format(
                         Locale.ROOT,
-                        "%.1f ms, 99th percentile %.1f ms, most %.1f ms",
+                        "%.1f ms, 99th percentile %.1f ms, max %.1f ms",
                         all.getValueAtPercentile(50) / 1e3,
                         all.getValueAtPercentile(99) / 1e3,
                         all.getMaxValue() / 1e3))
@@ -125,33 +125,34 @@
         List<Map.Entry<String, Integer>> outcomes = List.copyOf(summary.outcomes.entrySet());
         for (int i = 0; i < Math.max(answers.size(), outcomes.size()); i++) {
             page.append("<tr>");
-            cells(
+            appendCells(
                     page,
                     i < answers.size() ? answers.get(i).getKey() : "",
                     i < answers.size()
                             ? Integer.toString(HistorySummary.sum(answers.get(i).getValue()))
                             : "");
-            cells(
+            appendCells(
                     page,
                     i < outcomes.size() ? outcomes.get(i).getKey() : "",
                     i < outcomes.size() ? outcomes.get(i).getValue().toString() : "");
             page.append("</tr>\n");
         }
         page.append("</table>\n");
-        page.append(plot(
-                "Answers a second; what went wrong is marked",
+        page.append(renderPlot(
+                "Responses per second; the starts of faults are marked",
                 "answers",
-                lines(summary.answers, summary.last),
+                lines(summary.answers, summary.lastSecond),
                 summary));
-        page.append(plot("Latency of what was served, ms", "ms", latencies(summary), summary));
-        page.append(plot(
-                "Served a second by server" + (summary.served.size() > MAX_LINES ? ", the least and the most" : ""),
+        page.append(renderPlot("Latency of requests that were served, ms", "ms", latencies(summary), summary));
+        page.append(renderPlot(
+                "Requests served per second by server"
+                        + (summary.served.size() > MAX_LINES ? ", the fewest and the most" : ""),
                 "requests",
-                lines(extremes(summary.served), summary.last),
+                lines(extremes(summary.served), summary.lastSecond),
                 summary));
     }
 
-    private static void cells(StringBuilder page, String name, String value) {
+    private static void appendCells(StringBuilder page, String name, String value) {
         page.append("<td>")
                 .append(escaped(name.toLowerCase(Locale.ROOT)))
                 .append("</td><td>")
@@ -163,27 +164,28 @@
         return text.replace("&", "&amp;").replace("<", "&lt;");
     }
 
-    private static Map<String, TreeMap<Integer, Integer>> extremes(Map<String, TreeMap<Integer, Integer>> of) {
-        if (of.size() <= MAX_LINES) {
-            return of;
+    /** Returns the counts of the servers that served the fewest and the most requests. */
+    private static Map<String, TreeMap<Integer, Integer>> extremes(Map<String, TreeMap<Integer, Integer>> counts) {
+        if (counts.size() <= MAX_LINES) {
+            return counts;
         }
-        List<String> byCount = of.keySet().stream()
-                .sorted((a, b) -> HistorySummary.sum(of.get(a)) - HistorySummary.sum(of.get(b)))
+        List<String> byCount = counts.keySet().stream()
+                .sorted((a, b) -> HistorySummary.sum(counts.get(a)) - HistorySummary.sum(counts.get(b)))
                 .toList();
-        Map<String, TreeMap<Integer, Integer>> ends = new TreeMap<>();
+        Map<String, TreeMap<Integer, Integer>> selected = new TreeMap<>();
         for (int i = 0; i < MAX_LINES / 2; i++) {
-            ends.put(byCount.get(i), of.get(byCount.get(i)));
+            selected.put(byCount.get(i), counts.get(byCount.get(i)));
             String most = byCount.get(byCount.size() - 1 - i);
-            ends.put(most, of.get(most));
+            selected.put(most, counts.get(most));
         }
-        return ends;
+        return selected;
     }
 
-    private static XYSeriesCollection lines(Map<String, TreeMap<Integer, Integer>> counts, int last) {
+    private static XYSeriesCollection lines(Map<String, TreeMap<Integer, Integer>> counts, int lastSecond) {
         XYSeriesCollection lines = new XYSeriesCollection();
         counts.forEach((name, bySecond) -> {
             XYSeries line = new XYSeries(name);
-            for (int second = 0; second <= last; second++) {
+            for (int second = 0; second <= lastSecond; second++) {
                 line.add(second, bySecond.getOrDefault(second, 0));
             }
             lines.addSeries(line);
@@ -196,13 +198,13 @@
         for (int percent : new int[] {50, 90, 99}) {
             XYSeries line = new XYSeries(percent + "%");
             summary.latencies.forEach(
-                    (second, of) -> line.add((double) second, of.getValueAtPercentile(percent) / 1e3));
+                    (second, histogram) -> line.add((double) second, histogram.getValueAtPercentile(percent) / 1e3));
             lines.addSeries(line);
         }
         return lines;
     }
 
-    private static String plot(String title, String unit, XYSeriesCollection lines, HistorySummary summary)
+    private static String renderPlot(String title, String unit, XYSeriesCollection lines, HistorySummary summary)
             throws IOException {
         JFreeChart chart = ChartFactory.createXYLineChart(title, "s", unit, lines);
         XYPlot plot = chart.getXYPlot();
--- a/cli/src/main/java/loadbalancer/cli/UsageException.java
+++ b/cli/src/main/java/loadbalancer/cli/UsageException.java
@@ -1,6 +1,6 @@
 package loadbalancer.cli;
 
-/** Something that the caller can mend, told in one line or a few. */
+/** An error that the caller can correct. The message of one or more lines is printed without a stack trace. */
 final class UsageException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/cli/src/main/java/loadbalancer/cli/package-info.java
+++ b/cli/src/main/java/loadbalancer/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line for operators and developers. */
+/** The command {@code lb} for operators and developers. */
 package loadbalancer.cli;
--- a/cli/src/test/java/loadbalancer/cli/FleetMembersTest.java
+++ b/cli/src/test/java/loadbalancer/cli/FleetMembersTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine;
 
-/** The output of {@code fleet members}, column by column: scripts of operators read it. */
+/** Verifies each column and key of the output of {@code fleet members}, because scripts of operators read them. */
 class FleetMembersTest {
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
@@ -29,12 +29,12 @@
     }
 
     @Test
-    void columnsOfAProcessThatIsAlone() throws Exception {
+    void printsAllColumnsAndKeysForASingleMember() throws Exception {
         String address;
         try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             address = "127.0.0.1:" + any.getLocalPort();
         }
-        MembershipService alone = MembershipService.join(MembershipConfig.read(
+        MembershipService member = MembershipService.join(MembershipConfig.read(
                 new ObjectMapper().valueToTree(Map.of("name", "f", "bind", address, "zone", "a")), "n1"));
         try {
             int code = run("fleet", "members", address);
@@ -48,7 +48,7 @@
             assertTrue(
                     lines.get(0)
                             .matches("n1 at " + address
-                                    + ": 1 live, view version 0, digest [0-9a-f]{16}, doubts itself by 0"),
+                                    + ": 1 live, view version 0, digest [0-9a-f]{16}, local health score 0"),
                     lines.get(0));
             assertTrue(
                     lines.get(1)
@@ -74,7 +74,7 @@
                     List.of("name", "address", "zone", "role", "state", "birth", "count"),
                     names(view.path("members").path(0)));
         } finally {
-            alone.leave();
+            member.leave();
         }
     }
 
--- a/cli/src/test/java/loadbalancer/cli/FleetTest.java
+++ b/cli/src/test/java/loadbalancer/cli/FleetTest.java
@@ -23,10 +23,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The command line as people use it: what it prints and how it ends. */
+/** Runs the commands as a user does, and verifies their output and exit codes. */
 class FleetTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
@@ -38,12 +38,12 @@
     }
 
     private Path scenario(String text) throws Exception {
-        return Files.writeString(folder.resolve("scenario.toml"), text);
+        return Files.writeString(directory.resolve("scenario.toml"), text);
     }
 
     @Test
-    void scaleMeasuresEachSizeAndHowEachFigureGrows() throws Exception {
-        Path file = folder.resolve("scale.json");
+    void scaleMeasuresEachSizeAndItsGrowth() throws Exception {
+        Path file = directory.resolve("scale.json");
         assertEquals(
                 0,
                 run(
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void scaleNamesTheOptionThatIsWrong() {
+    void scaleReportsTheInvalidOption() {
         assertEquals(2, run("fleet", "scale", "--servers", "5"));
         assertTrue(err.toString().contains("--servers = [5]: must be two sizes or more"), err.toString());
         assertEquals(2, run("fleet", "scale", "--nodes", "0"));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void runPrintsTheSameOutcomeAsJsonEachTime() throws Exception {
+    void runWithTheSameSeedPrintsTheSameJson() throws Exception {
         String[] words = {"fleet", "run", "scenarios/calm.toml", "--seed", "3", "--json", "--set", "length_s=8"};
         assertEquals(0, run(words));
         JsonNode first = new ObjectMapper().readTree(out.toString());
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void badScenarioIsReportedInFullWithExitCodeTwo() throws Exception {
+    void invalidScenarioIsReportedWithAllProblemsAndExitCodeTwo() throws Exception {
         Path bad = scenario("name = \"x\"\n[fleet]\nnodes = 0\n[load]\nper_sekond = 3\n");
         assertEquals(2, run("fleet", "run", bad.toString()));
         assertTrue(err.toString().contains("fleet.nodes = 0: must be a number from 1 to 10000"), err.toString());
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void unknownWordsSuggestTheNearestWithExitCodeTwo() {
+    void unknownCommandOrPolicyPrintsSuggestionsWithExitCodeTwo() {
         assertEquals(2, run("fleet", "comapre"));
         assertTrue(err.toString().contains("Did you mean: fleet compare"), err.toString());
         assertEquals(2, run("fleet", "compare", "scenarios/calm.toml", "--b", "best"));
@@ -106,8 +106,9 @@
     }
 
     @Test
-    void brokenRulePrintsTheReplayCommandWithExitCodeOne() {
-        // Random choice knows of no slow start: with little room cold servers fall over.
+    void violatedRulePrintsTheReplayCommandWithExitCodeOne() {
+        // The random policy has no slow start. With a low overload threshold, it overloads servers that have just
+        // started.
         assertEquals(
                 1,
                 run(
@@ -124,13 +125,13 @@
         assertTrue(
                 out.toString()
                         .contains(
-                                "again: lb fleet run scenarios/herd.toml --seed 1 --set" + " rules.fall_multiple=0.3"),
+                                "replay: lb fleet run scenarios/herd.toml --seed 1 --set" + " rules.fall_multiple=0.3"),
                 out.toString());
         assertTrue(out.toString().contains("smallest found in"), out.toString());
     }
 
     @Test
-    void balancerOfTheNodeJarDecidesLikeTheBuiltInOne() {
+    void policyFromTheNodeJarDecidesLikeTheBuiltInModule() {
         assertEquals(
                 0,
                 run(
@@ -147,21 +148,21 @@
     }
 
     @Test
-    void reportIsOnePageWithoutLinks() throws Exception {
-        Path history = folder.resolve("jam.jsonl");
+    void reportIsOnePageWithoutExternalLinks() throws Exception {
+        Path history = directory.resolve("jam.jsonl");
         assertEquals(
                 0, run("fleet", "run", "scenarios/jam.toml", "--history", history.toString(), "--set", "length_s=30"));
-        Path page = folder.resolve("report.html");
-        assertEquals(0, run("fleet", "report", folder.toString(), "--out", page.toString()));
+        Path page = directory.resolve("report.html");
+        assertEquals(0, run("fleet", "report", directory.toString(), "--out", page.toString()));
         String html = Files.readString(page);
         assertTrue(html.contains("jam, seed 1, simulated") && html.contains("data:image/png;base64,"));
-        assertFalse(html.contains("http"), "links to the outside");
-        assertEquals(2, run("fleet", "report", folder.resolve("none").toString()));
+        assertFalse(html.contains("http"), "external link");
+        assertEquals(2, run("fleet", "report", directory.resolve("none").toString()));
     }
 
     @Test
-    void fileThatIsNoDayIsRejected() throws Exception {
-        Path day = Files.writeString(folder.resolve("day.json"), "{\"v\":1}");
+    void invalidDayFileIsRejectedWithExitCodeTwo() throws Exception {
+        Path day = Files.writeString(directory.resolve("day.json"), "{\"v\":1}");
         assertEquals(2, run("fleet", "import", day.toString()));
         assertTrue(err.toString().contains("is no day"), err.toString());
     }
@@ -183,27 +184,27 @@
                 name));
     }
 
-    /** Waits until a process holds a member in this state. */
+    /** Waits until the view of a process contains a member in this state. */
     private static void awaitState(String address, String member, MemberState state) throws Exception {
         long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        while (!holds(address, member, state)) {
-            assertTrue(System.nanoTime() < endNanos, address + " does not hold " + member + " for " + state);
+        while (!viewContains(address, member, state)) {
+            assertTrue(System.nanoTime() < endNanos, address + " does not have " + member + " as " + state);
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
 
-    private static boolean holds(String address, String member, MemberState state) {
+    private static boolean viewContains(String address, String member, MemberState state) {
         try {
             return MembershipClient.fetchView(SocketAddresses.parseOrNull(address), 2_000).others().stream()
                     .anyMatch(other -> other.name().equals(member) && other.state() == state);
         } catch (IOException e) {
-            // It does not listen yet: the caller tries again.
+            // The process does not listen yet; the caller tries again.
             return false;
         }
     }
 
     @Test
-    void membersAreShownAsAProcessSeesThem() throws Exception {
+    void membersPrintsTheViewsOfProcessesAndTheirDifferences() throws Exception {
         String first = freeAddress();
         String second = freeAddress();
         MembershipService one = member("one", first, second);
@@ -216,7 +217,7 @@
             assertTrue(out.toString().contains("two") && out.toString().contains("alive"), out.toString());
             out.getBuffer().setLength(0);
             assertEquals(0, run("fleet", "members", "--diff", first, second));
-            assertEquals("all alike", out.toString().strip());
+            assertEquals("all equal", out.toString().strip());
             two.leave();
             awaitState(first, "two", MemberState.LEFT);
             out.getBuffer().setLength(0);
@@ -224,7 +225,7 @@
             JsonNode view = new ObjectMapper().readTree(out.toString());
             assertEquals("left", view.path("members").path(1).path("state").asText());
             assertEquals(3, run("fleet", "members", "--timeout-ms", "500", second));
-            assertTrue(err.toString().contains(second + " does not answer"), err.toString());
+            assertTrue(err.toString().contains(second + " does not respond"), err.toString());
             assertEquals(2, run("fleet", "members", "nowhere"));
         } finally {
             one.leave();
@@ -232,10 +233,10 @@
     }
 
     @Test
-    void aStudyTellsHowQuicklyACrashIsKnown() {
+    void studyPrintsDetectionTimesAndFalsePositives() {
         assertEquals(0, run("fleet", "study", "--sizes", "5", "--seeds", "3", "--false-seconds", "60"));
         assertTrue(out.toString().contains("5 members: a member sends"), out.toString());
-        assertTrue(out.toString().contains("as it is: false deaths 0"), out.toString());
+        assertTrue(out.toString().contains("with default settings: false failures 0"), out.toString());
         assertFalse(out.toString().contains("never"), out.toString());
         assertEquals(2, run("fleet", "study", "--sizes", "2"));
     }
