--- a/cli/src/main/java/loadbalancer/cli/FleetStudy.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetStudy.java
@@ -49,9 +49,9 @@
     @Option(
             names = "--false-seconds",
             defaultValue = "0",
-            description = "Also counts false positives during this time in seconds, with 5 in 100"
-                    + " datagrams lost and members that pause: with default settings, and without local health and"
-                    + " with the shortest suspicion timeout. Default 0: does not count.")
+            description = "Also counts false positives in runs of this many seconds, with 5 in 100"
+                    + " datagrams lost and members that pause: once with default settings, and once without local"
+                    + " health and with the shortest suspicion timeout. Default 0: no such runs.")
     private int falseSeconds;
 
     @Override
--- a/cli/src/main/java/loadbalancer/cli/Report.java
+++ b/cli/src/main/java/loadbalancer/cli/Report.java
@@ -42,7 +42,7 @@
     /** Counts of one history, per second. */
     private static final class HistorySummary implements History.Reader {
         private String title = "";
-        private final Map<String, TreeMap<Integer, Integer>> answers = new TreeMap<>();
+        private final Map<String, TreeMap<Integer, Integer>> responses = new TreeMap<>();
         private final Map<String, TreeMap<Integer, Integer>> served = new TreeMap<>();
         private final Map<String, Integer> outcomes = new TreeMap<>();
         private final TreeMap<Integer, Histogram> latencies = new TreeMap<>();
@@ -65,7 +65,7 @@
                 case SERVED -> count(served, event.process(), second);
                 case FAULT -> faults.merge(second, event.text("kind"), (a, b) -> a + ", " + b);
                 case ANSWER -> {
-                    count(answers, event.text("answer"), second);
+                    count(responses, event.text("answer"), second);
                     Long at = arrivedAtUs.remove(event.number("request"));
                     if (at != null && event.text("answer").equals("OK")) {
                         latencies
@@ -121,15 +121,16 @@
                         all.getValueAtPercentile(99) / 1e3,
                         all.getMaxValue() / 1e3))
                 .append(".</p>\n<table><tr><th>answers</th><th></th><th>attempts</th>" + "<th></th></tr>\n");
-        List<Map.Entry<String, TreeMap<Integer, Integer>>> answers = List.copyOf(summary.answers.entrySet());
+        List<Map.Entry<String, TreeMap<Integer, Integer>>> responses = List.copyOf(summary.responses.entrySet());
         List<Map.Entry<String, Integer>> outcomes = List.copyOf(summary.outcomes.entrySet());
-        for (int i = 0; i < Math.max(answers.size(), outcomes.size()); i++) {
+        for (int i = 0; i < Math.max(responses.size(), outcomes.size()); i++) {
             page.append("<tr>");
             appendCells(
                     page,
-                    i < answers.size() ? answers.get(i).getKey() : "",
-                    i < answers.size()
-                            ? Integer.toString(HistorySummary.sum(answers.get(i).getValue()))
+                    i < responses.size() ? responses.get(i).getKey() : "",
+                    i < responses.size()
+                            ? Integer.toString(
+                                    HistorySummary.sum(responses.get(i).getValue()))
                             : "");
             appendCells(
                     page,
@@ -141,7 +142,7 @@
         page.append(renderPlot(
                 "Responses per second; the starts of faults are marked",
                 "answers",
-                lines(summary.answers, summary.lastSecond),
+                lines(summary.responses, summary.lastSecond),
                 summary));
         page.append(renderPlot("Latency of requests that were served, ms", "ms", latencies(summary), summary));
         page.append(renderPlot(
--- a/cli/src/test/java/loadbalancer/cli/FleetMembersTest.java
+++ b/cli/src/test/java/loadbalancer/cli/FleetMembersTest.java
@@ -22,10 +22,10 @@
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
-    private int run(String... words) {
+    private int run(String... arguments) {
         CommandLine command = Main.commandLine();
         command.setOut(new PrintWriter(out, true)).setErr(new PrintWriter(err, true));
-        return command.execute(words);
+        return command.execute(arguments);
     }
 
     @Test
--- a/cli/src/test/java/loadbalancer/cli/FleetTest.java
+++ b/cli/src/test/java/loadbalancer/cli/FleetTest.java
@@ -31,10 +31,10 @@
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
-    private int run(String... words) {
+    private int run(String... arguments) {
         CommandLine command = Main.commandLine();
         command.setOut(new PrintWriter(out, true)).setErr(new PrintWriter(err, true));
-        return command.execute(words);
+        return command.execute(arguments);
     }
 
     private Path scenario(String text) throws Exception {
@@ -76,11 +76,11 @@
 
     @Test
     void runWithTheSameSeedPrintsTheSameJson() throws Exception {
-        String[] words = {"fleet", "run", "scenarios/calm.toml", "--seed", "3", "--json", "--set", "length_s=8"};
-        assertEquals(0, run(words));
+        String[] arguments = {"fleet", "run", "scenarios/calm.toml", "--seed", "3", "--json", "--set", "length_s=8"};
+        assertEquals(0, run(arguments));
         JsonNode first = new ObjectMapper().readTree(out.toString());
         out.getBuffer().setLength(0);
-        assertEquals(0, run(words));
+        assertEquals(0, run(arguments));
         assertEquals(first, new ObjectMapper().readTree(out.toString()));
         assertTrue(first.path("kept").asBoolean() && first.path("firstTries").asInt() > 100, first.toString());
     }
