--- a/cli/src/main/java/loadbalancer/cli/FleetDemo.java
+++ b/cli/src/main/java/loadbalancer/cli/FleetDemo.java
@@ -16,7 +16,7 @@
 import loadbalancer.harness.history.Event;
 import loadbalancer.harness.history.History;
 import loadbalancer.harness.process.DeployFile;
-import loadbalancer.harness.process.RealPlay;
+import loadbalancer.harness.process.ProcessRun;
 import loadbalancer.harness.run.Outcome;
 import loadbalancer.harness.run.SimulatedRun;
 import loadbalancer.harness.scenario.BadScenarioException;
@@ -24,7 +24,7 @@
 import loadbalancer.harness.scenario.ScenarioFile;
 import loadbalancer.harness.simulation.AppServer;
 import loadbalancer.harness.simulation.NodePort;
-import loadbalancer.harness.simulation.World;
+import loadbalancer.harness.simulation.Testbed;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
@@ -91,7 +91,7 @@
                 "each second, by node and by server: requests served; +n: requests at the server; !: server is down");
         out.flush();
         Outcome outcome = runProcesses(
-                scenario, 1, null, event -> onEvent(out, event), (nowUs, world) -> printSecond(out, nowUs, world));
+                scenario, 1, null, event -> onEvent(out, event), (nowUs, testbed) -> printSecond(out, nowUs, testbed));
         out.println(outcome.score());
         outcome.violations().forEach(violation -> out.println("BROKEN " + violation));
         out.println(outcome.keepsRules() ? "rules kept" : "rules broken");
@@ -110,11 +110,11 @@
             throws IOException, InterruptedException {
         DeployFile deploy = DeployFile.find(Path.of(""));
         Path directory = Files.createTempDirectory("lb-fleet");
-        RealPlay run = new RealPlay(scenario, seed, deploy, directory, history, reader);
+        ProcessRun run = new ProcessRun(scenario, seed, deploy, directory, history, reader);
         Thread shutdownHook = new Thread(run::close, "fleet shutdown hook");
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
-            return run.play(progress);
+            return run.run(progress);
         } finally {
             run.close();
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
@@ -143,13 +143,13 @@
         }
     }
 
-    private void printSecond(PrintWriter out, long nowUs, World world) {
+    private void printSecond(PrintWriter out, long nowUs, Testbed testbed) {
         StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%3d s ", nowUs / 1_000_000));
-        for (NodePort node : world.nodes()) {
+        for (NodePort node : testbed.nodes()) {
             line.append(String.format(Locale.ROOT, " %s%3d", node.name(), servedByNode.getOrDefault(node.name(), 0)));
         }
         line.append(" |");
-        for (AppServer server : world.servers().values()) {
+        for (AppServer server : testbed.servers().values()) {
             line.append(String.format(
                     Locale.ROOT,
                     " %s%s%d+%d",
--- a/harness/src/main/java/loadbalancer/harness/baseline/Baselines.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/Baselines.java
@@ -12,16 +12,16 @@
 import loadbalancer.policy.BalancerActions;
 import loadbalancer.policy.BalancerSettings;
 
-/** The policies that a fleet can be compared with, by name. */
+/** The policies by name that a run can use for comparison, including the decision module itself. */
 public final class Baselines {
     private static final Map<String, Policy> BY_NAME = new TreeMap<>(Map.of(
             "module", Policy.MODULE,
-            "random", (settings, seed, out, servers) -> new Random(settings, seed, out),
-            "round-robin", (settings, seed, out, servers) -> new RoundRobin(settings, seed, out),
-            "least-outstanding", (settings, seed, out, servers) -> new LeastOutstanding(settings, seed, out),
-            "two-choices", (settings, seed, out, servers) -> new TwoChoices(settings, seed, out),
-            "plain", (settings, seed, out, servers) -> new Plain(settings, seed, out),
-            "oracle", (settings, seed, out, servers) -> new Oracle(settings, seed, out, servers)));
+            "random", (settings, seed, actions, servers) -> new Random(settings, seed, actions),
+            "round-robin", (settings, seed, actions, servers) -> new RoundRobin(settings, seed, actions),
+            "least-outstanding", (settings, seed, actions, servers) -> new LeastOutstanding(settings, seed, actions),
+            "two-choices", (settings, seed, actions, servers) -> new TwoChoices(settings, seed, actions),
+            "plain", (settings, seed, actions, servers) -> new Plain(settings, seed, actions),
+            "oracle", (settings, seed, actions, servers) -> new Oracle(settings, seed, actions, servers)));
 
     private Baselines() {}
 
@@ -29,84 +29,85 @@
         return List.copyOf(BY_NAME.keySet());
     }
 
-    /** The policy of a name, or null. */
+    /** Returns the policy with this name, or null. */
     public static Policy named(String name) {
         return BY_NAME.get(name);
     }
 
-    /** Any server, all alike. */
+    /** Chooses a server at random, all with equal probability. */
     private static class Random extends Baseline {
         final SplittableRandom random;
 
-        Random(BalancerSettings settings, long seed, BalancerActions out) {
-            super(settings, out);
+        Random(BalancerSettings settings, long seed, BalancerActions actions) {
+            super(settings, actions);
             random = new SplittableRandom(seed);
         }
 
         @Override
-        String choose(List<String> among) {
-            return among.get(random.nextInt(among.size()));
+        String choose(List<String> candidates) {
+            return candidates.get(random.nextInt(candidates.size()));
         }
     }
 
-    /** Each in its turn. */
+    /** Chooses the servers in turn. */
     private static final class RoundRobin extends Random {
         private int turn;
 
-        RoundRobin(BalancerSettings settings, long seed, BalancerActions out) {
-            super(settings, seed, out);
-            // Nodes that all began with the first server would go round together.
+        RoundRobin(BalancerSettings settings, long seed, BalancerActions actions) {
+            super(settings, seed, actions);
+            // A random start, as nodes that all start with the first server would proceed in step.
             turn = random.nextInt(1 << 20);
         }
 
         @Override
-        String choose(List<String> among) {
-            return among.get(turn++ % among.size());
+        String choose(List<String> candidates) {
+            return candidates.get(turn++ % candidates.size());
         }
     }
 
-    /** The one with the fewest own requests in flight; ties at random. */
+    /** Chooses the server with the fewest attempts of this node in flight; ties at random. */
     private static final class LeastOutstanding extends Random {
-        LeastOutstanding(BalancerSettings settings, long seed, BalancerActions out) {
-            super(settings, seed, out);
+        LeastOutstanding(BalancerSettings settings, long seed, BalancerActions actions) {
+            super(settings, seed, actions);
         }
 
         @Override
-        String choose(List<String> among) {
-            int least = among.stream().mapToInt(this::inFlight).min().orElseThrow();
-            List<String> best = among.stream().filter(s -> inFlight(s) == least).toList();
+        String choose(List<String> candidates) {
+            int least = candidates.stream().mapToInt(this::inFlight).min().orElseThrow();
+            List<String> best =
+                    candidates.stream().filter(s -> inFlight(s) == least).toList();
             return best.get(random.nextInt(best.size()));
         }
     }
 
-    /** The one of two drawn at random with fewer own requests in flight. */
+    /** Draws two servers at random and chooses the one with fewer attempts of this node in flight. */
     private static class TwoChoices extends Random {
-        TwoChoices(BalancerSettings settings, long seed, BalancerActions out) {
-            super(settings, seed, out);
+        TwoChoices(BalancerSettings settings, long seed, BalancerActions actions) {
+            super(settings, seed, actions);
         }
 
-        String draw(List<String> among) {
-            return among.get(random.nextInt(among.size()));
+        String draw(List<String> candidates) {
+            return candidates.get(random.nextInt(candidates.size()));
         }
 
         @Override
-        String choose(List<String> among) {
-            String first = draw(among);
-            String second = draw(among);
+        String choose(List<String> candidates) {
+            String first = draw(candidates);
+            String second = draw(candidates);
             return inFlight(second) < inFlight(first) ? second : first;
         }
     }
 
-    /** The paper's mechanism and nothing else: two drawn by weights that fall with the count of errors. */
+    /** The published ServiceQ mechanism only: draws two servers by weights that decrease with their errors. */
     private static final class Plain extends TwoChoices {
         private final Map<String, Integer> errors = new HashMap<>();
 
-        Plain(BalancerSettings settings, long seed, BalancerActions out) {
-            super(settings, seed, out);
+        Plain(BalancerSettings settings, long seed, BalancerActions actions) {
+            super(settings, seed, actions);
         }
 
         @Override
-        void learn(String server, boolean served) {
+        void onResult(String server, boolean served) {
             if (served) {
                 errors.remove(server);
             } else {
@@ -115,13 +116,13 @@
         }
 
         @Override
-        String draw(List<String> among) {
-            int most = among.stream()
+        String draw(List<String> candidates) {
+            int most = candidates.stream()
                     .mapToInt(s -> errors.getOrDefault(s, 0))
                     .max()
                     .orElseThrow();
             double effect = Math.floor(Math.pow(1 + most, 1.5));
-            long[] weights = among.stream()
+            long[] weights = candidates.stream()
                     .mapToLong(s -> (long) Math.ceil(effect / (1 + errors.getOrDefault(s, 0))))
                     .toArray();
             long at = random.nextLong(Arrays.stream(weights).sum());
@@ -129,27 +130,29 @@
             while (at >= weights[i]) {
                 at -= weights[i++];
             }
-            return among.get(i);
+            return candidates.get(i);
         }
     }
 
-    /** Sees what each server truly holds against what it can do: no real node can. */
+    /** Chooses by the actual load and capacity of the server models, which no real node can observe. */
     private static final class Oracle extends Random {
         private final Map<String, AppServer> servers;
 
-        Oracle(BalancerSettings settings, long seed, BalancerActions out, Map<String, AppServer> servers) {
-            super(settings, seed, out);
+        Oracle(BalancerSettings settings, long seed, BalancerActions actions, Map<String, AppServer> servers) {
+            super(settings, seed, actions);
             this.servers = servers;
         }
 
         @Override
-        String choose(List<String> among) {
-            return among.stream().min(Comparator.comparingDouble(this::wait)).orElseThrow();
+        String choose(List<String> candidates) {
+            return candidates.stream()
+                    .min(Comparator.comparingDouble(this::wait))
+                    .orElseThrow();
         }
 
         private double wait(String id) {
             AppServer server = servers.get(id);
-            return (server.requestCount() + 1) / server.presentCapacity();
+            return (server.requestCount() + 1) / server.currentCapacity();
         }
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/process/NodeClients.java
+++ b/harness/src/main/java/loadbalancer/harness/process/NodeClients.java
@@ -27,11 +27,11 @@
 import java.util.List;
 import java.util.Map;
 import loadbalancer.harness.scenario.Scenario;
-import loadbalancer.harness.simulation.NodePort.Answer;
 import loadbalancer.harness.simulation.NodePort.ClientRequest;
+import loadbalancer.harness.simulation.NodePort.RequestResult;
 import loadbalancer.policy.Idempotency;
 
-/** The connections of clients to one node; they are kept open, and more are opened when all are busy. */
+/** The connections of clients to one node. Connections are kept alive, and more are opened when all are busy. */
 final class NodeClients {
     private static final int MAX_RESPONSE_BYTES = 32 << 20;
     private static final int REQUEST_BODY_BYTES = 64;
@@ -42,13 +42,13 @@
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
     private final Map<Long, Connection> busy = new HashMap<>();
 
-    /** What becomes of one request. */
+    /** Receives the progress of one request. */
     interface ResponseHandler {
-        /** All of it has been written to a connection that the node's machine accepted. */
+        /** The request was written completely to a connection that the node's machine accepted. */
         void onWritten();
 
-        /** Its end; {@code misdirected} if the response was made for another request. */
-        void onEnd(Answer answer, boolean misdirected);
+        /** The request has ended; {@code misdirected} if the response belongs to another request. */
+        void onEnd(RequestResult result, boolean misdirected);
     }
 
     NodeClients(EventLoop loop, InetSocketAddress nodeAddress, List<Scenario.RequestClass> classes) {
@@ -71,9 +71,9 @@
     }
 
     void send(ClientRequest request, ResponseHandler handler) {
-        Connection free = idle.poll();
-        if (free != null) {
-            free.send(request, handler);
+        Connection idleConnection = idle.poll();
+        if (idleConnection != null) {
+            idleConnection.send(request, handler);
             return;
         }
         bootstrap.connect(nodeAddress).addListener(done -> {
@@ -84,21 +84,21 @@
                         .get(Connection.class)
                         .send(request, handler);
             } else {
-                handler.onEnd(Answer.UNREACHABLE, false);
+                handler.onEnd(RequestResult.UNREACHABLE, false);
             }
         });
     }
 
-    /** The client of this request closes its connection. */
+    /** Closes the connection of this request, as a client that disconnects does. */
     void disconnect(long id) {
-        Connection on = busy.remove(id);
-        if (on != null) {
-            on.handler = null;
-            on.channel.close();
+        Connection connection = busy.remove(id);
+        if (connection != null) {
+            connection.handler = null;
+            connection.channel.close();
         }
     }
 
-    /** Closes idle connections; busy ones close with their response. */
+    /** Closes idle connections. Busy ones close after a response that ends keep-alive. */
     void closeIdle() {
         idle.forEach(connection -> connection.channel.close());
         idle.clear();
@@ -167,7 +167,10 @@
             }
             if (sender != null) {
                 sender.onEnd(
-                        ok ? Answer.OK : status == 429 || status == 503 ? Answer.REFUSED : Answer.FAILED, misdirected);
+                        ok
+                                ? RequestResult.OK
+                                : status == 429 || status == 503 ? RequestResult.REFUSED : RequestResult.FAILED,
+                        misdirected);
             }
         }
 
@@ -178,13 +181,13 @@
             handler = null;
             if (sender != null) {
                 busy.remove(request.id());
-                sender.onEnd(written ? Answer.BROKEN : Answer.UNREACHABLE, false);
+                sender.onEnd(written ? RequestResult.BROKEN : RequestResult.UNREACHABLE, false);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A node that is killed resets its connections.
+            // A killed node resets its connections.
             channel.close();
         }
     }
--- a/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/Clients.java
@@ -4,37 +4,37 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import loadbalancer.harness.scenario.Scenario;
-import loadbalancer.harness.simulation.NodePort.Answer;
 import loadbalancer.harness.simulation.NodePort.ClientRequest;
+import loadbalancer.harness.simulation.NodePort.RequestResult;
 import loadbalancer.harness.time.Timeline;
 import loadbalancer.harness.time.Timeline.Timer;
 import loadbalancer.policy.Idempotency;
 
 /**
- * Clients, open loop: requests arrive at random, one stream for each class and zone, whatever becomes of those
- * before. A client retries what may be retried, and a few disconnect early.
+ * Open-loop clients: requests arrive at random, in one stream for each class and zone, independently of the progress of
+ * earlier requests. A client retries where that is allowed. A share of the clients disconnects early.
  */
 final class Clients {
-    /** Rates change over time: no longer wait than this is drawn. */
+    /** Longest time until the arrival rate is evaluated again, as rates change over time. */
     private static final long STEP_US = 20_000;
 
     private final Scenario scenario;
-    private final World world;
+    private final Testbed testbed;
     private final Timeline time;
     private final double[] zipfCumulative;
-    private double burstFactor = 1;
-    private int heavyClass = -1;
-    private double heavyShare;
-    private double heavyFactor;
+    private double loadFactor = 1;
+    private int heavyTailClass = -1;
+    private double heavyTailShare;
+    private double heavyTailFactor;
     private long lastId;
     private long openRequests;
     private boolean stopped;
-    private long openedUs;
+    private long startedUs;
 
-    Clients(World world) {
-        this.world = world;
-        scenario = world.scenario();
-        time = world.time();
+    Clients(Testbed testbed) {
+        this.testbed = testbed;
+        scenario = testbed.scenario();
+        time = testbed.time();
         zipfCumulative = new double[scenario.load().keys()];
         double sum = 0;
         for (int i = 0; i < zipfCumulative.length; i++) {
@@ -44,7 +44,7 @@
     }
 
     void start() {
-        openedUs = time.nowUs();
+        startedUs = time.nowUs();
         for (int c = 0; c < scenario.classes().size(); c++) {
             for (int zone = 0; zone < scenario.fleet().zones().size(); zone++) {
                 new ArrivalStream(c, zone).scheduleNext();
@@ -52,43 +52,43 @@
         }
     }
 
-    /** No request arrives from now on. */
+    /** Stops the arrival of new requests. */
     void stop() {
         stopped = true;
     }
 
-    /** Requests whose client still waits. */
+    /** Returns the number of requests whose client still waits. */
     long openRequests() {
         return openRequests;
     }
 
     /** Multiplies the rate of arrivals from now on. */
     void setLoadFactor(double factor) {
-        burstFactor = factor;
+        loadFactor = factor;
     }
 
-    /** Multiplies the work of this share of a class from now on; -1 for no class. */
+    /** Multiplies the work of a share of one class from now on; class -1 for none. */
     void setHeavyTail(int classIndex, double share, double factor) {
-        heavyClass = classIndex;
-        heavyShare = share;
-        heavyFactor = factor;
+        heavyTailClass = classIndex;
+        heavyTailShare = share;
+        heavyTailFactor = factor;
     }
 
-    /** By how much the present rate differs from the mean. */
+    /** Returns the current rate over the mean rate. */
     private double rateFactor() {
         List<Double> shape = scenario.load().shape();
-        int second = (int) Math.min((time.nowUs() - openedUs) / 1_000_000, shape.size() - 1);
-        return burstFactor * (shape.isEmpty() ? 1 : shape.get(second));
+        int second = (int) Math.min((time.nowUs() - startedUs) / 1_000_000, shape.size() - 1);
+        return loadFactor * (shape.isEmpty() ? 1 : shape.get(second));
     }
 
-    /** Where the zones' shares lie evenly between the quietest and the busiest. */
+    /** Returns the zone's share of the load: as listed, or falling linearly with the zone's index by the zone skew. */
     private double zoneShare(int zone) {
         if (!scenario.load().zoneShares().isEmpty()) {
             return scenario.load().zoneShares().get(zone);
         }
         int zones = scenario.fleet().zones().size();
-        double place = zones == 1 ? 0 : 2.0 * zone / (zones - 1) - 1;
-        return (1 - scenario.load().zoneSkew() * place) / zones;
+        double position = zones == 1 ? 0 : 2.0 * zone / (zones - 1) - 1;
+        return (1 - scenario.load().zoneSkew() * position) / zones;
     }
 
     private final class ArrivalStream {
@@ -111,9 +111,10 @@
             if (stopped || perUs == 0) {
                 return;
             }
-            double now = perUs * rateFactor();
-            long waitUs = now == 0 ? Long.MAX_VALUE : Distributions.exponential(random, 1 / now);
-            // The exponential distribution has no memory: an arrival beyond this step is drawn anew in the next.
+            double ratePerUs = perUs * rateFactor();
+            long waitUs = ratePerUs == 0 ? Long.MAX_VALUE : Distributions.exponential(random, 1 / ratePerUs);
+            // The exponential distribution is memoryless, so an arrival beyond this step may be redrawn in the next
+            // step.
             boolean arrives = waitUs <= STEP_US;
             time.after(Math.min(waitUs, STEP_US), () -> {
                 if (arrives && !stopped) {
@@ -128,12 +129,12 @@
                 return null;
             }
             double at = random.nextDouble() * zipfCumulative[zipfCumulative.length - 1];
-            int found = Arrays.binarySearch(zipfCumulative, at);
-            return "k" + (found < 0 ? -1 - found : found);
+            int index = Arrays.binarySearch(zipfCumulative, at);
+            return "k" + (index < 0 ? -1 - index : index);
         }
     }
 
-    /** A request of one client, over all of its attempts. */
+    /** One request of a client, with all of its attempts. */
     private final class LogicalRequest {
         private final ArrivalStream stream;
         private final Scenario.RequestClass cls;
@@ -141,9 +142,9 @@
         private final double workUs;
         private final long firstSentAtUs = time.nowUs();
         private final long deadlineUs;
-        private final boolean leaves;
+        private final boolean abandons;
         private int tries;
-        private int current;
+        private int currentAttempt;
         private NodePort node;
         private long id;
         private Timer timeout;
@@ -152,92 +153,93 @@
             this.stream = stream;
             cls = scenario.classes().get(stream.classIndex);
             key = stream.key();
-            double heavier =
-                    stream.classIndex == heavyClass && stream.random.nextDouble() < heavyShare ? heavyFactor : 1;
-            workUs = cls.workUs() * Distributions.spread(stream.random, cls.cv()) * heavier;
+            double workFactor = stream.classIndex == heavyTailClass && stream.random.nextDouble() < heavyTailShare
+                    ? heavyTailFactor
+                    : 1;
+            workUs = cls.workUs() * Distributions.spread(stream.random, cls.cv()) * workFactor;
             deadlineUs = firstSentAtUs + cls.deadlineUs();
-            leaves = stream.random.nextDouble() < scenario.clients().abandonShare();
+            abandons = stream.random.nextDouble() < scenario.clients().abandonShare();
             openRequests++;
         }
 
         void send() {
             long remainingUs = deadlineUs - time.nowUs();
             boolean last = ++tries >= scenario.clients().tries();
-            long patienceUs = last
+            long attemptTimeoutUs = last
                     ? remainingUs
                     : (long) (remainingUs * scenario.clients().tryShare());
-            if (patienceUs < 1_000) {
-                end(Answer.FAILED);
+            if (attemptTimeoutUs < 1_000) {
+                end(RequestResult.FAILED);
                 return;
             }
-            world.score().onClientAttempt(tries == 1, workUs);
+            testbed.score().onClientAttempt(tries == 1, workUs);
             id = ++lastId;
-            node = world.front().choose(stream.zone, stream.random);
-            int attempt = ++current;
-            boolean leavesNow = leaves && tries == 1;
-            // A client waits a little beyond its deadline, so that the checkers see responses that are late.
-            long waitsUs = leavesNow
-                    ? (long) (patienceUs * stream.random.nextDouble())
-                    : patienceUs + 2 * scenario.rules().responseGraceUs();
-            timeout = time.after(waitsUs, () -> {
-                current++;
+            node = testbed.front().choose(stream.zone, stream.random);
+            int attempt = ++currentAttempt;
+            boolean abandonsNow = abandons && tries == 1;
+            // A client waits a little beyond its deadline so that the checkers see late responses.
+            long disconnectAfterUs = abandonsNow
+                    ? (long) (attemptTimeoutUs * stream.random.nextDouble())
+                    : attemptTimeoutUs + 2 * scenario.rules().responseGraceUs();
+            timeout = time.after(disconnectAfterUs, () -> {
+                currentAttempt++;
                 NodePort target = node;
                 long requestId = id;
                 if (target != null) {
-                    time.after(world.links().clientDelay(stream.random), () -> target.clientGone(requestId));
+                    time.after(testbed.links().clientDelay(stream.random), () -> target.clientGone(requestId));
                 }
-                if (leavesNow) {
+                if (abandonsNow) {
                     openRequests--;
-                    world.score().onClientGone();
+                    testbed.score().onClientGone();
                 } else {
-                    retryOrEnd(Answer.FAILED);
+                    retryOrEnd(RequestResult.FAILED);
                 }
             });
             if (node == null) {
-                time.after(0, () -> onAnswer(attempt, Answer.UNREACHABLE));
+                time.after(0, () -> onResult(attempt, RequestResult.UNREACHABLE));
                 return;
             }
             NodePort target = node;
-            ClientRequest request = new ClientRequest(id, stream.classIndex, key, workUs, patienceUs, tries > 1);
+            ClientRequest request = new ClientRequest(id, stream.classIndex, key, workUs, attemptTimeoutUs, tries > 1);
             time.after(
-                    world.links().clientDelay(stream.random),
+                    testbed.links().clientDelay(stream.random),
                     () -> target.send(
                             request,
-                            answer -> time.after(
-                                    world.links().clientDelay(stream.random), () -> onAnswer(attempt, answer))));
+                            result -> time.after(
+                                    testbed.links().clientDelay(stream.random), () -> onResult(attempt, result))));
         }
 
-        private void onAnswer(int attempt, Answer answer) {
-            if (attempt == current) {
-                onAnswer(answer);
+        private void onResult(int attempt, RequestResult result) {
+            if (attempt == currentAttempt) {
+                onResult(result);
             }
         }
 
-        private void onAnswer(Answer answer) {
-            current++;
+        private void onResult(RequestResult result) {
+            currentAttempt++;
             timeout.cancel();
-            if (answer == Answer.OK) {
-                end(answer);
+            if (result == RequestResult.OK) {
+                end(result);
             } else {
-                retryOrEnd(answer);
+                retryOrEnd(result);
             }
         }
 
-        private void retryOrEnd(Answer answer) {
+        private void retryOrEnd(RequestResult result) {
             boolean mayRetry = cls.idempotency() == Idempotency.IDEMPOTENT
-                    || answer == Answer.REFUSED
-                    || answer == Answer.UNREACHABLE;
+                    || result == RequestResult.REFUSED
+                    || result == RequestResult.UNREACHABLE;
             long backoffUs = scenario.clients().backoffUs();
             if (mayRetry && tries < scenario.clients().tries() && time.nowUs() + backoffUs < deadlineUs) {
                 time.after(backoffUs, this::send);
             } else {
-                end(answer);
+                end(result);
             }
         }
 
-        private void end(Answer answer) {
+        private void end(RequestResult result) {
             openRequests--;
-            world.score().onRequestEnd(stream.classIndex, firstSentAtUs, time.nowUs() - firstSentAtUs, answer);
+            testbed.score().onRequestEnd(stream.classIndex, firstSentAtUs, time.nowUs() - firstSentAtUs, result);
         }
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimConnections.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimConnections.java
@@ -3,30 +3,30 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The model of a node's connections to the app servers: how many are idle, and for how long. */
+/** The model of a node's pool of connections to the app servers: idle connections and their last use. */
 final class SimConnections {
     private final String node;
-    private final World world;
-    private final Map<String, ToServer> byServer = new HashMap<>();
+    private final Testbed testbed;
+    private final Map<String, ServerPool> byServer = new HashMap<>();
 
-    /** Connections to one incarnation of a server, which its start identifies. */
-    private static final class ToServer {
+    /** Connections to one incarnation of a server, which is identified by its start time. */
+    private static final class ServerPool {
         private long serverStartedUs = -1;
         private int idle;
-        private long usedAtUs;
+        private long lastUsedUs;
     }
 
-    SimConnections(String node, World world) {
+    SimConnections(String node, Testbed testbed) {
         this.node = node;
-        this.world = world;
+        this.testbed = testbed;
     }
 
-    /** Takes an idle connection to this server; false if there is none, and one has to be opened. */
+    /** Takes an idle connection to this server; returns false if there is none and a new one has to be opened. */
     boolean acquireIdle(AppServer server) {
-        ToServer connections = byServer.computeIfAbsent(server.id(), id -> new ToServer());
+        ServerPool connections = byServer.computeIfAbsent(server.id(), id -> new ServerPool());
         boolean restarted = connections.serverStartedUs != server.startedUs();
-        boolean expired = world.time().nowUs() - connections.usedAtUs
-                > world.links().net().idleUs();
+        boolean expired = testbed.time().nowUs() - connections.lastUsedUs
+                > testbed.links().net().idleUs();
         if (restarted || expired) {
             connections.serverStartedUs = server.startedUs();
             connections.idle = 0;
@@ -38,23 +38,23 @@
         return true;
     }
 
-    /** Gives back a connection on which a response has come. */
+    /** Returns a connection to the pool after its response. */
     void release(AppServer server) {
-        ToServer connections = byServer.get(server.id());
+        ServerPool connections = byServer.get(server.id());
         connections.idle += connections.serverStartedUs == server.startedUs() ? 1 : 0;
-        connections.usedAtUs = world.time().nowUs();
+        connections.lastUsedUs = testbed.time().nowUs();
     }
 
     void closeIdle(String serverId) {
-        ToServer connections = byServer.remove(serverId);
+        ServerPool connections = byServer.remove(serverId);
         for (int i = 0; connections != null && i < connections.idle; i++) {
-            world.servers().get(serverId).disconnect(node);
+            testbed.servers().get(serverId).disconnect(node);
         }
     }
 
-    /** The node's process has ended, and its connections with it. */
+    /** Closes all connections when the node's process ends. */
     void clear() {
-        byServer.keySet().forEach(serverId -> world.servers().get(serverId).disconnect(node));
+        byServer.keySet().forEach(serverId -> testbed.servers().get(serverId).disconnect(node));
         byServer.clear();
     }
 }
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimNode.java
@@ -16,8 +16,8 @@
 import loadbalancer.policy.ServerEntry;
 
 /**
- * A node in simulated time: the balancer, with sockets that are models. It does what the program does around the
- * balancer, in no time of its own.
+ * A node in simulated time: the real balancer with models of its connections. It does what the program does around the
+ * balancer, and that processing takes no simulated time.
  */
 final class SimNode extends BaseNode implements BalancerActions {
     private static final long DRAINED_POLL_INTERVAL_US = 10_000;
@@ -34,12 +34,12 @@
     private List<ServerEntry> lastFullList = List.of();
     private Timer wakeTimer;
 
-    SimNode(int number, World world, Policy policy) {
-        super(number, world);
+    SimNode(int number, Testbed testbed, Policy policy) {
+        super(number, testbed);
         this.policy = policy;
-        time = world.time();
+        time = testbed.time();
         random = time.stream("node " + name());
-        connections = new SimConnections(name(), world);
+        connections = new SimConnections(name(), testbed);
     }
 
     SplittableRandom random() {
@@ -50,7 +50,7 @@
         return connections;
     }
 
-    /** Runs this later, unless the incarnation that scheduled it has ended by then. */
+    /** Schedules a task that is skipped if the incarnation that scheduled it has ended by then. */
     Timer schedule(long afterUs, Runnable task) {
         int scheduledBy = incarnation();
         return time.after(afterUs, () -> {
@@ -65,16 +65,16 @@
         nextIncarnation();
         terminating = false;
         history().started();
-        balancer = policy.make(settings(), random.nextLong(), this, world().servers());
+        balancer = policy.make(settings(), random.nextLong(), this, testbed().servers());
         balancer.onServers(time.nowUs(), ListKind.CACHED, lastFullList);
-        world().list().follow(name(), (version, kind, entries) -> {
+        testbed().list().follow(name(), (version, kind, entries) -> {
             balancer.onServers(time.nowUs(), kind, entries);
             lastFullList = kind == ListKind.FULL ? entries : lastFullList;
         });
         if (!cordoned().isEmpty()) {
             balancer.onCordoned(time.nowUs(), Set.copyOf(cordoned()));
         }
-        long readyAfterUs = time.nowUs() == 0 ? 0 : world().scenario().fleet().readyAfterUs();
+        long readyAfterUs = time.nowUs() == 0 ? 0 : testbed().scenario().fleet().readyAfterUs();
         schedule(readyAfterUs, () -> setReady(true));
     }
 
@@ -87,12 +87,12 @@
         setReady(false);
         balancer = null;
         wakeTimer = null;
-        world().list().unfollow(name());
+        testbed().list().unfollow(name());
         history().killed();
         for (SimRequest request : requests.values()) {
             request.attempts.forEach(SimAttempt::abandon);
             if (!request.ended) {
-                time.after(0, () -> request.listener.onAnswer(Answer.BROKEN));
+                time.after(0, () -> request.listener.onResult(RequestResult.BROKEN));
             }
         }
         requests.clear();
@@ -124,13 +124,13 @@
     @Override
     public void send(ClientRequest request, ResponseListener listener) {
         if (!isReady() || balancer == null) {
-            time.after(0, () -> listener.onAnswer(Answer.UNREACHABLE));
+            time.after(0, () -> listener.onResult(RequestResult.UNREACHABLE));
             return;
         }
         requests.put(request.id(), new SimRequest(request, listener, time.nowUs() + request.remainingUs()));
         recordRequest(request);
         boolean markedAsRepeat =
-                request.repeat() && world().scenario().clients().marksRepeats();
+                request.repeat() && testbed().scenario().clients().marksRepeats();
         balancer.onRequest(
                 time.nowUs(),
                 new BalancerRequest(
@@ -150,7 +150,7 @@
             request.ended = true;
             history().clientGone(requestId);
             balancer.onClientGone(time.nowUs(), requestId);
-            removeIfOver(request);
+            removeIfFinished(request);
         }
     }
 
@@ -164,23 +164,23 @@
         }
     }
 
-    /** Also a second response to a request is written to the history: the checkers are to see it. */
-    void respond(SimRequest request, Answer answer) {
-        history().response(request.id(), answer.name());
+    /** Responds to a request. A second response is also written to the history, so that the checkers can detect it. */
+    void respond(SimRequest request, RequestResult result) {
+        history().response(request.id(), result.name());
         if (!request.ended) {
             request.ended = true;
-            time.after(0, () -> request.listener.onAnswer(answer));
-            removeIfOver(request);
+            time.after(0, () -> request.listener.onResult(result));
+            removeIfFinished(request);
         }
     }
 
     void reportOutcome(SimRequest request, AttemptOutcome outcome) {
         balancer.onOutcome(time.nowUs(), outcome);
-        removeIfOver(request);
+        removeIfFinished(request);
     }
 
-    private void removeIfOver(SimRequest request) {
-        if (request.isOver()) {
+    private void removeIfFinished(SimRequest request) {
+        if (request.isFinished()) {
             requests.remove(request.id());
         }
     }
@@ -188,12 +188,12 @@
     @Override
     public void send(long requestId, String serverId, long beginByUs, long untilUs) {
         SimRequest request = requests.get(requestId);
-        AppServer server = world().servers().get(serverId);
+        AppServer server = testbed().servers().get(serverId);
         SimAttempt attempt = new SimAttempt(this, request, server);
         request.attempts.add(attempt);
         boolean crossesZones = server.zone() != zone();
         history().attempt(requestId, attempt.number(), serverId, crossesZones);
-        world().score().onAttempt(crossesZones);
+        testbed().score().onAttempt(crossesZones);
         attempt.start(untilUs == 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs));
     }
 
@@ -207,18 +207,18 @@
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        respondIfPresent(requestId, Answer.REFUSED);
+        respondIfPresent(requestId, RequestResult.REFUSED);
     }
 
     @Override
     public void fail(long requestId) {
-        respondIfPresent(requestId, Answer.FAILED);
+        respondIfPresent(requestId, RequestResult.FAILED);
     }
 
-    private void respondIfPresent(long requestId, Answer answer) {
+    private void respondIfPresent(long requestId, RequestResult result) {
         SimRequest request = requests.get(requestId);
         if (request != null) {
-            respond(request, answer);
+            respond(request, result);
         }
     }
 
@@ -235,7 +235,7 @@
 
     @Override
     public void probe(String serverId) {
-        throw new IllegalStateException("probes are not allowed in this world");
+        throw new IllegalStateException("probes are not supported by simulated nodes");
     }
 
     @Override
@@ -245,7 +245,7 @@
 
     @Override
     public void subscribe() {
-        // Lists are pushed here.
+        // Lists are pushed to simulated nodes.
     }
 
     @Override
--- a/harness/src/test/java/loadbalancer/harness/process/NodeProcessTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/ChildProcessTest.java
@@ -15,26 +15,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class NodeProcessTest {
+class ChildProcessTest {
     @TempDir
     private Path folder;
 
     private final BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
 
-    private NodeProcess start(String command) throws IOException {
-        return new NodeProcess(
+    private ChildProcess start(String command) throws IOException {
+        return new ChildProcess(
                 "child", command, Map.of("GREETING", "hello"), folder, folder.resolve("log"), codes::add);
     }
 
-    private static void await(BooleanSupplier holds) {
+    private static void await(BooleanSupplier isMet) {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (!holds.getAsBoolean()) {
+        while (!isMet.getAsBoolean()) {
             assertTrue(System.nanoTime() < end, "waited in vain");
             Thread.onSpinWait();
         }
     }
 
-    private String printed() {
+    private String output() {
         try {
             return Files.readString(folder.resolve("log"));
         } catch (IOException e) {
@@ -44,23 +44,23 @@
 
     @Test
     void exitCodeAndOutputAreThoseOfTheProcess() throws Exception {
-        try (NodeProcess child = start("echo $GREETING; echo again >&2; exit 7")) {
+        try (ChildProcess child = start("echo $GREETING; echo again >&2; exit 7")) {
             assertEquals(7, codes.poll(20, TimeUnit.SECONDS));
-            assertEquals("hello\nagain\n", printed());
+            assertEquals("hello\nagain\n", output());
             assertFalse(child.isAlive());
         }
     }
 
     /**
-     * A process prints as soon as it runs. The rig takes the first line for the process's id, so that output that came
-     * ahead of it broke the start by chance. The id comes first, however quick the process is.
+     * The first line of output is read as the process id. Output of a quick process could precede the id and fail the
+     * start at random.
      */
     @Test
-    void idComesAheadOfAnythingThatTheProcessPrints() throws Exception {
+    void processIdPrecedesAllOutputOfTheProcess() throws Exception {
         for (int i = 0; i < 200; i++) {
-            try (NodeProcess child = start("echo quick")) {
+            try (ChildProcess child = start("echo quick")) {
                 assertEquals(0, codes.poll(20, TimeUnit.SECONDS));
-                assertEquals("quick\n", printed());
+                assertEquals("quick\n", output());
                 assertFalse(child.isAlive());
             }
         }
@@ -68,8 +68,8 @@
 
     @Test
     void processThatIgnoresSigtermIsKilled() throws Exception {
-        NodeProcess child = start("exec sh -c 'trap \"\" TERM; echo up; while :; do read x; done </dev/zero'");
-        await(() -> printed().startsWith("up"));
+        ChildProcess child = start("exec sh -c 'trap \"\" TERM; echo up; while :; do read x; done </dev/zero'");
+        await(() -> output().startsWith("up"));
         child.terminate();
         assertTrue(child.isAlive());
         child.close();
@@ -78,53 +78,53 @@
     }
 
     @Test
-    void processEndsWithTheRigHoweverThatEnds() throws Exception {
-        // The guard's pipe closes with the process that holds its other end: here a shell that stands in for
-        // the rig.
+    void processEndsWithTheHarnessEvenIfThatIsKilled() throws Exception {
+        // The guard's pipe closes with the process that holds its other end, here a shell in the role of the
+        // harness.
         Path id = folder.resolve("id");
-        Process rig = new ProcessBuilder(
+        Process harness = new ProcessBuilder(
                         "sh",
                         "-c",
                         "sleep 1000 | sh -c \"$0\" 'exec sleep 999' >" + id + " & exec sleep 1000",
-                        NodeProcess.GUARD)
+                        ChildProcess.GUARD)
                 .start();
         await(() -> Files.exists(id) && id.toFile().length() > 1);
         long pid = Long.parseLong(Files.readString(id).strip());
         assertTrue(ProcessHandle.of(pid).orElseThrow().isAlive());
-        // The writer's end goes as the rig's does when it is killed.
-        rig.descendants()
+        // The write end closes as that of the harness does when the harness is killed.
+        harness.descendants()
                 .filter(p -> p.info().commandLine().orElse("").endsWith("sleep 1000"))
                 .forEach(ProcessHandle::destroyForcibly);
-        rig.destroyForcibly();
+        harness.destroyForcibly();
         await(() -> ProcessHandle.of(pid).map(p -> !p.isAlive()).orElse(true));
     }
 
     @Test
-    void newestOutputOfAProcessThatPrintsWithoutEndIsRetained() throws Exception {
-        try (NodeProcess child = start("exec yes 0123456789012345678901234567890123456789")) {
-            await(child::isCut);
+    void newestOutputOfAProcessThatPrintsEndlesslyIsRetained() throws Exception {
+        try (ChildProcess child = start("exec yes 0123456789012345678901234567890123456789")) {
+            await(child::isRotated);
             child.kill();
             assertEquals(137, codes.poll(20, TimeUnit.SECONDS));
-            assertTrue(Files.size(folder.resolve("log")) <= NodeProcess.MAX_OUTPUT_BYTES);
-            assertTrue(Files.size(folder.resolve("log.1")) <= NodeProcess.MAX_OUTPUT_BYTES);
+            assertTrue(Files.size(folder.resolve("log")) <= ChildProcess.MAX_OUTPUT_BYTES);
+            assertTrue(Files.size(folder.resolve("log.1")) <= ChildProcess.MAX_OUTPUT_BYTES);
         }
     }
 
     @Test
     void pausedProcessDoesNothingUntilItIsResumed() throws Exception {
-        try (NodeProcess child = start("exec sh -c 'i=0; while :; do i=$((i+1)); echo $i; sleep 0.01; done'")) {
-            await(() -> printed().contains("3\n"));
+        try (ChildProcess child = start("exec sh -c 'i=0; while :; do i=$((i+1)); echo $i; sleep 0.01; done'")) {
+            await(() -> output().contains("3\n"));
             child.pause(true);
             String state = "State:\tT";
             await(() -> status(child).contains(state));
             child.pause(false);
             await(() -> !status(child).contains(state));
-            String before = printed();
-            await(() -> printed().length() > before.length());
+            String before = output();
+            await(() -> output().length() > before.length());
         }
     }
 
-    private static String status(NodeProcess child) {
+    private static String status(ChildProcess child) {
         try {
             return Files.readString(Path.of("/proc/" + child.pid() + "/status"));
         } catch (IOException e) {
