--- a/harness/src/main/java/loadbalancer/harness/history/Event.java
+++ b/harness/src/main/java/loadbalancer/harness/history/Event.java
@@ -11,7 +11,7 @@
  */
 public record Event(long atUs, String process, Kind kind, Map<String, Object> fields) {
 
-    /** The kinds of events. Histories store these names. The fields of each are listed in {@code docs/rig.md}. */
+    /** The kinds of events. Histories store these names. The fields of each are listed in {@code docs/harness.md}. */
     public enum Kind {
         /** Start of a run; always the first event. */
         RUN,
