--- a/node/src/main/java/loadbalancer/process/ConfigReloader.java
+++ b/node/src/main/java/loadbalancer/process/ConfigReloader.java
@@ -14,7 +14,9 @@
 import loadbalancer.request.RequestServices;
 
 /**
- * Reloads the configuration file of a running node on SIGHUP. A file is applied completely or not at all.
+ * Reloads the configuration file of a running node on SIGHUP. An invalid file changes nothing. A valid file is applied,
+ * except for what changes only with a restart: the addresses that the node listens on, its limit on sockets, its
+ * membership, and the settings that {@link ClassRegistry#reloaded} keeps.
  *
  * <p>Requests in flight keep the rules of the class that they arrived with. A class that the new file drops or changes
  * is still accepted until the longest deadline of such a class has passed, because clients may retry requests that they
