--- a/harness/src/main/java/loadbalancer/harness/baseline/Baseline.java
+++ b/harness/src/main/java/loadbalancer/harness/baseline/Baseline.java
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void onWithdrawn(long nowUs, long requestId) {
+    public void onClientGone(long nowUs, long requestId) {
         RequestState state = states.get(requestId);
         if (state != null) {
             state.ended = true;
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public void onBound(long nowUs, long requestId, int attempt) {
+    public void onFirstByte(long nowUs, long requestId, int attempt) {
         // Not used by these policies.
     }
 
--- a/harness/src/main/java/loadbalancer/harness/simulation/SimulatedNode.java
+++ b/harness/src/main/java/loadbalancer/harness/simulation/SimulatedNode.java
@@ -149,7 +149,7 @@
         if (request != null && !request.ended) {
             request.ended = true;
             history().clientGone(requestId);
-            balancer.onWithdrawn(time.nowUs(), requestId);
+            balancer.onClientGone(time.nowUs(), requestId);
             removeIfFinished(request);
         }
     }
--- a/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
+++ b/harness/src/test/java/loadbalancer/harness/run/FaultyBalancer.java
@@ -84,14 +84,14 @@
     }
 
     @Override
-    public void onBound(long nowUs, long requestId, int attempt) {
-        inner.onBound(nowUs, requestId, attempt);
+    public void onFirstByte(long nowUs, long requestId, int attempt) {
+        inner.onFirstByte(nowUs, requestId, attempt);
     }
 
     @Override
-    public void onWithdrawn(long nowUs, long requestId) {
+    public void onClientGone(long nowUs, long requestId) {
         now = nowUs;
-        inner.onWithdrawn(nowUs, requestId);
+        inner.onClientGone(nowUs, requestId);
     }
 
     @Override
--- a/node/src/main/java/loadbalancer/config/NodeConfigReader.java
+++ b/node/src/main/java/loadbalancer/config/NodeConfigReader.java
@@ -56,7 +56,7 @@
         long serverIdleTimeoutUs = readServerIdleTimeoutUs();
         OperationsConfig operations = readOperations();
         if (operations.inheritsListener()) {
-            settings.maxOpenRequests = maxSockets / SOCKETS_PER_OPEN_REQUEST;
+            settings.maxOpen = maxSockets / SOCKETS_PER_OPEN_REQUEST;
         }
         return new NodeConfig(
                 parseAddress(ConfigNames.LISTEN, variableOrKey(ConfigNames.ENV_LISTEN, ConfigNames.LISTEN)),
--- a/node/src/main/java/loadbalancer/policy/Balancer.java
+++ b/node/src/main/java/loadbalancer/policy/Balancer.java
@@ -24,7 +24,7 @@
 
     /**
      * A client's request arrived. It gets exactly one final response, from a server or by the balancer, unless it is
-     * withdrawn first (see {@link #onWithdrawn}).
+     * withdrawn first (see {@link #onClientGone}).
      *
      * @throws IllegalArgumentException if its class or tenant is not in the settings, or its id is in use
      */
@@ -39,14 +39,14 @@
      * if the attempt is not in flight. No further attempt is made, and the balancer applies no deadline to the request
      * from here on.
      */
-    void onBound(long nowUs, long requestId, int attempt);
+    void onFirstByte(long nowUs, long requestId, int attempt);
 
     /**
      * Withdraws a request: its client has left, or the node has sent the final response itself, after a failure of the
      * balancer or at the shutdown deadline. The balancer gives no final response and makes no further attempt. Unknown
      * ids are ignored.
      */
-    void onWithdrawn(long nowUs, long requestId);
+    void onClientGone(long nowUs, long requestId);
 
     /** A probe ended; {@code report} as in {@link AttemptOutcome}. */
     default void onProbe(long nowUs, String serverId, AttemptResult result, long latencyUs, LoadReport report) {
--- a/node/src/main/java/loadbalancer/policy/BalancerSettings.java
+++ b/node/src/main/java/loadbalancer/policy/BalancerSettings.java
@@ -28,7 +28,7 @@
      * Maximum number of open requests. A live node derives it from its limit on sockets if it inherits its listening
      * socket; otherwise it sets no maximum. Beyond the maximum, clients would have no connections left.
      */
-    public int maxOpenRequests = Integer.MAX_VALUE;
+    public int maxOpen = Integer.MAX_VALUE;
     /** Whether a request may have two attempts in flight at once. */
     public boolean hedging;
     /** Whether attempts may be cancelled. */
@@ -80,7 +80,7 @@
         require(nodes >= 1, "balancers must be at least 1");
         require(nodeIndex >= 0 && nodeIndex < nodes, "me must be at least 0 and below balancers");
         require(maxAttempts >= 1, "limits.attemptsCap must be at least 1");
-        require(maxOpenRequests >= 1, "the maximum of open requests must be at least 1");
+        require(maxOpen >= 1, "the maximum of open requests must be at least 1");
         require(localZone >= 0 && localZone < Math.max(1, zones.size()), "myZone must be one of zones");
         require(
                 tickUs >= 0
--- a/node/src/main/java/loadbalancer/policy/PendingQueue.java
+++ b/node/src/main/java/loadbalancer/policy/PendingQueue.java
@@ -15,7 +15,7 @@
  * response is a rejection if the client may safely retry, else a failure. A late request whose class gives late
  * responses some value stays, with its value reduced once.
  *
- * <p>Queued requests and attempts in flight together are bounded by {@link BalancerSettings#maxOpenRequests}, because
+ * <p>Queued requests and attempts in flight together are bounded by {@link BalancerSettings#maxOpen}, because
  * clients have no connections for more. Beyond that the queued request with the lowest value gets its final response.
  * Withdrawn requests count until the next pass removes them, so a request may be displaced although the bound is not
  * reached.
@@ -102,7 +102,7 @@
         }
         queue.add(position, request);
         PendingRequest lowest = queue.get(queue.size() - 1);
-        boolean hasRoom = queue.size() + state.totalInFlight <= state.settings.maxOpenRequests;
+        boolean hasRoom = queue.size() + state.totalInFlight <= state.settings.maxOpen;
         return hasRoom || !lowest.isQueued() ? null : lowest;
     }
 
--- a/node/src/main/java/loadbalancer/policy/PendingRequest.java
+++ b/node/src/main/java/loadbalancer/policy/PendingRequest.java
@@ -51,7 +51,7 @@
 
     /** Whether the client has left or the node has sent the final response itself. */
     boolean withdrawn;
-    /** The attempt that the request is bound to, see {@link Balancer#onBound}. */
+    /** The attempt that the request is bound to, see {@link Balancer#onFirstByte}. */
     int boundAttempt = UNBOUND;
 
     private State state = State.IN_PROGRESS;
--- a/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
+++ b/node/src/main/java/loadbalancer/policy/ServiceQBalancer.java
@@ -181,7 +181,7 @@
     // ---------------------------------------------------------------- other events of a request
 
     @Override
-    public void onBound(long nowUs, long requestId, int attempt) {
+    public void onFirstByte(long nowUs, long requestId, int attempt) {
         PendingRequest request = requests.get(requestId);
         if (request != null && !request.isBound() && request.isInFlight(attempt)) {
             // From here on the response is transferred at the client's pace, which does not depend on the server's
@@ -193,7 +193,7 @@
     }
 
     @Override
-    public void onWithdrawn(long nowUs, long requestId) {
+    public void onClientGone(long nowUs, long requestId) {
         PendingRequest request = requests.get(requestId);
         if (request != null) {
             request.withdrawn = true;
--- a/node/src/main/java/loadbalancer/request/ProxiedRequest.java
+++ b/node/src/main/java/loadbalancer/request/ProxiedRequest.java
@@ -141,7 +141,7 @@
             services.events()
                     .submit(
                             ProxiedRequest.this,
-                            balancer -> balancer.onBound(services.clock().nowUs(), id, attempt));
+                            balancer -> balancer.onFirstByte(services.clock().nowUs(), id, attempt));
         }
 
         @Override
@@ -163,7 +163,7 @@
     public void onClientGone() {
         services.events().submit(this, balancer -> {
             end();
-            balancer.onWithdrawn(services.clock().nowUs(), id);
+            balancer.onClientGone(services.clock().nowUs(), id);
             notifyIfFinished();
         });
     }
@@ -297,7 +297,7 @@
 
     private void withdrawFromBalancer() {
         services.events()
-                .submit(balancer -> balancer.onWithdrawn(services.clock().nowUs(), id));
+                .submit(balancer -> balancer.onClientGone(services.clock().nowUs(), id));
     }
 
     private void end() {
--- a/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
+++ b/node/src/main/java/loadbalancer/request/UpstreamAttempt.java
@@ -169,7 +169,7 @@
             services.events()
                     .submit(
                             request,
-                            balancer -> balancer.onBound(services.clock().nowUs(), request.id(), number));
+                            balancer -> balancer.onFirstByte(services.clock().nowUs(), request.id(), number));
         }
     }
 
--- a/node/src/main/java/loadbalancer/simulator/BalancerEventDecoder.java
+++ b/node/src/main/java/loadbalancer/simulator/BalancerEventDecoder.java
@@ -94,13 +94,13 @@
 
     private Consumer<Balancer> decodeClientGone(long nowUs) throws WireException {
         long requestId = reader.requiredId(WireNames.REQUEST_ID);
-        return balancer -> balancer.onWithdrawn(nowUs, requestId);
+        return balancer -> balancer.onClientGone(nowUs, requestId);
     }
 
     private Consumer<Balancer> decodeFirstByte(long nowUs) throws WireException {
         long requestId = reader.requiredId(WireNames.REQUEST_ID);
         int attempt = (int) reader.requiredLong(WireNames.ATTEMPT);
-        return balancer -> balancer.onBound(nowUs, requestId, attempt);
+        return balancer -> balancer.onFirstByte(nowUs, requestId, attempt);
     }
 
     private Consumer<Balancer> decodeProbe(long nowUs) throws WireException {
--- a/node/src/test/java/loadbalancer/config/NodeConfigTest.java
+++ b/node/src/test/java/loadbalancer/config/NodeConfigTest.java
@@ -88,7 +88,7 @@
     void operationsAreConfiguredOnlyIfTheirVariablesAreSet() throws Exception {
         NodeConfig plain = read(CONFIG, Map.of("TMPDIR", ""));
         assertEquals(OperationsConfig.NONE, plain.operations());
-        assertEquals(Integer.MAX_VALUE, plain.settings().maxOpenRequests);
+        assertEquals(Integer.MAX_VALUE, plain.settings().maxOpen);
         NodeConfig file = read(CONFIG.replace("\"seed\"", "\"control\":\"127.0.0.3:9\",\"seed\""), Map.of());
         assertEquals(9, file.operations().controlAddress().getPort());
         NodeConfig operated = read(
@@ -96,7 +96,7 @@
         assertEquals(9800, operated.operations().controlAddress().getPort());
         assertEquals(folder, operated.operations().sharedFolder());
         assertTrue(operated.operations().inheritsListener());
-        assertEquals(170, operated.settings().maxOpenRequests, "a sixth of 1,024");
+        assertEquals(170, operated.settings().maxOpen, "a sixth of 1,024");
         for (Map<String, String> bad : List.of(Map.of("PROXY_CONTROL", "9800"), Map.of("PROXY_SOCKET_FD", "3"))) {
             ConfigException e = assertThrows(ConfigException.class, () -> read(CONFIG, bad));
             String value = bad.values().iterator().next();
--- a/node/src/test/java/loadbalancer/policy/AllowedAttemptsTest.java
+++ b/node/src/test/java/loadbalancer/policy/AllowedAttemptsTest.java
@@ -128,12 +128,12 @@
     void clientThatHasLeftGetsNoFinalResponse() {
         FakeNode node = new FakeNode().withServers(1);
         long id = node.request(FakeNode.IDEMPOTENT);
-        node.balancer.onWithdrawn(node.now, id);
+        node.balancer.onClientGone(node.now, id);
         node.endAttempt(id, AttemptResult.ERROR, 1_000);
         node.advance(2_000_000);
         assertEquals(1, node.attempts(id));
         assertTrue(node.rejected.isEmpty() && node.failed.isEmpty());
-        node.balancer.onWithdrawn(node.now, id);
+        node.balancer.onClientGone(node.now, id);
         node.balancer.onOutcome(node.now, new AttemptOutcome(id, 0, AttemptResult.OK, 1, true, null));
     }
 
--- a/node/src/test/java/loadbalancer/policy/BalancerPathTest.java
+++ b/node/src/test/java/loadbalancer/policy/BalancerPathTest.java
@@ -218,7 +218,7 @@
                 node.advance(late == 1 ? 210_000 : 0);
                 assertTrue(respondToOne(node, burst, "s0"));
                 for (long id : burst) {
-                    node.balancer.onWithdrawn(node.now, id);
+                    node.balancer.onClientGone(node.now, id);
                     if (node.lastAttempt(id) != null) {
                         node.endAttempt(id, AttemptResult.CANCELLED, 0);
                     }
--- a/node/src/test/java/loadbalancer/policy/ChangedSettingsTest.java
+++ b/node/src/test/java/loadbalancer/policy/ChangedSettingsTest.java
@@ -95,7 +95,7 @@
         long id = node.request(FakeNode.IDEMPOTENT);
         node.advance(100_000);
         assertEquals(2, node.attempts(id), "hedged");
-        node.balancer.onBound(node.now, id, 1);
+        node.balancer.onFirstByte(node.now, id, 1);
         assertEquals(List.of(id + "/0"), node.cancelled);
         node.advance(2_000_000);
         node.endAttempt(id, AttemptResult.RESET, 0);
@@ -109,7 +109,7 @@
             long id = node.request(FakeNode.NON_IDEMPOTENT);
             assertEquals(1, node.attempts(id), "request " + i + " was not sent");
             node.advance(1_000);
-            node.balancer.onBound(node.now, id, 0);
+            node.balancer.onFirstByte(node.now, id, 0);
         }
         assertEquals(List.of(), node.closedIdle);
         for (long id = 1; id <= 200; id++) {
--- a/node/src/test/java/loadbalancer/policy/DecisionStream.java
+++ b/node/src/test/java/loadbalancer/policy/DecisionStream.java
@@ -73,7 +73,7 @@
             boolean hedges,
             boolean poll,
             int maxAttempts,
-            int maxOpenRequests,
+            int maxOpen,
             boolean weightByWork) {}
 
     private static final long START_US = 5_000_000;
@@ -171,7 +171,7 @@
         settings.hedging = parameters.hedges;
         settings.pollsEndpointList = parameters.poll;
         settings.maxAttempts = parameters.maxAttempts;
-        settings.maxOpenRequests = parameters.maxOpenRequests;
+        settings.maxOpen = parameters.maxOpen;
         settings.weightByWork = parameters.weightByWork;
         settings.maxRetryAfterUs = parameters.poll ? 2_000_000 : 0;
         settings.warmUpUs = 6_000_000;
@@ -419,7 +419,7 @@
         if (request != null && !request.ended) {
             request.ended = true;
             markCovered(Covered.CLIENT_LEFT);
-            balancer.onWithdrawn(now, id);
+            balancer.onClientGone(now, id);
         }
     }
 
@@ -493,7 +493,7 @@
         if (!request.ended && !request.attempts.get(number).ended && !request.streaming) {
             request.streaming = true;
             markCovered(Covered.FIRST_BYTE);
-            balancer.onBound(now, requestId, number);
+            balancer.onFirstByte(now, requestId, number);
         }
     }
 
--- a/node/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/node/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -136,7 +136,7 @@
             String now = node.lastAttempt(id).server();
             kept += e.getValue().equals("s3") && now.equals("s3") ? 1 : 0;
             moved += !e.getValue().equals("s3") && !now.equals(e.getValue()) ? 1 : 0;
-            node.balancer.onWithdrawn(node.now, id);
+            node.balancer.onClientGone(node.now, id);
             node.endAttempt(id, AttemptResult.CANCELLED, 0);
         }
         long had = before.values().stream().filter("s3"::equals).count();
--- a/node/src/test/java/loadbalancer/policy/OpenRequestLimitTest.java
+++ b/node/src/test/java/loadbalancer/policy/OpenRequestLimitTest.java
@@ -14,7 +14,7 @@
         BalancerSettings settings = FakeNode.settings();
         settings.classes.add(new RequestClass(
                 "dear", 200_000, 0, 1_000_000, 9, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
-        settings.maxOpenRequests = 20;
+        settings.maxOpen = 20;
         FakeNode node = new FakeNode(settings, 7).withServers(1);
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
--- a/node/src/test/java/loadbalancer/policy/PendingQueueTest.java
+++ b/node/src/test/java/loadbalancer/policy/PendingQueueTest.java
@@ -52,7 +52,7 @@
 
     @Test
     void fullQueueReturnsTheRequestOfLowestValue() {
-        fixture.settings.maxOpenRequests = 2;
+        fixture.settings.maxOpen = 2;
         PendingRequest low = enqueue(FakeNode.IDEMPOTENT, 1);
         enqueue(FakeNode.IDEMPOTENT, 3);
         PendingRequest added = fixture.request(FakeNode.IDEMPOTENT);
--- a/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/node/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -329,7 +329,7 @@
                 request.ended = true;
                 finalResponses++;
             }
-            balancer.onWithdrawn(now, id);
+            balancer.onClientGone(now, id);
         }
     }
 
--- a/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
+++ b/node/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
@@ -33,7 +33,7 @@
         }
         node.advance(30 * MEAN_LATENCY_US);
         // The client leaves long before its deadline, so no timeout ever reveals the fault.
-        node.balancer.onWithdrawn(node.now, id);
+        node.balancer.onClientGone(node.now, id);
         node.balancer.onOutcome(
                 node.now, new AttemptOutcome(id, 0, AttemptResult.CANCELLED, 30 * MEAN_LATENCY_US, true, null));
         return true;
@@ -56,7 +56,7 @@
         for (int i = 0; i < 200; i++) {
             long id = node.request(FakeNode.NON_IDEMPOTENT);
             node.advance(MEAN_LATENCY_US / 2);
-            node.balancer.onWithdrawn(node.now, id);
+            node.balancer.onClientGone(node.now, id);
             node.balancer.onOutcome(
                     node.now, new AttemptOutcome(id, 0, AttemptResult.CANCELLED, MEAN_LATENCY_US / 2, true, null));
         }
@@ -69,7 +69,7 @@
         long id = node.request(FakeNode.IDEMPOTENT);
         node.advance(10 * MEAN_LATENCY_US);
         assertEquals(2, node.attempts(id));
-        node.balancer.onWithdrawn(node.now, id);
+        node.balancer.onClientGone(node.now, id);
         assertEquals(List.of(id + "/0", id + "/1"), node.cancelled);
         node.balancer.onOutcome(
                 node.now, new AttemptOutcome(id, 0, AttemptResult.RESET, 10 * MEAN_LATENCY_US, true, null));
@@ -183,7 +183,7 @@
                 long id = node.request(FakeNode.NON_IDEMPOTENT);
                 if (leave == 1) {
                     node.advance(12 * MEAN_LATENCY_US);
-                    node.balancer.onWithdrawn(node.now, id);
+                    node.balancer.onClientGone(node.now, id);
                     node.endAttempt(id, AttemptResult.CANCELLED, 0);
                 } else {
                     node.endAttempt(id, AttemptResult.OK, MEAN_LATENCY_US);
