--- a/harness/src/test/java/loadbalancer/harness/process/MemberFleetTest.java
+++ b/harness/src/test/java/loadbalancer/harness/process/MemberFleetTest.java
@@ -73,7 +73,7 @@
 
     /** A member receives nothing: it and the others consider each other dead, and all converge after the partition. */
     @Test
-    void memberThatReceivesNothingFailsAndRejoins() throws Exception {
+    void memberThatReceivesNothingFailsAndComesBack() throws Exception {
         try (MemberFleet fleet = fleet().startMembers(5)) {
             fleet.await("all five converged", TIMEOUT_MILLIS, fleet::isConverged);
             fleet.partition((from, to) -> to.name().equals("m3"));
